--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -3,8 +3,8 @@
 use std::collections::HashMap;
 
 use meadowhold::control::Control;
-use meadowhold::door::Door;
-use meadowhold::interface::{Action, Ended, Input, Listed, Taken, Time};
+use meadowhold::interface::{AcceptedMail, Action, ConnectResult, Input, ListEntry, Time};
+use meadowhold::interner::Interner;
 use meadowhold_settings::{decode, tenths, Decoded};
 
 use crate::wire::{self, Address, Event, Frame, Malformed, Reply};
@@ -14,12 +14,12 @@
     report: [Option<usize>; 2],
     /// Queue classes that keep their order; a key on any other mail says nothing.
     in_turn: Vec<bool>,
-    mails: Door<u32>,
-    endpoints: Door<Address>,
+    mails: Interner<u32>,
+    endpoints: Interner<Address>,
     /// Endpoints by the short names that notes use.
     named: HashMap<u32, Address>,
-    dests: Door<u16>,
-    keys: Door<u64>,
+    dests: Interner<u16>,
+    keys: Interner<u64>,
     /// Earliest timer that is still to fire.
     timer: Option<Time>,
     inputs: Vec<Input>,
@@ -102,14 +102,14 @@
 impl Courier {
     fn new(decoded: Decoded) -> Courier {
         Courier {
-            in_turn: decoded.settings.classes.iter().map(|c| c.in_turn).collect(),
+            in_turn: decoded.settings.classes.iter().map(|c| c.ordered).collect(),
             control: Control::new(decoded.settings),
             report: decoded.report,
-            mails: Door::default(),
-            endpoints: Door::default(),
+            mails: Interner::default(),
+            endpoints: Interner::default(),
             named: HashMap::new(),
-            dests: Door::default(),
-            keys: Door::default(),
+            dests: Interner::default(),
+            keys: Interner::default(),
             timer: None,
             inputs: Vec::new(),
         }
@@ -120,53 +120,60 @@
             Event::View { scope: 3, .. } => Input::ListFailed,
             Event::View { scope, census } => {
                 let list = lists.get(census as usize).ok_or("a view names a census that never came")?;
-                self.inputs.push(Input::ListBegin { whole: scope != 0 });
+                self.inputs.push(Input::ListBegin { complete: scope != 0 });
                 for e in list {
-                    let endpoint = self.endpoints.enter(e.endpoint);
+                    let endpoint = self.endpoints.intern(e.endpoint);
                     self.named.insert(wire::short(e.endpoint), e.endpoint);
-                    let dest = self.dests.enter(e.dest);
+                    let dest = self.dests.intern(e.dest);
                     let (zone, kind, life, rate) = (e.zone, e.kind, e.life, e.rate);
-                    self.inputs.push(Input::Listed(Listed { endpoint, dest, zone, kind, life, rate }));
+                    self.inputs.push(Input::ListEntry(ListEntry {
+                        endpoint,
+                        destination: dest,
+                        zone,
+                        kind,
+                        status: life,
+                        rate,
+                    }));
                 }
                 Input::ListEnd
             }
-            Event::Arrival { handle, dest, class, item, due } => Input::Taken(Taken {
-                mail: self.mails.enter(handle),
-                dest: self.dests.enter(dest),
+            Event::Arrival { handle, dest, class, item, due } => Input::AcceptedMail(AcceptedMail {
+                mail: self.mails.intern(handle),
+                destination: self.dests.intern(dest),
                 class,
-                key: (item != 0 && self.in_turn.get(class) == Some(&true)).then(|| self.keys.enter(item)),
-                since: now,
-                due,
-                ..Taken::default()
+                key: (item != 0 && self.in_turn.get(class) == Some(&true)).then(|| self.keys.intern(item)),
+                submitted_at: now,
+                deadline: due,
+                ..AcceptedMail::default()
             }),
-            Event::Hangup { handle } => match self.mails.find(&handle) {
-                Some(mail) => Input::Hangup { mail },
+            Event::Hangup { handle } => match self.mails.get(&handle) {
+                Some(mail) => Input::ClientGone { mail },
                 None => return Ok(()),
             },
             Event::Alarm => {
                 self.timer = self.timer.filter(|&at| at > now);
-                Input::Woken
+                Input::Wakeup
             }
-            Event::Settled(s) => match self.mails.find(&s.handle) {
-                Some(mail) => Input::Ended(Ended {
+            Event::Settled(s) => match self.mails.get(&s.handle) {
+                Some(mail) => Input::ConnectResult(ConnectResult {
                     mail,
                     outcome: s.outcome,
-                    over: s.over,
-                    wait: s.wait,
-                    took: s.took,
-                    kept: false,
-                    report: wire::report(s.report, self.report[0], self.report[1]),
+                    finished: s.over,
+                    retry_after: s.wait,
+                    duration: s.took,
+                    reused_connection: false,
+                    limit_report: wire::report(s.report, self.report[0], self.report[1]),
                 }),
                 None => return Ok(()),
             },
             Event::Message { body } => {
                 let note = wire::noted(body);
                 let Some((endpoint, news)) =
-                    note.and_then(|(name, news)| Some((self.endpoints.find(self.named.get(&name)?)?, news)))
+                    note.and_then(|(name, news)| Some((self.endpoints.get(self.named.get(&name)?)?, news)))
                 else {
                     return Ok(());
                 };
-                Input::Heard { endpoint, news }
+                Input::PeerNote { endpoint, note: news }
             }
             _ => return Ok(()),
         };
@@ -175,7 +182,7 @@
     }
 
     fn decide(&mut self, instance: u32, now: Time, actions: &mut Vec<Action>, reply: &mut Reply) {
-        let wake = self.control.round(now, &self.inputs, actions);
+        let wake = self.control.step(now, &self.inputs, actions);
         self.inputs.clear();
         for action in actions.drain(..) {
             self.put(instance, action, reply);
@@ -189,34 +196,34 @@
     fn put(&mut self, instance: u32, action: Action, reply: &mut Reply) {
         match action {
             Action::Connect { mail, endpoint, timeout, .. } => {
-                if let (Some(&m), Some(&e)) = (self.mails.outside(mail), self.endpoints.outside(endpoint)) {
+                if let (Some(&m), Some(&e)) = (self.mails.id(mail), self.endpoints.id(endpoint)) {
                     reply.transmit(instance, m, e, timeout);
                 }
             }
-            Action::Defer { mail, pause } => {
-                if let Some(&m) = self.mails.outside(mail) {
+            Action::Defer { mail, retry_after: pause } => {
+                if let Some(&m) = self.mails.id(mail) {
                     reply.busy(instance, m, pause);
                 }
             }
             Action::Bounce { mail } => {
-                if let Some(&m) = self.mails.outside(mail) {
+                if let Some(&m) = self.mails.id(mail) {
                     reply.finish_error(instance, m);
                 }
             }
-            Action::LetGo(endpoint) => {
-                if let Some(&e) = self.endpoints.outside(endpoint) {
+            Action::CloseIdle(endpoint) => {
+                if let Some(&e) = self.endpoints.id(endpoint) {
                     reply.let_go(instance, e);
                 }
             }
-            Action::Tell { endpoint, news } => {
-                if let Some(&e) = self.endpoints.outside(endpoint) {
+            Action::SendNote { endpoint, note: news } => {
+                if let Some(&e) = self.endpoints.id(endpoint) {
                     reply.publish(instance, &wire::note(e, news));
                 }
             }
-            Action::WatchList => reply.watch(instance),
-            Action::FreeMail(mail) => self.mails.leave(mail),
-            Action::FreeKey(key) => self.keys.leave(key),
-            Action::FreeEndpoint(endpoint) => self.endpoints.leave(endpoint),
+            Action::RequestList => reply.watch(instance),
+            Action::FreeMail(mail) => self.mails.release(mail),
+            Action::FreeKey(key) => self.keys.release(key),
+            Action::FreeEndpoint(endpoint) => self.endpoints.release(endpoint),
         }
     }
 }
--- a/crates/adapter/src/tests.rs
+++ b/crates/adapter/src/tests.rs
@@ -1,7 +1,7 @@
 //! The wire codec and the host: frames both ways, odd and malformed ones.
 
 use super::*;
-use meadowhold::interface::{Life, News, Outcome, Report};
+use meadowhold::interface::{EndpointStatus, LimitReport, Outcome, PeerNote};
 use wire::{Event, Reply};
 
 const SETTINGS: &str = "NInstances=2\nFamilyInfo.Slots=4\nLimits.MaxOpen=20\nLimits.MaxAttempts=3\n\
@@ -85,7 +85,10 @@
                 (s.handle, s.over, s.outcome, s.wait, s.took),
                 (0x5d3a91c4, true, Outcome::Refused, 120, 185)
             );
-            assert_eq!(wire::report(s.report, Some(0), Some(1)), Some(Report { left: 0.5, limit: 2.0 }));
+            assert_eq!(
+                wire::report(s.report, Some(0), Some(1)),
+                Some(LimitReport { remaining: 0.5, limit: 2.0 })
+            );
             assert_eq!(wire::report(s.report, Some(0), Some(2)), None);
         }
         other => panic!("{other:?}"),
@@ -95,7 +98,10 @@
 #[test]
 fn entries_are_read() {
     let entry = wire::entries(&hex("0a9011f2 1b84 01 02 0039 02 3fc00000 00000000005d1420")).next().unwrap();
-    assert_eq!((entry.zone, entry.kind, entry.dest, entry.life, entry.rate), (1, 2, 57, Life::Draining, 1.5));
+    assert_eq!(
+        (entry.zone, entry.kind, entry.dest, entry.life, entry.rate),
+        (1, 2, 57, EndpointStatus::Draining, 1.5)
+    );
 }
 
 #[test]
@@ -166,12 +172,12 @@
     let endpoint = [10, 18, 74, 7, 27, 91];
     // Waits are told in tenths of a second, rounded up, six seconds and a bit at most.
     let cases = [
-        (News::Out, News::Out),
-        (News::Back, News::Back),
-        (News::Full(0), News::Full(0)),
-        (News::Full(1), News::Full(1000)),
-        (News::Full(3000), News::Full(3000)),
-        (News::Full(900_000), News::Full(63_000)),
+        (PeerNote::Down, PeerNote::Down),
+        (PeerNote::Recovered, PeerNote::Recovered),
+        (PeerNote::Refusing(0), PeerNote::Refusing(0)),
+        (PeerNote::Refusing(1), PeerNote::Refusing(1000)),
+        (PeerNote::Refusing(3000), PeerNote::Refusing(3000)),
+        (PeerNote::Refusing(900_000), PeerNote::Refusing(63_000)),
     ];
     for (told, heard) in cases {
         let note = wire::note(endpoint, told);
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! The bench wire: frames of fixed-size records with one tail. Every offset is checked before use.
 
-use meadowhold::interface::{Life, News, Outcome, Report, Time};
+use meadowhold::interface::{EndpointStatus, LimitReport, Outcome, PeerNote, Time};
 use meadowhold_settings::tenths;
 
 pub const EVENT: usize = 48;
@@ -29,7 +29,7 @@
     pub zone: usize,
     pub kind: usize,
     pub dest: u16,
-    pub life: Life,
+    pub life: EndpointStatus,
     pub rate: f64,
 }
 
@@ -143,22 +143,22 @@
 const LONGEST: Time = 63;
 
 /// A note: the endpoint's short name, then two bits of news and six of its time in tenths of a second, rounded up.
-pub fn note(endpoint: Address, news: News) -> [u8; 4] {
+pub fn note(endpoint: Address, news: PeerNote) -> [u8; 4] {
     let news = match news {
-        News::Full(wait) => wait.div_ceil(1000).min(LONGEST) as u32,
-        News::Out => 1 << 6,
-        News::Back => 2 << 6,
+        PeerNote::Refusing(wait) => wait.div_ceil(1000).min(LONGEST) as u32,
+        PeerNote::Down => 1 << 6,
+        PeerNote::Recovered => 2 << 6,
     };
     (short(endpoint) << 8 | news).to_be_bytes()
 }
 
 /// What is no note that this courier knows is none.
-pub fn noted(body: &[u8]) -> Option<(u32, News)> {
+pub fn noted(body: &[u8]) -> Option<(u32, PeerNote)> {
     let note = u32::from_be_bytes(body.try_into().ok()?);
     let news = match note >> 6 & 3 {
-        0 => News::Full(Time::from(note & 63) * 1000),
-        1 => News::Out,
-        2 => News::Back,
+        0 => PeerNote::Refusing(Time::from(note & 63) * 1000),
+        1 => PeerNote::Down,
+        2 => PeerNote::Recovered,
         _ => return None,
     };
     Some((note >> 8, news))
@@ -171,9 +171,9 @@
         kind: e[7].into(),
         dest: be16(e, 8),
         life: match e[10] {
-            1 => Life::Ready,
-            2 => Life::Draining,
-            _ => Life::Gone,
+            1 => EndpointStatus::Ready,
+            2 => EndpointStatus::Draining,
+            _ => EndpointStatus::Removed,
         },
         rate: f32::from_bits(be32(e, 11)).into(),
     })
@@ -194,10 +194,10 @@
 }
 
 /// Reads any `load report` by the names of its fields.
-pub fn report(told: (usize, [f32; 4]), left: Option<usize>, limit: Option<usize>) -> Option<Report> {
+pub fn report(told: (usize, [f32; 4]), left: Option<usize>, limit: Option<usize>) -> Option<LimitReport> {
     let value = |at: Option<usize>| at.filter(|&i| i < told.0).map(|i| f64::from(told.1[i]));
-    let known = Report { left: value(left)?, limit: value(limit)? };
-    (known.left.is_finite() && known.limit.is_finite()).then_some(known)
+    let known = LimitReport { remaining: value(left)?, limit: value(limit)? };
+    (known.remaining.is_finite() && known.limit.is_finite()).then_some(known)
 }
 
 /// A reply under way: records, and the tail for their words.
--- a/crates/capacity/benches/turn.rs
+++ b/crates/capacity/benches/turn.rs
@@ -11,7 +11,8 @@
 use fastrand::Rng;
 use meadowhold::control::Control;
 use meadowhold::interface::{
-    Action, Effect, Ended, Input, Kind, Life, Listed, Outcome, QueueClass, Settings, Taken, Time, SECOND,
+    AcceptedMail, Action, ConnectResult, Effect, EndpointStatus, Input, Kind, ListEntry, Outcome, QueueClass,
+    Settings, Time, SECOND,
 };
 use meadowhold_rig::slopes::{load_average, Row, Slope};
 use serde_json::json;
@@ -31,31 +32,31 @@
 fn settings(room: usize) -> Settings {
     let class = QueueClass {
         effect: Effect::Redeliverable,
-        by_zone: false,
-        window: 5 * SECOND,
-        target: 2 * SECOND,
+        dedup_by_zone: false,
+        dedup_window: 5 * SECOND,
+        target_delay: 2 * SECOND,
         lifetime: 86_400 * SECOND,
         importance: 1.0,
-        late_worth: 0.0,
-        in_turn: false,
+        expiry_importance: 0.0,
+        ordered: false,
     };
     Settings {
         seed: 1,
         couriers: 1,
         slots: 64,
-        room,
+        max_mails: room,
         // What cannot be delivered stays held: no attempt is the last one.
         max_connects: 1_000_000_000,
-        resolution: STEP,
-        connect_timeout: SECOND,
-        keep_idle: 5 * SECOND,
-        cold_from: 0.25,
-        cold: 4 * SECOND,
-        tip_multiple: 2.0,
-        overload_for: 2 * SECOND,
-        turn_gap: 6 * SECOND / 10,
-        rates_listed: true,
-        kinds: vec![Kind { batch: 1, apart: false }],
+        timer_resolution: STEP,
+        connection_timeout: SECOND,
+        idle_timeout: 5 * SECOND,
+        cold_capacity: 0.25,
+        warm_up: 4 * SECOND,
+        overload_multiple: 2.0,
+        overload_duration: 2 * SECOND,
+        ordering_gap: 6 * SECOND / 10,
+        list_has_rates: true,
+        kinds: vec![Kind { max_batch: 1, per_endpoint_limits: false }],
         classes: vec![class],
         ..Settings::default()
     }
@@ -80,9 +81,16 @@
 impl World {
     fn new(destinations: usize, down: usize, room: usize) -> World {
         let listed = |dest| {
-            Input::Listed(Listed { endpoint: dest, dest, zone: 0, kind: 0, life: Life::Ready, rate: 1000.0 })
+            Input::ListEntry(ListEntry {
+                endpoint: dest,
+                destination: dest,
+                zone: 0,
+                kind: 0,
+                status: EndpointStatus::Ready,
+                rate: 1000.0,
+            })
         };
-        let inputs = std::iter::once(Input::ListBegin { whole: true })
+        let inputs = std::iter::once(Input::ListBegin { complete: true })
             .chain((0..destinations).map(listed))
             .chain([Input::ListEnd])
             .collect();
@@ -109,12 +117,18 @@
         });
         self.of[mail] = dest;
         let (since, due) = (self.now, self.now + 86_400 * SECOND);
-        self.inputs.push(Input::Taken(Taken { mail, dest, since, due, ..Taken::default() }));
+        self.inputs.push(Input::AcceptedMail(AcceptedMail {
+            mail,
+            destination: dest,
+            submitted_at: since,
+            deadline: due,
+            ..AcceptedMail::default()
+        }));
     }
 
     fn turn(&mut self) {
         let inputs = std::mem::take(&mut self.inputs);
-        self.control.round(self.now, &inputs, &mut self.actions);
+        self.control.step(self.now, &inputs, &mut self.actions);
         self.now += STEP;
         for action in std::mem::take(&mut self.actions) {
             match action {
@@ -125,7 +139,15 @@
                     self.delivered += usize::from(over);
                     self.refused += usize::from(refuses);
                     let (wait, took, kept, report) = (0, STEP, false, None);
-                    self.inputs.push(Input::Ended(Ended { mail, outcome, over, wait, took, kept, report }));
+                    self.inputs.push(Input::ConnectResult(ConnectResult {
+                        mail,
+                        outcome,
+                        finished: over,
+                        retry_after: wait,
+                        duration: took,
+                        reused_connection: kept,
+                        limit_report: report,
+                    }));
                 }
                 Action::Defer { .. } | Action::Bounce { .. } => self.given_up += 1,
                 Action::FreeMail(mail) => self.free.push(mail),
--- a/crates/courier/src/audit.rs
+++ b/crates/courier/src/audit.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 use meadowhold::control::Control;
-use meadowhold::door::Door;
 use meadowhold::interface::Time;
+use meadowhold::interner::Interner;
 
 use crate::journal::{weight, Found, Owed};
 
@@ -75,7 +75,7 @@
     pub ids: &'a HashMap<Bytes, u64>,
     pub open: usize,
     pub flying: &'a [Option<Flight>],
-    pub mails: &'a Door<u64>,
+    pub mails: &'a Interner<u64>,
     /// The destination of an endpoint, by its outside number.
     pub groups: &'a dyn Fn(usize) -> u64,
     /// Bytes that the journal says what is owed takes.
@@ -119,8 +119,8 @@
     faults.agree("mails taken and found", known, tally.ended + owed.len() as u64);
     let open = owed.values().filter(|owed| owed.verdict.is_none()).count();
     faults.agree("mails without an end", books.open as u64, open as u64);
-    faults.agree("mails without an end, by the decisions", control.open() as u64, open as u64);
-    faults.agree("indices of mails", books.mails.len() as u64, control.indices() as u64);
+    faults.agree("mails without an end, by the decisions", control.open_mails() as u64, open as u64);
+    faults.agree("indices of mails", books.mails.len() as u64, control.mail_indices_in_use() as u64);
     faults.agree("ids of mails in hand", ids.len() as u64, owed.len() as u64);
     for (serial, owed) in *owed {
         faults.must(ids.get(&owed.id) == Some(serial), || format!("mail {serial} is not known by its id"));
@@ -133,14 +133,14 @@
     let Books { control, owed, tally, .. } = books;
     let out = || books.flying.iter().enumerate().filter_map(|(mail, flight)| Some((mail, flight.as_ref()?)));
     faults.agree("connects out", out().count() as u64, tally.begun - tally.landed.min(tally.begun));
-    faults.agree("mails of calls out", control.mails_out() as u64, out().count() as u64);
+    faults.agree("mails of calls out", control.mails_in_flight() as u64, out().count() as u64);
     // The slot of each call, and how many slots an endpoint and all have.
     let mut slots: BTreeMap<usize, usize> = BTreeMap::new();
     let mut carried_by: BTreeMap<u64, usize> = BTreeMap::new();
     let mut recorded = 0;
     for (mail, flight) in out() {
         let &Flight { serial, endpoint, call, begun, .. } = flight;
-        let indexed = books.mails.outside(mail) == Some(&serial);
+        let indexed = books.mails.id(mail) == Some(&serial);
         faults.must(indexed, || format!("mail {serial} is out and its index is another's"));
         let record = owed.get(&serial).map(|owed| owed.out.is_some());
         recorded += usize::from(record == Some(true));
@@ -151,7 +151,7 @@
         let (to, of) =
             ((books.groups)(endpoint), owed.get(&serial).map_or((books.groups)(endpoint), |o| o.dest));
         faults.must(to == of, || format!("mail {serial} of destination {of} is out to destination {to}"));
-        let Some((slot, at)) = control.flight(mail) else {
+        let Some((slot, at)) = control.call_of(mail) else {
             faults.0.push(format!("mail {serial} is out and the decisions do not know it"));
             continue;
         };
@@ -167,7 +167,7 @@
     let mut at: BTreeMap<usize, u64> = BTreeMap::new();
     slots.values().for_each(|&endpoint| *at.entry(endpoint).or_default() += 1);
     for (endpoint, calls) in at {
-        faults.agree("slots of an endpoint", control.calls_at(endpoint) as u64, calls);
+        faults.agree("slots of an endpoint", control.calls_in_flight(endpoint) as u64, calls);
     }
     let twice = out().map(|(_, flight)| flight.serial).collect::<BTreeSet<_>>().len();
     faults.agree("mails out", out().count() as u64, twice as u64);
--- a/crates/courier/src/command.rs
+++ b/crates/courier/src/command.rs
@@ -194,7 +194,7 @@
         let relays: Vec<String> = relays.iter().map(ToString::to_string).collect();
         println!("the list by relays instead: {}", relays.join(", "));
     }
-    println!("{} slots, room for {} mails, {} queue classes", set.slots, set.room, set.classes.len());
+    println!("{} slots, room for {} mails, {} queue classes", set.slots, set.max_mails, set.classes.len());
     println!("{} endpoints known, at version {}", config.known.endpoints.len(), config.known.index);
     if let Some(version) = config.version {
         println!("settings version {version}");
--- a/crates/courier/src/config.rs
+++ b/crates/courier/src/config.rs
@@ -380,7 +380,7 @@
             decode_json(seed, &file.settings).map_err(|all| all.0.iter().for_each(add)).ok()
         };
         if let (Some(_), Some(decoded)) = (&file.peers, &decoded) {
-            if !decoded.settings.may_tell {
+            if !decoded.settings.peer_notes {
                 let words = "are named, and setting Limits.MayTell does not allow notes";
                 faults.entry("peers".to_string()).or_insert_with(|| words.to_string());
             }
--- a/crates/courier/src/discovery.rs
+++ b/crates/courier/src/discovery.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::{Request, StatusCode};
-use meadowhold::interface::{Life, Time};
+use meadowhold::interface::{EndpointStatus, Time};
 use meadowhold_catalog::content::Content;
 use serde::de::Error as _;
 use serde::de::{SeqAccess, Visitor};
@@ -95,7 +95,7 @@
         Entry { name, address, zone, kind, group: 0, status, weight: 0.0, since_ms: 0 }
     }
 
-    pub fn life(&self) -> Life {
+    pub fn life(&self) -> EndpointStatus {
         entries::life(&self.status)
     }
 }
--- a/crates/courier/src/entries.rs
+++ b/crates/courier/src/entries.rs
@@ -1,7 +1,7 @@
 //! The list's entries as they are held while a list comes, and kept on file: packed one after the other, about fifty
 //! bytes each.
 
-use meadowhold::interface::Life;
+use meadowhold::interface::EndpointStatus;
 use serde::{Deserialize, Serialize};
 
 use crate::discovery::{Entry, List};
@@ -31,18 +31,18 @@
 
     pub fn with_status(self, status: &str) -> Listing<'a> {
         let status = match life(status) {
-            Life::Ready => SERVING,
-            Life::Draining => DRAINING,
-            Life::Gone => GONE,
+            EndpointStatus::Ready => SERVING,
+            EndpointStatus::Draining => DRAINING,
+            EndpointStatus::Removed => GONE,
         };
         Listing { status, ..self }
     }
 
-    pub fn life(&self) -> Life {
+    pub fn life(&self) -> EndpointStatus {
         match self.status {
-            SERVING => Life::Ready,
-            DRAINING => Life::Draining,
-            _ => Life::Gone,
+            SERVING => EndpointStatus::Ready,
+            DRAINING => EndpointStatus::Draining,
+            _ => EndpointStatus::Removed,
         }
     }
 
@@ -56,11 +56,11 @@
 }
 
 /// What the list's word for an endpoint's state means.
-pub fn life(status: &str) -> Life {
+pub fn life(status: &str) -> EndpointStatus {
     match status {
-        "SERVING" => Life::Ready,
-        "DRAINING" => Life::Draining,
-        _ => Life::Gone,
+        "SERVING" => EndpointStatus::Ready,
+        "DRAINING" => EndpointStatus::Draining,
+        _ => EndpointStatus::Removed,
     }
 }
 
@@ -157,7 +157,10 @@
 impl Update {
     /// How many more are listed with this than are now; `has`: whether one of this name is.
     pub fn added(&self, has: impl Fn(&str) -> bool) -> usize {
-        self.entries.iter().filter(|entry| entry.life() != Life::Gone && !has(entry.name)).count()
+        self.entries
+            .iter()
+            .filter(|entry| entry.life() != EndpointStatus::Removed && !has(entry.name))
+            .count()
     }
 }
 
--- a/crates/courier/src/exchange.rs
+++ b/crates/courier/src/exchange.rs
@@ -9,11 +9,11 @@
 
 use bytes::Bytes;
 use meadowhold::control::Control;
-use meadowhold::door::Door;
 use meadowhold::interface::{
-    Action, Effect, Ended, Ending, Input, Kind, Life, Listed, News, Outcome, Report, Settings, Taken, Time,
-    SECOND,
+    AcceptedMail, Action, ConnectResult, Effect, EndpointStatus, Input, Kind, LimitReport, ListEntry,
+    Outcome, PeerNote, Settings, Shutdown, Time, SECOND,
 };
+use meadowhold::interner::Interner;
 use meadowhold_settings::{name, Decoded};
 use meadowhold_start::backlog::{self, Backlog};
 use tokio::sync::mpsc::UnboundedSender;
@@ -244,10 +244,10 @@
     classes: Classes,
     turn_gap: Time,
     resolution: Time,
-    mails: Door<u64>,
-    endpoints: Door<Box<[u8]>>,
-    dests: Door<u64>,
-    keys: Door<Bytes>,
+    mails: Interner<u64>,
+    endpoints: Interner<Box<[u8]>>,
+    dests: Interner<u64>,
+    keys: Interner<Bytes>,
     /// Endpoints by index.
     peers: Vec<Peer>,
     /// Connects that have no outcome yet, by the index of their mail.
@@ -277,7 +277,7 @@
     orders: UnboundedSender<Order>,
     notices: UnboundedSender<Notice>,
     /// What goes to the other couriers, where there are any.
-    news: Option<UnboundedSender<(Bytes, News)>>,
+    news: Option<UnboundedSender<(Bytes, PeerNote)>>,
     /// Version of the list that was taken up last, and the last by which a turn was taken.
     index: u64,
     in_force: u64,
@@ -334,12 +334,12 @@
     }
 
     /// What a load report says of the limit.
-    fn report(&self, load: &str) -> Option<Report> {
+    fn report(&self, load: &str) -> Option<LimitReport> {
         let value = |place: Option<usize>| -> Option<f64> {
             let value: f64 = http::pair(load, self.fields.get(place?)?)?.parse().ok()?;
             value.is_finite().then_some(value)
         };
-        Some(Report { left: value(self.report[0])?, limit: value(self.report[1])? })
+        Some(LimitReport { remaining: value(self.report[0])?, limit: value(self.report[1])? })
     }
 }
 
@@ -349,7 +349,7 @@
         (journal, found): (Journal, Found),
         orders: UnboundedSender<Order>,
         notices: UnboundedSender<Notice>,
-        news: Option<UnboundedSender<(Bytes, News)>>,
+        news: Option<UnboundedSender<(Bytes, PeerNote)>>,
     ) -> Exchange {
         Exchange::with_clock(Clock::new(), decoded, (journal, found), orders, notices, news)
     }
@@ -361,7 +361,7 @@
         (journal, mut found): (Journal, Found),
         orders: UnboundedSender<Order>,
         notices: UnboundedSender<Notice>,
-        news: Option<UnboundedSender<(Bytes, News)>>,
+        news: Option<UnboundedSender<(Bytes, PeerNote)>>,
     ) -> Exchange {
         let deployment = deployment(&decoded);
         let Decoded { mut settings, report, fields, classes, zones, mut kinds, .. } = decoded;
@@ -381,18 +381,18 @@
         let mut exchange = Exchange {
             keeper: Keeper::new(folder, allowance, deployment),
             names: Names { zones, on_file: 0, other: kinds.len() - 1, kinds, report, fields },
-            room: settings.room,
-            batches: settings.kinds.iter().map(|kind| kind.batch).collect(),
-            apart: settings.kinds.iter().map(|kind| kind.apart).collect(),
+            room: settings.max_mails,
+            batches: settings.kinds.iter().map(|kind| kind.max_batch).collect(),
+            apart: settings.kinds.iter().map(|kind| kind.per_endpoint_limits).collect(),
             classes: Classes { classes: settings.classes.clone(), terms, named },
-            turn_gap: settings.turn_gap,
-            resolution: settings.resolution,
+            turn_gap: settings.ordering_gap,
+            resolution: settings.timer_resolution,
             control: Control::new(settings),
             clock,
-            mails: Door::default(),
-            endpoints: Door::default(),
-            dests: Door::default(),
-            keys: Door::default(),
+            mails: Interner::default(),
+            endpoints: Interner::default(),
+            dests: Interner::default(),
+            keys: Interner::default(),
             peers: Vec::new(),
             flying: Vec::new(),
             hushed: Vec::new(),
@@ -472,8 +472,8 @@
         self.forget_rests();
         for i in 0..self.rests.len() {
             let (item, since) = self.rests[i].clone();
-            let key = self.keys.enter(item);
-            self.inputs.push(Input::Rested { key, since });
+            let key = self.keys.intern(item);
+            self.inputs.push(Input::KeyInFlight { key, at: since });
         }
         self.backlog = Backlog::new(now, mails);
         self.notify.notify_one();
@@ -484,7 +484,7 @@
 
     /// Whether a mail keeps its order among those of its key.
     fn is_ordered(&self, owed: &Owed) -> bool {
-        !owed.item.is_empty() && self.classes.classes[usize::from(owed.class)].in_turn
+        !owed.item.is_empty() && self.classes.classes[usize::from(owed.class)].ordered
     }
 
     /// What an earlier process took on and is to be offered by now goes to the module.
@@ -502,16 +502,16 @@
     fn enter(&mut self, serial: u64, owed: &Owed) {
         let class = usize::from(owed.class);
         let ordered = self.is_ordered(owed);
-        let mail = self.mails.enter(serial);
-        self.inputs.push(Input::Taken(Taken {
+        let mail = self.mails.intern(serial);
+        self.inputs.push(Input::AcceptedMail(AcceptedMail {
             mail,
-            dest: self.dests.enter(owed.dest),
+            destination: self.dests.intern(owed.dest),
             class,
-            key: ordered.then(|| self.keys.enter(owed.item.clone())),
-            since: owed.since,
-            due: owed.due,
-            connects: owed.connects as usize,
-            ran: owed.ran.map(|(at, zone)| (at, usize::from(zone))),
+            key: ordered.then(|| self.keys.intern(owed.item.clone())),
+            submitted_at: owed.since,
+            deadline: owed.due,
+            connects_used: owed.connects as usize,
+            first_run: owed.ran.map(|(at, zone)| (at, usize::from(zone))),
         }));
         self.notify.notify_one();
     }
@@ -522,7 +522,7 @@
             return Answer::Failed("ERR unknown class");
         };
         // One that no list has named is none, and would never be served.
-        let Some(dest) = self.dests.find(&offer.dest) else {
+        let Some(dest) = self.dests.get(&offer.dest) else {
             self.counts.failed += 1;
             return Answer::Failed("ERR unknown destination");
         };
@@ -530,7 +530,7 @@
         if self.ids.contains_key(&offer.id) {
             return Answer::Known;
         }
-        let ordered = self.classes.classes[class].in_turn && offer.item.iter().any(|&b| b != b'0');
+        let ordered = self.classes.classes[class].ordered && offer.item.iter().any(|&b| b != b'0');
         let owed = Owed {
             id: offer.id,
             key: offer.key,
@@ -546,7 +546,7 @@
         let serial = self.next_serial;
         log::debug!("mail {serial} for {} of class {class} has come", owed.dest);
         if self.open >= self.room
-            || self.control.turns_away(dest, class, owed.due)
+            || self.control.would_reject(dest, class, owed.due)
             || !self.journal.has_room(&owed)
             || !self.note(&Record::Taken { serial, owed: &owed })
         {
@@ -590,7 +590,7 @@
         for (i, zone) in zones.iter().enumerate() {
             let at = names.zone(zone);
             fees.resize(fees.len().max(names.zones.len()), 0.0);
-            if let (Some(fee), Some(held)) = (settings.fees.get(i), fees.get_mut(at)) {
+            if let (Some(fee), Some(held)) = (settings.zone_fees.get(i), fees.get_mut(at)) {
                 *held = *fee;
             }
         }
@@ -599,23 +599,26 @@
             let at = names.kinds.iter().position(|known| *known == name).unwrap_or(names.kinds.len());
             if at == names.kinds.len() {
                 names.kinds.push(name);
-                self.batches.push(kind.batch);
-                self.apart.push(kind.apart);
+                self.batches.push(kind.max_batch);
+                self.apart.push(kind.per_endpoint_limits);
             }
-            self.batches[at] = kind.batch;
+            self.batches[at] = kind.max_batch;
             names.other = at;
         }
         (names.report, names.fields) = (report, fields);
         let by_number = self.batches.iter().zip(&self.apart);
         let settings = Settings {
-            kinds: by_number.map(|(&batch, &apart)| Kind { batch, apart }).collect(),
+            kinds: by_number
+                .map(|(&batch, &apart)| Kind { max_batch: batch, per_endpoint_limits: apart })
+                .collect(),
             classes: classes.classes.clone(),
-            fees,
+            zone_fees: fees,
             ..settings
         };
         self.classes = classes;
-        (self.room, self.turn_gap, self.resolution) = (settings.room, settings.turn_gap, settings.resolution);
-        let times = (duration(settings.connect_timeout), duration(settings.keep_idle));
+        (self.room, self.turn_gap, self.resolution) =
+            (settings.max_mails, settings.ordering_gap, settings.timer_resolution);
+        let times = (duration(settings.connection_timeout), duration(settings.idle_timeout));
         let _ = self.orders.send(Order::Times { connect: times.0, idle: times.1 });
         self.inputs.push(Input::Settings(Box::new(settings)));
         self.notify.notify_one();
@@ -674,11 +677,12 @@
         if self.owed.get(&serial).is_some_and(|owed| owed.verdict.is_none()) {
             self.counts.hangups += 1;
             self.over(serial);
-            if let Some(mail) = self.mails.find(&serial) {
+            if let Some(mail) = self.mails.get(&serial) {
                 // Guards against an outcome that the module reads first, giving up a mail that is over.
-                let ended = |input: &Input| matches!(input, Input::Ended(ended) if ended.mail == mail);
+                let ended =
+                    |input: &Input| matches!(input, Input::ConnectResult(ended) if ended.mail == mail);
                 let at = self.inputs.iter().position(ended).unwrap_or(self.inputs.len());
-                self.inputs.insert(at, Input::Hangup { mail });
+                self.inputs.insert(at, Input::ClientGone { mail });
             }
             self.notify.notify_one();
         }
@@ -693,15 +697,15 @@
     }
 
     /// What another courier saw of an endpoint; nothing if the list has not named it here.
-    pub fn heard(&mut self, name: &[u8], news: News) {
-        if let Some(endpoint) = self.endpoints.find(name) {
+    pub fn heard(&mut self, name: &[u8], news: PeerNote) {
+        if let Some(endpoint) = self.endpoints.get(name) {
             self.counts.heard += 1;
-            if let News::Full(wait @ 1..) = news {
+            if let PeerNote::Refusing(wait @ 1..) = news {
                 let unit = self.unit(endpoint);
                 self.hushed.push(unit);
                 self.tally.hold(unit, self.clock.now() + wait);
             }
-            self.inputs.push(Input::Heard { endpoint, news });
+            self.inputs.push(Input::PeerNote { endpoint, note: news });
             self.notify.notify_one();
         }
     }
@@ -740,7 +744,7 @@
         self.tally.listed(list.index);
         self.peers.iter_mut().filter(|_| list.whole).for_each(|peer| peer.ready = false);
         self.keeper.take_up(list);
-        self.inputs.push(Input::ListBegin { whole: list.whole });
+        self.inputs.push(Input::ListBegin { complete: list.whole });
         let mut places: Option<(&str, &str, usize, usize)> = None;
         for entry in list.entries.iter() {
             // Most entries name the zone and the kind that the one before named.
@@ -753,9 +757,9 @@
             let (address, since, group) = (Address::read(entry.address), entry.since_ms, entry.group);
             let mut life = entry.life();
             let name = entry.name.as_bytes();
-            let endpoint = match self.endpoints.find(name) {
-                None if life == Life::Gone => continue,
-                None => self.endpoints.enter(name.into()),
+            let endpoint = match self.endpoints.get(name) {
+                None if life == EndpointStatus::Removed => continue,
+                None => self.endpoints.intern(name.into()),
                 Some(endpoint) => endpoint,
             };
             let place = self.next_place;
@@ -766,7 +770,7 @@
                 None => self.peers.push(new),
                 Some(old) if old.place == 0 => *old = new,
                 // Guards against a name that turns up at another destination: mails for the old one stay away.
-                Some(old) if old.group != group => life = Life::Gone,
+                Some(old) if old.group != group => life = EndpointStatus::Removed,
                 // Moved or started anew: what is open leads nowhere.
                 Some(old) if old.address != new.address || old.since != since => {
                     (old.address, old.since) = (new.address, since);
@@ -777,14 +781,14 @@
             }
             self.next_place += 1;
             let peer = &mut self.peers[endpoint];
-            peer.ready = life == Life::Ready;
+            peer.ready = life == EndpointStatus::Ready;
             let group = peer.group;
-            self.inputs.push(Input::Listed(Listed {
+            self.inputs.push(Input::ListEntry(ListEntry {
                 endpoint,
-                dest: self.dests.enter(group),
+                destination: self.dests.intern(group),
                 zone,
                 kind,
-                life,
+                status: life,
                 rate: entry.weight,
             }));
         }
@@ -799,7 +803,7 @@
         let class = &self.classes.classes[usize::from(owed.class)];
         match (owed.ran, class.effect) {
             (None, _) | (_, Effect::Redeliverable) => Time::MAX,
-            (Some((sent, _)), Effect::Tagged) => sent.saturating_add(class.window),
+            (Some((sent, _)), Effect::Tagged) => sent.saturating_add(class.dedup_window),
             (Some(_), Effect::OnceOnly) => 0,
         }
     }
@@ -814,7 +818,7 @@
             && !self.hushed.contains(&unit)
             && self.peers[endpoint].ready
             && self.is_current(call)
-            && self.control.may_begin(endpoint, now);
+            && self.control.may_call(endpoint, now);
         let sent: Sent = (now, self.peers[endpoint].zone);
         let (mut going, mut staying) = (Vec::with_capacity(letters.len()), Vec::new());
         for letter in letters {
@@ -828,7 +832,7 @@
                     owed.out = Some(sent);
                     owed.connects += 1;
                 });
-                let flight = self.mails.find(&serial).and_then(|mail| self.flying.get_mut(mail)?.as_mut());
+                let flight = self.mails.get(&serial).and_then(|mail| self.flying.get_mut(mail)?.as_mut());
                 let begun = flight.map(|flight| std::mem::replace(&mut flight.begun, true));
                 must!(
                     self.counts.broken,
@@ -842,7 +846,7 @@
         }
         staying.into_iter().for_each(|serial| self.seen(serial, Seen::only(Outcome::Unsent)));
         let early =
-            !going.is_empty() && (self.tally.is_held(unit, now) || self.control.is_held(endpoint, now));
+            !going.is_empty() && (self.tally.is_held(unit, now) || self.control.is_on_hold(endpoint, now));
         must!(self.counts.broken, !early, "a call begins before a told wait is over");
         going
     }
@@ -855,7 +859,7 @@
     /// The outcome of one mail's connect.
     pub fn seen(&mut self, serial: u64, seen: Seen) {
         let now = self.clock.now();
-        let mail = self.mails.find(&serial);
+        let mail = self.mails.get(&serial);
         let started = mail.and_then(|mail| self.flying.get_mut(mail)?.take());
         let (Some(mail), Some(Flight { endpoint, started, .. })) = (mail, started) else {
             must!(self.counts.broken, false, "an outcome came for a connect that is not out");
@@ -869,7 +873,7 @@
             self.tally.hold(unit, now + tenths(wait));
         }
         self.counts.relayed += u64::from(outcome == Outcome::Relayed);
-        let (ran, rests) = (!outcome.never_ran(), outcome.may_run_on());
+        let (ran, rests) = (!outcome.never_ran(), outcome.may_still_run());
         if over {
             self.over(serial);
         } else if let Some(owed) = self.owed.get_mut(&serial) {
@@ -888,7 +892,15 @@
         );
         let report = load.and_then(|load| self.names.report(&load));
         let took = now.saturating_sub(started);
-        self.inputs.push(Input::Ended(Ended { mail, outcome, over, wait: tenths(wait), took, kept, report }));
+        self.inputs.push(Input::ConnectResult(ConnectResult {
+            mail,
+            outcome,
+            finished: over,
+            retry_after: tenths(wait),
+            duration: took,
+            reused_connection: kept,
+            limit_report: report,
+        }));
         self.notify.notify_one();
     }
 
@@ -906,7 +918,7 @@
         self.last_turn = now;
         self.offer_owed(now);
         let mut actions = std::mem::take(&mut self.actions);
-        self.wake = self.control.round(now, &self.inputs, &mut actions);
+        self.wake = self.control.step(now, &self.inputs, &mut actions);
         self.inputs.clear();
         // A long list has gone through it.
         self.inputs.shrink_to(MOST_INPUTS);
@@ -914,30 +926,30 @@
         let mut calls: Vec<Call> = Vec::new();
         for action in actions.drain(..) {
             match action {
-                Action::Connect { mail, endpoint, timeout, fresh } => {
+                Action::Connect { mail, endpoint, timeout, new_connection: fresh } => {
                     self.add(&mut calls, mail, endpoint, now + timeout, fresh);
                 }
-                Action::Defer { mail, pause } => self.give_up(mail, Verdict::Bounced(pause)),
+                Action::Defer { mail, retry_after: pause } => self.give_up(mail, Verdict::Bounced(pause)),
                 Action::Bounce { mail } => self.give_up(mail, Verdict::Dead),
-                Action::LetGo(endpoint) => {
+                Action::CloseIdle(endpoint) => {
                     let _ = self.orders.send(Order::LetGo(self.peers[endpoint].place));
                 }
                 Action::FreeEndpoint(endpoint) => {
                     let left = std::mem::take(&mut self.peers[endpoint].place);
                     self.tally.held.remove(&audit::Unit::Route(endpoint));
                     let _ = self.orders.send(Order::LetGo(left));
-                    self.endpoints.leave(endpoint);
+                    self.endpoints.release(endpoint);
                 }
                 // A watch is always kept open.
-                Action::WatchList => {}
-                Action::Tell { endpoint, news } => {
-                    if let (Some(notes), Some(name)) = (&self.news, self.endpoints.outside(endpoint)) {
+                Action::RequestList => {}
+                Action::SendNote { endpoint, note: news } => {
+                    if let (Some(notes), Some(name)) = (&self.news, self.endpoints.id(endpoint)) {
                         self.counts.told += 1;
                         let _ = notes.send((Bytes::copy_from_slice(name), news));
                     }
                 }
-                Action::FreeMail(mail) => self.mails.leave(mail),
-                Action::FreeKey(key) => self.keys.leave(key),
+                Action::FreeMail(mail) => self.mails.release(mail),
+                Action::FreeKey(key) => self.keys.release(key),
             }
         }
         self.actions = actions;
@@ -1000,7 +1012,7 @@
             }
             ("one id more", ..) => drop(self.ids.insert(Bytes::from_static(b"none"), 0)),
             ("bytes on file", ..) => self.journal.shrink(1),
-            ("an index of a mail", ..) => drop(self.mails.enter(u64::MAX)),
+            ("an index of a mail", ..) => drop(self.mails.intern(u64::MAX)),
             ("an outcome", ..) => self.tally.landed += 1,
             ("a connect lost", Some(mail), _) => self.flying[mail] = None,
             ("a record lost", Some(mail), _) => {
@@ -1033,7 +1045,7 @@
                 let endpoint = self.flying[mail].map_or(0, |flight| flight.endpoint);
                 self.tally.hold(self.unit(endpoint), Time::MAX);
             }
-            _ => return self.control.spoil(what),
+            _ => return self.control.corrupt(what),
         }
         true
     }
@@ -1045,7 +1057,7 @@
 
     /// A connect joins the round's call to its endpoint while that has room.
     fn add(&mut self, calls: &mut Vec<Call>, mail: usize, endpoint: usize, until: Time, fresh: bool) {
-        let serial = self.mails.outside(mail).copied();
+        let serial = self.mails.id(mail).copied();
         let Some((serial, owed)) = serial.and_then(|serial| Some((serial, self.owed.get(&serial)?))) else {
             must!(self.counts.broken, false, "a connect was asked for a mail that is not in hand");
             return;
@@ -1074,7 +1086,7 @@
         let size = http::size_in_batch(&letter.id, &letter.key, &letter.body);
         let fits = |c: &Call| c.letters.len() < most && c.size + size <= http::MOST_BODY;
         // Guards against two of the module's calls made one: a trial would carry several mails.
-        let slot = self.control.flight(mail).map_or(usize::MAX, |(slot, _)| slot);
+        let slot = self.control.call_of(mail).map_or(usize::MAX, |(slot, _)| slot);
         let at = calls.iter().position(|c| c.slot == slot && fits(c)).unwrap_or(calls.len());
         match calls.get_mut(at) {
             Some(call) => {
@@ -1093,7 +1105,7 @@
 
     fn give_up(&mut self, mail: usize, verdict: Verdict) {
         let now = self.clock.now();
-        let serial = self.mails.outside(mail).copied();
+        let serial = self.mails.id(mail).copied();
         let owed = serial.and_then(|serial| self.owed.get_mut(&serial));
         let (Some(serial), Some(owed)) = (serial, owed) else {
             must!(self.counts.broken, false, "a mail that is not in hand was given up");
@@ -1151,8 +1163,9 @@
     /// The process was asked to end: calls begin for so long, and those of the next process no sooner than that.
     pub fn ends(&mut self, calls_for: Duration, next_after: Duration) {
         let now = self.clock.now();
-        let ending = Ending { calls_until: now + tenths(calls_for), next_from: now + tenths(next_after) };
-        self.inputs.push(Input::Ending(ending));
+        let ending =
+            Shutdown { calls_until: now + tenths(calls_for), successor_from: now + tenths(next_after) };
+        self.inputs.push(Input::Shutdown(ending));
         self.notify.notify_one();
     }
 
@@ -1184,7 +1197,7 @@
     }
 
     fn count_with(&self, changes: &Update) -> usize {
-        self.endpoints.len() + changes.added(|name| self.endpoints.find(name.as_bytes()).is_some())
+        self.endpoints.len() + changes.added(|name| self.endpoints.get(name.as_bytes()).is_some())
     }
 
     fn hold(&mut self) {
--- a/crates/courier/src/hollow.rs
+++ b/crates/courier/src/hollow.rs
@@ -94,10 +94,10 @@
     let notify = Rc::new(Notify::new());
     let hollow = Hollow { name: name.clone(), clock, keeper, index: 0, in_force: 0, held: false, notify };
     let hollow = Rc::new(RefCell::new(hollow));
-    let (push, seed) = (!decoded.settings.ask_list, decoded.settings.seed);
+    let (push, seed) = (!decoded.settings.poll_list, decoded.settings.seed);
     hollow.borrow_mut().listed(&begun);
     let mut parts = JoinSet::new();
-    parts.spawn_local(drive(hollow.clone(), duration(decoded.settings.resolution)));
+    parts.spawn_local(drive(hollow.clone(), duration(decoded.settings.timer_resolution)));
     let (listener, limits) = (before(hollow), (list, seed));
     match relays {
         None => parts.spawn_local(discovery::follow(listener, clock, discovery, index, push, limits)),
--- a/crates/courier/src/journal.rs
+++ b/crates/courier/src/journal.rs
@@ -42,7 +42,8 @@
 
 impl Terms {
     pub fn new(name: &str, class: &QueueClass) -> Terms {
-        let QueueClass { effect, by_zone, window, in_turn, .. } = *class;
+        let QueueClass { effect, dedup_by_zone: by_zone, dedup_window: window, ordered: in_turn, .. } =
+            *class;
         let class = Bytes::copy_from_slice(name.as_bytes());
         Terms { class, effect: Some(effect), by_zone, window, in_turn }
     }
@@ -66,17 +67,24 @@
     let base = classes[named.unwrap_or_else(alike)].clone();
     // Guards against a second run of what was taken on when nobody noted what a repeat would do.
     let effect = own.effect.unwrap_or(Effect::OnceOnly);
-    let own = QueueClass { effect, by_zone: own.by_zone, window: own.window, in_turn: own.in_turn, ..base };
+    let own = QueueClass {
+        effect,
+        dedup_by_zone: own.by_zone,
+        dedup_window: own.window,
+        ordered: own.in_turn,
+        ..base
+    };
     let mut held = if named.is_some() { stricter(&own, &base, owed.key.is_empty()) } else { own };
-    held.in_turn |= owed.terms.effect.is_none() && !owed.item.is_empty();
+    held.ordered |= owed.terms.effect.is_none() && !owed.item.is_empty();
     if classes.len() >= MOST_CLASSES {
         held.effect = Effect::OnceOnly;
     }
     if held.effect != Effect::Tagged {
-        (held.by_zone, held.window) = (base.by_zone, base.window);
+        (held.dedup_by_zone, held.dedup_window) = (base.dedup_by_zone, base.dedup_window);
     }
-    let rules = |c: &QueueClass| (c.effect, c.by_zone, c.window, c.in_turn, c.target, c.lifetime);
-    let worth = |c: &QueueClass| (c.importance, c.late_worth);
+    let rules =
+        |c: &QueueClass| (c.effect, c.dedup_by_zone, c.dedup_window, c.ordered, c.target_delay, c.lifetime);
+    let worth = |c: &QueueClass| (c.importance, c.expiry_importance);
     let same = |c: &QueueClass| rules(c) == rules(&held) && worth(c) == worth(&held);
     let at = classes.iter().position(same).unwrap_or(classes.len());
     if at == classes.len() {
@@ -87,17 +95,17 @@
 
 /// What both classes allow of a mail.
 fn stricter(a: &QueueClass, b: &QueueClass, keyless: bool) -> QueueClass {
-    let in_turn = a.in_turn || b.in_turn;
+    let in_turn = a.ordered || b.ordered;
     match (a.effect, b.effect) {
         (Effect::Tagged, Effect::Tagged) => {
-            let (by_zone, window) = (a.by_zone || b.by_zone, a.window.min(b.window));
-            QueueClass { by_zone, window, in_turn, ..a.clone() }
+            let (by_zone, window) = (a.dedup_by_zone || b.dedup_by_zone, a.dedup_window.min(b.dedup_window));
+            QueueClass { dedup_by_zone: by_zone, dedup_window: window, ordered: in_turn, ..a.clone() }
         }
         // Guards against repeats of what was taken on without a key.
         (Effect::Tagged, Effect::Redeliverable) | (Effect::Redeliverable, Effect::Tagged) if keyless => {
-            QueueClass { effect: Effect::OnceOnly, in_turn, ..a.clone() }
+            QueueClass { effect: Effect::OnceOnly, ordered: in_turn, ..a.clone() }
         }
-        (x, y) => QueueClass { in_turn, ..if x as u8 >= y as u8 { a } else { b }.clone() },
+        (x, y) => QueueClass { ordered: in_turn, ..if x as u8 >= y as u8 { a } else { b }.clone() },
     }
 }
 
--- a/crates/courier/src/kept.rs
+++ b/crates/courier/src/kept.rs
@@ -8,7 +8,7 @@
 use std::path::Path;
 
 use hashbrown::HashTable;
-use meadowhold::interface::{Life, Time};
+use meadowhold::interface::{EndpointStatus, Time};
 
 use crate::entries::{name_of, packed, Entries, Listing, Update};
 
@@ -63,7 +63,7 @@
     /// Takes one entry up; whether that changes anything.
     fn put(&mut self, entry: &Listing, packed: &[u8]) -> bool {
         let name = entry.name.as_bytes();
-        if entry.life() == Life::Gone {
+        if entry.life() == EndpointStatus::Removed {
             return self.remove(name).is_some();
         }
         let hash = self.hasher.hash_one(name);
@@ -86,7 +86,7 @@
         }
         for (entry, packed) in packed(list.entries.bytes()) {
             let Some(entry) = entry else { return };
-            match before.remove(entry.name.as_bytes()).filter(|_| entry.life() != Life::Gone) {
+            match before.remove(entry.name.as_bytes()).filter(|_| entry.life() != EndpointStatus::Removed) {
                 Some(held) if *held == *packed => self.insert(held),
                 Some(_) => {
                     self.insert(packed.into());
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -95,8 +95,8 @@
     let Config { name, listen, state, sockets, disk, known, decoded, peers, relays, list, .. } = config;
     let for_clients = sockets / 3;
     let limits = endpoints::Limits {
-        connect: exchange::duration(decoded.settings.connect_timeout),
-        idle: exchange::duration(decoded.settings.keep_idle),
+        connect: exchange::duration(decoded.settings.connection_timeout),
+        idle: exchange::duration(decoded.settings.idle_timeout),
         connections: sockets - OWN_SOCKETS - for_clients,
         may_overlap: decoded.may_overlap,
     };
@@ -121,7 +121,7 @@
     let (orders, orders_in) = mpsc::unbounded_channel();
     let (notices, notices_in) = mpsc::unbounded_channel();
     let news = notes.is_some().then_some(news);
-    let (push, seed) = (!decoded.settings.ask_list, decoded.settings.seed);
+    let (push, seed) = (!decoded.settings.poll_list, decoded.settings.seed);
     let mut exchange = Exchange::new(decoded, journal, orders, notices, news);
     // The configuration's version, not the kept one. Guards against a registry that has counted anew meanwhile:
     // its lists would be held to be from before.
--- a/crates/courier/src/notes.rs
+++ b/crates/courier/src/notes.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use meadowhold::interface::{News, Time};
+use meadowhold::interface::{PeerNote, Time};
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc::UnboundedReceiver;
 
@@ -17,23 +17,23 @@
 const LONGEST_WAIT: u16 = 60_000;
 
 /// Form, what is told, the wait in milliseconds (rounded up), and the endpoint's name.
-pub fn write(name: &[u8], news: News) -> Vec<u8> {
+pub fn write(name: &[u8], news: PeerNote) -> Vec<u8> {
     let (code, wait) = match news {
-        News::Full(wait) => (0, wait.div_ceil(10).min(LONGEST_WAIT.into()) as u16),
-        News::Out => (1, 0),
-        News::Back => (2, 0),
+        PeerNote::Refusing(wait) => (0, wait.div_ceil(10).min(LONGEST_WAIT.into()) as u16),
+        PeerNote::Down => (1, 0),
+        PeerNote::Recovered => (2, 0),
     };
     let [high, low] = wait.to_be_bytes();
     [&[FORM, code, high, low], name].concat()
 }
 
 /// What is no note that this courier knows is none.
-pub fn read(note: &[u8]) -> Option<(&[u8], News)> {
+pub fn read(note: &[u8]) -> Option<(&[u8], PeerNote)> {
     let [FORM, code, high, low, name @ ..] = note else { return None };
     let news = match code {
-        0 => News::Full(Time::from(u16::from_be_bytes([*high, *low]).min(LONGEST_WAIT)) * 10),
-        1 => News::Out,
-        2 => News::Back,
+        0 => PeerNote::Refusing(Time::from(u16::from_be_bytes([*high, *low]).min(LONGEST_WAIT)) * 10),
+        1 => PeerNote::Down,
+        2 => PeerNote::Recovered,
         _ => return None,
     };
     (!name.is_empty() && name.len() <= LONGEST_NAME).then_some((name, news))
@@ -44,7 +44,7 @@
     shared: Shared,
     socket: UdpSocket,
     others: Vec<SocketAddr>,
-    mut told: UnboundedReceiver<(Bytes, News)>,
+    mut told: UnboundedReceiver<(Bytes, PeerNote)>,
 ) {
     let mut buffer = [0; LONGEST_NAME + 5];
     loop {
--- a/crates/courier/src/numbers.rs
+++ b/crates/courier/src/numbers.rs
@@ -20,7 +20,7 @@
 
 /// What a message keeps of its class to its end.
 fn rules(c: &QueueClass) -> (meadowhold::interface::Effect, bool, meadowhold::interface::Time, bool) {
-    (c.effect, c.by_zone, c.window, c.in_turn)
+    (c.effect, c.dedup_by_zone, c.dedup_window, c.ordered)
 }
 
 impl Classes {
@@ -64,7 +64,8 @@
             let base = same.or_else(|| new.iter().position(|class| class.effect == held.effect));
             let (effect, by_zone, window, in_turn) = rules(held);
             let base = new[base.unwrap_or_default()].clone();
-            after.classes[at] = QueueClass { effect, by_zone, window, in_turn, ..base };
+            after.classes[at] =
+                QueueClass { effect, dedup_by_zone: by_zone, dedup_window: window, ordered: in_turn, ..base };
         }
         Ok(after)
     }
--- a/crates/courier/src/relay/hub.rs
+++ b/crates/courier/src/relay/hub.rs
@@ -7,7 +7,7 @@
 use std::net::IpAddr;
 
 use bytes::{Bytes, BytesMut};
-use meadowhold::interface::{Life, Time, SECOND};
+use meadowhold::interface::{EndpointStatus, Time, SECOND};
 use meadowhold_catalog::content::Content;
 use meadowhold_catalog::store::{Item, Store, Whole};
 use meadowhold_catalog::versions::{Offer, Verdict, Version};
@@ -84,7 +84,7 @@
 
 fn item(entry: Listing) -> Item {
     let text = Kept::from(&entry).text();
-    let gone = entry.life() == Life::Gone;
+    let gone = entry.life() == EndpointStatus::Removed;
     Item { name: entry.name.to_string(), destination: entry.group, text: text.into(), gone }
 }
 
--- a/crates/courier/src/relays.rs
+++ b/crates/courier/src/relays.rs
@@ -13,7 +13,7 @@
 
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::{Request, StatusCode};
-use meadowhold::interface::Life;
+use meadowhold::interface::EndpointStatus;
 use meadowhold_catalog::choice::{order, Choice, Effect, Input};
 use meadowhold_catalog::content::{Content, ContentHash};
 use meadowhold_catalog::versions::{Offer, Verdict, Version, Versions};
@@ -116,8 +116,10 @@
         }
         for entry in list.entries.iter() {
             match entry.life() {
-                Life::Gone => self.content.remove(entry.name),
-                Life::Ready | Life::Draining => self.content.insert(entry.name, &Kept::from(&entry).text()),
+                EndpointStatus::Removed => self.content.remove(entry.name),
+                EndpointStatus::Ready | EndpointStatus::Draining => {
+                    self.content.insert(entry.name, &Kept::from(&entry).text())
+                }
             }
         }
     }
--- a/crates/courier/tests/audit.rs
+++ b/crates/courier/tests/audit.rs
@@ -12,7 +12,7 @@
 use common::{
     command, config, own_address, put, settings, until, Client, Endpoint, Folder, Platform, Reply, OK,
 };
-use meadowhold::interface::{News, Outcome, Time, SECOND};
+use meadowhold::interface::{Outcome, PeerNote, Time, SECOND};
 use meadowhold_courier::discovery::List;
 use meadowhold_courier::exchange::{Answer, Call, Clock, Exchange, Letter, Notice, Offer, Order, Seen};
 use meadowhold_courier::journal::{Found, Journal};
@@ -254,8 +254,8 @@
             }
             900..940 => self.some_change(),
             940..960 => {
-                let news =
-                    [News::Out, News::Back, News::Full(self.chance.u64(..9000))][self.chance.usize(..3)];
+                let news = [PeerNote::Down, PeerNote::Recovered, PeerNote::Refusing(self.chance.u64(..9000))]
+                    [self.chance.usize(..3)];
                 let name = format!("e{}", self.chance.u8(..9));
                 self.exchange.heard(name.as_bytes(), news);
             }
@@ -370,7 +370,7 @@
                 let wait = Duration::from_secs(1);
                 day.exchange.seen(first.letters[0].serial, Seen { wait, ..Seen::only(Outcome::Refused) });
             }
-            "note" => day.exchange.heard(b"e0", News::Full(SECOND)),
+            "note" => day.exchange.heard(b"e0", PeerNote::Refusing(SECOND)),
             "drain" => day.exchange.listed(&changed("DRAINING")),
             "gone" => {
                 let whole = json!({"index": 8, "snapshot": true, "endpoints": []});
--- a/crates/courier/tests/codecs.rs
+++ b/crates/courier/tests/codecs.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use meadowhold::interface::{News, Time};
+use meadowhold::interface::{PeerNote, Time};
 use meadowhold_courier::http::{self, Body, Letter, Piece};
 use meadowhold_courier::{notes, resp};
 
@@ -196,11 +196,11 @@
 fn notes_are_read_as_they_were_written_and_odd_ones_not_at_all() {
     // A wait is told in milliseconds, rounded up, a minute at most.
     let cases = [
-        (News::Out, News::Out),
-        (News::Back, News::Back),
-        (News::Full(0), News::Full(0)),
-        (News::Full(3001), News::Full(3010)),
-        (News::Full(Time::MAX / 2), News::Full(600_000)),
+        (PeerNote::Down, PeerNote::Down),
+        (PeerNote::Recovered, PeerNote::Recovered),
+        (PeerNote::Refusing(0), PeerNote::Refusing(0)),
+        (PeerNote::Refusing(3001), PeerNote::Refusing(3010)),
+        (PeerNote::Refusing(Time::MAX / 2), PeerNote::Refusing(600_000)),
     ];
     for (told, heard) in cases {
         assert_eq!(notes::read(&notes::write(b"e1", told)), Some((&b"e1"[..], heard)));
--- a/crates/courier/tests/renamed.rs
+++ b/crates/courier/tests/renamed.rs
@@ -11,8 +11,11 @@
 use bytes::Bytes;
 use common::Folder;
 use meadowhold::control::Control;
-use meadowhold::door::Door;
-use meadowhold::interface::{Action, Ended, Input, Life, Listed, News, Outcome, Report, Taken, Time, SECOND};
+use meadowhold::interface::{
+    AcceptedMail, Action, ConnectResult, EndpointStatus, Input, LimitReport, ListEntry, Outcome, PeerNote,
+    Time, SECOND,
+};
+use meadowhold::interner::Interner;
 use meadowhold_courier::discovery::List;
 use meadowhold_courier::exchange::{duration, Answer, Call, Clock, Exchange, Notice, Offer, Order, Seen};
 use meadowhold_courier::journal::Journal;
@@ -134,7 +137,7 @@
     outcome: Outcome,
     wait: Time,
     kept: bool,
-    report: Option<Report>,
+    report: Option<LimitReport>,
 }
 
 /// What goes on round a courier. It knows places alone, and its chance hangs on nothing but the seed and on
@@ -142,7 +145,7 @@
 struct World {
     chance: fastrand::Rng,
     now: Time,
-    lives: [Option<Life>; ENDPOINTS],
+    lives: [Option<EndpointStatus>; ENDPOINTS],
     rates: [f64; ENDPOINTS],
     /// How often each of these befell.
     seen: BTreeMap<&'static str, usize>,
@@ -150,7 +153,7 @@
 
 impl World {
     fn new(seed: u64) -> World {
-        let mut lives = [Some(Life::Ready); ENDPOINTS];
+        let mut lives = [Some(EndpointStatus::Ready); ENDPOINTS];
         lives[8..].fill(None);
         let chance = fastrand::Rng::with_seed(seed);
         World { chance, now: START, lives, rates: [60.0; ENDPOINTS], seen: BTreeMap::new() }
@@ -187,7 +190,7 @@
         let told = outcome == Refused && self.chance.bool();
         let wait = if told { self.chance.u64(500..9000) } else { 0 };
         let (left, limit) = (self.chance.f64(), self.chance.u64(10..200) as f64);
-        let report = (self.chance.u8(..3) == 0).then_some(Report { left, limit });
+        let report = (self.chance.u8(..3) == 0).then_some(LimitReport { remaining: left, limit });
         let took = self.chance.u64(100..1500);
         let after = if outcome == Silent { timeout } else { took.min(timeout) };
         self.count(match outcome {
@@ -207,9 +210,10 @@
         }
         self.count("changes");
         let some = self.chance.usize(..ENDPOINTS);
-        let ready = Some(Life::Ready);
+        let ready = Some(EndpointStatus::Ready);
         self.lives[some] =
-            [ready, ready, ready, Some(Life::Draining), Some(Life::Gone), None][self.chance.usize(..6)];
+            [ready, ready, ready, Some(EndpointStatus::Draining), Some(EndpointStatus::Removed), None]
+                [self.chance.usize(..6)];
         self.rates[some] = [12.0, 60.0, 160.0][self.chance.usize(..3)];
         let whole = self.chance.bool() || self.lives[some].is_none();
         Some((whole, self.listed().into_iter().filter(|&place| whole || place == some).collect()))
@@ -219,8 +223,9 @@
         (0..ENDPOINTS).filter(|&place| self.lives[place].is_some()).collect()
     }
 
-    fn news(&mut self) -> Option<(usize, News)> {
-        let news = [News::Out, News::Back, News::Full(self.chance.u64(..4000))][self.chance.usize(..3)];
+    fn news(&mut self) -> Option<(usize, PeerNote)> {
+        let news = [PeerNote::Down, PeerNote::Recovered, PeerNote::Refusing(self.chance.u64(..4000))]
+            [self.chance.usize(..3)];
         let heard = (self.chance.usize(..ENDPOINTS), news);
         (self.chance.u8(..40) == 0).then_some(heard)
     }
@@ -252,22 +257,22 @@
         list.iter().position(|n| *n == meadowhold_settings::name(text)).unwrap()
     };
     let (mut world, mut control, mut trace) = (World::new(seed), Control::new(settings), Vec::new());
-    let (mut mails, mut endpoints) = (Door::<u64>::default(), Door::<String>::default());
-    let (mut dests, mut keys) = (Door::<u64>::default(), Door::<String>::default());
+    let (mut mails, mut endpoints) = (Interner::<u64>::default(), Interner::<String>::default());
+    let (mut dests, mut keys) = (Interner::<u64>::default(), Interner::<String>::default());
     let mut out: Vec<(Time, usize, End)> = Vec::new();
     let mut next = 0;
     let mut told = Some((true, world.listed()));
     for turn in 0..TURNS {
         let mut inputs = Vec::new();
         if let Some((whole, some)) = told.take() {
-            inputs.push(Input::ListBegin { whole });
+            inputs.push(Input::ListBegin { complete: whole });
             inputs.extend(some.into_iter().map(|at| {
-                Input::Listed(Listed {
-                    endpoint: endpoints.enter(names.endpoint(at)),
-                    dest: dests.enter(names.destinations[HOME[at]]),
+                Input::ListEntry(ListEntry {
+                    endpoint: endpoints.intern(names.endpoint(at)),
+                    destination: dests.intern(names.destinations[HOME[at]]),
                     zone: place(&zones, names.zones[at % 3]),
                     kind: place(&kinds, names.kinds[KIND[HOME[at]]]),
-                    life: world.lives[at].unwrap_or(Life::Gone),
+                    status: world.lives[at].unwrap_or(EndpointStatus::Removed),
                     rate: world.rates[at],
                 })
             }));
@@ -279,27 +284,35 @@
         inputs.extend(over.into_iter().map(|(at, mail, end)| {
             let End { after, outcome, wait, kept, report } = end;
             let (over, took) = (outcome == Outcome::Relayed, world.now - at + after);
-            Input::Ended(Ended { mail, outcome, over, wait, took, kept, report })
+            Input::ConnectResult(ConnectResult {
+                mail,
+                outcome,
+                finished: over,
+                retry_after: wait,
+                duration: took,
+                reused_connection: kept,
+                limit_report: report,
+            })
         }));
         for message in world.messages() {
             next += 1;
-            inputs.push(Input::Taken(Taken {
-                mail: mails.enter(next),
-                dest: dests.enter(names.destinations[message.dest]),
+            inputs.push(Input::AcceptedMail(AcceptedMail {
+                mail: mails.intern(next),
+                destination: dests.intern(names.destinations[message.dest]),
                 class: classes.iter().position(|name| name == names.classes[message.class]).unwrap(),
-                key: message.key.map(|key| keys.enter(format!("{}{key}", names.item))),
-                since: world.now,
-                due: world.now + message.lifetime,
-                ..Taken::default()
+                key: message.key.map(|key| keys.intern(format!("{}{key}", names.item))),
+                submitted_at: world.now,
+                deadline: world.now + message.lifetime,
+                ..AcceptedMail::default()
             }));
         }
         let gone = out.first().filter(|_| world.hangs_up()).map(|&(_, mail, _)| mail);
-        inputs.extend(gone.map(|mail| Input::Hangup { mail }));
+        inputs.extend(gone.map(|mail| Input::ClientGone { mail }));
         let heard = world.news();
-        let heard = heard.and_then(|(at, news)| Some((endpoints.find(&names.endpoint(at))?, news)));
-        inputs.extend(heard.map(|(endpoint, news)| Input::Heard { endpoint, news }));
+        let heard = heard.and_then(|(at, news)| Some((endpoints.get(&names.endpoint(at))?, news)));
+        inputs.extend(heard.map(|(endpoint, news)| Input::PeerNote { endpoint, note: news }));
         let mut actions = Vec::new();
-        let wake = control.round(world.now, &inputs, &mut actions);
+        let wake = control.step(world.now, &inputs, &mut actions);
         trace.push(format!("turn {turn}: {actions:?}, {wake:?}"));
         for action in actions {
             match action {
@@ -307,12 +320,12 @@
                     let end = world.end(timeout);
                     out.push((world.now + end.after, mail, end));
                 }
-                Action::FreeMail(mail) => mails.leave(mail),
-                Action::FreeEndpoint(endpoint) => endpoints.leave(endpoint),
-                Action::FreeKey(key) => keys.leave(key),
+                Action::FreeMail(mail) => mails.release(mail),
+                Action::FreeEndpoint(endpoint) => endpoints.release(endpoint),
+                Action::FreeKey(key) => keys.release(key),
                 Action::Defer { .. } => world.count("rejected"),
                 Action::Bounce { .. } => world.count("failed"),
-                Action::Tell { .. } | Action::LetGo(_) | Action::WatchList => {}
+                Action::SendNote { .. } | Action::CloseIdle(_) | Action::RequestList => {}
             }
         }
         told = world.change();
@@ -335,7 +348,7 @@
     folder: Folder,
 }
 
-type Around = (UnboundedReceiver<Order>, UnboundedReceiver<Notice>, UnboundedReceiver<(Bytes, News)>);
+type Around = (UnboundedReceiver<Order>, UnboundedReceiver<Notice>, UnboundedReceiver<(Bytes, PeerNote)>);
 
 fn open(names: &Names, folder: &Folder, now: Time) -> (Exchange, Around) {
     let (orders_in, orders) = unbounded_channel();
@@ -383,8 +396,8 @@
         let entries = some.iter().map(|&at| {
             let address = SocketAddr::from(([127, 0, 0, 1], 9000 + at as u16));
             let status = match self.world.lives[at] {
-                Some(Life::Ready) => "SERVING",
-                Some(Life::Draining) => "DRAINING",
+                Some(EndpointStatus::Ready) => "SERVING",
+                Some(EndpointStatus::Draining) => "DRAINING",
                 _ => "DELETED",
             };
             json!({"name": self.names.endpoint(at), "address": address, "zone": self.names.zones[at % 3],
@@ -436,7 +449,7 @@
         self.out = out;
         let over: Vec<(Time, u64, End)> = over;
         for (_, serial, End { outcome, wait, kept, report, .. }) in over {
-            let load = report.map(|report| format!("x0={},x1={}", report.left, report.limit));
+            let load = report.map(|report| format!("x0={},x1={}", report.remaining, report.limit));
             self.exchange.seen(serial, Seen { wait: duration(wait), kept, load, ..Seen::only(outcome) });
         }
     }
--- a/crates/courier/tests/settings_exchange.rs
+++ b/crates/courier/tests/settings_exchange.rs
@@ -452,7 +452,7 @@
     let seed = 3;
     println!("seed {seed}");
     let mut chance = fastrand::Rng::with_seed(seed);
-    let rules = |c: &QueueClass| (c.effect, c.by_zone, c.window, c.in_turn);
+    let rules = |c: &QueueClass| (c.effect, c.dedup_by_zone, c.dedup_window, c.ordered);
     let mut held = Classes::default();
     // Messages in hand, by the number and the rules that they were taken on with.
     let mut messages: Vec<(usize, (Effect, bool, Time, bool))> = Vec::new();
--- a/crates/emulator/src/baselines.rs
+++ b/crates/emulator/src/baselines.rs
@@ -5,7 +5,9 @@
 
 use std::collections::VecDeque;
 
-use meadowhold::interface::{Action, Effect, Ended, Input, Life, Outcome, Settings, Taken, Time, SECOND};
+use meadowhold::interface::{
+    AcceptedMail, Action, ConnectResult, Effect, EndpointStatus, Input, Outcome, Settings, Time, SECOND,
+};
 
 use crate::chance::{Purpose, Stream};
 use crate::decider::{Decider, Sight};
@@ -118,7 +120,7 @@
     pub fn new(set: Settings, style: Style, wrong: Wrong) -> Plain {
         Plain {
             chance: Stream::new(set.seed, Purpose::Decider, 1),
-            ask_at: set.ask_list.then_some(0),
+            ask_at: set.poll_list.then_some(0),
             style,
             wrong,
             mails: Vec::new(),
@@ -135,39 +137,49 @@
 
     fn read(&mut self, now: Time, input: &Input, out: &mut Vec<Action>) {
         match input {
-            Input::ListBegin { whole } => {
+            Input::ListBegin { complete: whole } => {
                 self.ends.iter_mut().filter(|_| *whole).for_each(|e| e.named = false)
             }
-            Input::Listed(entry) => {
-                let (apart, batch) = (self.set.kinds[entry.kind].apart, self.set.kinds[entry.kind].batch);
-                let dest = grow(&mut self.dests, entry.dest);
+            Input::ListEntry(entry) => {
+                let (apart, batch) =
+                    (self.set.kinds[entry.kind].per_endpoint_limits, self.set.kinds[entry.kind].max_batch);
+                let dest = grow(&mut self.dests, entry.destination);
                 dest.limit = if dest.limit > 0.0 { dest.limit } else { 4.0 };
                 let e = grow(&mut self.ends, entry.endpoint);
                 if !e.known {
                     dest.ends.push(entry.endpoint);
                 }
-                (e.known, e.named, e.dest, e.zone) = (true, true, entry.dest, entry.zone);
+                (e.known, e.named, e.dest, e.zone) = (true, true, entry.destination, entry.zone);
                 e.batch = batch;
-                e.ready = entry.life == Life::Ready;
-                e.unit = if apart { 2 * entry.endpoint + 1 } else { 2 * entry.dest };
+                e.ready = entry.status == EndpointStatus::Ready;
+                e.unit = if apart { 2 * entry.endpoint + 1 } else { 2 * entry.destination };
                 let unit = e.unit;
                 grow(&mut self.holds, unit);
             }
             Input::ListEnd => self.ends.iter_mut().filter(|e| !e.named).for_each(|e| e.ready = false),
-            Input::ListFailed => self.ask_at = Some(now + self.set.ask_within / 8),
-            Input::Taken(taken) => self.take(taken),
-            Input::Rested { key, since } => {
+            Input::ListFailed => self.ask_at = Some(now + self.set.max_poll_delay / 8),
+            Input::AcceptedMail(taken) => self.take(taken),
+            Input::KeyInFlight { key, at: since } => {
                 let rest = &mut grow(&mut self.lines, *key).1;
-                *rest = (*rest).max(since + self.set.turn_gap);
+                *rest = (*rest).max(since + self.set.ordering_gap);
             }
-            Input::Hangup { mail } => self.end(*mail, out),
-            Input::Ended(ended) => self.settle(now, ended, out),
-            Input::Heard { .. } | Input::Settings(_) | Input::Ending(_) | Input::Woken => {}
+            Input::ClientGone { mail } => self.end(*mail, out),
+            Input::ConnectResult(ended) => self.settle(now, ended, out),
+            Input::PeerNote { .. } | Input::Settings(_) | Input::Shutdown(_) | Input::Wakeup => {}
         }
     }
 
-    fn take(&mut self, taken: &Taken) {
-        let Taken { mail, dest, class, key, due, connects, ran, .. } = *taken;
+    fn take(&mut self, taken: &AcceptedMail) {
+        let AcceptedMail {
+            mail,
+            destination: dest,
+            class,
+            key,
+            deadline: due,
+            connects_used: connects,
+            first_run: ran,
+            ..
+        } = *taken;
         let new = Held { dest, class, key, due, connects, ran, used: true, ..Held::default() };
         *grow(&mut self.mails, mail) = new;
         if let Some(key) = key {
@@ -207,12 +219,12 @@
 
     fn give_up(&mut self, now: Time, mail: usize, out: &mut Vec<Action>) {
         let (_, deferrable) = self.may(now, &self.mails[mail]);
-        out.push(if deferrable { Action::Defer { mail, pause: 0 } } else { Action::Bounce { mail } });
+        out.push(if deferrable { Action::Defer { mail, retry_after: 0 } } else { Action::Bounce { mail } });
         self.end(mail, out);
     }
 
-    fn settle(&mut self, now: Time, ended: &Ended, out: &mut Vec<Action>) {
-        let Ended { mail, outcome, over, wait, took, .. } = *ended;
+    fn settle(&mut self, now: Time, ended: &ConnectResult, out: &mut Vec<Action>) {
+        let ConnectResult { mail, outcome, finished: over, retry_after: wait, duration: took, .. } = *ended;
         let m = &mut self.mails[mail];
         if !m.out {
             return;
@@ -227,8 +239,8 @@
         if !outcome.never_ran() {
             m.ran = m.ran.or(Some((m.sent, e.zone)));
         }
-        if let Some(key) = m.key.filter(|_| outcome.may_run_on()) {
-            self.lines[key].1 = self.lines[key].1.max(now + self.set.turn_gap);
+        if let Some(key) = m.key.filter(|_| outcome.may_still_run()) {
+            self.lines[key].1 = self.lines[key].1.max(now + self.set.ordering_gap);
         }
         self.learn(now, endpoint, dest, outcome, took);
         let (again, _) = self.may(now, &self.mails[mail]);
@@ -274,7 +286,7 @@
 
     fn pick(&mut self, now: Time, mail: usize) -> Option<usize> {
         let m = &self.mails[mail];
-        let by_zone = self.set.classes[m.class].by_zone;
+        let by_zone = self.set.classes[m.class].dedup_by_zone;
         let (wrong, style, ran) = (self.wrong, self.style, m.ran);
         let fits = |&&e: &&usize| {
             let end = &self.ends[e];
@@ -317,7 +329,8 @@
             let m = &mut self.mails[mail];
             let left = m.due.saturating_sub(now).max(1);
             let class = &self.set.classes[m.class];
-            let patience = if class.effect == Effect::OnceOnly { left } else { (2 * class.target).min(left) };
+            let patience =
+                if class.effect == Effect::OnceOnly { left } else { (2 * class.target_delay).min(left) };
             (m.out, m.sent, m.endpoint) = (true, now, endpoint);
             m.connects += 1;
             let before = self.slots.out();
@@ -325,7 +338,7 @@
             let begun = self.slots.out() - before;
             self.ends[endpoint].out += begun;
             self.dests[m.dest].out += begun;
-            out.push(Action::Connect { mail, endpoint, timeout: patience, fresh: false });
+            out.push(Action::Connect { mail, endpoint, timeout: patience, new_connection: false });
         }
         self.parked = later;
     }
@@ -334,8 +347,8 @@
 impl Decider for Plain {
     fn round(&mut self, now: Time, inputs: &[Input], out: &mut Vec<Action>, _: &dyn Sight) -> Option<Time> {
         inputs.iter().for_each(|input| self.read(now, input, out));
-        out.extend(self.ask_at.take_if(|at| *at <= now).map(|_| Action::WatchList));
-        let margin = 3 * self.set.resolution;
+        out.extend(self.ask_at.take_if(|at| *at <= now).map(|_| Action::RequestList));
+        let margin = 3 * self.set.timer_resolution;
         let hopeless: Vec<usize> = self
             .parked
             .iter()
@@ -345,7 +358,7 @@
         hopeless.into_iter().for_each(|mail| self.give_up(now, mail, out));
         self.dispatch(now, out);
         let busy = self.slots.out() > 0 || !self.parked.is_empty();
-        busy.then_some(now + 2 * self.set.resolution).into_iter().chain(self.ask_at).min()
+        busy.then_some(now + 2 * self.set.timer_resolution).into_iter().chain(self.ask_at).min()
     }
 
     fn may_begin(&self, endpoint: usize, now: Time) -> bool {
--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -1,7 +1,7 @@
 //! Mails come in by the day's own stream, whatever becomes of those before them; clients come again after a deferral
 //! or a death, and some hang up. The front chooses the courier and learns late which of them live.
 
-use meadowhold::interface::{Effect, Input, Taken, Time, SECOND};
+use meadowhold::interface::{AcceptedMail, Effect, Input, Time, SECOND};
 
 use crate::chance::{Purpose, Stream};
 use crate::judge::Rule;
@@ -78,10 +78,10 @@
             dest,
             class: class as u16,
             hall: shifted.map_or(any_hall, |t| t.hall) as u16,
-            key: set.in_turn.then_some(key),
+            key: set.ordered.then_some(key),
             born: now,
             due,
-            target: now + set.target,
+            target: now + set.target_delay,
             stage: Stage::Outside,
             courier: NOBODY,
             index: 0,
@@ -164,7 +164,7 @@
             }
             return;
         }
-        if c.open >= self.day.settings.room {
+        if c.open >= self.day.settings.max_mails {
             self.counts.turned_away += 1;
             self.trace.note(now, mail, || format!("turned away by courier {courier}: its room is full"));
             self.mails[mail as usize].tries += 1;
@@ -190,17 +190,17 @@
         if let Some(key) = m.key {
             self.judge.joins(courier as u32, key, mail);
         }
-        let taken = Taken {
+        let taken = AcceptedMail {
             mail: m.index as usize,
-            dest: m.dest as usize,
+            destination: m.dest as usize,
             class: usize::from(m.class),
             key: m.key.map(|key| key as usize),
-            since: m.since,
-            due: m.due,
-            connects: usize::from(m.connects),
-            ran: m.ran.map(|(at, hall)| (at, usize::from(hall))),
+            submitted_at: m.since,
+            deadline: m.due,
+            connects_used: usize::from(m.connects),
+            first_run: m.ran.map(|(at, hall)| (at, usize::from(hall))),
         };
-        self.tell(courier, Input::Taken(taken));
+        self.tell(courier, Input::AcceptedMail(taken));
     }
 
     pub fn hang_up(&mut self, now: Time, mail: u32, tries: u8) {
@@ -216,7 +216,7 @@
         let index = m.index as usize;
         self.trace.note(now, mail, || "its client hangs up".to_string());
         self.finish(now, mail, Answer::HungUp);
-        self.tell(courier, Input::Hangup { mail: index });
+        self.tell(courier, Input::ClientGone { mail: index });
     }
 
     /// A mail has its final answer (or its client is gone): the judge looks, the client acts on it.
@@ -272,8 +272,8 @@
         if set.effect == Effect::Tagged && self.day.mails.careful {
             // It may have run, for all the client knows: it comes inside the window alone, with no more time than that,
             // less what making a connection may take: a courier does not know that it is a repeat.
-            let spare = self.day.settings.connect_timeout;
-            m.due = m.due.min((m.born + set.window).saturating_sub(spare));
+            let spare = self.day.settings.connection_timeout;
+            m.due = m.due.min((m.born + set.dedup_window).saturating_sub(spare));
         }
         if usize::from(m.tries) <= self.day.mails.retries && now + pause < m.due {
             m.stage = Stage::Outside;
--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -182,30 +182,34 @@
         let pace = partners.iter().map(|p| p.share * p.pace).sum::<f64>();
         let busy = full_rate / couriers as f64 * mean * pace;
         let settings = Settings {
-            me: 0,
+            courier_index: 0,
             seed,
             couriers,
             slots: ((busy * draw(d, s.courier.slots_room)).ceil() as usize).max(s.courier.least_slots),
-            room: ((full_rate / couriers as f64 * draw(d, s.courier.hold_s)).ceil() as usize)
+            max_mails: ((full_rate / couriers as f64 * draw(d, s.courier.hold_s)).ceil() as usize)
                 .max(s.courier.least_room),
             max_connects: s.courier.max_connects,
-            resolution: ms(s.courier.resolution_ms).max(1),
-            connect_timeout: ms(s.courier.connect_timeout_ms),
-            keep_idle: secs(s.courier.keep_idle_s),
-            handshake_price: 0.0,
-            may_tell: false,
-            max_pause: ms(s.courier.max_pause_ms),
-            ask_list: s.list.mode == ListMode::Ask,
-            ask_within: secs(s.list.ask_within_s),
-            cold_from: partners.iter().map(|p| p.cold_from).fold(1.0, f64::min),
-            cold: partners.iter().map(|p| p.cold).max().unwrap_or(0),
-            tip_multiple: s.rules.tip_multiple,
-            overload_for: secs(s.rules.tip_s),
-            turn_gap: ms(s.courier.turn_gap_ms),
-            by_half: s.courier.by_half,
-            rates_listed: s.list.rates,
-            fees: s.courier.fees.clone(),
-            kinds: s.kind.iter().map(|k| interface::Kind { batch: k.batch, apart: k.apart }).collect(),
+            timer_resolution: ms(s.courier.resolution_ms).max(1),
+            connection_timeout: ms(s.courier.connect_timeout_ms),
+            idle_timeout: secs(s.courier.keep_idle_s),
+            handshake_cost: 0.0,
+            peer_notes: false,
+            max_retry_after: ms(s.courier.max_pause_ms),
+            poll_list: s.list.mode == ListMode::Ask,
+            max_poll_delay: secs(s.list.ask_within_s),
+            cold_capacity: partners.iter().map(|p| p.cold_from).fold(1.0, f64::min),
+            warm_up: partners.iter().map(|p| p.cold).max().unwrap_or(0),
+            overload_multiple: s.rules.tip_multiple,
+            overload_duration: secs(s.rules.tip_s),
+            ordering_gap: ms(s.courier.turn_gap_ms),
+            half_life_decay: s.courier.by_half,
+            list_has_rates: s.list.rates,
+            zone_fees: s.courier.fees.clone(),
+            kinds: s
+                .kind
+                .iter()
+                .map(|k| interface::Kind { max_batch: k.batch, per_endpoint_limits: k.apart })
+                .collect(),
             classes: classes.iter().map(|c| c.settings.clone()).collect(),
         };
         let down = secs(draw(d, s.courier.down_s));
@@ -256,7 +260,7 @@
     pub fn settings(&self, courier: usize, process: u32) -> Settings {
         let index = (courier as u64) << 32 | u64::from(process);
         let seed = Stream::new(self.seed, Purpose::Decider, index).number();
-        Settings { seed, me: courier, ..self.settings.clone() }
+        Settings { seed, courier_index: courier, ..self.settings.clone() }
     }
 
     /// How long a courier keeps an idle connection: a little less than its endpoint does.
@@ -292,13 +296,13 @@
                     Effect::Tagged => interface::Effect::Tagged,
                     Effect::OnceOnly => interface::Effect::OnceOnly,
                 },
-                by_zone: c.by_hall,
-                window: ms(c.window_ms),
-                target: ms(c.target_ms),
+                dedup_by_zone: c.by_hall,
+                dedup_window: ms(c.window_ms),
+                target_delay: ms(c.target_ms),
                 lifetime: ms(c.lifetime_ms),
                 importance: c.importance,
-                late_worth: c.late_worth,
-                in_turn: c.in_turn,
+                expiry_importance: c.late_worth,
+                ordered: c.in_turn,
             },
         })
         .collect();
--- a/crates/emulator/src/decider.rs
+++ b/crates/emulator/src/decider.rs
@@ -1,6 +1,6 @@
 //! What may decide in the emulator: the module itself, and others beside it for comparison.
 
-use meadowhold::control::{Control, Standing};
+use meadowhold::control::{Control, Health};
 use meadowhold::interface::{Action, Input, Settings, Time};
 
 /// The true state of the world, for deciders that are allowed to see it; no courier is.
@@ -25,7 +25,7 @@
     fn may_begin(&self, endpoint: usize, now: Time) -> bool;
 
     /// What is held of an endpoint, for plots; nothing where no standing is kept.
-    fn standing(&self, _endpoint: usize) -> Option<Standing> {
+    fn standing(&self, _endpoint: usize) -> Option<Health> {
         None
     }
 
@@ -37,19 +37,19 @@
 
 impl Decider for Control {
     fn round(&mut self, now: Time, inputs: &[Input], out: &mut Vec<Action>, _: &dyn Sight) -> Option<Time> {
-        Control::round(self, now, inputs, out)
+        Control::step(self, now, inputs, out)
     }
 
     fn may_begin(&self, endpoint: usize, now: Time) -> bool {
-        Control::may_begin(self, endpoint, now)
+        Control::may_call(self, endpoint, now)
     }
 
-    fn standing(&self, endpoint: usize) -> Option<Standing> {
-        Control::standing(self, endpoint)
+    fn standing(&self, endpoint: usize) -> Option<Health> {
+        Control::health(self, endpoint)
     }
 
     fn glance(&self, dest: usize) -> Option<(usize, usize, usize)> {
-        Control::glance(self, dest)
+        Control::destination_load(self, dest)
     }
 }
 
--- a/crates/emulator/src/figures.rs
+++ b/crates/emulator/src/figures.rs
@@ -76,12 +76,12 @@
     if late <= 0.0 {
         return set.importance;
     }
-    if day.settings.by_half {
-        let halved = set.importance * 0.5f64.powf(late / set.target.max(1) as f64);
-        halved.max(set.importance * set.late_worth)
+    if day.settings.half_life_decay {
+        let halved = set.importance * 0.5f64.powf(late / set.target_delay.max(1) as f64);
+        halved.max(set.importance * set.expiry_importance)
     } else {
-        let span = set.lifetime.saturating_sub(set.target).max(1) as f64;
-        set.importance * (1.0 - (1.0 - set.late_worth) * (late / span).min(1.0))
+        let span = set.lifetime.saturating_sub(set.target_delay).max(1) as f64;
+        set.importance * (1.0 - (1.0 - set.expiry_importance) * (late / span).min(1.0))
     }
 }
 
--- a/crates/emulator/src/listing.rs
+++ b/crates/emulator/src/listing.rs
@@ -1,7 +1,7 @@
 //! The list of endpoints: what is true gets on it late, couriers hear of it later still, and troubles make it lag,
 //! stall, lie or come empty.
 
-use meadowhold::interface::{Input, Life, Listed, Time, SECOND};
+use meadowhold::interface::{EndpointStatus, Input, ListEntry, Time, SECOND};
 
 use crate::chance::{Purpose, Stream};
 use crate::parts::Event;
@@ -11,38 +11,38 @@
 #[derive(Default)]
 pub struct List {
     /// True changes, in order, and those that wait for the list to go on.
-    changes: Vec<(usize, Life)>,
+    changes: Vec<(usize, EndpointStatus)>,
     waiting: Vec<usize>,
     /// What was published, in order; couriers hear of it up to a point.
-    log: Vec<(usize, Life)>,
+    log: Vec<(usize, EndpointStatus)>,
     /// Troubles under way: further seconds behind, and stalls.
     pub lag: Time,
     pub stalls: u16,
 }
 
 impl World<'_> {
-    fn entry(&self, endpoint: usize, life: Life) -> Input {
+    fn entry(&self, endpoint: usize, life: EndpointStatus) -> Input {
         let e = &self.day.endpoints[endpoint];
         let p = &self.day.partners[e.partner];
-        Input::Listed(Listed {
+        Input::ListEntry(ListEntry {
             endpoint,
-            dest: e.partner,
+            destination: e.partner,
             zone: e.hall,
             kind: p.kind,
-            life,
+            status: life,
             rate: p.listed_rate,
         })
     }
 
     /// What is published of each endpoint just now, in the order of the endpoints.
     pub fn whole(&self) -> Vec<Input> {
-        let mut lives: Vec<Option<Life>> =
-            self.day.endpoints.iter().map(|e| (!e.newcomer).then_some(Life::Ready)).collect();
+        let mut lives: Vec<Option<EndpointStatus>> =
+            self.day.endpoints.iter().map(|e| (!e.newcomer).then_some(EndpointStatus::Ready)).collect();
         self.list.log.iter().for_each(|&(endpoint, life)| lives[endpoint] = Some(life));
         let named = lives.iter().enumerate().filter_map(|(e, life)| life.map(|life| (e, life)));
-        let named = named.filter(|(_, life)| *life != Life::Gone);
+        let named = named.filter(|(_, life)| *life != EndpointStatus::Removed);
         let entries = named.map(|(endpoint, life)| self.entry(endpoint, life));
-        let begin = std::iter::once(Input::ListBegin { whole: true });
+        let begin = std::iter::once(Input::ListBegin { complete: true });
         begin.chain(entries).chain(std::iter::once(Input::ListEnd)).collect()
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// An endpoint's life has changed: it will be on the list.
-    pub fn change(&mut self, now: Time, endpoint: usize, life: Life) {
+    pub fn change(&mut self, now: Time, endpoint: usize, life: EndpointStatus) {
         self.list.changes.push((endpoint, life));
         let change = self.list.changes.len() as u32 - 1;
         let at = now + self.day.list_lag + self.list.lag;
@@ -70,7 +70,7 @@
     }
 
     /// Something stands on the list, true or not, and couriers hear of it one after the other.
-    pub fn spread(&mut self, now: Time, endpoint: usize, life: Life) {
+    pub fn spread(&mut self, now: Time, endpoint: usize, life: EndpointStatus) {
         self.list.log.push((endpoint, life));
         let upto = self.list.log.len() as u32;
         for courier in 0..self.couriers.len() {
@@ -100,7 +100,7 @@
             self.list.log[c.heard..upto].iter().map(|&(endpoint, life)| self.entry(endpoint, life)).collect();
         let c = &mut self.couriers[courier];
         c.heard = upto;
-        c.inputs.push(Input::ListBegin { whole: false });
+        c.inputs.push(Input::ListBegin { complete: false });
         c.inputs.extend(news);
         self.tell(courier, Input::ListEnd);
     }
@@ -140,7 +140,7 @@
                 continue;
             }
             let told =
-                if empty { vec![Input::ListBegin { whole: true }, Input::ListEnd] } else { self.whole() };
+                if empty { vec![Input::ListBegin { complete: true }, Input::ListEnd] } else { self.whole() };
             self.couriers[courier].heard = self.list.log.len();
             self.couriers[courier].inputs.extend(told);
             self.wake(courier, now);
@@ -149,10 +149,11 @@
 
     /// A whole list leaves out what is gone: the judge holds the courier to that too.
     pub fn judge_unnamed(&mut self, now: Time, courier: usize, inputs: &[Input]) {
-        let begin = inputs.iter().rposition(|i| matches!(i, Input::ListBegin { whole: true })).unwrap_or(0);
+        let begin =
+            inputs.iter().rposition(|i| matches!(i, Input::ListBegin { complete: true })).unwrap_or(0);
         let mut named = vec![false; self.sites.len()];
         for input in &inputs[begin..] {
-            if let Input::Listed(entry) = input {
+            if let Input::ListEntry(entry) = input {
                 named[entry.endpoint] = true;
             }
         }
--- a/crates/emulator/src/oracle.rs
+++ b/crates/emulator/src/oracle.rs
@@ -1,7 +1,7 @@
 //! The ceiling: a decider that sees the true state of all endpoints and sends nothing that would fail, what is worth
 //! most for its time first. No courier can know what it knows; chance alone can still fail its calls.
 
-use meadowhold::interface::{Action, Effect, Input, Life, Settings, Taken, Time};
+use meadowhold::interface::{AcceptedMail, Action, Effect, EndpointStatus, Input, Settings, Time};
 
 use crate::decider::{Decider, Sight};
 use crate::slots::{grow, may, Slots};
@@ -14,7 +14,7 @@
 
 #[derive(Clone, Default)]
 struct Held {
-    taken: Taken,
+    taken: AcceptedMail,
     out: bool,
     call: usize,
     over: bool,
@@ -53,7 +53,7 @@
     /// `courier`: whose eyes it has; the sight differs by hall.
     pub fn new(set: Settings, courier: usize) -> Oracle {
         Oracle {
-            asked: !set.ask_list,
+            asked: !set.poll_list,
             set,
             courier,
             mails: Vec::new(),
@@ -70,9 +70,9 @@
         }
     }
 
-    fn may(&self, now: Time, t: &Taken) -> (bool, bool) {
-        let left = t.connects < self.set.max_connects && now < t.due;
-        let (again, deferrable) = may(&self.set, now, t.class, t.ran);
+    fn may(&self, now: Time, t: &AcceptedMail) -> (bool, bool) {
+        let left = t.connects_used < self.set.max_connects && now < t.deadline;
+        let (again, deferrable) = may(&self.set, now, t.class, t.first_run);
         (left && again, deferrable)
     }
 
@@ -94,43 +94,43 @@
 
     fn give_up(&mut self, now: Time, mail: usize, out: &mut Vec<Action>) {
         let (_, deferrable) = self.may(now, &self.mails[mail].taken);
-        out.push(if deferrable { Action::Defer { mail, pause: 0 } } else { Action::Bounce { mail } });
+        out.push(if deferrable { Action::Defer { mail, retry_after: 0 } } else { Action::Bounce { mail } });
         self.end(mail, out);
     }
 
     fn read(&mut self, now: Time, input: &Input, out: &mut Vec<Action>) {
         match input {
-            Input::ListBegin { whole } => {
+            Input::ListBegin { complete: whole } => {
                 self.ends.iter_mut().filter(|_| *whole).for_each(|e| e.named = false)
             }
-            Input::Listed(l) => {
+            Input::ListEntry(l) => {
                 let kind = &self.set.kinds[l.kind];
                 let e = grow(&mut self.ends, l.endpoint);
                 if !e.known {
-                    grow(&mut self.dests, l.dest).push(l.endpoint);
+                    grow(&mut self.dests, l.destination).push(l.endpoint);
                 }
-                let unit = if kind.apart { 2 * l.endpoint + 1 } else { 2 * l.dest };
-                let ready = l.life == Life::Ready;
-                let batch = kind.batch;
+                let unit = if kind.per_endpoint_limits { 2 * l.endpoint + 1 } else { 2 * l.destination };
+                let ready = l.status == EndpointStatus::Ready;
+                let batch = kind.max_batch;
                 *e = End { known: true, zone: l.zone, batch, unit, ready, named: true };
                 grow(&mut self.holds, unit);
             }
             Input::ListEnd => self.ends.iter_mut().filter(|e| !e.named).for_each(|e| e.ready = false),
             Input::ListFailed => self.asked = false,
-            Input::Taken(taken) => {
+            Input::AcceptedMail(taken) => {
                 let mail = taken.mail;
                 *grow(&mut self.mails, mail) = Held { taken: taken.clone(), used: true, ..Held::default() };
                 grow(&mut self.sent, mail);
                 grow(&mut self.zone, mail);
                 grow(&mut self.unit, mail);
-                grow(&mut self.dests, taken.dest);
+                grow(&mut self.dests, taken.destination);
                 if let Some(key) = taken.key {
                     grow(&mut self.lines, key).0.push(mail);
                 }
                 self.parked.push(mail);
             }
-            Input::Hangup { mail } => self.end(*mail, out),
-            Input::Ended(ended) => {
+            Input::ClientGone { mail } => self.end(*mail, out),
+            Input::ConnectResult(ended) => {
                 let m = &mut self.mails[ended.mail];
                 if !m.out {
                     return;
@@ -138,16 +138,16 @@
                 m.out = false;
                 self.slots.give_back(m.call);
                 let unit = self.unit[ended.mail];
-                self.holds[unit] = self.holds[unit].max(now + ended.wait);
+                self.holds[unit] = self.holds[unit].max(now + ended.retry_after);
                 if !ended.outcome.never_ran() {
                     let first = (self.sent[ended.mail], self.zone[ended.mail]);
-                    m.taken.ran = m.taken.ran.or(Some(first));
+                    m.taken.first_run = m.taken.first_run.or(Some(first));
                 }
-                let may_run_on = ended.outcome.may_run_on();
+                let may_run_on = ended.outcome.may_still_run();
                 if let Some(key) = m.taken.key.filter(|_| may_run_on) {
-                    self.lines[key].1 = self.lines[key].1.max(now + self.set.turn_gap);
+                    self.lines[key].1 = self.lines[key].1.max(now + self.set.ordering_gap);
                 }
-                if ended.over || m.over {
+                if ended.finished || m.over {
                     self.end(ended.mail, out);
                 } else if self.may(now, &self.mails[ended.mail].taken).0 {
                     self.parked.push(ended.mail);
@@ -155,11 +155,11 @@
                     self.give_up(now, ended.mail, out);
                 }
             }
-            Input::Rested { key, since } => {
+            Input::KeyInFlight { key, at: since } => {
                 let rest = &mut grow(&mut self.lines, *key).1;
-                *rest = (*rest).max(since + self.set.turn_gap);
+                *rest = (*rest).max(since + self.set.ordering_gap);
             }
-            Input::Heard { .. } | Input::Settings(_) | Input::Ending(_) | Input::Woken => {}
+            Input::PeerNote { .. } | Input::Settings(_) | Input::Shutdown(_) | Input::Wakeup => {}
         }
     }
 
@@ -167,11 +167,11 @@
     fn worth(&self, mail: usize, at: Time) -> f64 {
         let t = &self.mails[mail].taken;
         let c = &self.set.classes[t.class];
-        let late = at.saturating_sub(t.since + c.target) as f64 / c.target.max(1) as f64;
-        if at >= t.due {
+        let late = at.saturating_sub(t.submitted_at + c.target_delay) as f64 / c.target_delay.max(1) as f64;
+        if at >= t.deadline {
             0.0
         } else {
-            c.importance * 0.5f64.powf(late).max(c.late_worth)
+            c.importance * 0.5f64.powf(late).max(c.expiry_importance)
         }
     }
 
@@ -180,21 +180,21 @@
         let t = &self.mails[mail].taken;
         let in_turn = t.key.is_none_or(|key| {
             let (line, rest) = &self.lines[key];
-            line.first() == Some(&mail) && (t.connects > 0 || now >= *rest)
+            line.first() == Some(&mail) && (t.connects_used > 0 || now >= *rest)
         });
         if !in_turn {
             return None;
         }
-        let by_zone = self.set.classes[t.class].by_zone;
+        let by_zone = self.set.classes[t.class].dedup_by_zone;
         let fits = |endpoint: usize| {
             let e = &self.ends[endpoint];
             e.ready
                 && now >= self.holds[e.unit]
-                && t.ran.is_none_or(|(_, zone)| !by_zone || zone == e.zone)
+                && t.first_run.is_none_or(|(_, zone)| !by_zone || zone == e.zone)
                 && self.slots.riders(endpoint) < e.batch
                 && self.slots.has_room(endpoint, e.batch, self.set.slots)
         };
-        let ends = self.dests[t.dest].iter().copied().filter(|&e| fits(e));
+        let ends = self.dests[t.destination].iter().copied().filter(|&e| fits(e));
         // What a failure would end waits until one is unlikely; all else is tried, as its chance is worth.
         let once = self.set.classes[t.class].effect == Effect::OnceOnly;
         let answers = ends.filter_map(|e| {
@@ -220,17 +220,17 @@
             let best = self.best(now, mail, sight).filter(|_| value > 0.0);
             let Some((answer, endpoint)) = best else { continue };
             let t = &self.mails[mail].taken;
-            let left = t.due.saturating_sub(now).max(1);
+            let left = t.deadline.saturating_sub(now).max(1);
             // An answer that is long overdue was lost; what may go again need not wait for it.
             let once = self.set.classes[t.class].effect == Effect::OnceOnly;
             let timeout = if once { left } else { left.min((PATIENCE * answer) as Time + 1) };
             let call = self.slots.take(endpoint, self.ends[endpoint].batch);
             let m = &mut self.mails[mail];
             (m.out, m.call) = (true, call);
-            m.taken.connects += 1;
+            m.taken.connects_used += 1;
             (self.sent[mail], self.zone[mail]) = (now, self.ends[endpoint].zone);
             self.unit[mail] = self.ends[endpoint].unit;
-            out.push(Action::Connect { mail, endpoint, timeout, fresh: false });
+            out.push(Action::Connect { mail, endpoint, timeout, new_connection: false });
         }
         let mails = &self.mails;
         self.parked.retain(|&mail| !mails[mail].out);
@@ -248,18 +248,18 @@
     ) -> Option<Time> {
         inputs.iter().for_each(|input| self.read(now, input, out));
         if !std::mem::replace(&mut self.asked, true) {
-            out.push(Action::WatchList);
+            out.push(Action::RequestList);
         }
-        let margin = 3 * self.set.resolution;
+        let margin = 3 * self.set.timer_resolution;
         let hopeless = |&&mail: &&usize| {
             let t = &self.mails[mail].taken;
-            now + margin >= t.due || !self.may(now, t).0
+            now + margin >= t.deadline || !self.may(now, t).0
         };
         let hopeless: Vec<usize> = self.parked.iter().filter(hopeless).copied().collect();
         hopeless.into_iter().for_each(|mail| self.give_up(now, mail, out));
         self.dispatch(now, out, sight);
         let busy = self.slots.out() > 0 || !self.parked.is_empty();
-        busy.then_some(now + self.set.resolution)
+        busy.then_some(now + self.set.timer_resolution)
     }
 
     fn may_begin(&self, endpoint: usize, now: Time) -> bool {
--- a/crates/emulator/src/parts.rs
+++ b/crates/emulator/src/parts.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use meadowhold::interface::{Ended, Input, Outcome, Report, Time};
+use meadowhold::interface::{ConnectResult, Input, LimitReport, Outcome, Time};
 
 use crate::decider::Decider;
 
@@ -221,7 +221,7 @@
 pub struct Reply {
     pub outcome: Outcome,
     pub wait: Time,
-    pub report: Option<Report>,
+    pub report: Option<LimitReport>,
 }
 
 impl Reply {
@@ -390,13 +390,13 @@
 
 /// What a courier is told at its next turn of one rider's connect.
 pub fn ended(index: usize, reply: &Reply, over: bool, took: Time, kept: bool) -> Input {
-    Input::Ended(Ended {
+    Input::ConnectResult(ConnectResult {
         mail: index,
         outcome: reply.outcome,
-        over,
-        wait: reply.wait,
-        took,
-        kept,
-        report: reply.report,
+        finished: over,
+        retry_after: reply.wait,
+        duration: took,
+        reused_connection: kept,
+        limit_report: reply.report,
     })
 }
--- a/crates/emulator/src/series.rs
+++ b/crates/emulator/src/series.rs
@@ -1,6 +1,6 @@
 //! The state as it was, for plots: sampled while the day runs, and only when it is asked for.
 
-use meadowhold::control::Standing;
+use meadowhold::control::Health;
 use meadowhold::interface::Time;
 use serde::Serialize;
 
@@ -55,10 +55,10 @@
                 for endpoint in p.first..p.first + p.count {
                     if let Some(standing) = decider.standing(endpoint) {
                         let band = match standing {
-                            Standing::Well => 0,
-                            Standing::Doubt => 1,
-                            Standing::Down => 2,
-                            Standing::Returning => 3,
+                            Health::Healthy => 0,
+                            Health::Suspect => 1,
+                            Health::Down => 2,
+                            Health::Recovering => 3,
                         };
                         seen.standings[band] += 1;
                     }
--- a/crates/emulator/src/serving.rs
+++ b/crates/emulator/src/serving.rs
@@ -1,7 +1,7 @@
 //! What a partner does with a call: takes it on, lets it wait, refuses it, fails it, loses it; serves it and counts the
 //! effects. What is sent to one that is back from an outage is weighed here, and may push it over.
 
-use meadowhold::interface::{Effect, Outcome, Report, Time, SECOND};
+use meadowhold::interface::{Effect, LimitReport, Outcome, Time, SECOND};
 
 use crate::chance::{Purpose, Stream};
 use crate::judge::Rule;
@@ -143,14 +143,14 @@
         self.send_back(now, call, Reply { outcome: Outcome::Refused, wait, report }, QUICK / 4);
     }
 
-    fn report(&self, now: Time, endpoint: usize) -> Option<Report> {
+    fn report(&self, now: Time, endpoint: usize) -> Option<LimitReport> {
         let unit = self.sites[endpoint].unit;
         let (p, limit) = (&self.day.partners[self.units[unit].partner], self.rate(unit));
         let left = match p.limit {
             Limit::Rate => (self.units[unit].tokens / limit.max(1.0)).clamp(0.0, 1.0),
             _ => (1.0 - self.span_used(unit, now) / self.span_allows(unit)).clamp(0.0, 1.0),
         };
-        (self.day.told_limits && p.limit != Limit::None).then_some(Report { left, limit })
+        (self.day.told_limits && p.limit != Limit::None).then_some(LimitReport { remaining: left, limit })
     }
 
     /// Troubles that fail a call or break it; whether one did.
@@ -191,11 +191,11 @@
             if set.effect != Effect::Tagged {
                 continue;
             }
-            let place = (mail, if set.by_zone { hall } else { 0 });
+            let place = (mail, if set.dedup_by_zone { hall } else { 0 });
             let known = self.known.entry(place).or_insert(Known { since: now, era: 0, done: 0 });
             // Its first connect finds it new; what comes after the window finds it forgotten.
-            let repeat = known.since < now && now <= known.since + set.window;
-            if now > known.since + set.window {
+            let repeat = known.since < now && now <= known.since + set.dedup_window;
+            if now > known.since + set.dedup_window {
                 (known.since, known.era) = (now, (known.era + 1).min(31));
             }
             let era = known.era;
@@ -267,7 +267,7 @@
     /// Whether a tagged mail has had its effect in the present era of its key: then a repeat costs next to nothing.
     fn has_effect(&self, mail: u32, endpoint: usize) -> bool {
         let set = &self.day.classes[usize::from(self.mails[mail as usize].class)].settings;
-        let place = (mail, if set.by_zone { self.day.endpoints[endpoint].hall } else { 0 });
+        let place = (mail, if set.dedup_by_zone { self.day.endpoints[endpoint].hall } else { 0 });
         self.known.get(&place).is_some_and(|known| known.done >> known.era & 1 == 1)
     }
 
@@ -281,7 +281,7 @@
             let counts = match class.settings.effect {
                 Effect::Redeliverable => false,
                 Effect::Tagged => {
-                    let place = (rider.mail, if class.settings.by_zone { hall } else { 0 });
+                    let place = (rider.mail, if class.settings.dedup_by_zone { hall } else { 0 });
                     let known = self.known.get_mut(&place);
                     known.is_none_or(|known| {
                         let new = known.done >> rider.era & 1 == 0;
@@ -313,7 +313,7 @@
         let Some(back) = u.returned_at.filter(|&back| !u.out && now < back + cold) else { return };
         let courier = self.calls[call as usize].courier;
         let seen = self.judge.has_seen(courier, unit, u.outage);
-        let (length, multiple) = (self.day.settings.overload_for, self.day.settings.tip_multiple);
+        let (length, multiple) = (self.day.settings.overload_duration, self.day.settings.overload_multiple);
         let u = &mut self.units[unit];
         u.recent.push_back((now, load, seen));
         u.work += load;
--- a/crates/emulator/src/slots.rs
+++ b/crates/emulator/src/slots.rs
@@ -17,7 +17,9 @@
     let c = &set.classes[class];
     match (ran, c.effect) {
         (None, _) | (_, Effect::Redeliverable) => (true, true),
-        (Some((sent, _)), Effect::Tagged) => (now + set.connect_timeout < sent + c.window, !c.by_zone),
+        (Some((sent, _)), Effect::Tagged) => {
+            (now + set.connection_timeout < sent + c.dedup_window, !c.dedup_by_zone)
+        }
         (Some(_), Effect::OnceOnly) => (false, false),
     }
 }
--- a/crates/emulator/src/troubles.rs
+++ b/crates/emulator/src/troubles.rs
@@ -1,6 +1,6 @@
 //! Troubles begin and end. Each takes back exactly what it did, so that any number of them may overlap.
 
-use meadowhold::interface::{Life, Time, SECOND};
+use meadowhold::interface::{EndpointStatus, Time, SECOND};
 
 use crate::parts::Event;
 use crate::scenario::What;
@@ -51,7 +51,7 @@
             }
             What::ListEmpty => self.retell(now, on),
             What::ListLies => {
-                let life = if on { Life::Draining } else { Life::Ready };
+                let life = if on { EndpointStatus::Draining } else { EndpointStatus::Ready };
                 for &endpoint in &t.endpoints {
                     if !self.sites[endpoint].gone {
                         self.spread(now, endpoint, life);
@@ -187,15 +187,15 @@
                 continue;
             }
             if on {
-                self.change(now, endpoint, Life::Draining);
+                self.change(now, endpoint, EndpointStatus::Draining);
                 if let Some(&newcomer) = t.newcomers.get(i) {
                     (self.sites[newcomer].gone, self.sites[newcomer].cold_since) = (false, Some(now));
-                    self.change(now, newcomer, Life::Ready);
+                    self.change(now, newcomer, EndpointStatus::Ready);
                 }
             } else {
                 self.sites[endpoint].gone = true;
                 self.crash(now, endpoint);
-                self.change(now, endpoint, Life::Gone);
+                self.change(now, endpoint, EndpointStatus::Removed);
             }
             let unit = self.sites[endpoint].unit;
             self.look_at_unit(now, unit);
--- a/crates/emulator/src/turns.rs
+++ b/crates/emulator/src/turns.rs
@@ -61,31 +61,31 @@
         let mut whole = false;
         for input in inputs {
             match input {
-                Input::ListBegin { whole: all } => whole = *all,
+                Input::ListBegin { complete: all } => whole = *all,
                 Input::ListEnd if whole => self.judge_unnamed(now, courier, inputs),
-                Input::Listed(entry) => {
-                    let ready = entry.life == meadowhold::interface::Life::Ready;
+                Input::ListEntry(entry) => {
+                    let ready = entry.status == meadowhold::interface::EndpointStatus::Ready;
                     self.judge.told_life(courier as u32, process, entry.endpoint, ready, now);
                 }
-                Input::Ended(ended) => self.read_outcome(now, courier, ended),
+                Input::ConnectResult(ended) => self.read_outcome(now, courier, ended),
                 _ => {}
             }
         }
     }
 
-    fn read_outcome(&mut self, now: Time, courier: usize, ended: &meadowhold::interface::Ended) {
+    fn read_outcome(&mut self, now: Time, courier: usize, ended: &meadowhold::interface::ConnectResult) {
         let process = self.couriers[courier].process;
         let mail = self.couriers[courier].mails[ended.mail];
         let m = &self.mails[mail as usize];
         let Some(endpoint) = m.out.map(|call| self.calls[call as usize].endpoint as usize) else { return };
         let unit = self.sites[endpoint].unit;
-        if ended.wait > 0 {
-            self.judge.told_wait(courier as u32, process, unit, now + ended.wait);
+        if ended.retry_after > 0 {
+            self.judge.told_wait(courier as u32, process, unit, now + ended.retry_after);
         }
-        if let Some(key) = m.key.filter(|_| ended.outcome.may_run_on()) {
-            self.judge.rests(courier as u32, key, now + self.day.settings.turn_gap);
+        if let Some(key) = m.key.filter(|_| ended.outcome.may_still_run()) {
+            self.judge.rests(courier as u32, key, now + self.day.settings.ordering_gap);
         }
-        let (outcome, wait) = (ended.outcome, ended.wait);
+        let (outcome, wait) = (ended.outcome, ended.retry_after);
         self.trace.note(now, mail, || {
             format!("courier {courier} reads {outcome:?}, told to wait {} ms", wait / 10)
         });
@@ -95,11 +95,11 @@
 
     fn carry_out(&mut self, now: Time, courier: usize, first: usize, action: Action) {
         match action {
-            Action::Connect { mail, endpoint, timeout, fresh } => {
+            Action::Connect { mail, endpoint, timeout, new_connection: fresh } => {
                 let mail = self.couriers[courier].mails[mail];
                 self.ride(now, courier, first, (mail, endpoint, timeout, fresh));
             }
-            Action::Defer { mail, pause } => {
+            Action::Defer { mail, retry_after: pause } => {
                 let mail = self.couriers[courier].mails[mail];
                 if self.is_held(courier, mail, now) {
                     self.finish(now, mail, Answer::Deferred);
@@ -112,9 +112,9 @@
                     self.finish(now, mail, Answer::Bounced);
                 }
             }
-            Action::WatchList => self.ask_list(now, courier),
-            Action::Tell { .. } => {}
-            Action::LetGo(endpoint) => self.let_go(courier, endpoint as u32),
+            Action::RequestList => self.ask_list(now, courier),
+            Action::SendNote { .. } => {}
+            Action::CloseIdle(endpoint) => self.let_go(courier, endpoint as u32),
             Action::FreeMail(index) => self.couriers[courier].free.push(index as u32),
             Action::FreeKey(_) | Action::FreeEndpoint(_) => {}
         }
@@ -216,7 +216,7 @@
         let site = &self.sites[endpoint as usize];
         let table = self.day.endpoints[endpoint as usize].connections;
         if !there {
-            let at = now + self.day.settings.connect_timeout;
+            let at = now + self.day.settings.connection_timeout;
             self.agenda.put(at, Event::Unreached { call });
         } else if site.is_down() || (table > 0 && site.connections >= table) {
             self.agenda.put(now + turns as Time, Event::Unreached { call });
@@ -329,7 +329,7 @@
             if let Some(key) = m.key {
                 self.judge.forgets(courier as u32, key);
                 if m.ran.is_some() && m.stage == Stage::Taken {
-                    self.judge.rests(courier as u32, key, now + self.day.settings.turn_gap);
+                    self.judge.rests(courier as u32, key, now + self.day.settings.ordering_gap);
                     self.couriers[courier].rests.push((key, now));
                 }
             }
@@ -361,10 +361,10 @@
         self.start_process(courier);
         let notice = now + self.day.mails.front_notice.min(self.day.down.max(1));
         self.agenda.put(notice, Event::Notice { courier: courier as u32, alive: true });
-        let gap = self.day.settings.turn_gap;
+        let gap = self.day.settings.ordering_gap;
         for (key, since) in std::mem::take(&mut self.couriers[courier].rests) {
             if self.day.journal && since + gap > now {
-                self.tell(courier, Input::Rested { key: key as usize, since });
+                self.tell(courier, Input::KeyInFlight { key: key as usize, at: since });
             }
         }
         for mail in std::mem::take(&mut self.couriers[courier].owed) {
@@ -400,7 +400,7 @@
             if !reply.outcome.never_ran() {
                 m.ran = m.ran.or(Some((started, hall)));
             }
-            if let Some(key) = m.key.filter(|_| reply.outcome.may_run_on()) {
+            if let Some(key) = m.key.filter(|_| reply.outcome.may_still_run()) {
                 let rests = &mut self.couriers[courier].rests;
                 rests.retain(|rest| rest.0 != key);
                 rests.push((key, now));
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -236,7 +236,7 @@
 
     /// Sees to it that a courier has a turn at this time or earlier, but no earlier than the resolution allows.
     pub fn wake(&mut self, courier: usize, at: Time) {
-        let resolution = self.day.settings.resolution;
+        let resolution = self.day.settings.timer_resolution;
         let c = &mut self.couriers[courier];
         if !c.alive {
             return;
--- a/crates/emulator/tests/thin.rs
+++ b/crates/emulator/tests/thin.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::sync::{Arc, Mutex};
 
-use meadowhold::control::Standing;
+use meadowhold::control::Health;
 use meadowhold::interface::{Action, Input, Outcome, Settings, Time, SECOND};
 use meadowhold_emulator::check;
 use meadowhold_emulator::day::Day;
@@ -153,7 +153,7 @@
         self.wasted += u64::from(then_out && outcome != Outcome::Relayed);
     }
 
-    fn look(&mut self, now: Time, standing: impl Fn(usize) -> Option<Standing>) {
+    fn look(&mut self, now: Time, standing: impl Fn(usize) -> Option<Health>) {
         while self.outages.get(self.begun).is_some_and(|outage| outage.from <= now) {
             self.now_out.push(self.begun);
             self.begun += 1;
@@ -165,10 +165,10 @@
                 return false;
             }
             let held = standing(outage.endpoint);
-            if matches!(held, Some(Standing::Doubt | Standing::Down)) {
+            if matches!(held, Some(Health::Suspect | Health::Down)) {
                 outage.doubted.get_or_insert(now - outage.from);
             }
-            if held == Some(Standing::Down) {
+            if held == Some(Health::Down) {
                 outage.known.get_or_insert(now - outage.from);
             }
             outage.known.is_none()
@@ -191,7 +191,7 @@
     ) -> Option<Time> {
         let mut seen = self.seen.lock().expect("one courier");
         for input in inputs {
-            if let Input::Ended(ended) = input {
+            if let Input::ConnectResult(ended) = input {
                 seen.ended(now, ended.mail, ended.outcome);
             }
         }
@@ -214,7 +214,7 @@
         self.inner.may_begin(endpoint, now)
     }
 
-    fn standing(&self, endpoint: usize) -> Option<Standing> {
+    fn standing(&self, endpoint: usize) -> Option<Health> {
         self.inner.standing(endpoint)
     }
 }
--- a/crates/lab/src/charts.rs
+++ b/crates/lab/src/charts.rs
@@ -285,7 +285,7 @@
             .label(class.name.clone())
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 14, y)], colour.stroke_width(2)));
         // The target delay, where its curve should have come to the top.
-        let target = (class.settings.target as f64 / 10.0).max(10.0);
+        let target = (class.settings.target_delay as f64 / 10.0).max(10.0);
         chart.draw_series(LineSeries::new([(target, 0.0), (target, 1.0)], colour.mix(0.4)))?;
     }
     chart
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -21,7 +21,7 @@
     let (lines, json) = (decode(9, LINES.as_bytes()).unwrap(), decode_json(9, &json).unwrap());
     assert_eq!(format!("{lines:?}"), format!("{json:?}"));
     assert_eq!(
-        (json.report, &json.kinds[0][..], json.settings.keep_idle),
+        (json.report, &json.kinds[0][..], json.settings.idle_timeout),
         ([Some(1), Some(0)], "a_b", 50_000)
     );
 }
--- a/src/control.rs
+++ b/src/control.rs
@@ -1,13 +1,15 @@
-//! All decisions of a courier: build one `Control`, call `round` once a turn with the clock, its inputs and
+//! All decisions of a courier: build one `Control`, call `step` once a turn with the clock, its inputs and
 //! a buffer for the actions (`interface.rs`); it returns when to call again.
 //! The ordinary path is the design's: a cap on each destination's calls in flight, what is over it is parked.
 
-use crate::interface::{Action, Effect, Ended, Ending, Input, Life, Listed, News, Outcome};
-use crate::interface::{Settings, Taken, Time, SECOND};
+use crate::interface::{AcceptedMail, Settings, Time, SECOND};
+use crate::interface::{
+    Action, ConnectResult, Effect, EndpointStatus, Input, ListEntry, Outcome, PeerNote, Shutdown,
+};
 use crate::state::{grow, is_at, parked, seconds, sum_shares};
 use crate::state::{Call, Dest, Endpoint, Key, Mail, Place, Saved, Unit, Units};
 
-mod glance;
+mod inspect;
 
 /// Headroom of Little's law; the design's figure for arrivals in batches.
 const HEADROOM: f64 = 1.0 / 3.0;
@@ -49,12 +51,12 @@
 
 /// What an endpoint is held to be.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum Health {
     #[default]
-    Well,
-    Doubt,     // one sign of trouble: trials only, nothing that must not run twice
-    Down,      // held to be out: a trial call now and then
-    Returning, // back and cold: a paced share that grows
+    Healthy,
+    Suspect,    // one sign of trouble: trials only, nothing that must not run twice
+    Down,       // held to be out: a trial call now and then
+    Recovering, // back and cold: a paced share that grows
 }
 
 /// What keeps the calls to an endpoint within its limit, by how much of it is this courier's.
@@ -84,19 +86,19 @@
 }
 
 /// (state, input, next state, effect); a pair that is not listed changes nothing.
-const STANDINGS: [(Standing, Sign, Standing, Step); 12] = [
-    (Standing::Well, Sign::Bad, Standing::Doubt, Step::BackOff),
-    (Standing::Well, Sign::Late, Standing::Doubt, Step::BackOff),
-    (Standing::Doubt, Sign::Late, Standing::Doubt, Step::BackOff),
-    (Standing::Down, Sign::Late, Standing::Down, Step::BackOff),
-    (Standing::Doubt, Sign::Good, Standing::Well, Step::Note),
-    (Standing::Doubt, Sign::Back, Standing::Returning, Step::Ramp),
-    (Standing::Doubt, Sign::Bad, Standing::Down, Step::BackOff),
-    (Standing::Down, Sign::Good, Standing::Returning, Step::Ramp),
-    (Standing::Down, Sign::Bad, Standing::Down, Step::BackOff),
-    (Standing::Returning, Sign::Bad, Standing::Down, Step::BackOff),
-    (Standing::Returning, Sign::Warm, Standing::Well, Step::Note),
-    (Standing::Down, Sign::Brief, Standing::Well, Step::Note),
+const STANDINGS: [(Health, Sign, Health, Step); 12] = [
+    (Health::Healthy, Sign::Bad, Health::Suspect, Step::BackOff),
+    (Health::Healthy, Sign::Late, Health::Suspect, Step::BackOff),
+    (Health::Suspect, Sign::Late, Health::Suspect, Step::BackOff),
+    (Health::Down, Sign::Late, Health::Down, Step::BackOff),
+    (Health::Suspect, Sign::Good, Health::Healthy, Step::Note),
+    (Health::Suspect, Sign::Back, Health::Recovering, Step::Ramp),
+    (Health::Suspect, Sign::Bad, Health::Down, Step::BackOff),
+    (Health::Down, Sign::Good, Health::Recovering, Step::Ramp),
+    (Health::Down, Sign::Bad, Health::Down, Step::BackOff),
+    (Health::Recovering, Sign::Bad, Health::Down, Step::BackOff),
+    (Health::Recovering, Sign::Warm, Health::Healthy, Step::Note),
+    (Health::Down, Sign::Brief, Health::Healthy, Step::Note),
 ];
 
 #[derive(Default)]
@@ -126,17 +128,17 @@
     crowded: Vec<f64>,
     unused: Vec<usize>,
     /// What the other couriers are to be told.
-    news: Vec<(usize, News)>,
+    news: Vec<(usize, PeerNote)>,
     /// Endpoints that left the list and are still kept in mind.
     leaving: Vec<usize>,
-    ending: Option<Ending>,
+    ending: Option<Shutdown>,
     order: Vec<(f64, usize)>,
     resting: Vec<usize>,
 }
 
 impl Control {
     pub fn new(set: Settings) -> Control {
-        let (chance, ask_at) = (fastrand::Rng::with_seed(set.seed), set.ask_list.then_some(0));
+        let (chance, ask_at) = (fastrand::Rng::with_seed(set.seed), set.poll_list.then_some(0));
         let mut control = Control { chance, ask_at, ..Control::default() };
         control.keep_to(set);
         control
@@ -152,8 +154,8 @@
         let part = self.set.couriers as f64 / set.couriers.max(1) as f64;
         self.units.iter_mut().for_each(|unit| (unit.even, unit.pace) = (unit.even * part, unit.pace * part));
         (self.top, self.window, self.target) = set.extremes(WINDOW);
-        self.room = self.room.max(set.room);
-        self.set = set.before(std::mem::take(&mut self.set));
+        self.room = self.room.max(set.max_mails);
+        self.set = set.extended_from(std::mem::take(&mut self.set));
         self.crowded.resize(self.set.kinds.len(), 0.0);
         let used = self.calls.iter().rposition(|call| call.left > 0).map_or(0, |last| last + 1);
         self.calls.resize(used.max(self.set.slots.min(1 << 16)), Call::default());
@@ -161,46 +163,46 @@
     }
 
     /// Whether a call may still begin: its endpoint was neither told of as leaving nor held since.
-    pub fn may_begin(&self, endpoint: usize, now: Time) -> bool {
+    pub fn may_call(&self, endpoint: usize, now: Time) -> bool {
         let e = &self.endpoints[endpoint];
-        e.life == Life::Ready && now >= self.units[e.unit].hold_until
+        e.life == EndpointStatus::Ready && now >= self.units[e.unit].hold_until
     }
 
     /// Whether a mail that is not taken on yet would be the next to make way in a full room, or its turn come
     /// too late. Guards against mails that are taken and handed back unsent: at the door that costs nothing.
-    pub fn turns_away(&self, dest: usize, class: usize, due: Time) -> bool {
+    pub fn would_reject(&self, dest: usize, class: usize, due: Time) -> bool {
         let Some((c, d)) = self.set.classes.get(class).zip(self.dests.get(dest)) else { return false };
-        let mail = Mail { dest, class, target: self.now + c.target, due, ..Mail::default() };
-        let (full, hope) = ((self.open + 1) * 20 > self.set.room * 19, self.hope(&mail));
+        let mail = Mail { dest, class, target: self.now + c.target_delay, due, ..Mail::default() };
+        let (full, hope) = ((self.open + 1) * 20 > self.set.max_mails * 19, self.hope(&mail));
         let by_turns = d.endpoints.iter().any(|&e| self.kept_by(&self.endpoints[e]) == Kept::Share);
         let worth = |mail: usize| self.set.classes[self.mails[mail].class].importance;
         let ahead = d.lines.iter().flatten().filter(|&&mail| worth(mail) >= c.importance).count() as f64;
         let behind = by_turns && ahead > d.even * IN_TIME * seconds(due.saturating_sub(self.now));
         let untried =
-            self.ending.is_some_and(|end| due <= end.next_from && !self.tries(dest, end.calls_until));
+            self.ending.is_some_and(|end| due <= end.successor_from && !self.tries(dest, end.calls_until));
         untried || behind || full && parked(&self.mails).all(|m| self.hope(&self.mails[m]) >= hope)
     }
 
     /// Whether one more mail is likely to be sent by then: an endpoint is there, and those ahead are through.
     fn tries(&self, dest: usize, until: Time) -> bool {
-        let out = |e: usize| matches!(self.endpoints[e].standing, Standing::Doubt | Standing::Down);
-        let there = self.dests[dest].endpoints.iter().any(|&e| !out(e) && self.may_begin(e, until));
+        let out = |e: usize| matches!(self.endpoints[e].standing, Health::Suspect | Health::Down);
+        let there = self.dests[dest].endpoints.iter().any(|&e| !out(e) && self.may_call(e, until));
         let ahead = self.dests[dest].waiting() as f64 * self.dests[dest].latency.mean / self.cap(dest) as f64;
         there && self.now + (ahead as Time) < until
     }
 
     /// One turn: read all inputs, then decide. Returns when the next turn is wanted at the latest.
-    pub fn round(&mut self, now: Time, inputs: &[Input], out: &mut Vec<Action>) -> Option<Time> {
+    pub fn step(&mut self, now: Time, inputs: &[Input], out: &mut Vec<Action>) -> Option<Time> {
         self.now = self.now.max(now);
         inputs.iter().for_each(|input| self.read(input, out));
         self.watch_calls();
-        out.extend(self.ask_at.take_if(|at| *at <= now).map(|_| Action::WatchList));
+        out.extend(self.ask_at.take_if(|at| *at <= now).map(|_| Action::RequestList));
         self.give_up_hopeless(out);
         self.dispatch(out);
-        out.extend(self.unused.drain(..).map(Action::LetGo));
-        let heard_by = if self.set.may_tell { HEARD_BY / self.set.couriers as f64 } else { 0.0 };
+        out.extend(self.unused.drain(..).map(Action::CloseIdle));
+        let heard_by = if self.set.peer_notes { HEARD_BY / self.set.couriers as f64 } else { 0.0 };
         let news = self.news.drain(..).filter(|_| self.chance.f64() < heard_by);
-        out.extend(news.map(|(endpoint, news)| Action::Tell { endpoint, news }));
+        out.extend(news.map(|(endpoint, news)| Action::SendNote { endpoint, note: news }));
         self.rest_keys(out);
         self.forget(out);
         let busy = self.open > 0 || self.out > 0 || !self.resting.is_empty();
@@ -209,62 +211,62 @@
 
     /// How often parked mails and calls out are looked at; answers in time need a margin above it.
     fn tick(&self) -> Time {
-        2 * self.set.resolution.max(SECOND / 1000)
+        2 * self.set.timer_resolution.max(SECOND / 1000)
     }
 
     fn read(&mut self, input: &Input, out: &mut Vec<Action>) {
         match *input {
-            Input::ListBegin { whole } => {
+            Input::ListBegin { complete: whole } => {
                 self.asks_failed = 0;
                 self.endpoints.iter_mut().filter(|_| whole).for_each(|e| e.named = false);
             }
-            Input::Listed(ref entry) => self.list(entry),
+            Input::ListEntry(ref entry) => self.list(entry),
             Input::ListEnd => {
-                let gone = |e: &Endpoint| !e.named && e.life != Life::Gone;
+                let gone = |e: &Endpoint| !e.named && e.life != EndpointStatus::Removed;
                 for (endpoint, e) in self.endpoints.iter_mut().enumerate().filter(|(_, e)| gone(e)) {
-                    (e.life, e.gone_at) = (Life::Gone, self.now);
+                    (e.life, e.gone_at) = (EndpointStatus::Removed, self.now);
                     self.leaving.push(endpoint);
                 }
                 sum_shares(&mut self.dests, &self.endpoints, &self.units);
             }
             Input::ListFailed => {
                 self.asks_failed = (self.asks_failed + 1).min(4);
-                self.ask_at = Some(self.now + ((self.set.ask_within / 32) << self.asks_failed));
+                self.ask_at = Some(self.now + ((self.set.max_poll_delay / 32) << self.asks_failed));
             }
-            Input::Taken(ref taken) => self.arrive(taken),
-            Input::Rested { key, since } => {
+            Input::AcceptedMail(ref taken) => self.arrive(taken),
+            Input::KeyInFlight { key, at: since } => {
                 grow(&mut self.keys, key);
-                self.keys[key].rest_until = self.keys[key].rest_until.max(since + self.set.turn_gap);
+                self.keys[key].rest_until = self.keys[key].rest_until.max(since + self.set.ordering_gap);
                 self.resting.push(key);
             }
-            Input::Hangup { mail } if is_at(&self.mails, mail, [Place::Parked, Place::Out]) => {
+            Input::ClientGone { mail } if is_at(&self.mails, mail, [Place::Parked, Place::Out]) => {
                 self.end(mail, out)
             }
-            Input::Ended(ref ended) if is_at(&self.mails, ended.mail, [Place::Out, Place::Over]) => {
+            Input::ConnectResult(ref ended) if is_at(&self.mails, ended.mail, [Place::Out, Place::Over]) => {
                 self.settle(ended, out)
             }
-            Input::Heard { endpoint, news } => self.hear(endpoint, news),
+            Input::PeerNote { endpoint, note: news } => self.hear(endpoint, news),
             Input::Settings(ref set) => self.keep_to((**set).clone()),
-            Input::Ending(ending) => self.ending = Some(ending),
-            Input::Hangup { .. } | Input::Ended(_) | Input::Woken => {}
+            Input::Shutdown(ending) => self.ending = Some(ending),
+            Input::ClientGone { .. } | Input::ConnectResult(_) | Input::Wakeup => {}
         }
     }
 
     /// What another courier saw. Nothing of it is passed on.
-    fn hear(&mut self, endpoint: usize, news: News) {
+    fn hear(&mut self, endpoint: usize, news: PeerNote) {
         let Some(e) = self.endpoints.get(endpoint).filter(|e| e.known) else { return };
-        let brief = self.now < e.ill_since + self.set.overload_for;
-        let (unit, told, wait) = (e.unit, e.told, if let News::Full(wait) = news { wait } else { 0 });
-        self.endpoints[endpoint].told = news == News::Out || told && news != News::Back;
+        let brief = self.now < e.ill_since + self.set.overload_duration;
+        let (unit, told, wait) = (e.unit, e.told, if let PeerNote::Refusing(wait) = news { wait } else { 0 });
+        self.endpoints[endpoint].told = news == PeerNote::Down || told && news != PeerNote::Recovered;
         match news {
-            News::Out if told => {}
-            News::Out => [Sign::Bad; 2].into_iter().for_each(|sign| self.sign(endpoint, sign)),
-            News::Back if !brief => self.sign(endpoint, Sign::Good),
+            PeerNote::Down if told => {}
+            PeerNote::Down => [Sign::Bad; 2].into_iter().for_each(|sign| self.sign(endpoint, sign)),
+            PeerNote::Recovered if !brief => self.sign(endpoint, Sign::Good),
             // After a false alarm too they come back spread, not all at once.
-            News::Full(_) | News::Back => {
+            PeerNote::Refusing(_) | PeerNote::Recovered => {
                 let until = self.now + wait + self.spread(unit, wait, 0.0) as Time;
                 self.units[unit].hold_until = self.units[unit].hold_until.max(until);
-                if news == News::Back {
+                if news == PeerNote::Recovered {
                     self.sign(endpoint, Sign::Brief);
                 }
             }
@@ -277,25 +279,25 @@
         let (unit, couriers) = (&mut self.units[unit], self.set.couriers as f64);
         let limit = (unit.even * couriers).max(0.5);
         let turns = 2.0 * SECOND as f64 * couriers / limit;
-        let (memory, told) = (self.set.connect_timeout.max(1), (couriers / HEARD_BY).max(1.0));
+        let (memory, told) = (self.set.connection_timeout.max(1), (couriers / HEARD_BY).max(1.0));
         unit.full.add(self.now, memory, told);
         let most = match () {
-            () if wait > self.set.overload_for => turns,
-            () if self.set.may_tell => unit.full.count / limit * SPREAD * SECOND as f64,
+            () if wait > self.set.overload_duration => turns,
+            () if self.set.peer_notes => unit.full.count / limit * SPREAD * SECOND as f64,
             () if left > USED_UP => turns.min((self.target << unit.refused.min(4)) as f64),
             () => turns,
         };
         most * self.chance.f64()
     }
 
-    fn list(&mut self, entry: &Listed) {
-        let Listed { endpoint, dest, zone, kind, life, rate } = *entry;
+    fn list(&mut self, entry: &ListEntry) {
+        let ListEntry { endpoint, destination: dest, zone, kind, status: life, rate } = *entry;
         grow(&mut self.endpoints, endpoint);
         grow(&mut self.dests, dest);
         let (now, kind) = (self.now, kind.min(self.set.kinds.len() - 1));
         if !self.endpoints[endpoint].known {
             // A newcomer shares its destination's waits, unless routes are apart.
-            let apart = self.set.kinds[kind].apart;
+            let apart = self.set.kinds[kind].per_endpoint_limits;
             let unit = Units::number(dest, apart.then_some(endpoint));
             self.units.grow(unit);
             self.units[unit] = if apart { Unit::default() } else { std::mem::take(&mut self.units[unit]) };
@@ -303,8 +305,9 @@
             self.units[unit].share = Saved { calls: 2.0 * self.chance.f64(), at: now };
             // Guards against a cold replacement that all couriers fill at once: it warms up like one back.
             let sisters = self.dests[dest].endpoints.iter().map(|&s| &self.endpoints[s]);
-            let well = sisters.filter(|s| s.life == Life::Ready).all(|s| s.standing == Standing::Well);
-            let standing = if well { Standing::Well } else { Standing::Returning };
+            let well =
+                sisters.filter(|s| s.life == EndpointStatus::Ready).all(|s| s.standing == Health::Healthy);
+            let standing = if well { Health::Healthy } else { Health::Recovering };
             let new = Endpoint { known: true, dest, unit, zone, kind, standing, ..Endpoint::default() };
             self.endpoints[endpoint] = new.from(now);
             // Guards against couriers that all favour the first endpoint of the list while none is measured.
@@ -312,10 +315,16 @@
             self.dests[dest].endpoints.insert(place, endpoint);
         }
         let e = &mut self.endpoints[endpoint];
-        self.leaving.extend((life == Life::Gone && e.life != Life::Gone).then_some(endpoint));
-        e.gone_at = if life == Life::Gone && e.life == Life::Gone { e.gone_at } else { now };
+        self.leaving.extend(
+            (life == EndpointStatus::Removed && e.life != EndpointStatus::Removed).then_some(endpoint),
+        );
+        e.gone_at = if life == EndpointStatus::Removed && e.life == EndpointStatus::Removed {
+            e.gone_at
+        } else {
+            now
+        };
         (e.life, e.named) = (life, true);
-        if self.set.rates_listed {
+        if self.set.list_has_rates {
             self.limited(endpoint, rate);
         }
     }
@@ -349,22 +358,31 @@
         if unit.even > 0.0 && before > 0.0 {
             // Guards against a limit that sinks: the pace goes with it, before refusals teach it.
             unit.pace *= unit.even / before;
-        } else if self.set.kinds[e.kind].batch > 1 && unit.even * seconds(self.target) >= FEW {
+        } else if self.set.kinds[e.kind].max_batch > 1 && unit.even * seconds(self.target) >= FEW {
             unit.pace = unit.even;
         }
     }
 
-    fn arrive(&mut self, taken: &Taken) {
-        let Taken { mail, dest, class, key, since, due, connects, ran } = *taken;
+    fn arrive(&mut self, taken: &AcceptedMail) {
+        let AcceptedMail {
+            mail,
+            destination: dest,
+            class,
+            key,
+            submitted_at: since,
+            deadline: due,
+            connects_used: connects,
+            first_run: ran,
+        } = *taken;
         let class = class.min(self.set.classes.len() - 1);
         if let Some(key) = key {
             grow(&mut self.keys, key).line.push(mail);
         }
-        let (place, target) = (Place::Parked, since + self.set.classes[class].target);
+        let (place, target) = (Place::Parked, since + self.set.classes[class].target_delay);
         *grow(&mut self.mails, mail) = Mail { place, dest, class, key, target, due, connects, ran, call: 0 };
         let d = grow(&mut self.dests, dest);
         d.arrivals.count(self.now, WINDOW);
-        d.steady.count(self.now, self.set.cold.max(WINDOW));
+        d.steady.count(self.now, self.set.warm_up.max(WINDOW));
         d.lines[usize::from(connects > 0)].push(mail);
         self.open += 1;
     }
@@ -377,8 +395,8 @@
             (None, _) | (_, Effect::Redeliverable) => (left, true),
             (Some((sent, _)), Effect::Tagged) => {
                 // Guards against a repeat still on its way, or its connection made, as the window ends.
-                let known = self.now + self.set.connect_timeout < sent + c.window;
-                (left && known, !c.by_zone)
+                let known = self.now + self.set.connection_timeout < sent + c.dedup_window;
+                (left && known, !c.dedup_by_zone)
             }
             (Some(_), Effect::OnceOnly) => (false, false),
         }
@@ -387,8 +405,12 @@
     /// The final answer of a mail that is given up, at once.
     fn give_up(&mut self, mail: usize, out: &mut Vec<Action>) {
         let (_, deferrable) = self.may(&self.mails[mail]);
-        let pause = self.set.max_pause.min(self.mails[mail].due.saturating_sub(self.now));
-        out.push(if deferrable { Action::Defer { mail, pause } } else { Action::Bounce { mail } });
+        let pause = self.set.max_retry_after.min(self.mails[mail].due.saturating_sub(self.now));
+        out.push(if deferrable {
+            Action::Defer { mail, retry_after: pause }
+        } else {
+            Action::Bounce { mail }
+        });
         self.end(mail, out);
     }
 
@@ -412,8 +434,8 @@
     }
 
     /// A connect has its outcome: the slot returns, the endpoint is judged, the mail goes on or ends.
-    fn settle(&mut self, ended: &Ended, out: &mut Vec<Action>) {
-        let Ended { mail, outcome, over, wait, .. } = *ended;
+    fn settle(&mut self, ended: &ConnectResult, out: &mut Vec<Action>) {
+        let ConnectResult { mail, outcome, finished: over, retry_after: wait, .. } = *ended;
         let now = self.now;
         let m = &mut self.mails[mail];
         let was_over = m.place == Place::Over;
@@ -433,11 +455,11 @@
         if !outcome.never_ran() {
             m.ran = m.ran.or(Some((started, e.zone)));
         }
-        if let Some(key) = m.key.filter(|_| outcome.may_run_on()) {
-            self.keys[key].rest_until = self.keys[key].rest_until.max(now + self.set.turn_gap);
+        if let Some(key) = m.key.filter(|_| outcome.may_still_run()) {
+            self.keys[key].rest_until = self.keys[key].rest_until.max(now + self.set.ordering_gap);
         }
         m.place = if was_over { Place::Over } else { Place::Parked };
-        ended.report.into_iter().for_each(|told| self.limited(endpoint, told.limit));
+        ended.limit_report.into_iter().for_each(|told| self.limited(endpoint, told.limit));
         if settled {
             self.judge(endpoint, started, ended);
         }
@@ -451,30 +473,37 @@
     }
 
     /// What one call's outcome says of its endpoint, and of the unit that limits it.
-    fn judge(&mut self, endpoint: usize, started: Time, ended: &Ended) {
-        let Ended { outcome, wait, took, kept, report, .. } = *ended;
+    fn judge(&mut self, endpoint: usize, started: Time, ended: &ConnectResult) {
+        let ConnectResult {
+            outcome,
+            retry_after: wait,
+            duration: took,
+            reused_connection: kept,
+            limit_report: report,
+            ..
+        } = *ended;
         let now = self.now;
         let (kept_by, dest) = (self.kept_by(&self.endpoints[endpoint]), self.endpoints[endpoint].dest);
-        let (unit_index, left) = (self.endpoints[endpoint].unit, report.map_or(0.0, |told| told.left));
+        let (unit_index, left) = (self.endpoints[endpoint].unit, report.map_or(0.0, |told| told.remaining));
         let refused = outcome == Outcome::Refused && started >= self.units[unit_index].refused_at;
         let spread = if refused { self.spread(unit_index, wait, left) } else { 0.0 };
         let (e, unit) = (&mut self.endpoints[endpoint], &mut self.units[unit_index]);
         // Guards against tables full of many couriers' idle connections; few couriers hardly fill one.
         if matches!(outcome, Outcome::Relayed | Outcome::Refused | Outcome::Error) {
             let crowded = self.crowded[e.kind] * self.set.couriers as f64 >= self.set.slots as f64;
-            let (d, idle) = (&self.dests[dest], seconds(self.set.keep_idle));
-            let calls = d.steady.rate(now, self.set.cold.max(WINDOW)) * idle / d.endpoints.len() as f64;
-            let seldom = calls < SELDOM.0 && calls * self.set.handshake_price < SELDOM.1;
+            let (d, idle) = (&self.dests[dest], seconds(self.set.idle_timeout));
+            let calls = d.steady.rate(now, self.set.warm_up.max(WINDOW)) * idle / d.endpoints.len() as f64;
+            let seldom = calls < SELDOM.0 && calls * self.set.handshake_cost < SELDOM.1;
             self.unused.extend((crowded || seldom).then_some(endpoint));
         }
         match outcome {
             Outcome::Relayed => {
                 let fading = [&mut self.stale, &mut self.crowded[e.kind]];
                 fading.into_iter().for_each(|count| *count *= KEPT);
-                let gap = e.bad_since_good && now > e.last_good + self.set.overload_for;
-                let sign = if gap && e.standing == Standing::Doubt { Sign::Back } else { Sign::Good };
+                let gap = e.bad_since_good && now > e.last_good + self.set.overload_duration;
+                let sign = if gap && e.standing == Health::Suspect { Sign::Back } else { Sign::Good };
                 // Guards against a call from before an outage that is taken for its end.
-                let old = e.standing == Standing::Down && started < e.since;
+                let old = e.standing == Health::Down && started < e.since;
                 (e.last_good, e.bad_since_good, unit.refused) = (now, false, 0);
                 e.errs -= NEWEST * e.errs;
                 e.latency.learn(took as f64, NEWEST);
@@ -484,19 +513,19 @@
                 // More for a courier that carries more than an even share.
                 let more = unit.pace > 0.0 && d.waiting() > 0;
                 unit.pace += if more { FASTER * unit.even.max(unit.pace) } else { 0.0 };
-                let tells = !old && std::mem::take(&mut e.told) && e.standing == Standing::Down;
-                self.news.extend(tells.then_some((endpoint, News::Back)));
+                let tells = !old && std::mem::take(&mut e.told) && e.standing == Health::Down;
+                self.news.extend(tells.then_some((endpoint, PeerNote::Recovered)));
                 Some(sign).filter(|_| !old).into_iter().for_each(|sign| self.sign(endpoint, sign));
             }
             // Guards against calls refused together that would count as refused one after the other.
             Outcome::Refused if started < unit.refused_at => e.bad_since_good = true,
             Outcome::Refused => {
-                self.news.push((endpoint, News::Full(wait)));
+                self.news.push((endpoint, PeerNote::Refusing(wait)));
                 (e.bad_since_good, unit.refused_at) = (true, now);
                 unit.refused_since = if unit.refused == 0 { now } else { unit.refused_since };
                 // One that never served is refused within a round trip, and would be asked again in each.
                 let usual =
-                    if e.latency.seen { e.latency.mean } else { self.set.connect_timeout as f64 / 4.0 };
+                    if e.latency.seen { e.latency.mean } else { self.set.connection_timeout as f64 / 4.0 };
                 let own = if wait > 0 { 0.0 } else { usual * f64::from(1 << unit.refused.min(4)) };
                 // Guards against couriers back in step after a wait; what is worth most goes first.
                 let (first, rest) = if kept_by == Kept::Stay { (spread / 4.0, spread) } else { (own, 0.0) };
@@ -510,12 +539,12 @@
                 let (calls, at) = if kept_by == Kept::Share { (0.0, now) } else { (1.0, unit.hold_until) };
                 unit.saved = Saved { calls, at };
                 // A trial that was turned away is one more sign: others fill what is cold.
-                let lasting = now > unit.refused_since + self.set.overload_for;
-                if lasting || matches!(e.standing, Standing::Doubt | Standing::Down) {
+                let lasting = now > unit.refused_since + self.set.overload_duration;
+                if lasting || matches!(e.standing, Health::Suspect | Health::Down) {
                     self.sign(endpoint, if lasting { Sign::Bad } else { Sign::Late });
                 }
                 // Guards against one that was shut, opens cold, and gets at once what has waited for it.
-                if wait > self.set.overload_for {
+                if wait > self.set.overload_duration {
                     for sister in self.dests[dest].endpoints.clone() {
                         if self.endpoints[sister].unit == unit_index {
                             self.endpoints[sister].bad_since_good = true;
@@ -529,11 +558,11 @@
             Outcome::Error | Outcome::Silent | Outcome::Unreached | Outcome::Broken => {
                 e.bad_since_good = true;
                 e.errs += NEWEST * (f64::from(u8::from(outcome == Outcome::Error)) - e.errs);
-                let found_nobody = outcome == Outcome::Unreached && e.standing != Standing::Down;
+                let found_nobody = outcome == Outcome::Unreached && e.standing != Health::Down;
                 self.crowded[e.kind] += f64::from(u8::from(found_nobody));
                 // Full tables would raise the alarm, and so would slow calls of one that is cold.
-                let tells = outcome != Outcome::Unreached && e.standing == Standing::Doubt && !e.told;
-                self.news.extend(tells.then_some((endpoint, News::Out)));
+                let tells = outcome != Outcome::Unreached && e.standing == Health::Suspect && !e.told;
+                self.news.extend(tells.then_some((endpoint, PeerNote::Down)));
                 e.told |= tells;
                 self.sign(endpoint, Sign::Bad);
             }
@@ -547,25 +576,25 @@
         let e = &mut self.endpoints[endpoint];
         let row = STANDINGS.iter().find(|row| row.0 == e.standing && row.1 == sign);
         let Some(&(_, _, next, step)) = row else { return };
-        e.ill_since = if e.standing == Standing::Well { now } else { e.ill_since };
+        e.ill_since = if e.standing == Health::Healthy { now } else { e.ill_since };
         let since = if next != e.standing { now } else { e.since };
         (e.standing, e.since) = (next, since);
         match step {
             Step::Note => e.trials = 0,
             Step::BackOff => {
                 // Doubling from a quarter of the time to make a connection, up to a share of the warm-up.
-                let pause = ((self.set.connect_timeout / 4) << e.trials.min(5)).min(self.set.cold / 6);
+                let pause = ((self.set.connection_timeout / 4) << e.trials.min(5)).min(self.set.warm_up / 6);
                 e.trials += 1;
                 // Guards against the trials of many couriers that push a returning destination over together.
-                let least = if self.set.may_tell { 0.0 } else { 0.5 }; // told at once, some try at once
+                let least = if self.set.peer_notes { 0.0 } else { 0.5 }; // told at once, some try at once
                 let part = least + self.chance.f64() * (1.5 - least);
-                let part = if next == Standing::Down && sign == Sign::Bad { part } else { 0.0 };
+                let part = if next == Health::Down && sign == Sign::Bad { part } else { 0.0 };
                 let turn = (SECOND as f64 / self.paced_share(endpoint, 0.0) * part) as Time;
                 self.endpoints[endpoint].trial_at = now + pause.max(turn);
             }
             Step::Ramp => {
                 // A trial was its courier's first call. Those told begin at once, with little together.
-                let calls = if self.set.may_tell { self.chance.f64() } else { 0.0 };
+                let calls = if self.set.peer_notes { self.chance.f64() } else { 0.0 };
                 (e.ramp, e.trials) = (Saved { calls, at: now }, 0);
             }
         }
@@ -609,17 +638,17 @@
 
     /// Endpoints that err or are slow, and endpoints in all.
     fn sick(&self, dest: usize) -> (usize, usize) {
-        let ready = |e: &&Endpoint| e.life == Life::Ready;
+        let ready = |e: &&Endpoint| e.life == EndpointStatus::Ready;
         let all = self.dests[dest].endpoints.iter().map(|&e| &self.endpoints[e]).filter(ready);
-        let sick = |e: &Endpoint| usize::from(e.standing != Standing::Well || e.late > 0);
+        let sick = |e: &Endpoint| usize::from(e.standing != Health::Healthy || e.late > 0);
         all.fold((0, 0), |(ill, all), e| (ill + sick(e), all + 1))
     }
 
     /// Mails whose time is nearly up are answered while the answer still counts.
     fn give_up_hopeless(&mut self, out: &mut Vec<Action>) {
-        let margin = self.tick() + self.set.resolution;
+        let margin = self.tick() + self.set.timer_resolution;
         // What ends before the next process begins its calls is not held for it.
-        let last = self.ending.filter(|end| self.now >= end.calls_until).map_or(0, |end| end.next_from);
+        let last = self.ending.filter(|end| self.now >= end.calls_until).map_or(0, |end| end.successor_from);
         for mail in 0..self.mails.len() {
             let m = &self.mails[mail];
             if m.place == Place::Parked && (last.max(self.now + margin) >= m.due || !self.may(m).0) {
@@ -627,7 +656,7 @@
             }
         }
         // A full room would turn mails away unseen: what is worth least makes way.
-        self.room = self.room.min(self.open * 20 / 19 + 1).max(self.set.room); // sinks as what it held ends
+        self.room = self.room.min(self.open * 20 / 19 + 1).max(self.set.max_mails); // sinks as what it held ends
         while self.open * 20 > self.room * 19 {
             let hope = |mail: usize| self.hope(&self.mails[mail]);
             let Some(least) = parked(&self.mails).min_by(|&a, &b| hope(a).total_cmp(&hope(b))) else {
@@ -640,8 +669,9 @@
     /// What waiting costs: the importance lost a second, felt as the target delay or the end comes near.
     fn urgency(&self, mail: usize) -> f64 {
         let (m, class) = (&self.mails[mail], &self.set.classes[self.mails[mail].class]);
-        let (left, slope) = class.worth(self.set.by_half, self.now.saturating_sub(m.target));
-        let target = seconds(class.target.max(1));
+        let (left, slope) =
+            class.decayed_importance(self.set.half_life_decay, self.now.saturating_sub(m.target));
+        let target = seconds(class.target_delay.max(1));
         let near = |end: Time| (-seconds(end.saturating_sub(self.now)) / target).exp();
         slope * near(m.target) + left / target * near(m.due)
     }
@@ -649,16 +679,17 @@
     /// What giving a mail up loses: its worth a target delay after its destination takes it, over that time.
     fn hope(&self, m: &Mail) -> f64 {
         let class = &self.set.classes[m.class];
-        let wait = self.dests[m.dest].endpoints.iter().map(|&e| self.away(e)).min().unwrap_or(class.target);
-        let at = self.now + class.target + wait;
-        let left = class.worth(self.set.by_half, at.saturating_sub(m.target)).0;
+        let wait =
+            self.dests[m.dest].endpoints.iter().map(|&e| self.away(e)).min().unwrap_or(class.target_delay);
+        let at = self.now + class.target_delay + wait;
+        let left = class.decayed_importance(self.set.half_life_decay, at.saturating_sub(m.target)).0;
         f64::from(u8::from(at < m.due)) * left / seconds(self.target + wait)
     }
 
     /// How long an endpoint may take no mail yet: a wait, or an outage that has lasted as long as it goes on.
     fn away(&self, endpoint: usize) -> Time {
         let e = &self.endpoints[endpoint];
-        let out = if e.standing == Standing::Down { self.now.saturating_sub(e.since) } else { 0 };
+        let out = if e.standing == Health::Down { self.now.saturating_sub(e.since) } else { 0 };
         out.max(self.units[e.unit].hold_until.saturating_sub(self.now))
     }
 
@@ -671,7 +702,7 @@
             // What a call would save, over the slot time that it takes: slots are what is short.
             let top = d.lines.iter().flatten().map(|&m| self.urgency(m)).fold(0.0, f64::max);
             let kind = d.endpoints.first().map_or(0, |&e| self.endpoints[e].kind);
-            let riding = self.set.kinds[kind].batch.min(d.waiting()) as f64;
+            let riding = self.set.kinds[kind].max_batch.min(d.waiting()) as f64;
             order.push((top * riding / d.latency.mean.max(1.0), dest));
         }
         order.sort_by(|a, b| b.0.total_cmp(&a.0));
@@ -686,8 +717,8 @@
     fn connect(&mut self, dest: usize, out: &mut Vec<Action>) -> bool {
         let Some(endpoint) = self.pick(dest) else { return false };
         let e = &self.endpoints[endpoint];
-        let trial = matches!(e.standing, Standing::Doubt | Standing::Down);
-        let batch = if trial { 1 } else { self.set.kinds[e.kind].batch };
+        let trial = matches!(e.standing, Health::Suspect | Health::Down);
+        let batch = if trial { 1 } else { self.set.kinds[e.kind].max_batch };
         let Some(index) = self.calls.iter().position(|c| c.left == 0) else { return false };
         let mut sent = 0;
         while sent < batch {
@@ -698,7 +729,7 @@
             (m.place, m.call) = (Place::Out, index);
             m.connects += 1;
             let fresh = self.stale > NEWEST && self.set.classes[m.class].effect == Effect::OnceOnly;
-            out.push(Action::Connect { mail, endpoint, timeout, fresh });
+            out.push(Action::Connect { mail, endpoint, timeout, new_connection: fresh });
             sent += 1;
         }
         self.calls[index] = Call { endpoint, started: self.now, left: sent, late: false };
@@ -720,7 +751,7 @@
         let once = |&mail: &usize| self.set.classes[self.mails[mail].class].effect == Effect::OnceOnly;
         let (ill, all) = self.sick(dest);
         let alone = ill == all && e.out == 0 && self.dests[dest].lines.iter().flatten().all(once);
-        let trial = matches!(e.standing, Standing::Doubt | Standing::Down) && !alone;
+        let trial = matches!(e.standing, Health::Suspect | Health::Down) && !alone;
         let risky = trial || e.errs > NEWEST;
         (0..2).find_map(|line| {
             let fit = self.dests[dest].lines[line].iter().enumerate().filter(|&(_, &mail)| {
@@ -728,7 +759,7 @@
                 let c = &self.set.classes[m.class];
                 !(risky && c.effect == Effect::OnceOnly)
                     && (c.importance >= self.top || self.now >= self.units[e.unit].ease_until)
-                    && m.ran.is_none_or(|(_, zone)| !c.by_zone || zone == e.zone)
+                    && m.ran.is_none_or(|(_, zone)| !c.dedup_by_zone || zone == e.zone)
                     && m.key.is_none_or(|key| {
                         let k = &self.keys[key];
                         k.line.first() == Some(&mail) && (m.connects > 0 || self.now >= k.rest_until)
@@ -744,7 +775,7 @@
         let left = m.due.saturating_sub(self.now).max(1);
         let Some(patience) = PATIENCE.get(self.set.classes[m.class].effect as usize) else { return left };
         let own = (self.tail(endpoint) * patience * (1.0 + m.connects as f64)) as Time;
-        own.max(4 * self.set.resolution).min(left)
+        own.max(4 * self.set.timer_resolution).min(left)
     }
 
     /// Two of the free endpoints at random, the one that our own counts favour; a trial comes first.
@@ -756,7 +787,7 @@
             if !self.free(endpoint) || self.next(dest, endpoint).is_none() {
                 continue;
             }
-            if self.endpoints[endpoint].standing == Standing::Down {
+            if self.endpoints[endpoint].standing == Health::Down {
                 return Some(endpoint);
             }
             seen += 1;
@@ -770,20 +801,25 @@
     /// Expected time at an endpoint by this courier's own counts.
     fn cost(&self, endpoint: usize) -> f64 {
         let e = &self.endpoints[endpoint];
-        let doubt = if e.standing == Standing::Doubt { self.tail(endpoint) } else { 0.0 };
+        let doubt = if e.standing == Health::Suspect { self.tail(endpoint) } else { 0.0 };
         let mean = if e.latency.seen { e.latency.mean } else { self.dests[e.dest].latency.mean };
-        let fee = self.set.fees.get(e.zone).filter(|_| self.set.kinds[e.kind].apart).unwrap_or(&0.0);
+        let fee = self
+            .set
+            .zone_fees
+            .get(e.zone)
+            .filter(|_| self.set.kinds[e.kind].per_endpoint_limits)
+            .unwrap_or(&0.0);
         // Were all couriers to do as this one does, so long would the queue be at a route with this rate.
         let unit = &self.units[e.unit];
         let lack = if unit.even > 0.0 { (1.0 - unit.share.calls).max(0.0) / unit.even } else { 0.0 };
-        let kept = e.latency.seen && self.now < e.last_good + self.set.keep_idle;
-        let fee = fee + if kept { 0.0 } else { self.set.handshake_price };
+        let kept = e.latency.seen && self.now < e.last_good + self.set.idle_timeout;
+        let fee = fee + if kept { 0.0 } else { self.set.handshake_cost };
         mean * (1 + e.out) as f64 + doubt + lack * SECOND as f64 + fee * FEE_TARGETS * self.target as f64
     }
 
     /// Turns at a limit up to a time, by one clock. Guards against couriers that send together, and in vain.
     fn turns(&self, pace: f64, at: Time) -> f64 {
-        (pace * seconds(at) - self.set.me as f64 / self.set.couriers as f64).floor()
+        (pace * seconds(at) - self.set.courier_index as f64 / self.set.couriers as f64).floor()
     }
 
     /// Whether an endpoint may be sent a call now. Refills the paced share of one that returns.
@@ -798,22 +834,22 @@
         unit.share.refill(self.now, unit.even, 2.0);
         // Nothing is saved up before a pace is kept.
         unit.saved = if pace == 0.0 { Saved { calls: 0.0, at: self.now } } else { unit.saved };
-        let (held, saved) = (e.life != Life::Ready || self.now < unit.hold_until, &mut unit.saved);
+        let (held, saved) = (e.life != EndpointStatus::Ready || self.now < unit.hold_until, &mut unit.saved);
         let mut may =
             || if by_turns { saved.add(self.now, turns, depth) } else { saved.refill(self.now, pace, depth) };
         if held || (pace > 0.0 && !may()) {
             return false;
         }
         match e.standing {
-            Standing::Well => true,
+            Health::Healthy => true,
             // Trials further and further apart, so that a hang gathers no slot with each late call.
-            Standing::Doubt | Standing::Down => e.out <= e.late && self.now >= e.trial_at,
-            Standing::Returning if self.now > e.since + self.set.cold => {
+            Health::Suspect | Health::Down => e.out <= e.late && self.now >= e.trial_at,
+            Health::Recovering if self.now > e.since + self.set.warm_up => {
                 self.sign(endpoint, Sign::Warm);
                 true
             }
-            Standing::Returning => {
-                let warm = (self.now - e.since) as f64 / self.set.cold.max(1) as f64;
+            Health::Recovering => {
+                let warm = (self.now - e.since) as f64 / self.set.warm_up.max(1) as f64;
                 let share = self.paced_share(endpoint, warm);
                 self.endpoints[endpoint].ramp.refill(self.now, share, 1.0)
             }
@@ -824,12 +860,13 @@
     fn paced_share(&self, endpoint: usize, warm: f64) -> f64 {
         let e = &self.endpoints[endpoint];
         let ends = self.sick(e.dest).1.max(1) as f64;
-        let even = self.units[e.unit].even / if self.set.kinds[e.kind].apart { 1.0 } else { ends };
-        let arriving = self.dests[e.dest].steady.rate(self.now, self.set.cold.max(WINDOW)) / ends;
+        let even =
+            self.units[e.unit].even / if self.set.kinds[e.kind].per_endpoint_limits { 1.0 } else { ends };
+        let arriving = self.dests[e.dest].steady.rate(self.now, self.set.warm_up.max(WINDOW)) / ends;
         // No least where the whole is known: couriers' parts would add up to more than it takes.
-        let whole = if even > 0.0 { even } else { arriving.max(1.0 / seconds(self.set.cold.max(SECOND))) };
-        let warmth = self.set.cold_from + (1.0 - self.set.cold_from) * warm.min(1.0);
-        whole * warmth * RETURN_SHARE * self.set.tip_multiple.min(2.0) / 2.0
+        let whole = if even > 0.0 { even } else { arriving.max(1.0 / seconds(self.set.warm_up.max(SECOND))) };
+        let warmth = self.set.cold_capacity + (1.0 - self.set.cold_capacity) * warm.min(1.0);
+        whole * warmth * RETURN_SHARE * self.set.overload_multiple.min(2.0) / 2.0
     }
 
     /// Endpoints that left the list a warm-up ago and have no call out: no input means their index any more.
@@ -837,12 +874,16 @@
         let mut leaving = std::mem::take(&mut self.leaving);
         leaving.retain(|&endpoint| {
             let e = &self.endpoints[endpoint];
-            if e.known && e.life == Life::Gone && e.out == 0 && self.now >= e.gone_at + self.set.cold {
+            if e.known
+                && e.life == EndpointStatus::Removed
+                && e.out == 0
+                && self.now >= e.gone_at + self.set.warm_up
+            {
                 self.dests[e.dest].endpoints.retain(|other| *other != endpoint);
-                self.endpoints[endpoint] = Endpoint { life: Life::Gone, ..Endpoint::default() };
+                self.endpoints[endpoint] = Endpoint { life: EndpointStatus::Removed, ..Endpoint::default() };
                 out.push(Action::FreeEndpoint(endpoint));
             }
-            self.endpoints[endpoint].known && self.endpoints[endpoint].life == Life::Gone
+            self.endpoints[endpoint].known && self.endpoints[endpoint].life == EndpointStatus::Removed
         });
         self.leaving = leaving;
     }
--- a/src/control/glance.rs
+++ b/src/control/inspect.rs
@@ -1,7 +1,7 @@
 //! What can be seen of the decisions from outside: by plots, audits, and whoever carries the calls. Nothing is decided
 //! here.
 
-use super::{Control, Standing};
+use super::{Control, Health};
 use crate::interface::Time;
 use crate::state::Place;
 
@@ -14,12 +14,12 @@
 
 impl Control {
     /// What an endpoint is held to be.
-    pub fn standing(&self, endpoint: usize) -> Option<Standing> {
+    pub fn health(&self, endpoint: usize) -> Option<Health> {
         self.endpoints.get(endpoint).filter(|e| e.known).map(|e| e.standing)
     }
 
     /// A destination's cap, calls out and parked mails.
-    pub fn glance(&self, dest: usize) -> Option<(usize, usize, usize)> {
+    pub fn destination_load(&self, dest: usize) -> Option<(usize, usize, usize)> {
         self.dests.get(dest).map(|d| (self.cap(dest), d.out, d.waiting()))
     }
 
@@ -29,33 +29,33 @@
     }
 
     /// Mails that are owed an end, parked or out.
-    pub fn open(&self) -> usize {
+    pub fn open_mails(&self) -> usize {
         self.open
     }
 
     /// Mails whose index is in use; those too that are over, with an outcome still to come.
-    pub fn indices(&self) -> usize {
+    pub fn mail_indices_in_use(&self) -> usize {
         self.mails.iter().filter(|m| m.place != Place::Free).count()
     }
 
     /// Mails without an outcome, summed over the calls that they went with.
-    pub fn mails_out(&self) -> usize {
+    pub fn mails_in_flight(&self) -> usize {
         self.calls.iter().map(|call| call.left).sum()
     }
 
     /// The slot and the endpoint of the call that a mail is out with.
-    pub fn flight(&self, mail: usize) -> Option<(usize, usize)> {
+    pub fn call_of(&self, mail: usize) -> Option<(usize, usize)> {
         let m = self.mails.get(mail).filter(|m| matches!(m.place, Place::Out | Place::Over))?;
         Some((m.call, self.calls[m.call].endpoint))
     }
 
     /// Calls out to an endpoint.
-    pub fn calls_at(&self, endpoint: usize) -> usize {
+    pub fn calls_in_flight(&self, endpoint: usize) -> usize {
         self.endpoints.get(endpoint).map_or(0, |e| e.out)
     }
 
     /// Whether the unit of an endpoint is to be left alone.
-    pub fn is_held(&self, endpoint: usize, now: Time) -> bool {
+    pub fn is_on_hold(&self, endpoint: usize, now: Time) -> bool {
         self.endpoints.get(endpoint).is_some_and(|e| now < self.units[e.unit].hold_until)
     }
 
@@ -124,7 +124,7 @@
 
     /// Spoils one book, so that a test can show that the audit sees it; false where there is nothing to spoil.
     #[cfg(any(debug_assertions, feature = "spoil"))]
-    pub fn spoil(&mut self, what: &str) -> bool {
+    pub fn corrupt(&mut self, what: &str) -> bool {
         let parked = self.mails.iter().position(|m| m.place == Place::Parked);
         let call = self.calls.iter().position(|c| c.left > 0);
         let line = |c: &mut Control, mail: usize| {
--- a/src/door.rs
+++ b/src/interner.rs
@@ -1,4 +1,4 @@
-//! The door: outside ids become small indices that are reused, and turn back into outside ids on the way out.
+//! Outside ids become small indices that are reused, and turn back into outside ids on the way out.
 
 use std::borrow::Borrow;
 use std::hash::{BuildHasher, Hash, RandomState};
@@ -7,7 +7,7 @@
 
 /// Outside ids on one side, small indices on the other; each id is held once. Looked up only, never iterated over.
 #[derive(Debug)]
-pub struct Door<K> {
+pub struct Interner<K> {
     /// Indices, by the hash of their ids.
     inside: HashTable<u32>,
     hasher: RandomState,
@@ -15,16 +15,21 @@
     free: Vec<u32>,
 }
 
-impl<K> Default for Door<K> {
+impl<K> Default for Interner<K> {
     fn default() -> Self {
-        Door { inside: HashTable::new(), hasher: RandomState::new(), outside: Vec::new(), free: Vec::new() }
+        Interner {
+            inside: HashTable::new(),
+            hasher: RandomState::new(),
+            outside: Vec::new(),
+            free: Vec::new(),
+        }
     }
 }
 
-impl<K: Eq + Hash> Door<K> {
+impl<K: Eq + Hash> Interner<K> {
     /// The index of an id, a free one if it is new here.
-    pub fn enter(&mut self, id: K) -> usize {
-        if let Some(index) = self.find(&id) {
+    pub fn intern(&mut self, id: K) -> usize {
+        if let Some(index) = self.get(&id) {
             return index;
         }
         let index = self.free.pop().unwrap_or_else(|| {
@@ -41,7 +46,7 @@
     }
 
     /// By the id, or by what it can be lent as.
-    pub fn find<Q: Eq + Hash + ?Sized>(&self, id: &Q) -> Option<usize>
+    pub fn get<Q: Eq + Hash + ?Sized>(&self, id: &Q) -> Option<usize>
     where
         K: Borrow<Q>,
     {
@@ -49,7 +54,7 @@
         self.inside.find(self.hasher.hash_one(id), is_it).map(|&index| index as usize)
     }
 
-    pub fn outside(&self, index: usize) -> Option<&K> {
+    pub fn id(&self, index: usize) -> Option<&K> {
         self.outside.get(index)?.as_ref()
     }
 
@@ -63,7 +68,7 @@
     }
 
     /// The index may be given to another id from now on.
-    pub fn leave(&mut self, index: usize) {
+    pub fn release(&mut self, index: usize) {
         let Some(id) = self.outside.get_mut(index).and_then(Option::take) else { return };
         if let Ok(entry) = self.inside.find_entry(self.hasher.hash_one(&id), |&other| other as usize == index)
         {
@@ -79,33 +84,30 @@
 
     #[test]
     fn indices_are_small_stable_and_reused() {
-        let mut door = Door::default();
-        assert_eq!([door.enter(70), door.enter(9), door.enter(70)], [0, 1, 0]);
-        door.leave(0);
-        door.leave(0);
-        assert_eq!((door.find(&70), door.outside(0)), (None, None));
-        assert_eq!([door.enter(5), door.enter(6)], [0, 2]);
-        assert_eq!((door.outside(0), door.outside(9)), (Some(&5), None));
+        let mut door = Interner::default();
+        assert_eq!([door.intern(70), door.intern(9), door.intern(70)], [0, 1, 0]);
+        door.release(0);
+        door.release(0);
+        assert_eq!((door.get(&70), door.id(0)), (None, None));
+        assert_eq!([door.intern(5), door.intern(6)], [0, 2]);
+        assert_eq!((door.id(0), door.id(9)), (Some(&5), None));
         assert_eq!((door.len(), door.is_empty()), (3, false));
     }
 
     #[test]
     fn it_holds_what_a_map_holds_over_many_comings_and_goings() {
-        let (mut door, mut known) = (Door::<Box<[u8]>>::default(), std::collections::BTreeMap::new());
+        let (mut door, mut known) = (Interner::<Box<[u8]>>::default(), std::collections::BTreeMap::new());
         let mut chance = fastrand::Rng::with_seed(7);
         for _ in 0..40_000 {
             let name = chance.u64(..3000).to_string().into_bytes();
-            assert_eq!(door.find(&name[..]), known.get(&name).copied());
+            assert_eq!(door.get(&name[..]), known.get(&name).copied());
             if chance.bool() {
-                let index = door.enter(name.clone().into());
-                assert_eq!(
-                    (door.find(&name[..]), &door.outside(index).unwrap()[..]),
-                    (Some(index), &name[..])
-                );
+                let index = door.intern(name.clone().into());
+                assert_eq!((door.get(&name[..]), &door.id(index).unwrap()[..]), (Some(index), &name[..]));
                 known.insert(name, index);
             } else if let Some(index) = known.remove(&name) {
-                door.leave(index);
-                assert_eq!((door.find(&name[..]), door.outside(index)), (None, None));
+                door.release(index);
+                assert_eq!((door.get(&name[..]), door.id(index)), (None, None));
             }
             assert_eq!(door.len(), known.len());
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,6 +2,6 @@
 #![forbid(unsafe_code)]
 
 pub mod control;
-pub mod door;
 pub mod interface;
+pub mod interner;
 mod state;
--- a/src/state.rs
+++ b/src/state.rs
@@ -5,8 +5,8 @@
 
 use smallvec::SmallVec;
 
-use crate::control::Standing;
-use crate::interface::{Life, Time, SECOND};
+use crate::control::Health;
+use crate::interface::{EndpointStatus, Time, SECOND};
 
 /// A count that fades over the window, so that what has gone quiet ages.
 #[derive(Clone, Copy, Debug, Default)]
@@ -226,11 +226,11 @@
     pub unit: usize,
     pub zone: usize,
     pub kind: usize,
-    pub life: Life,
+    pub life: EndpointStatus,
     pub named: bool,
     /// When it left the list.
     pub gone_at: Time,
-    pub standing: Standing,
+    pub standing: Health,
     pub since: Time,
     pub last_good: Time,
     pub ramp: Saved,
@@ -347,7 +347,7 @@
 /// Sums this courier's even share of each destination's limits: its own, or those of its routes apart.
 pub fn sum_shares(dests: &mut [Dest], endpoints: &[Endpoint], units: &Units) {
     dests.iter_mut().for_each(|d| d.even = 0.0);
-    for e in endpoints.iter().filter(|e| e.known && e.life == Life::Ready) {
+    for e in endpoints.iter().filter(|e| e.known && e.life == EndpointStatus::Ready) {
         let (d, even) = (&mut dests[e.dest], units[e.unit].even);
         d.even = if Units::is_route(e.unit) { d.even + even } else { even };
     }
