--- a/tests/control.rs
+++ b/tests/control.rs
@@ -1,9 +1,9 @@
 //! The decisions, case by case: each rule in its awkward case, the cap, the hold, waits, outages and returns.
 
-use meadowhold::control::{Control, Standing};
+use meadowhold::control::{Control, Health};
 use meadowhold::interface::{
-    Action, Effect, Ended, Input, Kind, Life, Listed, News, Outcome, QueueClass, Report, Settings, Taken,
-    Time, SECOND,
+    AcceptedMail, Action, ConnectResult, Effect, EndpointStatus, Input, Kind, LimitReport, ListEntry,
+    Outcome, PeerNote, QueueClass, Settings, Time, SECOND,
 };
 
 const REDELIVERABLE: usize = 0;
@@ -16,7 +16,16 @@
 fn queue_class(effect: Effect, importance: f64) -> QueueClass {
     let (window, target, lifetime) = (4 * SECOND, 2 * SECOND, 10 * SECOND);
     let (by_zone, late_worth, in_turn) = (false, 0.2, false);
-    QueueClass { effect, by_zone, window, target, lifetime, importance, late_worth, in_turn }
+    QueueClass {
+        effect,
+        dedup_by_zone: by_zone,
+        dedup_window: window,
+        target_delay: target,
+        lifetime,
+        importance,
+        expiry_importance: late_worth,
+        ordered: in_turn,
+    }
 }
 
 fn settings() -> Settings {
@@ -24,19 +33,21 @@
         seed: 7,
         couriers: 2,
         slots: 8,
-        room: 40,
+        max_mails: 40,
         max_connects: 4,
-        resolution: 50,
-        connect_timeout: SECOND,
-        keep_idle: 10 * SECOND,
-        ask_within: 10 * SECOND,
-        cold_from: 0.2,
-        cold: 10 * SECOND,
-        tip_multiple: 2.0,
-        overload_for: 2 * SECOND,
-        turn_gap: SECOND,
-        rates_listed: true,
-        kinds: [(4, false), (1, false), (1, true)].map(|(batch, apart)| Kind { batch, apart }).to_vec(),
+        timer_resolution: 50,
+        connection_timeout: SECOND,
+        idle_timeout: 10 * SECOND,
+        max_poll_delay: 10 * SECOND,
+        cold_capacity: 0.2,
+        warm_up: 10 * SECOND,
+        overload_multiple: 2.0,
+        overload_duration: 2 * SECOND,
+        ordering_gap: SECOND,
+        list_has_rates: true,
+        kinds: [(4, false), (1, false), (1, true)]
+            .map(|(batch, apart)| Kind { max_batch: batch, per_endpoint_limits: apart })
+            .to_vec(),
         classes: vec![
             queue_class(Effect::Redeliverable, 1.0),
             queue_class(Effect::Tagged, 1.0),
@@ -61,8 +72,8 @@
     /// The same of a process that starts later.
     fn started(ms: Time, set: Settings, kind: usize, ends: usize, rate: f64) -> Rig {
         let mut rig = Rig { control: Control::new(set), next: 0 };
-        let mut list = vec![Input::ListBegin { whole: true }];
-        list.extend((0..ends).map(|endpoint| listed(endpoint, kind, Life::Ready, rate)));
+        let mut list = vec![Input::ListBegin { complete: true }];
+        list.extend((0..ends).map(|endpoint| listed(endpoint, kind, EndpointStatus::Ready, rate)));
         list.push(Input::ListEnd);
         rig.at(ms, &list);
         rig
@@ -70,19 +81,19 @@
 
     fn at(&mut self, ms: Time, inputs: &[Input]) -> Vec<Action> {
         let mut out = Vec::new();
-        self.control.round(SECOND + ms * 10, inputs, &mut out);
+        self.control.step(SECOND + ms * 10, inputs, &mut out);
         out
     }
 
     fn arrival(&mut self, ms: Time, class: usize) -> Input {
         self.next += 1;
         let since = SECOND + ms * 10;
-        Input::Taken(Taken {
+        Input::AcceptedMail(AcceptedMail {
             mail: self.next - 1,
             class,
-            since,
-            due: since + 10 * SECOND,
-            ..Taken::default()
+            submitted_at: since,
+            deadline: since + 10 * SECOND,
+            ..AcceptedMail::default()
         })
     }
 
@@ -116,8 +127,8 @@
     }
 }
 
-fn listed(endpoint: usize, kind: usize, life: Life, rate: f64) -> Input {
-    Input::Listed(Listed { endpoint, dest: 0, zone: endpoint, kind, life, rate })
+fn listed(endpoint: usize, kind: usize, life: EndpointStatus, rate: f64) -> Input {
+    Input::ListEntry(ListEntry { endpoint, destination: 0, zone: endpoint, kind, status: life, rate })
 }
 
 #[test]
@@ -150,17 +161,17 @@
         [(true, 0, true, true), (true, 60, true, false), (false, 0, false, false)]
     {
         let sent = connects(&rig.arrive(ms, REDELIVERABLE, 1));
-        let broken = Ended {
+        let broken = ConnectResult {
             mail: sent[0].0,
             outcome: Outcome::Broken,
-            over: false,
-            wait: 0,
-            took: 50,
-            kept,
-            report: None,
+            finished: false,
+            retry_after: 0,
+            duration: 50,
+            reused_connection: kept,
+            limit_report: None,
         };
         // At once if it says nothing of the endpoint; else a quarter of the time to make a connection later.
-        let again = connects(&rig.at(ms + 5, &[Input::Ended(broken)]));
+        let again = connects(&rig.at(ms + 5, &[Input::ConnectResult(broken)]));
         assert_eq!(again.len(), usize::from(kept), "{kept}");
         assert!(connects(&rig.at(ms + 250, &[])).is_empty());
         let again = if kept { again } else { connects(&rig.at(ms + 260, &[])) };
@@ -170,7 +181,7 @@
         }
         ms = rig.warm(ms + 100, 100, served);
         let acts = rig.arrive(ms, ONCE_ONLY, 1);
-        let goes = acts.iter().any(|act| matches!(act, Action::Connect { fresh: true, .. }));
+        let goes = acts.iter().any(|act| matches!(act, Action::Connect { new_connection: true, .. }));
         assert_eq!((connects(&acts).len(), goes), (usize::from(well), fresh), "{kept} {served}");
         let acts = rig.settle(ms + 100, &acts, Outcome::Relayed);
         ms += 100 + acts.len() as Time;
@@ -200,7 +211,12 @@
     rig.arrive(ms, REDELIVERABLE, 1);
     let short = |mail, left: Time| {
         let since = SECOND + ms * 10;
-        Input::Taken(Taken { mail, since, due: since + left * 10, ..Taken::default() })
+        Input::AcceptedMail(AcceptedMail {
+            mail,
+            submitted_at: since,
+            deadline: since + left * 10,
+            ..AcceptedMail::default()
+        })
     };
     rig.next += 1;
     let brief = rig.next - 1;
@@ -213,7 +229,7 @@
 
 /// The whole list names only this one.
 fn only(endpoint: usize, kind: usize) -> [Input; 3] {
-    [Input::ListBegin { whole: true }, listed(endpoint, kind, Life::Ready, 40.0), Input::ListEnd]
+    [Input::ListBegin { complete: true }, listed(endpoint, kind, EndpointStatus::Ready, 40.0), Input::ListEnd]
 }
 
 #[test]
@@ -277,7 +293,15 @@
 
 fn told(mail: usize, outcome: Outcome, took: Time, wait: Time) -> Input {
     let over = outcome == Outcome::Relayed;
-    Input::Ended(Ended { mail, outcome, over, wait: wait * 10, took: took * 10, kept: false, report: None })
+    Input::ConnectResult(ConnectResult {
+        mail,
+        outcome,
+        finished: over,
+        retry_after: wait * 10,
+        duration: took * 10,
+        reused_connection: false,
+        limit_report: None,
+    })
 }
 
 fn connects(actions: &[Action]) -> Vec<(usize, usize)> {
@@ -412,13 +436,17 @@
 #[test]
 fn woken_only_when_asked_for_it_still_answers_in_time() {
     for resolution in [1, 50, 2000] {
-        let mut control = Control::new(Settings { resolution, ..settings() });
+        let mut control = Control::new(Settings { timer_resolution: resolution, ..settings() });
         let (mut now, mut out) = (SECOND, Vec::new());
-        let arrival = Input::Taken(Taken { class: ONCE_ONLY, due: now + 10 * SECOND, ..Taken::default() });
-        let mut wake = control.round(now, &[arrival], &mut out);
+        let arrival = Input::AcceptedMail(AcceptedMail {
+            class: ONCE_ONLY,
+            deadline: now + 10 * SECOND,
+            ..AcceptedMail::default()
+        });
+        let mut wake = control.step(now, &[arrival], &mut out);
         while let Some(at) = wake {
             now = at;
-            wake = control.round(now, &[Input::Woken], &mut out);
+            wake = control.step(now, &[Input::Wakeup], &mut out);
         }
         assert!(deferred(&out) && now < 11 * SECOND, "{resolution}: {now}");
     }
@@ -428,9 +456,9 @@
 fn a_hung_up_mail_is_forgotten_when_its_connect_has_ended() {
     let mut rig = Rig::new(settings(), SINGLE, 1, 0.0);
     rig.arrive(0, REDELIVERABLE, 1);
-    assert!(!rig.at(5, &[Input::Hangup { mail: 0 }]).contains(&Action::FreeMail(0)));
+    assert!(!rig.at(5, &[Input::ClientGone { mail: 0 }]).contains(&Action::FreeMail(0)));
     assert_eq!(rig.at(9, &[ended(0, Outcome::Silent, 9)]), [Action::FreeMail(0)]);
-    assert_eq!(rig.at(9, &[ended(0, Outcome::Silent, 9), Input::Hangup { mail: 9 }]), []);
+    assert_eq!(rig.at(9, &[ended(0, Outcome::Silent, 9), Input::ClientGone { mail: 9 }]), []);
 }
 
 #[test]
@@ -442,8 +470,8 @@
         let mut used = connects(&rig.at(10, &[told(mail, Outcome::Refused, 10, 500)]));
         // A newcomer shares the wait too, unless routes are apart.
         let grown = [
-            Input::ListBegin { whole: false },
-            listed(1 - endpoint, kind, Life::Ready, 100.0),
+            Input::ListBegin { complete: false },
+            listed(1 - endpoint, kind, EndpointStatus::Ready, 100.0),
             Input::ListEnd,
         ];
         used.extend(connects(&rig.at(20, &grown)));
@@ -473,9 +501,18 @@
 
 #[test]
 fn draining_and_gone_endpoints_get_nothing_new() {
-    let whole = [Input::ListBegin { whole: true }, listed(1, SINGLE, Life::Ready, 0.0), Input::ListEnd];
-    let drain = [Input::ListBegin { whole: false }, listed(0, SINGLE, Life::Draining, 0.0), Input::ListEnd];
-    let gone = [Input::ListBegin { whole: false }, listed(0, SINGLE, Life::Gone, 0.0), Input::ListEnd];
+    let whole =
+        [Input::ListBegin { complete: true }, listed(1, SINGLE, EndpointStatus::Ready, 0.0), Input::ListEnd];
+    let drain = [
+        Input::ListBegin { complete: false },
+        listed(0, SINGLE, EndpointStatus::Draining, 0.0),
+        Input::ListEnd,
+    ];
+    let gone = [
+        Input::ListBegin { complete: false },
+        listed(0, SINGLE, EndpointStatus::Removed, 0.0),
+        Input::ListEnd,
+    ];
     for news in [whole, drain, gone] {
         let mut rig = Rig::new(settings(), SINGLE, 2, 0.0);
         let parked = connects(&rig.arrive(0, REDELIVERABLE, 20));
@@ -533,7 +570,7 @@
 fn mails_of_one_key_go_one_at_a_time_in_order_and_rest_after_silence() {
     let mut rig = Rig::new(settings(), SINGLE, 2, 0.0);
     let keyed = |rig: &mut Rig| match rig.arrival(0, TAGGED) {
-        Input::Taken(taken) => Input::Taken(Taken { key: Some(0), ..taken }),
+        Input::AcceptedMail(taken) => Input::AcceptedMail(AcceptedMail { key: Some(0), ..taken }),
         other => other,
     };
     let three = [keyed(&mut rig), keyed(&mut rig), keyed(&mut rig)];
@@ -541,7 +578,7 @@
     let second = connects(&rig.at(50, &[ended(0, Outcome::Relayed, 50)]));
     assert_eq!(second.iter().map(|c| c.0).collect::<Vec<_>>(), [1]);
     // The client of the second leaves; its connect ends in silence, and the key rests.
-    assert_eq!(connects(&rig.at(60, &[Input::Hangup { mail: 1 }])), []);
+    assert_eq!(connects(&rig.at(60, &[Input::ClientGone { mail: 1 }])), []);
     assert_eq!(connects(&rig.at(100, &[ended(1, Outcome::Silent, 50)])), []);
     assert_eq!(connects(&rig.at(1000, &[])), []);
     assert_eq!(connects(&rig.at(1101, &[])).iter().map(|c| c.0).collect::<Vec<_>>(), [2]);
@@ -570,27 +607,27 @@
 
 #[test]
 fn the_list_is_asked_for_and_asked_again_after_a_failure() {
-    let mut control = Control::new(Settings { ask_list: true, ..settings() });
+    let mut control = Control::new(Settings { poll_list: true, ..settings() });
     let mut out = Vec::new();
-    control.round(SECOND, &[], &mut out);
-    assert_eq!(out, [Action::WatchList]);
+    control.step(SECOND, &[], &mut out);
+    assert_eq!(out, [Action::RequestList]);
     out.clear();
-    let wake = control.round(SECOND + 10, &[Input::ListFailed], &mut out).unwrap();
+    let wake = control.step(SECOND + 10, &[Input::ListFailed], &mut out).unwrap();
     assert_eq!(out, []);
-    assert!(wake > SECOND + 10 && wake <= SECOND + 10 + settings().ask_within);
-    control.round(wake, &[], &mut out);
-    assert_eq!(out, [Action::WatchList]);
+    assert!(wake > SECOND + 10 && wake <= SECOND + 10 + settings().max_poll_delay);
+    control.step(wake, &[], &mut out);
+    assert_eq!(out, [Action::RequestList]);
 }
 
 #[test]
 fn a_full_room_gives_up_what_is_worth_least_at_once_with_a_time_to_come_back() {
-    let mut rig = Rig::new(Settings { max_pause: SECOND, ..settings() }, SINGLE, 0, 0.0);
+    let mut rig = Rig::new(Settings { max_retry_after: SECOND, ..settings() }, SINGLE, 0, 0.0);
     let acts: Vec<Action> =
         (0..14).flat_map(|_| [rig.arrive(0, ONCE_ONLY, 1), rig.arrive(0, TAGGED, 2)]).flatten().collect();
     let given_up: Vec<usize> = acts
         .iter()
         .filter_map(|a| match *a {
-            Action::Defer { mail, pause } => {
+            Action::Defer { mail, retry_after: pause } => {
                 assert_eq!(pause, SECOND);
                 Some(mail)
             }
@@ -605,23 +642,23 @@
 fn a_told_limit_that_sinks_takes_the_pace_with_it() {
     // (limit told from the fifth second on, calls in the five seconds after that at most)
     for (limit, least, most) in [(8.0, 20, 60), (0.8, 1, 6)] {
-        let mut rig = Rig::new(Settings { rates_listed: false, ..settings() }, BATCHED, 1, 0.0);
+        let mut rig = Rig::new(Settings { list_has_rates: false, ..settings() }, BATCHED, 1, 0.0);
         let mut calls = [0, 0];
         for step in 0..2000u64 {
             let mut sent = connects(&rig.arrive(step * 5, REDELIVERABLE, usize::from(step % 10 == 0)));
             while !sent.is_empty() {
                 calls[usize::from(step >= 1000)] += 1;
-                let told = Report { left: 0.5, limit: if step >= 1000 { limit } else { 8.0 } };
-                let relayed = |mail| Ended {
+                let told = LimitReport { remaining: 0.5, limit: if step >= 1000 { limit } else { 8.0 } };
+                let relayed = |mail| ConnectResult {
                     mail,
                     outcome: Outcome::Relayed,
-                    over: true,
-                    wait: 0,
-                    took: 20,
-                    kept: false,
-                    report: Some(told),
+                    finished: true,
+                    retry_after: 0,
+                    duration: 20,
+                    reused_connection: false,
+                    limit_report: Some(told),
                 };
-                let ends: Vec<Input> = sent.iter().map(|c| Input::Ended(relayed(c.0))).collect();
+                let ends: Vec<Input> = sent.iter().map(|c| Input::ConnectResult(relayed(c.0))).collect();
                 sent = connects(&rig.at(step * 5 + 2, &ends));
             }
         }
@@ -639,11 +676,11 @@
             sent = connects(&rig.at(ms + 50, &[ended(sent[0].0, outcome, 50)]));
         }
         let acts = rig.at(ms + 90, &[ended(sent[0].0, Outcome::Relayed, 40)]);
-        assert_eq!(acts.contains(&Action::LetGo(sent[0].1)), closed, "{outcome:?}");
+        assert_eq!(acts.contains(&Action::CloseIdle(sent[0].1)), closed, "{outcome:?}");
         let later = rig.warm(ms + 9000, 50, 40);
         let sent = connects(&rig.arrive(later, REDELIVERABLE, 1));
         let acts = rig.at(later + 50, &[ended(sent[0].0, Outcome::Relayed, 50)]);
-        assert!(!acts.iter().any(|a| matches!(a, Action::LetGo(_))), "{outcome:?}");
+        assert!(!acts.iter().any(|a| matches!(a, Action::CloseIdle(_))), "{outcome:?}");
     }
 }
 
@@ -674,7 +711,13 @@
     // Each has more mails than its share of two routes, 20 calls a second each, from the start or after a restart.
     // (couriers that start anew in the middle, calls at a route in any half second at most)
     for (anew, most) in [(0, 15), (100, 15)] {
-        let set = |me| Settings { couriers: 100, me, seed: me as u64, room: 2000, ..settings() };
+        let set = |me| Settings {
+            couriers: 100,
+            courier_index: me,
+            seed: me as u64,
+            max_mails: 2000,
+            ..settings()
+        };
         let mut fleet: Vec<Rig> = (0..100).map(|me| Rig::new(set(me), APART, 2, 20.0)).collect();
         let mut calls = [[0usize; 40]; 2];
         for step in 0..400u64 {
@@ -712,7 +755,7 @@
     for (rate, couriers, waiting, count, class, away) in cases {
         let mut rig = Rig::new(Settings { couriers, ..settings() }, SINGLE, 1, rate);
         rig.arrive(0, waiting, count);
-        let turned = rig.control.turns_away(0, class, 11 * SECOND);
+        let turned = rig.control.would_reject(0, class, 11 * SECOND);
         assert_eq!(turned, away, "{rate} {waiting} {count} {class}");
     }
 }
@@ -722,7 +765,7 @@
     // Without a rate all go by the cheap route; with one, the part that it can take.
     for (rate, least, most) in [(0.0, 40, 40), (4.0, 15, 30)] {
         // Under a call a lifetime for each, so that no turns are waited for.
-        let mut set = Settings { couriers: 40, fees: vec![0.0, 0.06], ..settings() };
+        let mut set = Settings { couriers: 40, zone_fees: vec![0.0, 0.06], ..settings() };
         set.classes.iter_mut().for_each(|class| class.lifetime = 4 * SECOND);
         let mut cheap = 0;
         for seed in 0..40 {
@@ -754,8 +797,8 @@
         let mut rig = Rig::new(settings(), SINGLE, 1, 20.0);
         let sent = connects(&rig.arrive(0, TAGGED, 1));
         rig.at(5, &[ended(sent[0].0, outcome, 5)]);
-        let whole = Input::ListBegin { whole: true };
-        rig.at(10, &[whole, listed(1, SINGLE, Life::Ready, 20.0), Input::ListEnd]);
+        let whole = Input::ListBegin { complete: true };
+        rig.at(10, &[whole, listed(1, SINGLE, EndpointStatus::Ready, 20.0), Input::ListEnd]);
         let acts = rig.arrive(1000, TAGGED, 12);
         let sent = rig.settle(1002, &acts, Outcome::Relayed).concat().len();
         assert!((least..=most).contains(&sent), "{outcome:?}: {sent}");
@@ -786,8 +829,14 @@
     for (class, connects, since, expected) in rows {
         let mut rig = Rig::new(settings(), SINGLE, 2, 0.0);
         let ran = since.map(|seconds| (now - seconds.min(5) * SECOND, 0));
-        let mail = Taken { class, connects, ran, due: now + 4 * SECOND, ..Taken::default() };
-        let acts = rig.at(5000, &[Input::Taken(mail)]);
+        let mail = AcceptedMail {
+            class,
+            connects_used: connects,
+            first_run: ran,
+            deadline: now + 4 * SECOND,
+            ..AcceptedMail::default()
+        };
+        let acts = rig.at(5000, &[Input::AcceptedMail(mail)]);
         let became = match acts[0] {
             Action::Connect { .. } => "sent",
             Action::Defer { .. } => "deferred",
@@ -803,9 +852,17 @@
     let now = SECOND;
     let mail = |mail, connects, ran| {
         let due = now + 10 * SECOND;
-        Input::Taken(Taken { mail, class: TAGGED, key: Some(0), due, connects, ran, ..Taken::default() })
+        Input::AcceptedMail(AcceptedMail {
+            mail,
+            class: TAGGED,
+            key: Some(0),
+            deadline: due,
+            connects_used: connects,
+            first_run: ran,
+            ..AcceptedMail::default()
+        })
     };
-    let rested = Input::Rested { key: 0, since: now };
+    let rested = Input::KeyInFlight { key: 0, at: now };
     let mut rig = Rig::new(settings(), SINGLE, 2, 0.0);
     let sent = connects(&rig.at(0, &[mail(0, 1, Some((now, 0))), mail(1, 0, None), rested.clone()]));
     assert_eq!(sent.iter().map(|c| c.0).collect::<Vec<_>>(), [0]);
@@ -821,27 +878,27 @@
 fn a_call_may_begin_unless_its_endpoint_leaves_or_waits() {
     let mut rig = Rig::new(settings(), SINGLE, 2, 0.0);
     let now = |ms: Time| SECOND + ms * 10;
-    assert!(rig.control.may_begin(0, now(0)));
+    assert!(rig.control.may_call(0, now(0)));
     let (mail, endpoint) = connects(&rig.arrive(0, REDELIVERABLE, 1))[0];
-    let refused = Ended {
+    let refused = ConnectResult {
         mail,
         outcome: Outcome::Refused,
-        over: false,
-        wait: 2 * SECOND,
-        took: 50,
-        kept: false,
-        report: None,
+        finished: false,
+        retry_after: 2 * SECOND,
+        duration: 50,
+        reused_connection: false,
+        limit_report: None,
     };
-    rig.at(5, &[Input::Ended(refused)]);
+    rig.at(5, &[Input::ConnectResult(refused)]);
     let other = 1 - endpoint;
-    assert!(!rig.control.may_begin(endpoint, now(2004)) && !rig.control.may_begin(other, now(2004)));
-    assert!(rig.control.may_begin(endpoint, now(2006)));
-    rig.at(2007, &[listed(endpoint, SINGLE, Life::Draining, 0.0)]);
-    assert!(!rig.control.may_begin(endpoint, now(2008)) && rig.control.may_begin(other, now(2008)));
+    assert!(!rig.control.may_call(endpoint, now(2004)) && !rig.control.may_call(other, now(2004)));
+    assert!(rig.control.may_call(endpoint, now(2006)));
+    rig.at(2007, &[listed(endpoint, SINGLE, EndpointStatus::Draining, 0.0)]);
+    assert!(!rig.control.may_call(endpoint, now(2008)) && rig.control.may_call(other, now(2008)));
 }
 
-fn heard(endpoint: usize, news: News) -> Input {
-    Input::Heard { endpoint, news }
+fn heard(endpoint: usize, news: PeerNote) -> Input {
+    Input::PeerNote { endpoint, note: news }
 }
 
 /// Turns of 5 ms from here, with nothing new, until something is sent; the time, or `None` after `most` ms.
@@ -855,10 +912,10 @@
         let mut least = Time::MAX;
         let mut most = 0;
         for seed in 0..20 {
-            let set = Settings { seed, may_tell: true, ..settings() };
+            let set = Settings { seed, peer_notes: true, ..settings() };
             let mut rig = Rig::new(set, SINGLE, 2, 40.0);
             // Twenty refusals told at once over a limit of forty a second: half a second of it, spread fourfold.
-            let notes = vec![heard(0, News::Full(wait * 10)); 20];
+            let notes = vec![heard(0, PeerNote::Refusing(wait * 10)); 20];
             rig.at(10, &notes);
             let at_once = !connects(&rig.arrive(10, REDELIVERABLE, 1)).is_empty();
             let sent = if at_once { 10 } else { first_sent(&mut rig, 10, 9000).unwrap() };
@@ -871,39 +928,47 @@
 #[test]
 fn notes_of_what_is_out_and_back_move_the_standing_and_odd_ones_move_nothing() {
     // (notes with their times in ms, standing after them)
-    let cases: [(&[(Time, News)], Standing); 7] = [
-        (&[(100, News::Out)], Standing::Down),
-        (&[(100, News::Out), (200, News::Out)], Standing::Down),
+    let cases: [(&[(Time, PeerNote)], Health); 7] = [
+        (&[(100, PeerNote::Down)], Health::Down),
+        (&[(100, PeerNote::Down), (200, PeerNote::Down)], Health::Down),
         // Back before an outage could leave it cold; and after that.
-        (&[(100, News::Out), (1000, News::Back)], Standing::Well),
-        (&[(100, News::Out), (2500, News::Back)], Standing::Returning),
+        (&[(100, PeerNote::Down), (1000, PeerNote::Recovered)], Health::Healthy),
+        (&[(100, PeerNote::Down), (2500, PeerNote::Recovered)], Health::Recovering),
         // Out again while it returns is no false alarm, however soon it is back.
-        (&[(100, News::Out), (2500, News::Back), (2600, News::Out), (2700, News::Back)], Standing::Returning),
-        (&[(100, News::Back)], Standing::Well),
-        (&[(100, News::Full(0))], Standing::Well),
+        (
+            &[
+                (100, PeerNote::Down),
+                (2500, PeerNote::Recovered),
+                (2600, PeerNote::Down),
+                (2700, PeerNote::Recovered),
+            ],
+            Health::Recovering,
+        ),
+        (&[(100, PeerNote::Recovered)], Health::Healthy),
+        (&[(100, PeerNote::Refusing(0))], Health::Healthy),
     ];
     for (notes, standing) in cases {
-        let mut rig = Rig::new(Settings { may_tell: true, ..settings() }, SINGLE, 1, 40.0);
+        let mut rig = Rig::new(Settings { peer_notes: true, ..settings() }, SINGLE, 1, 40.0);
         for &(ms, news) in notes {
             rig.at(ms, &[heard(0, news), heard(70, news)]);
         }
-        assert_eq!(rig.control.standing(0), Some(standing), "{notes:?}");
-        assert_eq!(rig.control.standing(70), None);
+        assert_eq!(rig.control.health(0), Some(standing), "{notes:?}");
+        assert_eq!(rig.control.health(70), None);
     }
 }
 
 #[test]
 fn couriers_tell_of_refusals_and_of_what_lost_calls_and_only_where_they_may() {
     // What two calls in a row end as, and what is told.
-    let cases: [(Outcome, &[News]); 4] = [
-        (Outcome::Error, &[News::Out]),
-        (Outcome::Silent, &[News::Out]),
+    let cases: [(Outcome, &[PeerNote]); 4] = [
+        (Outcome::Error, &[PeerNote::Down]),
+        (Outcome::Silent, &[PeerNote::Down]),
         // Full tables look the same, and nothing is lost.
         (Outcome::Unreached, &[]),
-        (Outcome::Refused, &[News::Full(0), News::Full(0)]),
+        (Outcome::Refused, &[PeerNote::Refusing(0), PeerNote::Refusing(0)]),
     ];
     for (may_tell, (outcome, expected)) in [true, false].into_iter().flat_map(|may| cases.map(|c| (may, c))) {
-        let mut rig = Rig::new(Settings { may_tell, ..settings() }, SINGLE, 1, 40.0);
+        let mut rig = Rig::new(Settings { peer_notes: may_tell, ..settings() }, SINGLE, 1, 40.0);
         let mut ms = rig.warm(0, 100, 6);
         let (mut news, mut sent) = (Vec::new(), connects(&rig.arrive(ms, REDELIVERABLE, 1)));
         for _ in 0..2 {
@@ -914,7 +979,7 @@
             ms += 2000;
             let acts = rig.at(ms, &[ended(sent[0].0, outcome, 2000)]);
             news.extend(acts.iter().filter_map(|a| match *a {
-                Action::Tell { news, .. } => Some(news),
+                Action::SendNote { note: news, .. } => Some(news),
                 _ => None,
             }));
             sent = connects(&acts);
@@ -925,28 +990,40 @@
 
 #[test]
 fn a_full_room_makes_way_where_the_destination_is_down() {
-    let mut set = Settings { room: 20, slots: 2, ..settings() };
+    let mut set = Settings { max_mails: 20, slots: 2, ..settings() };
     set.classes[TAGGED].importance = 1.5;
     let mut rig = Rig::new(set, SINGLE, 1, 0.0);
     let other = |endpoint, dest| {
-        Input::Listed(Listed { endpoint, dest, zone: 0, kind: SINGLE, life: Life::Ready, rate: 0.0 })
+        Input::ListEntry(ListEntry {
+            endpoint,
+            destination: dest,
+            zone: 0,
+            kind: SINGLE,
+            status: EndpointStatus::Ready,
+            rate: 0.0,
+        })
     };
-    rig.at(0, &[Input::ListBegin { whole: false }, other(1, 1), Input::ListEnd]);
+    rig.at(0, &[Input::ListBegin { complete: false }, other(1, 1), Input::ListEnd]);
     // Destination 0 finds nobody, again and again; the mails there earn more than those for the other.
     let mut acts = rig.arrive(0, TAGGED, 8);
     for ms in [5, 300, 600, 2000] {
         let ends: Vec<Input> = connects(&acts).iter().map(|c| ended(c.0, Outcome::Unreached, 5)).collect();
         acts = rig.at(ms, &ends);
     }
-    assert_eq!(rig.control.standing(0), Some(Standing::Down));
+    assert_eq!(rig.control.health(0), Some(Health::Down));
     // As many for the other as bring the room to its mark and over it.
     let (first, mut gone) = (rig.next, Vec::new());
     for n in 0..14 {
         rig.next += 1;
         let since = SECOND + (2000 + n) * 10;
-        let taken =
-            Taken { mail: rig.next - 1, dest: 1, since, due: since + 10 * SECOND, ..Taken::default() };
-        for act in rig.at(2000 + n, &[Input::Taken(taken)]) {
+        let taken = AcceptedMail {
+            mail: rig.next - 1,
+            destination: 1,
+            submitted_at: since,
+            deadline: since + 10 * SECOND,
+            ..AcceptedMail::default()
+        };
+        for act in rig.at(2000 + n, &[Input::AcceptedMail(taken)]) {
             if let Action::Defer { mail, .. } | Action::Bounce { mail } = act {
                 gone.push(mail);
             }
@@ -968,8 +1045,8 @@
             let mut rig = Rig::new(set, SINGLE, 1, 10.0);
             let sent = connects(&rig.arrive(0, REDELIVERABLE, 1));
             let mut end = told(sent[0].0, Outcome::Refused, 20, wait);
-            if let Input::Ended(end) = &mut end {
-                end.report = Some(Report { left, limit: 10.0 });
+            if let Input::ConnectResult(end) = &mut end {
+                end.limit_report = Some(LimitReport { remaining: left, limit: 10.0 });
             }
             rig.at(20, &[end]);
             first_sent(&mut rig, 20, 9500).unwrap() - 20
@@ -992,12 +1069,12 @@
         (Outcome::Unreached, 1, false),
     ];
     for (outcome, mails, closed) in cases {
-        let set = Settings { keep_idle: SECOND, ..settings() };
+        let set = Settings { idle_timeout: SECOND, ..settings() };
         let mut rig = Rig::new(set, SINGLE, 1, 0.0);
         let ms = rig.warm(0, 10, mails - 1);
         let sent = connects(&rig.arrive(ms, REDELIVERABLE, 1));
         let acts = rig.at(ms + 20, &[ended(sent[0].0, outcome, 20)]);
-        assert_eq!(acts.contains(&Action::LetGo(0)), closed, "{outcome:?} {mails}");
+        assert_eq!(acts.contains(&Action::CloseIdle(0)), closed, "{outcome:?} {mails}");
     }
 }
 
@@ -1019,7 +1096,7 @@
 #[test]
 fn a_connection_that_is_open_is_preferred_where_new_ones_have_a_price() {
     for (price, to) in [(0.0, 1), (0.05, 0)] {
-        let set = Settings { handshake_price: price, ..settings() };
+        let set = Settings { handshake_cost: price, ..settings() };
         let mut rig = Rig::new(set, SINGLE, 2, 40.0);
         // Both are measured, the second quicker; long after, a call goes to the first while the second drains.
         let ends: Vec<Input> = connects(&rig.arrive(0, REDELIVERABLE, 2))
@@ -1029,12 +1106,12 @@
         assert_eq!(ends.len(), 2);
         rig.at(100, &ends);
         let changed =
-            |life| [Input::ListBegin { whole: false }, listed(1, SINGLE, life, 40.0), Input::ListEnd];
-        rig.at(20_000, &changed(Life::Draining));
+            |life| [Input::ListBegin { complete: false }, listed(1, SINGLE, life, 40.0), Input::ListEnd];
+        rig.at(20_000, &changed(EndpointStatus::Draining));
         let alone = connects(&rig.arrive(20_005, REDELIVERABLE, 1))[0];
         assert_eq!(alone.1, 0);
         rig.at(20_105, &[ended(alone.0, Outcome::Relayed, 100)]);
-        rig.at(20_110, &changed(Life::Ready));
+        rig.at(20_110, &changed(EndpointStatus::Ready));
         assert_eq!(connects(&rig.arrive(20_200, REDELIVERABLE, 1))[0].1, to, "{price}");
     }
 }
--- a/tests/control_cold.rs
+++ b/tests/control_cold.rs
@@ -2,9 +2,10 @@
 //! list, each with messages waiting all the time. Calls at what is cold are counted from outside, in every span in
 //! which it may be pushed over, against what it bears then: N + 2 root of N + 2, however many couriers there are.
 
-use meadowhold::control::{Control, Standing};
+use meadowhold::control::{Control, Health};
 use meadowhold::interface::{
-    Action, Effect, Ended, Input, Kind, Life, Listed, Outcome, QueueClass, Settings, Taken, Time, SECOND,
+    AcceptedMail, Action, ConnectResult, Effect, EndpointStatus, Input, Kind, ListEntry, Outcome, QueueClass,
+    Settings, Time, SECOND,
 };
 
 const TIP: Time = 2 * SECOND;
@@ -16,33 +17,33 @@
 fn settings(seed: u64, me: usize, day: &Day) -> Settings {
     let class = |effect, importance| QueueClass {
         effect,
-        by_zone: false,
-        window: 8 * SECOND,
-        target: SECOND / 2,
+        dedup_by_zone: false,
+        dedup_window: 8 * SECOND,
+        target_delay: SECOND / 2,
         lifetime: 8 * SECOND,
         importance,
-        late_worth: 0.0,
-        in_turn: false,
+        expiry_importance: 0.0,
+        ordered: false,
     };
     Settings {
         seed: seed ^ (me as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15),
         couriers: day.couriers,
-        me,
+        courier_index: me,
         slots: 16,
-        room: 200,
+        max_mails: 200,
         max_connects: 8,
-        resolution: 50,
-        connect_timeout: SECOND,
-        keep_idle: 10 * SECOND,
-        may_tell: day.told,
-        ask_within: 10 * SECOND,
-        cold_from: COLD_FROM,
-        cold: day.cold,
-        tip_multiple: MULTIPLE,
-        overload_for: TIP,
-        turn_gap: SECOND,
-        rates_listed: true,
-        kinds: vec![Kind { batch: 1, apart: day.apart }],
+        timer_resolution: 50,
+        connection_timeout: SECOND,
+        idle_timeout: 10 * SECOND,
+        peer_notes: day.told,
+        max_poll_delay: 10 * SECOND,
+        cold_capacity: COLD_FROM,
+        warm_up: day.cold,
+        overload_multiple: MULTIPLE,
+        overload_duration: TIP,
+        ordering_gap: SECOND,
+        list_has_rates: true,
+        kinds: vec![Kind { max_batch: 1, per_endpoint_limits: day.apart }],
         classes: vec![class(Effect::Redeliverable, 1.0), class(Effect::Tagged, 1.0)],
         ..Settings::default()
     }
@@ -80,9 +81,16 @@
 impl Courier {
     fn start(seed: u64, me: usize, day: &Day) -> Courier {
         let control = Control::new(settings(seed, me, day));
-        let mut heard = vec![Input::ListBegin { whole: true }];
+        let mut heard = vec![Input::ListBegin { complete: true }];
         heard.extend((0..day.ends).map(|endpoint| {
-            Input::Listed(Listed { endpoint, dest: 0, zone: 0, kind: 0, life: Life::Ready, rate: day.rate })
+            Input::ListEntry(ListEntry {
+                endpoint,
+                destination: 0,
+                zone: 0,
+                kind: 0,
+                status: EndpointStatus::Ready,
+                rate: day.rate,
+            })
         }));
         heard.push(Input::ListEnd);
         Courier { control, free: Vec::new(), used: 0, out: Vec::new(), heard }
@@ -90,12 +98,18 @@
 
     /// Hands in messages until four wait.
     fn hand_in(&mut self, now: Time) {
-        let waiting = self.control.glance(0).map_or(0, |(_, _, waiting)| waiting);
+        let waiting = self.control.destination_load(0).map_or(0, |(_, _, waiting)| waiting);
         for i in waiting..4 {
             let mail = self.free.pop().unwrap_or(self.used);
             self.used = self.used.max(mail + 1);
             let (class, due) = (i % 2, now + 8 * SECOND);
-            self.heard.push(Input::Taken(Taken { mail, class, since: now, due, ..Taken::default() }));
+            self.heard.push(Input::AcceptedMail(AcceptedMail {
+                mail,
+                class,
+                submitted_at: now,
+                deadline: due,
+                ..AcceptedMail::default()
+            }));
         }
     }
 }
@@ -155,11 +169,19 @@
                 }
                 let (over, took) = (outcome == Outcome::Relayed, to - from);
                 let (wait, kept, report) = (0, false, None);
-                inputs.push(Input::Ended(Ended { mail, outcome, over, wait, took, kept, report }));
+                inputs.push(Input::ConnectResult(ConnectResult {
+                    mail,
+                    outcome,
+                    finished: over,
+                    retry_after: wait,
+                    duration: took,
+                    reused_connection: kept,
+                    limit_report: report,
+                }));
                 false
             });
             let mut acts = Vec::new();
-            courier.control.round(now, &inputs, &mut acts);
+            courier.control.step(now, &inputs, &mut acts);
             for act in acts {
                 match act {
                     Action::Connect { mail, endpoint, timeout, .. } => {
@@ -174,7 +196,9 @@
                         calls.extend((concerned && now >= back).then_some(now));
                     }
                     Action::FreeMail(mail) => courier.free.push(mail),
-                    Action::Tell { endpoint, news } => notes.push((me, Input::Heard { endpoint, news })),
+                    Action::SendNote { endpoint, note: news } => {
+                        notes.push((me, Input::PeerNote { endpoint, note: news }))
+                    }
                     _ => {}
                 }
             }
@@ -307,7 +331,7 @@
 fn a_call_from_before_an_outage_is_no_sign_of_its_end() {
     // (served call sent before the two that failed, what the endpoint is held to be)
     for (told, before, standing) in
-        [(false, true, Standing::Down), (true, true, Standing::Down), (false, false, Standing::Returning)]
+        [(false, true, Health::Down), (true, true, Health::Down), (false, false, Health::Recovering)]
     {
         let day = Day { told, rate: 0.0, ends: 1, ..PLAIN };
         let mut courier = Courier::start(7, 0, &day);
@@ -315,25 +339,33 @@
             let ends = ends.iter().map(|&(mail, outcome)| {
                 let over = outcome == Outcome::Relayed;
                 let (wait, took, kept, report) = (0, 100, false, None);
-                Input::Ended(Ended { mail, outcome, over, wait, took, kept, report })
+                Input::ConnectResult(ConnectResult {
+                    mail,
+                    outcome,
+                    finished: over,
+                    retry_after: wait,
+                    duration: took,
+                    reused_connection: kept,
+                    limit_report: report,
+                })
             });
             courier.heard.extend(ends);
             courier.hand_in(now);
             let (inputs, mut acts) = (std::mem::take(&mut courier.heard), Vec::new());
-            courier.control.round(now, &inputs, &mut acts);
-            let tells = acts
-                .iter()
-                .any(|act| matches!(act, Action::Tell { news: meadowhold::interface::News::Back, .. }));
+            courier.control.step(now, &inputs, &mut acts);
+            let tells = acts.iter().any(|act| {
+                matches!(act, Action::SendNote { note: meadowhold::interface::PeerNote::Recovered, .. })
+            });
             let sent = acts.iter().filter_map(|act| match act {
                 Action::Connect { mail, .. } => Some(*mail),
                 _ => None,
             });
-            (sent.collect::<Vec<usize>>(), courier.control.standing(0), tells)
+            (sent.collect::<Vec<usize>>(), courier.control.health(0), tells)
         };
         let (sent, _, _) = at(SECOND, &[]);
         assert!(sent.len() >= 3, "{sent:?}");
         let (_, down, _) = at(SECOND + 100, &[(sent[0], Outcome::Silent), (sent[1], Outcome::Silent)]);
-        assert_eq!(down, Some(Standing::Down));
+        assert_eq!(down, Some(Health::Down));
         let mut mail = sent[2];
         let mut now = SECOND + 200;
         while !before && mail == sent[2] {
--- a/tests/control_ending.rs
+++ b/tests/control_ending.rs
@@ -1,9 +1,9 @@
 //! A planned end: what is taken on or kept can still be tried, by this process or by the next one.
 
-use meadowhold::control::{Control, Standing};
+use meadowhold::control::{Control, Health};
 use meadowhold::interface::{
-    Action, Effect, Ended, Ending, Input, Kind, Life, Listed, Outcome, QueueClass, Settings, Taken, Time,
-    SECOND,
+    AcceptedMail, Action, ConnectResult, Effect, EndpointStatus, Input, Kind, ListEntry, Outcome, QueueClass,
+    Settings, Shutdown, Time, SECOND,
 };
 
 /// The end is asked for, calls begin until, and the next process begins its own, in milliseconds.
@@ -14,30 +14,30 @@
 fn settings(batch: usize) -> Settings {
     let class = QueueClass {
         effect: Effect::Redeliverable,
-        by_zone: false,
-        window: 4 * SECOND,
-        target: SECOND / 5,
+        dedup_by_zone: false,
+        dedup_window: 4 * SECOND,
+        target_delay: SECOND / 5,
         lifetime: 4 * SECOND,
         importance: 1.0,
-        late_worth: 0.0,
-        in_turn: false,
+        expiry_importance: 0.0,
+        ordered: false,
     };
     Settings {
         seed: 7,
         couriers: 1,
         slots: 8,
-        room: 400,
+        max_mails: 400,
         max_connects: 4,
-        resolution: 10,
-        connect_timeout: SECOND,
-        keep_idle: 10 * SECOND,
-        ask_within: 10 * SECOND,
-        cold_from: 0.2,
-        cold: 10 * SECOND,
-        tip_multiple: 2.0,
-        overload_for: 2 * SECOND,
-        turn_gap: SECOND,
-        kinds: vec![Kind { batch, apart: false }],
+        timer_resolution: 10,
+        connection_timeout: SECOND,
+        idle_timeout: 10 * SECOND,
+        max_poll_delay: 10 * SECOND,
+        cold_capacity: 0.2,
+        warm_up: 10 * SECOND,
+        overload_multiple: 2.0,
+        overload_duration: 2 * SECOND,
+        ordering_gap: SECOND,
+        kinds: vec![Kind { max_batch: batch, per_endpoint_limits: false }],
         classes: vec![class],
         ..Settings::default()
     }
@@ -57,15 +57,22 @@
     fn new() -> Courier {
         let mut courier = Courier { control: Control::new(settings(1)), next: 0 };
         let listed = |dest| {
-            Input::Listed(Listed { endpoint: dest, dest, zone: 0, kind: 0, life: Life::Ready, rate: 0.0 })
+            Input::ListEntry(ListEntry {
+                endpoint: dest,
+                destination: dest,
+                zone: 0,
+                kind: 0,
+                status: EndpointStatus::Ready,
+                rate: 0.0,
+            })
         };
-        courier.at(0, &[Input::ListBegin { whole: true }, listed(0), listed(1), Input::ListEnd]);
+        courier.at(0, &[Input::ListBegin { complete: true }, listed(0), listed(1), Input::ListEnd]);
         courier
     }
 
     fn at(&mut self, ms: Time, inputs: &[Input]) -> Vec<Action> {
         let mut out = Vec::new();
-        self.control.round(time(ms), inputs, &mut out);
+        self.control.step(time(ms), inputs, &mut out);
         assert_eq!(self.control.audit(), Vec::<String>::new());
         out
     }
@@ -74,39 +81,53 @@
     fn take(&mut self, ms: Time, dest: usize, due: Time) -> (usize, Vec<Action>) {
         let mail = self.next;
         self.next += 1;
-        let taken = Taken { mail, dest, since: time(ms), due: time(due), ..Taken::default() };
-        (mail, self.at(ms, &[Input::Taken(taken)]))
+        let taken = AcceptedMail {
+            mail,
+            destination: dest,
+            submitted_at: time(ms),
+            deadline: time(due),
+            ..AcceptedMail::default()
+        };
+        (mail, self.at(ms, &[Input::AcceptedMail(taken)]))
     }
 
     fn ended(&mut self, ms: Time, mail: usize, outcome: Outcome, took: Time) -> Vec<Action> {
         let over = outcome == Outcome::Relayed;
-        let ended = Ended { mail, outcome, over, wait: 0, took: took * 10, kept: false, report: None };
-        self.at(ms, &[Input::Ended(ended)])
+        let ended = ConnectResult {
+            mail,
+            outcome,
+            finished: over,
+            retry_after: 0,
+            duration: took * 10,
+            reused_connection: false,
+            limit_report: None,
+        };
+        self.at(ms, &[Input::ConnectResult(ended)])
     }
 
     /// Its destination's endpoint fails until it is held to be out.
     fn fall(&mut self, dest: usize) {
         let (mail, _) = self.take(10, dest, 60_000);
         let mut ms = 10;
-        while self.control.standing(dest) != Some(Standing::Down) {
+        while self.control.health(dest) != Some(Health::Down) {
             ms += 10;
             assert!(ms < ASKED);
-            if self.control.flight(mail).is_some() {
+            if self.control.call_of(mail).is_some() {
                 self.ended(ms, mail, Outcome::Broken, 10);
             } else {
                 self.at(ms, &[]);
             }
         }
-        self.at(ms, &[Input::Hangup { mail }]);
+        self.at(ms, &[Input::ClientGone { mail }]);
     }
 
     fn ask_to_end(&mut self) -> Vec<Action> {
-        let ending = Ending { calls_until: time(CALLS_UNTIL), next_from: time(NEXT_FROM) };
-        self.at(ASKED, &[Input::Ending(ending)])
+        let ending = Shutdown { calls_until: time(CALLS_UNTIL), successor_from: time(NEXT_FROM) };
+        self.at(ASKED, &[Input::Shutdown(ending)])
     }
 
     fn refuses(&self, dest: usize, due: Time) -> bool {
-        self.control.turns_away(dest, 0, time(due))
+        self.control.would_reject(dest, 0, time(due))
     }
 }
 
@@ -136,8 +157,8 @@
     courier.ask_to_end();
     assert!(courier.refuses(1, NEXT_FROM - 1) && !courier.refuses(1, NEXT_FROM + 1000));
     for mail in ahead {
-        if courier.control.flight(mail).is_none() {
-            courier.at(ASKED + 10, &[Input::Hangup { mail }]);
+        if courier.control.call_of(mail).is_none() {
+            courier.at(ASKED + 10, &[Input::ClientGone { mail }]);
         }
     }
     assert!(!courier.refuses(1, NEXT_FROM - 1), "nobody waits any more");
@@ -151,7 +172,7 @@
     let ends = |action: &Action| matches!(action, Action::Defer { .. } | Action::Bounce { .. });
     let (short, _) = courier.take(ASKED - 50, 0, NEXT_FROM);
     let (long, _) = courier.take(ASKED - 50, 0, NEXT_FROM + 1);
-    let out = |courier: &Courier, mail| courier.control.flight(mail).is_some();
+    let out = |courier: &Courier, mail| courier.control.call_of(mail).is_some();
     let mut actions = courier.ask_to_end();
     for ms in (ASKED + 10..CALLS_UNTIL).step_by(10) {
         for mail in [short, long].into_iter().filter(|&mail| out(&courier, mail)).collect::<Vec<_>>() {
--- a/tests/control_settings.rs
+++ b/tests/control_settings.rs
@@ -5,8 +5,8 @@
 
 use meadowhold::control::Control;
 use meadowhold::interface::{
-    Action, Effect, Ended, Input, Kind, Life, Listed, News, Outcome, QueueClass, Settings, Taken, Time,
-    SECOND,
+    AcceptedMail, Action, ConnectResult, Effect, EndpointStatus, Input, Kind, ListEntry, Outcome, PeerNote,
+    QueueClass, Settings, Time, SECOND,
 };
 
 const REDELIVERABLE: usize = 0;
@@ -16,7 +16,16 @@
 fn queue_class(effect: Effect, importance: f64) -> QueueClass {
     let (window, target, lifetime) = (4 * SECOND, 2 * SECOND, 10 * SECOND);
     let (by_zone, late_worth, in_turn) = (false, 0.2, false);
-    QueueClass { effect, by_zone, window, target, lifetime, importance, late_worth, in_turn }
+    QueueClass {
+        effect,
+        dedup_by_zone: by_zone,
+        dedup_window: window,
+        target_delay: target,
+        lifetime,
+        importance,
+        expiry_importance: late_worth,
+        ordered: in_turn,
+    }
 }
 
 fn settings() -> Settings {
@@ -24,19 +33,21 @@
         seed: 7,
         couriers: 2,
         slots: 8,
-        room: 40,
+        max_mails: 40,
         max_connects: 4,
-        resolution: 50,
-        connect_timeout: SECOND,
-        keep_idle: 10 * SECOND,
-        ask_within: 10 * SECOND,
-        cold_from: 0.2,
-        cold: 10 * SECOND,
-        tip_multiple: 2.0,
-        overload_for: 2 * SECOND,
-        turn_gap: SECOND,
-        rates_listed: true,
-        kinds: [(1, false), (4, false), (1, true)].map(|(batch, apart)| Kind { batch, apart }).to_vec(),
+        timer_resolution: 50,
+        connection_timeout: SECOND,
+        idle_timeout: 10 * SECOND,
+        max_poll_delay: 10 * SECOND,
+        cold_capacity: 0.2,
+        warm_up: 10 * SECOND,
+        overload_multiple: 2.0,
+        overload_duration: 2 * SECOND,
+        ordering_gap: SECOND,
+        list_has_rates: true,
+        kinds: [(1, false), (4, false), (1, true)]
+            .map(|(batch, apart)| Kind { max_batch: batch, per_endpoint_limits: apart })
+            .to_vec(),
         classes: vec![
             queue_class(Effect::Redeliverable, 1.0),
             queue_class(Effect::Tagged, 1.0),
@@ -55,13 +66,20 @@
     /// Destination 0 has one endpoint of the first kind.
     fn new(set: Settings, rate: f64) -> Rig {
         let mut rig = Rig { control: Control::new(set), next: 0 };
-        rig.at(0, &[Input::ListBegin { whole: true }, listed(0, 0, 0, Life::Ready, rate), Input::ListEnd]);
+        rig.at(
+            0,
+            &[
+                Input::ListBegin { complete: true },
+                listed(0, 0, 0, EndpointStatus::Ready, rate),
+                Input::ListEnd,
+            ],
+        );
         rig
     }
 
     fn at(&mut self, ms: Time, inputs: &[Input]) -> Vec<Action> {
         let mut out = Vec::new();
-        self.control.round(SECOND + ms * 10, inputs, &mut out);
+        self.control.step(SECOND + ms * 10, inputs, &mut out);
         assert_eq!(self.control.audit(), Vec::<String>::new());
         out
     }
@@ -70,8 +88,14 @@
         let first = self.next;
         self.next += count;
         let since = SECOND + ms * 10;
-        let taken = |mail| Taken { mail, class, since, due: since + 10 * SECOND, ..Taken::default() };
-        self.at(ms, &(first..self.next).map(|mail| Input::Taken(taken(mail))).collect::<Vec<_>>())
+        let taken = |mail| AcceptedMail {
+            mail,
+            class,
+            submitted_at: since,
+            deadline: since + 10 * SECOND,
+            ..AcceptedMail::default()
+        };
+        self.at(ms, &(first..self.next).map(|mail| Input::AcceptedMail(taken(mail))).collect::<Vec<_>>())
     }
 
     fn change(&mut self, ms: Time, set: &Settings) -> Vec<Action> {
@@ -91,13 +115,21 @@
     }
 }
 
-fn listed(endpoint: usize, dest: usize, kind: usize, life: Life, rate: f64) -> Input {
-    Input::Listed(Listed { endpoint, dest, zone: endpoint % 2, kind, life, rate })
+fn listed(endpoint: usize, dest: usize, kind: usize, life: EndpointStatus, rate: f64) -> Input {
+    Input::ListEntry(ListEntry { endpoint, destination: dest, zone: endpoint % 2, kind, status: life, rate })
 }
 
 fn ended(mail: usize, outcome: Outcome, took: Time) -> Input {
     let over = outcome == Outcome::Relayed;
-    Input::Ended(Ended { mail, outcome, over, wait: 0, took: took * 10, kept: false, report: None })
+    Input::ConnectResult(ConnectResult {
+        mail,
+        outcome,
+        finished: over,
+        retry_after: 0,
+        duration: took * 10,
+        reused_connection: false,
+        limit_report: None,
+    })
 }
 
 fn connects(actions: &[Action]) -> Vec<usize> {
@@ -131,7 +163,7 @@
             out.splice(0..0, new);
             ms += 10;
         }
-        assert_eq!(rig.control.open() == 0, slots > 0, "{slots} slots");
+        assert_eq!(rig.control.open_mails() == 0, slots > 0, "{slots} slots");
     }
 }
 
@@ -139,7 +171,7 @@
 fn with_more_slots_the_cap_goes_on_from_where_it_was() {
     // (settings change, most calls at once in the turns after): growth beyond the old clamp was never granted.
     for (changes, most) in [(false, 3), (true, 14)] {
-        let small = Settings { slots: 4, room: 4000, ..settings() };
+        let small = Settings { slots: 4, max_mails: 4000, ..settings() };
         let mut rig = Rig::new(small.clone(), 0.0);
         let mut ms = rig.warm(6);
         let mut out = connects(&rig.arrive(ms, REDELIVERABLE, 600));
@@ -161,7 +193,7 @@
 fn a_raised_share_of_a_limit_is_not_drawn_for_the_time_before_it() {
     // Two hundred calls a second, and a courier's part of it before and after.
     let (rate, before, after) = (200.0, 20, 4);
-    let mut rig = Rig::new(Settings { couriers: before, slots: 400, room: 4000, ..settings() }, rate);
+    let mut rig = Rig::new(Settings { couriers: before, slots: 400, max_mails: 4000, ..settings() }, rate);
     let mut ms = rig.warm(6);
     // A refusal has it keep a pace; then it saves up for a minute.
     let sent = connects(&rig.arrive(ms, REDELIVERABLE, 1));
@@ -172,7 +204,7 @@
     }
     ms += 60_000;
     rig.at(ms, &[]);
-    rig.change(ms, &Settings { couriers: after, slots: 400, room: 4000, ..settings() });
+    rig.change(ms, &Settings { couriers: after, slots: 400, max_mails: 4000, ..settings() });
     let mut out = connects(&rig.arrive(ms, REDELIVERABLE, 600));
     // What it had saved up: half a second at the pace that the smaller share allowed, and no more of the larger.
     let old = rate / before as f64;
@@ -198,9 +230,9 @@
 #[test]
 fn a_lowered_share_of_a_limit_is_kept_from_the_first_call_on() {
     let rate = 100.0;
-    let mut rig = Rig::new(Settings { couriers: 50, slots: 400, room: 4000, ..settings() }, rate);
+    let mut rig = Rig::new(Settings { couriers: 50, slots: 400, max_mails: 4000, ..settings() }, rate);
     // An even share of a fiftieth of a call each target delay is kept by turns.
-    rig.change(1, &Settings { couriers: 200, slots: 400, room: 4000, ..settings() });
+    rig.change(1, &Settings { couriers: 200, slots: 400, max_mails: 4000, ..settings() });
     rig.arrive(2, REDELIVERABLE, 200);
     let mut calls = 0;
     for step in 0..1000 {
@@ -216,15 +248,15 @@
 fn a_smaller_room_turns_out_nothing_that_was_taken_on() {
     let mut rig = Rig::new(settings(), 0.0);
     let mut out = connects(&rig.arrive(0, REDELIVERABLE, 38));
-    let acts = rig.change(10, &Settings { room: 5, ..settings() });
-    assert_eq!((given_up(&acts), rig.control.open()), (vec![], 38));
+    let acts = rig.change(10, &Settings { max_mails: 5, ..settings() });
+    assert_eq!((given_up(&acts), rig.control.open_mails()), (vec![], 38));
     for step in 2..60 {
         let ends: Vec<Input> = out.iter().map(|&mail| ended(mail, Outcome::Relayed, 10)).collect();
         let acts = rig.at(10 * step, &ends);
         assert_eq!(given_up(&acts), []);
         out = connects(&acts);
     }
-    assert_eq!(rig.control.open(), 0);
+    assert_eq!(rig.control.open_mails(), 0);
     // From here on it is as small as it was said to be.
     let acts = rig.arrive(700, ONCE_ONLY, 8);
     assert_eq!(given_up(&acts).len(), 4);
@@ -257,40 +289,40 @@
 fn some_settings(chance: &mut fastrand::Rng, held: &Settings) -> Settings {
     let mut set = Settings {
         couriers: chance.usize(1..40),
-        me: 0,
+        courier_index: 0,
         slots: if chance.u8(..10) == 0 { 0 } else { chance.usize(1..20) },
-        room: chance.usize(20..200),
+        max_mails: chance.usize(20..200),
         max_connects: chance.usize(1..6),
-        resolution: chance.u64(1..100),
-        connect_timeout: chance.u64(1..SECOND / 2),
-        keep_idle: chance.u64(1..10 * SECOND),
-        cold: chance.u64(..2 * SECOND),
-        cold_from: chance.f64(),
-        overload_for: chance.u64(..4 * SECOND),
-        turn_gap: chance.u64(..2 * SECOND),
-        may_tell: chance.bool(),
-        by_half: chance.bool(),
-        max_pause: chance.u64(..SECOND),
-        handshake_price: chance.f64() / 10.0,
-        fees: (0..chance.usize(..4)).map(|_| chance.f64() / 100.0).collect(),
+        timer_resolution: chance.u64(1..100),
+        connection_timeout: chance.u64(1..SECOND / 2),
+        idle_timeout: chance.u64(1..10 * SECOND),
+        warm_up: chance.u64(..2 * SECOND),
+        cold_capacity: chance.f64(),
+        overload_duration: chance.u64(..4 * SECOND),
+        ordering_gap: chance.u64(..2 * SECOND),
+        peer_notes: chance.bool(),
+        half_life_decay: chance.bool(),
+        max_retry_after: chance.u64(..SECOND),
+        handshake_cost: chance.f64() / 10.0,
+        zone_fees: (0..chance.usize(..4)).map(|_| chance.f64() / 100.0).collect(),
         ..held.clone()
     };
-    set.kinds.iter_mut().for_each(|kind| kind.batch = chance.usize(1..6));
+    set.kinds.iter_mut().for_each(|kind| kind.max_batch = chance.usize(1..6));
     for class in &mut set.classes {
-        (class.importance, class.late_worth) = (chance.f64() * 8.0, chance.f64());
-        (class.target, class.lifetime) = (chance.u64(1..4 * SECOND), chance.u64(1..20 * SECOND));
+        (class.importance, class.expiry_importance) = (chance.f64() * 8.0, chance.f64());
+        (class.target_delay, class.lifetime) = (chance.u64(1..4 * SECOND), chance.u64(1..20 * SECOND));
     }
     if set.classes.len() < 30 && chance.bool() {
         let effect = [Effect::Redeliverable, Effect::Tagged, Effect::OnceOnly][chance.usize(..3)];
         set.classes.push(QueueClass {
-            by_zone: effect == Effect::Tagged && chance.bool(),
-            window: chance.u64(..6 * SECOND),
-            in_turn: chance.bool(),
+            dedup_by_zone: effect == Effect::Tagged && chance.bool(),
+            dedup_window: chance.u64(..6 * SECOND),
+            ordered: chance.bool(),
             ..queue_class(effect, 1.0)
         });
     }
     if set.kinds.len() < 8 && chance.u8(..4) == 0 {
-        set.kinds.push(Kind { batch: chance.usize(1..6), apart: chance.bool() });
+        set.kinds.push(Kind { max_batch: chance.usize(1..6), per_endpoint_limits: chance.bool() });
     }
     set
 }
@@ -313,8 +345,8 @@
         let mut set = settings();
         let mut control = Control::new(set.clone());
         let mut now = SECOND;
-        let mut inputs = vec![Input::ListBegin { whole: true }];
-        inputs.extend((0..9).map(|e| listed(e, e / 3, e / 3, Life::Ready, 500.0)));
+        let mut inputs = vec![Input::ListBegin { complete: true }];
+        inputs.extend((0..9).map(|e| listed(e, e / 3, e / 3, EndpointStatus::Ready, 500.0)));
         inputs.push(Input::ListEnd);
         let mut known: BTreeMap<usize, Known> = BTreeMap::new();
         let mut free: Vec<usize> = (0..200).rev().collect();
@@ -325,16 +357,16 @@
                 let class = chance.usize(..set.classes.len());
                 let due = now + chance.u64(1..8 * SECOND);
                 let rules = set.classes[class].clone();
-                let key = rules.in_turn.then(|| chance.usize(..3));
+                let key = rules.ordered.then(|| chance.usize(..3));
                 let dest = chance.usize(..3);
-                inputs.push(Input::Taken(Taken {
+                inputs.push(Input::AcceptedMail(AcceptedMail {
                     mail,
-                    dest,
+                    destination: dest,
                     class,
                     key,
-                    since: now,
-                    due,
-                    ..Taken::default()
+                    submitted_at: now,
+                    deadline: due,
+                    ..AcceptedMail::default()
                 }));
                 known.insert(mail, Known { rules, due, ran: None, out: None });
                 messages += 1;
@@ -363,14 +395,14 @@
                 }
                 let took = now - began;
                 let end = outcome == Outcome::Relayed;
-                inputs.push(Input::Ended(Ended {
+                inputs.push(Input::ConnectResult(ConnectResult {
                     mail,
                     outcome,
-                    over: end,
-                    wait,
-                    took,
-                    kept: false,
-                    report: None,
+                    finished: end,
+                    retry_after: wait,
+                    duration: took,
+                    reused_connection: false,
+                    limit_report: None,
                 }));
                 if end {
                     known.remove(&mail);
@@ -378,13 +410,16 @@
                 }
             }
             if chance.u8(..60) == 0 {
-                let news = [News::Out, News::Back, News::Full(chance.u64(..SECOND / 4))][chance.usize(..3)];
-                inputs.push(Input::Heard { endpoint: chance.usize(..9), news });
+                let news =
+                    [PeerNote::Down, PeerNote::Recovered, PeerNote::Refusing(chance.u64(..SECOND / 4))]
+                        [chance.usize(..3)];
+                inputs.push(Input::PeerNote { endpoint: chance.usize(..9), note: news });
             }
             if chance.u8(..10) == 0 {
-                let life = [Life::Ready, Life::Draining][usize::from(chance.u8(..8) == 0)];
+                let life =
+                    [EndpointStatus::Ready, EndpointStatus::Draining][usize::from(chance.u8(..8) == 0)];
                 let e = chance.usize(..9);
-                inputs.push(Input::ListBegin { whole: false });
+                inputs.push(Input::ListBegin { complete: false });
                 inputs.push(listed(e, e / 3, e / 3, life, 500.0));
             }
             // Anywhere among what else a turn reads, behind the messages that name its classes.
@@ -394,7 +429,7 @@
                 changes += 1;
             }
             let mut acts = Vec::new();
-            control.round(now, &inputs, &mut acts);
+            control.step(now, &inputs, &mut acts);
             inputs.clear();
             assert_eq!(control.audit(), Vec::<String>::new());
             let taken = control.slots_taken();
@@ -411,8 +446,8 @@
                             repeats += 1;
                             assert!(c.effect != Effect::OnceOnly, "it may have run");
                             let tagged = c.effect == Effect::Tagged;
-                            assert!(!tagged || now < ran + c.window, "its key is forgotten");
-                            assert!(!tagged || !c.by_zone || endpoint % 2 == zone, "another zone");
+                            assert!(!tagged || now < ran + c.dedup_window, "its key is forgotten");
+                            assert!(!tagged || !c.dedup_by_zone || endpoint % 2 == zone, "another zone");
                         }
                         k.out = Some((endpoint, now));
                         calls += 1;
@@ -423,7 +458,9 @@
                         let handed_back = matches!(act, Action::Defer { .. });
                         let again = k.ran.is_none() || k.rules.effect == Effect::Redeliverable;
                         assert!(
-                            !handed_back || again || k.rules.effect == Effect::Tagged && !k.rules.by_zone
+                            !handed_back
+                                || again
+                                || k.rules.effect == Effect::Tagged && !k.rules.dedup_by_zone
                         );
                         over.push(mail);
                     }
@@ -437,7 +474,7 @@
             }
             now += chance.u64(1..100);
         }
-        assert_eq!(control.open(), known.len(), "nothing lost");
+        assert_eq!(control.open_mails(), known.len(), "nothing lost");
     }
     println!("{changes} changes, {messages} messages, {calls} calls, {repeats} of them repeats");
     assert!(changes > 20_000 && messages > 40_000 && calls > 20_000 && repeats > 1000);
