--- a/crates/courier/src/changes.rs
+++ b/crates/courier/src/changes.rs
@@ -86,7 +86,7 @@
             log::warn!("{words}");
             let lists = lists(&config, kept.lists);
             let in_force = newest.map(|stamp| (stamp.number, kept.since));
-            let versions = Versions { in_force, turned_down: Some(words) };
+            let versions = Versions { in_force, rejected: Some(words) };
             let whole = Some(kept.whole);
             Ok(Start { config, held: Held { whole, newest, lists, fresh: None, versions } })
         }
@@ -102,7 +102,7 @@
                 log::warn!("settings without a version are taken; version {} was held before", stamp.number);
             }
             let versions =
-                Versions { in_force: config.version.map(|number| (number, since)), turned_down: None };
+                Versions { in_force: config.version.map(|number| (number, since)), rejected: None };
             let newest = whole.as_ref().and_then(Whole::stamp).or(newest);
             Ok(Start { config, held: Held { whole, newest, lists, fresh, versions } })
         }
@@ -169,7 +169,7 @@
                         Some(before) => whole.after(before),
                         None => whole,
                     });
-                    held.versions = Versions { in_force: Some((number, now)), turned_down: None };
+                    held.versions = Versions { in_force: Some((number, now)), rejected: None };
                     exchange.versions = held.versions.clone();
                     log::info!("settings version {number} are in force");
                     return Some(Ok(discovery));
@@ -182,7 +182,7 @@
     };
     let words = words(whole.as_ref(), faults);
     log::warn!("{words}");
-    held.versions.turned_down = Some(words);
+    held.versions.rejected = Some(words);
     exchange.versions = held.versions.clone();
     None
 }
@@ -195,14 +195,14 @@
     (folder, allowance): (&Path, u64),
 ) -> Result<u64, Faults> {
     let only = |place: &str, words: String| Faults::from([(place.to_string(), words)]);
-    let classes = exchange.numbered(&config.decoded);
+    let classes = exchange.plan_classes(&config.decoded);
     let classes = classes.map_err(|(place, words)| only(place, words.to_string()))?;
     let (Some(number), Some(fresh)) = (config.version, fresh) else {
         return Err(only("version", "is missing".to_string()));
     };
     kept_settings::save(folder, allowance, &fresh)
         .map_err(|e| only("ROUTER_STATE", format!("cannot keep it: {e}")))?;
-    exchange.adopt(config.decoded, classes);
+    exchange.apply_settings(config.decoded, classes);
     Ok(number)
 }
 
@@ -217,6 +217,6 @@
         let whole = Whole::read(text);
         let newest = whole.as_ref().and_then(Whole::stamp);
         let in_force = newest.map(|stamp| (stamp.number, now));
-        Held { whole, newest, versions: Versions { in_force, turned_down: None }, ..Held::default() }
+        Held { whole, newest, versions: Versions { in_force, rejected: None }, ..Held::default() }
     }
 }
--- a/crates/courier/src/exchange.rs
+++ b/crates/courier/src/exchange.rs
@@ -29,14 +29,14 @@
 
 /// What an earlier process took on is offered to the module within this time: all with the first turn. Spread over
 /// 250 ms it lost importance after a mass restart, see `docs/start.md`.
-const OFFERED_WITHIN: Time = 0;
+const SUBMITTED_WITHIN: Time = 0;
 /// Whether it is offered by importance and end; else as it was taken. Off: it lost on the bench, see `docs/start.md`.
-const IN_ORDER: bool = false;
+const BY_IMPORTANCE: bool = false;
 
 /// The log's target for `list VERSION is in force`, at `trace`, so that it is on only where it is asked for.
 pub const IN_FORCE: &str = "in_force";
 /// Room that is kept for the inputs of a turn.
-const MOST_INPUTS: usize = 16 << 10;
+const MAX_KEPT_INPUTS: usize = 16 << 10;
 
 pub type Shared = Rc<RefCell<Exchange>>;
 
@@ -51,7 +51,7 @@
 impl Clock {
     pub fn new() -> Clock {
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), base: tenths(unix), still: false }
+        Clock { start: Instant::now(), base: to_time(unix), still: false }
     }
 
     /// A clock that stands still at this time, for tests that play their own.
@@ -60,7 +60,7 @@
     }
 
     pub fn now(&self) -> Time {
-        self.base + if self.still { 0 } else { tenths(self.start.elapsed()) }
+        self.base + if self.still { 0 } else { to_time(self.start.elapsed()) }
     }
 
     pub fn instant(&self, at: Time) -> Instant {
@@ -74,7 +74,7 @@
     }
 }
 
-pub fn tenths(duration: Duration) -> Time {
+pub fn to_time(duration: Duration) -> Time {
     (duration.as_micros() / 100) as Time
 }
 
@@ -86,9 +86,9 @@
 pub struct Offer {
     pub id: Bytes,
     pub key: Bytes,
-    pub item: Bytes,
+    pub order_key: Bytes,
     pub class: Bytes,
-    pub dest: u64,
+    pub destination: u64,
     pub lifetime: Duration,
     pub body: Bytes,
 }
@@ -105,7 +105,7 @@
 
 /// A mail of a call.
 #[derive(Clone, Debug)]
-pub struct Letter {
+pub struct CallMail {
     pub serial: u64,
     pub id: Bytes,
     pub key: Bytes,
@@ -124,11 +124,11 @@
     /// The module's slot that it takes. One that is cut by its size takes one slot for all its parts.
     pub slot: usize,
     /// Where it was when the call was decided on: a number that is never given twice.
-    pub place: u64,
+    pub incarnation: u64,
     pub address: Option<SocketAddr>,
     /// It must not go out on a connection that was kept.
-    pub fresh: bool,
-    pub letters: Vec<Letter>,
+    pub new_connection: bool,
+    pub mails: Vec<CallMail>,
     /// Bytes of its body where it carries several mails; a call holds no more than a body may.
     pub size: usize,
 }
@@ -138,11 +138,11 @@
 pub enum Order {
     Call(Call),
     /// Close the idle connections to this place.
-    LetGo(u64),
+    CloseIdle(u64),
     /// From here on connections are made within the one time, and kept idle for the other.
-    Times {
-        connect: Duration,
-        idle: Duration,
+    SetTimeouts {
+        connect_timeout: Duration,
+        idle_timeout: Duration,
     },
 }
 
@@ -156,7 +156,7 @@
 
 /// What was seen of one mail's connect.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ConnectResult {
     pub outcome: Outcome,
     pub over: bool,
     pub wait: Duration,
@@ -165,10 +165,16 @@
     pub kept: bool,
 }
 
-impl Seen {
+impl ConnectResult {
     /// Where nothing but the outcome is known.
-    pub fn only(outcome: Outcome) -> Seen {
-        Seen { outcome, over: outcome == Outcome::Relayed, wait: Duration::ZERO, load: None, kept: false }
+    pub fn of(outcome: Outcome) -> ConnectResult {
+        ConnectResult {
+            outcome,
+            over: outcome == Outcome::Relayed,
+            wait: Duration::ZERO,
+            load: None,
+            kept: false,
+        }
     }
 }
 
@@ -198,9 +204,9 @@
     }
 }
 
-struct Peer {
+struct EndpointState {
     /// Given anew when its address or process changes; 0: it is no more.
-    place: u64,
+    incarnation: u64,
     address: Address,
     since: u64,
     /// As sends to it are put on file.
@@ -236,24 +242,24 @@
     control: Control,
     pub clock: Clock,
     names: Names,
-    room: usize,
-    batches: Vec<usize>,
+    max_open: usize,
+    batch_limits: Vec<usize>,
     /// Kinds whose endpoints are limited each on its own.
-    apart: Vec<bool>,
+    limited_alone: Vec<bool>,
     /// The module's classes: those of the settings, and what stands for such as an earlier process or version left.
     classes: Classes,
     turn_gap: Time,
     resolution: Time,
-    mails: Door<u64>,
-    endpoints: Door<Box<[u8]>>,
-    dests: Door<u64>,
-    keys: Door<Bytes>,
+    mail_serials: Door<u64>,
+    endpoint_names: Door<Box<[u8]>>,
+    destinations: Door<u64>,
+    order_keys: Door<Bytes>,
     /// Endpoints by index.
-    peers: Vec<Peer>,
+    endpoints: Vec<EndpointState>,
     /// Connects that have no outcome yet, by the index of their mail.
-    flying: Vec<Option<Flight>>,
+    connects_out: Vec<Option<Flight>>,
     /// What is to be left alone by what the module has not read yet.
-    hushed: Vec<audit::Unit>,
+    paused_units: Vec<audit::Unit>,
     owed: BTreeMap<u64, Owed>,
     ids: HashMap<Bytes, u64>,
     rests: Vec<(Bytes, Time)>,
@@ -261,10 +267,10 @@
     backlog: Backlog,
     open: usize,
     next_serial: u64,
-    next_place: u64,
+    next_incarnation: u64,
     journal: Journal,
     keeper: Keeper,
-    unwritten: bool,
+    journal_failed: bool,
     inputs: Vec<Input>,
     actions: Vec<Action>,
     wake: Option<Time>,
@@ -272,7 +278,7 @@
     last_turn: Time,
     stopped: bool,
     /// The agent was not asked yet: no turns, so that no call begins.
-    held: bool,
+    turns_held: bool,
     notify: Rc<Notify>,
     orders: UnboundedSender<Order>,
     notices: UnboundedSender<Notice>,
@@ -294,15 +300,15 @@
     /// The number of the one in force, and since when.
     pub in_force: Option<(u64, Time)>,
     /// In words, the last one that was turned down since then, with every fault.
-    pub turned_down: Option<String>,
+    pub rejected: Option<String>,
 }
 
 impl Versions {
     /// `None` where there are none.
-    pub fn words(&self, now: Time) -> Option<String> {
+    pub fn summary(&self, now: Time) -> Option<String> {
         let (number, since) = self.in_force?;
         let age = now.saturating_sub(since) / SECOND;
-        let down = self.turned_down.as_ref().map(|words| format!("; {words}")).unwrap_or_default();
+        let down = self.rejected.as_ref().map(|words| format!("; {words}")).unwrap_or_default();
         Some(format!("settings version {number} are in force for {age} s{down}"))
     }
 }
@@ -336,7 +342,7 @@
     /// What a load report says of the limit.
     fn report(&self, load: &str) -> Option<Report> {
         let value = |place: Option<usize>| -> Option<f64> {
-            let value: f64 = http::pair(load, self.fields.get(place?)?)?.parse().ok()?;
+            let value: f64 = http::pair_value(load, self.fields.get(place?)?)?.parse().ok()?;
             value.is_finite().then_some(value)
         };
         Some(Report { left: value(self.report[0])?, limit: value(self.report[1])? })
@@ -365,53 +371,53 @@
     ) -> Exchange {
         let deployment = deployment(&decoded);
         let Decoded { mut settings, report, fields, classes, zones, mut kinds, .. } = decoded;
-        let today: Vec<Terms> =
+        let current: Vec<Terms> =
             classes.iter().zip(&settings.classes).map(|(name, class)| Terms::new(name, class)).collect();
-        let mut terms = today.clone();
+        let mut terms = current.clone();
         for owed in found.owed.values_mut() {
-            owed.class = held_as(owed, &today, &mut settings.classes);
+            owed.class = held_as(owed, &current, &mut settings.classes);
             let more = settings.classes.iter().skip(terms.len());
             let more = more.map(|class| Terms { class: owed.terms.class.clone(), ..Terms::new("", class) });
             terms.extend(more.collect::<Vec<_>>());
         }
-        let named = classes.into_iter().enumerate().map(|(i, class)| (Bytes::from(class), i)).collect();
+        let by_name = classes.into_iter().enumerate().map(|(i, class)| (Bytes::from(class), i)).collect();
         // The module has one kind at least.
         kinds.resize(settings.kinds.len(), String::new());
         let (folder, allowance) = journal.place();
         let mut exchange = Exchange {
             keeper: Keeper::new(folder, allowance, deployment),
             names: Names { zones, on_file: 0, other: kinds.len() - 1, kinds, report, fields },
-            room: settings.room,
-            batches: settings.kinds.iter().map(|kind| kind.batch).collect(),
-            apart: settings.kinds.iter().map(|kind| kind.apart).collect(),
-            classes: Classes { classes: settings.classes.clone(), terms, named },
+            max_open: settings.room,
+            batch_limits: settings.kinds.iter().map(|kind| kind.batch).collect(),
+            limited_alone: settings.kinds.iter().map(|kind| kind.apart).collect(),
+            classes: Classes { classes: settings.classes.clone(), terms, by_name },
             turn_gap: settings.turn_gap,
             resolution: settings.resolution,
             control: Control::new(settings),
             clock,
-            mails: Door::default(),
-            endpoints: Door::default(),
-            dests: Door::default(),
-            keys: Door::default(),
-            peers: Vec::new(),
-            flying: Vec::new(),
-            hushed: Vec::new(),
+            mail_serials: Door::default(),
+            endpoint_names: Door::default(),
+            destinations: Door::default(),
+            order_keys: Door::default(),
+            endpoints: Vec::new(),
+            connects_out: Vec::new(),
+            paused_units: Vec::new(),
             owed: BTreeMap::new(),
             ids: HashMap::new(),
             rests: Vec::new(),
             backlog: Backlog::default(),
             open: 0,
             next_serial: found.owed.keys().next_back().map_or(1, |last| last + 1),
-            next_place: 1,
+            next_incarnation: 1,
             journal,
-            unwritten: false,
+            journal_failed: false,
             inputs: Vec::new(),
             actions: Vec::new(),
             wake: None,
             turns: 0,
             last_turn: 0,
             stopped: false,
-            held: false,
+            turns_held: false,
             notify: Rc::default(),
             orders,
             notices,
@@ -436,7 +442,7 @@
             found.owed.values_mut().for_each(Owed::forget_zones);
         }
         // What cannot be put on file is not used: sends are then to no zone that a later process knows.
-        if known || self.note(&Record::Zones { names: &zones }) {
+        if known || self.append_record(&Record::Zones { names: &zones }) {
             self.names.on_file = self.names.zones.len();
         }
         let mut mails = Vec::with_capacity(found.owed.len());
@@ -450,14 +456,14 @@
             owed.ran = owed.ran.map(|(at, zone)| (if at > now { 0 } else { at }, zone));
             if out.is_some() && !owed.item.is_empty() {
                 self.rests.push((owed.item.clone(), now));
-                self.note(&Record::Rest { item: &owed.item, since: now });
+                self.append_record(&Record::Rest { item: &owed.item, since: now });
             }
             self.ids.insert(owed.id.clone(), serial);
             match owed.verdict {
-                Some(verdict) => self.tell(Notice { serial, id: owed.id.clone(), verdict }),
-                None if !IN_ORDER => {
+                Some(verdict) => self.send_notice(Notice { serial, id: owed.id.clone(), verdict }),
+                None if !BY_IMPORTANCE => {
                     self.open += 1;
-                    self.enter(serial, &owed);
+                    self.submit(serial, &owed);
                 }
                 None => {
                     self.open += 1;
@@ -469,10 +475,10 @@
             }
             self.owed.insert(serial, owed);
         }
-        self.forget_rests();
+        self.drop_elapsed_rests();
         for i in 0..self.rests.len() {
             let (item, since) = self.rests[i].clone();
-            let key = self.keys.enter(item);
+            let key = self.order_keys.enter(item);
             self.inputs.push(Input::Rested { key, since });
         }
         self.backlog = Backlog::new(now, mails);
@@ -488,26 +494,26 @@
     }
 
     /// What an earlier process took on and is to be offered by now goes to the module.
-    fn offer_owed(&mut self, now: Time) {
+    fn submit_backlog(&mut self, now: Time) {
         while let Some(serial) = self.backlog.next(now) {
             // One that turned out to be over meanwhile is owed nothing.
             if let Some(owed) = self.owed.remove(&serial) {
-                self.enter(serial, &owed);
+                self.submit(serial, &owed);
                 self.owed.insert(serial, owed);
             }
         }
     }
 
     /// A mail goes to the module.
-    fn enter(&mut self, serial: u64, owed: &Owed) {
+    fn submit(&mut self, serial: u64, owed: &Owed) {
         let class = usize::from(owed.class);
         let ordered = self.is_ordered(owed);
-        let mail = self.mails.enter(serial);
+        let mail = self.mail_serials.enter(serial);
         self.inputs.push(Input::Taken(Taken {
             mail,
-            dest: self.dests.enter(owed.dest),
+            dest: self.destinations.enter(owed.dest),
             class,
-            key: ordered.then(|| self.keys.enter(owed.item.clone())),
+            key: ordered.then(|| self.order_keys.enter(owed.item.clone())),
             since: owed.since,
             due: owed.due,
             connects: owed.connects as usize,
@@ -517,12 +523,12 @@
     }
 
     pub fn hand_in(&mut self, offer: Offer) -> Answer {
-        let Some(&class) = self.classes.named.get(&offer.class) else {
+        let Some(&class) = self.classes.by_name.get(&offer.class) else {
             self.counts.failed += 1;
             return Answer::Failed("ERR unknown class");
         };
         // One that no list has named is none, and would never be served.
-        let Some(dest) = self.dests.find(&offer.dest) else {
+        let Some(dest) = self.destinations.find(&offer.destination) else {
             self.counts.failed += 1;
             return Answer::Failed("ERR unknown destination");
         };
@@ -530,25 +536,25 @@
         if self.ids.contains_key(&offer.id) {
             return Answer::Known;
         }
-        let ordered = self.classes.classes[class].in_turn && offer.item.iter().any(|&b| b != b'0');
+        let ordered = self.classes.classes[class].in_turn && offer.order_key.iter().any(|&b| b != b'0');
         let owed = Owed {
             id: offer.id,
             key: offer.key,
-            item: if ordered { offer.item } else { Bytes::new() },
+            item: if ordered { offer.order_key } else { Bytes::new() },
             class: class as u16,
             terms: self.classes.terms[class].clone(),
-            dest: offer.dest,
+            dest: offer.destination,
             since: self.clock.now(),
-            due: self.clock.now() + tenths(offer.lifetime),
+            due: self.clock.now() + to_time(offer.lifetime),
             body: offer.body,
             ..Owed::default()
         };
         let serial = self.next_serial;
         log::debug!("mail {serial} for {} of class {class} has come", owed.dest);
-        if self.open >= self.room
+        if self.open >= self.max_open
             || self.control.turns_away(dest, class, owed.due)
             || !self.journal.has_room(&owed)
-            || !self.note(&Record::Taken { serial, owed: &owed })
+            || !self.append_record(&Record::Taken { serial, owed: &owed })
         {
             self.counts.busy += 1;
             return Answer::Busy;
@@ -561,10 +567,10 @@
         // Guards against a mail that overtakes one of its key which an earlier process took on.
         let same = |old: u64| self.owed.get(&old).is_some_and(|old| old.item == owed.item);
         if self.is_ordered(&owed) && self.backlog.waiting().any(same) {
-            self.offer_owed(Time::MAX);
+            self.submit_backlog(Time::MAX);
         }
         self.open += 1;
-        self.enter(serial, &owed);
+        self.submit(serial, &owed);
         self.owed.insert(serial, owed);
         Answer::Taken(serial)
     }
@@ -573,17 +579,17 @@
     ///
     /// # Errors
     /// The place, and words, of what cannot be.
-    pub fn numbered(&self, decoded: &Decoded) -> Result<Classes, (&'static str, &'static str)> {
+    pub fn plan_classes(&self, decoded: &Decoded) -> Result<Classes, (&'static str, &'static str)> {
         let used = self.owed.values().filter(|owed| owed.verdict.is_none());
         let used: BTreeSet<usize> = used.map(|owed| usize::from(owed.class)).collect();
         let classes = &decoded.settings.classes;
-        let after = self.classes.after(&decoded.classes, classes, |class| used.contains(&class));
+        let after = self.classes.next_version(&decoded.classes, classes, |class| used.contains(&class));
         after.map_err(|words| ("setting Profiles", words))
     }
 
-    /// These settings are in force from here on, between two turns; `classes` as `numbered` had them just now. The same
+    /// These settings are in force from here on, between two turns; `classes` as `plan_classes` had them just now. The same
     /// kinds must be apart as before. What is out or taken on stays as it is.
-    pub fn adopt(&mut self, decoded: Decoded, classes: Classes) {
+    pub fn apply_settings(&mut self, decoded: Decoded, classes: Classes) {
         let Decoded { settings, report, fields, zones, kinds, .. } = decoded;
         let names = &mut self.names;
         let mut fees = Vec::new();
@@ -599,14 +605,14 @@
             let at = names.kinds.iter().position(|known| *known == name).unwrap_or(names.kinds.len());
             if at == names.kinds.len() {
                 names.kinds.push(name);
-                self.batches.push(kind.batch);
-                self.apart.push(kind.apart);
+                self.batch_limits.push(kind.batch);
+                self.limited_alone.push(kind.apart);
             }
-            self.batches[at] = kind.batch;
+            self.batch_limits[at] = kind.batch;
             names.other = at;
         }
         (names.report, names.fields) = (report, fields);
-        let by_number = self.batches.iter().zip(&self.apart);
+        let by_number = self.batch_limits.iter().zip(&self.limited_alone);
         let settings = Settings {
             kinds: by_number.map(|(&batch, &apart)| Kind { batch, apart }).collect(),
             classes: classes.classes.clone(),
@@ -614,53 +620,55 @@
             ..settings
         };
         self.classes = classes;
-        (self.room, self.turn_gap, self.resolution) = (settings.room, settings.turn_gap, settings.resolution);
-        let times = (duration(settings.connect_timeout), duration(settings.keep_idle));
-        let _ = self.orders.send(Order::Times { connect: times.0, idle: times.1 });
+        (self.max_open, self.turn_gap, self.resolution) =
+            (settings.room, settings.turn_gap, settings.resolution);
+        let timeouts = (duration(settings.connect_timeout), duration(settings.keep_idle));
+        let _ =
+            self.orders.send(Order::SetTimeouts { connect_timeout: timeouts.0, idle_timeout: timeouts.1 });
         self.inputs.push(Input::Settings(Box::new(settings)));
         self.notify.notify_one();
     }
 
     /// Rests that are over need not be kept.
-    fn forget_rests(&mut self) {
+    fn drop_elapsed_rests(&mut self) {
         let now = self.clock.now();
         self.rests.retain(|(_, since)| since + self.turn_gap > now);
     }
 
     /// Puts a record on file; whether it is there.
-    fn note(&mut self, record: &Record) -> bool {
+    fn append_record(&mut self, record: &Record) -> bool {
         if self.journal.is_grown(record) {
-            self.forget_rests();
+            self.drop_elapsed_rests();
             self.counts.compactions += 1;
             if let Err(e) = self.journal.compact(&self.owed, &self.rests) {
                 // One line for as long as it lasts.
-                let level = if self.unwritten { log::Level::Debug } else { log::Level::Warn };
+                let level = if self.journal_failed { log::Level::Debug } else { log::Level::Warn };
                 log::log!(level, "the journal cannot be written anew: {e}");
             }
         }
         let written = self.journal.append(record);
         if let Err(e) = &written {
             // One line for as long as it lasts.
-            if std::mem::replace(&mut self.unwritten, true) {
+            if std::mem::replace(&mut self.journal_failed, true) {
                 log::debug!("the journal still cannot be written: {e}");
             } else {
                 log::warn!("the journal cannot be written: {e}");
             }
             return false;
         }
-        self.unwritten = false;
+        self.journal_failed = false;
         true
     }
 
     /// Nothing more is owed for a mail.
-    fn over(&mut self, serial: u64) {
+    fn finish(&mut self, serial: u64) {
         if !self.owed.contains_key(&serial) {
             return;
         }
         // Before it is forgotten. Guards against a file that is written anew for this record: it would speak of
         // a mail that the file does not hold. Where this can't be noted the mail comes back after a restart, as
         // one that may have run.
-        self.note(&Record::Over { serial });
+        self.append_record(&Record::Over { serial });
         if let Some(owed) = self.owed.remove(&serial) {
             self.ids.remove(&owed.id);
             self.tally.ended += 1;
@@ -673,8 +681,8 @@
     pub fn hangup(&mut self, serial: u64) {
         if self.owed.get(&serial).is_some_and(|owed| owed.verdict.is_none()) {
             self.counts.hangups += 1;
-            self.over(serial);
-            if let Some(mail) = self.mails.find(&serial) {
+            self.finish(serial);
+            if let Some(mail) = self.mail_serials.find(&serial) {
                 // Guards against an outcome that the module reads first, giving up a mail that is over.
                 let ended = |input: &Input| matches!(input, Input::Ended(ended) if ended.mail == mail);
                 let at = self.inputs.iter().position(ended).unwrap_or(self.inputs.len());
@@ -693,12 +701,12 @@
     }
 
     /// What another courier saw of an endpoint; nothing if the list has not named it here.
-    pub fn heard(&mut self, name: &[u8], news: News) {
-        if let Some(endpoint) = self.endpoints.find(name) {
+    pub fn note_received(&mut self, name: &[u8], news: News) {
+        if let Some(endpoint) = self.endpoint_names.find(name) {
             self.counts.heard += 1;
             if let News::Full(wait @ 1..) = news {
                 let unit = self.unit(endpoint);
-                self.hushed.push(unit);
+                self.paused_units.push(unit);
                 self.tally.hold(unit, self.clock.now() + wait);
             }
             self.inputs.push(Input::Heard { endpoint, news });
@@ -707,11 +715,11 @@
     }
 
     /// The platform has heard of a mail's end.
-    pub fn told(&mut self, serial: u64) {
-        self.over(serial);
+    pub fn notice_accepted(&mut self, serial: u64) {
+        self.finish(serial);
     }
 
-    fn tell(&mut self, notice: Notice) {
+    fn send_notice(&mut self, notice: Notice) {
         // The other end is there as long as the process runs.
         let _ = self.notices.send(notice);
     }
@@ -720,16 +728,16 @@
     /// kept for another deployment than this one, as `memory::deployment` has it, is ours all the same.
     pub fn recall(&mut self, known: List, ours: impl Fn(&str) -> bool) {
         let list = self.keeper.recall(known, self.clock.now(), ours);
-        self.take_up(&list);
+        self.apply_list(&list);
     }
 
     /// The list, or changes to it.
     pub fn listed(&mut self, list: &List) {
-        self.take_up(&Update::from(list));
+        self.apply_list(&Update::from(list));
     }
 
     /// The same, as it was read.
-    pub fn take_up(&mut self, list: &Update) {
+    pub fn apply_list(&mut self, list: &Update) {
         if list.index < self.index {
             // Counted and taken up: only who follows the list knows whether another agent counts versions of its
             // own, and refusing those for good would be worse than an old line.
@@ -738,7 +746,7 @@
         }
         self.index = list.index;
         self.tally.listed(list.index);
-        self.peers.iter_mut().filter(|_| list.whole).for_each(|peer| peer.ready = false);
+        self.endpoints.iter_mut().filter(|_| list.whole).for_each(|peer| peer.ready = false);
         self.keeper.take_up(list);
         self.inputs.push(Input::ListBegin { whole: list.whole });
         let mut places: Option<(&str, &str, usize, usize)> = None;
@@ -753,35 +761,43 @@
             let (address, since, group) = (Address::read(entry.address), entry.since_ms, entry.group);
             let mut life = entry.life();
             let name = entry.name.as_bytes();
-            let endpoint = match self.endpoints.find(name) {
+            let endpoint = match self.endpoint_names.find(name) {
                 None if life == Life::Gone => continue,
-                None => self.endpoints.enter(name.into()),
+                None => self.endpoint_names.enter(name.into()),
                 Some(endpoint) => endpoint,
             };
-            let place = self.next_place;
+            let incarnation = self.next_incarnation;
             let on_file = if zone < self.names.on_file { zone as u16 } else { NO_ZONE };
             let (zone_on_file, kind_of) = (on_file, kind as u32);
-            let new = Peer { place, address, since, zone: zone_on_file, group, kind: kind_of, ready: false };
-            match self.peers.get_mut(endpoint) {
-                None => self.peers.push(new),
-                Some(old) if old.place == 0 => *old = new,
+            let new = EndpointState {
+                incarnation,
+                address,
+                since,
+                zone: zone_on_file,
+                group,
+                kind: kind_of,
+                ready: false,
+            };
+            match self.endpoints.get_mut(endpoint) {
+                None => self.endpoints.push(new),
+                Some(old) if old.incarnation == 0 => *old = new,
                 // Guards against a name that turns up at another destination: mails for the old one stay away.
                 Some(old) if old.group != group => life = Life::Gone,
                 // Moved or started anew: what is open leads nowhere.
                 Some(old) if old.address != new.address || old.since != since => {
                     (old.address, old.since) = (new.address, since);
-                    let left = std::mem::replace(&mut old.place, place);
-                    let _ = self.orders.send(Order::LetGo(left));
+                    let left = std::mem::replace(&mut old.incarnation, incarnation);
+                    let _ = self.orders.send(Order::CloseIdle(left));
                 }
                 Some(_) => {}
             }
-            self.next_place += 1;
-            let peer = &mut self.peers[endpoint];
+            self.next_incarnation += 1;
+            let peer = &mut self.endpoints[endpoint];
             peer.ready = life == Life::Ready;
             let group = peer.group;
             self.inputs.push(Input::Listed(Listed {
                 endpoint,
-                dest: self.dests.enter(group),
+                dest: self.destinations.enter(group),
                 zone,
                 kind,
                 life,
@@ -795,7 +811,7 @@
     /// Until when the last byte of a mail's call may go out. Guards against a repeat after the time for which its
     /// key is known, counted from the first connect that may have run: its call may have waited for a connection,
     /// and the file has it from an earlier process.
-    fn latest(&self, owed: &Owed) -> Time {
+    fn send_deadline(&self, owed: &Owed) -> Time {
         let class = &self.classes.classes[usize::from(owed.class)];
         match (owed.ran, class.effect) {
             (None, _) | (_, Effect::Redeliverable) => Time::MAX,
@@ -806,41 +822,44 @@
 
     /// Just before the first byte of a call goes out: which of its mails still go, with their connects on
     /// file. None where its endpoint has moved, has been told of as leaving, or is to be left alone, since.
-    pub fn begin(&mut self, call: &Call, letters: Vec<Letter>) -> Vec<Letter> {
+    pub fn begin(&mut self, call: &Call, mails: Vec<CallMail>) -> Vec<CallMail> {
         let now = self.clock.now();
         let (endpoint, unit) = (call.endpoint, self.unit(call.endpoint));
         // Guards against a call that begins between what was told and the turn in which the module reads it.
         let may = !self.stopped
-            && !self.hushed.contains(&unit)
-            && self.peers[endpoint].ready
+            && !self.paused_units.contains(&unit)
+            && self.endpoints[endpoint].ready
             && self.is_current(call)
             && self.control.may_begin(endpoint, now);
-        let sent: Sent = (now, self.peers[endpoint].zone);
-        let (mut going, mut staying) = (Vec::with_capacity(letters.len()), Vec::new());
-        for letter in letters {
-            let serial = letter.serial;
+        let sent: Sent = (now, self.endpoints[endpoint].zone);
+        let (mut going, mut staying) = (Vec::with_capacity(mails.len()), Vec::new());
+        for carried in mails {
+            let serial = carried.serial;
             let owed = self.owed.contains_key(&serial);
             // Guards against a mail whose time passed while its call waited for a connection.
-            let in_time = now < letter.until.min(letter.latest);
-            if may && owed && in_time && self.note(&Record::Out { serial, sent }) {
+            let in_time = now < carried.until.min(carried.latest);
+            if may && owed && in_time && self.append_record(&Record::Out { serial, sent }) {
                 let owed = self.owed.get_mut(&serial);
                 owed.into_iter().for_each(|owed| {
                     owed.out = Some(sent);
                     owed.connects += 1;
                 });
-                let flight = self.mails.find(&serial).and_then(|mail| self.flying.get_mut(mail)?.as_mut());
+                let flight = self
+                    .mail_serials
+                    .find(&serial)
+                    .and_then(|mail| self.connects_out.get_mut(mail)?.as_mut());
                 let begun = flight.map(|flight| std::mem::replace(&mut flight.begun, true));
                 must!(
                     self.counts.broken,
                     begun == Some(false),
                     "a call begins with a connect that is not out"
                 );
-                going.push(letter);
+                going.push(carried);
             } else {
                 staying.push(serial);
             }
         }
-        staying.into_iter().for_each(|serial| self.seen(serial, Seen::only(Outcome::Unsent)));
+        staying.into_iter().for_each(|serial| self.connect_ended(serial, ConnectResult::of(Outcome::Unsent)));
         let early =
             !going.is_empty() && (self.tally.is_held(unit, now) || self.control.is_held(endpoint, now));
         must!(self.counts.broken, !early, "a call begins before a told wait is over");
@@ -849,29 +868,29 @@
 
     /// Whether the endpoint of a call is still where it was when the call was decided on.
     pub fn is_current(&self, call: &Call) -> bool {
-        self.peers[call.endpoint].place == call.place
+        self.endpoints[call.endpoint].incarnation == call.incarnation
     }
 
     /// The outcome of one mail's connect.
-    pub fn seen(&mut self, serial: u64, seen: Seen) {
+    pub fn connect_ended(&mut self, serial: u64, result: ConnectResult) {
         let now = self.clock.now();
-        let mail = self.mails.find(&serial);
-        let started = mail.and_then(|mail| self.flying.get_mut(mail)?.take());
+        let mail = self.mail_serials.find(&serial);
+        let started = mail.and_then(|mail| self.connects_out.get_mut(mail)?.take());
         let (Some(mail), Some(Flight { endpoint, started, .. })) = (mail, started) else {
             must!(self.counts.broken, false, "an outcome came for a connect that is not out");
             return;
         };
-        let Seen { outcome, over, wait, load, kept } = seen;
+        let ConnectResult { outcome, over, wait, load, kept } = result;
         self.tally.landed += 1;
         if wait > Duration::ZERO {
             let unit = self.unit(endpoint);
-            self.hushed.push(unit);
-            self.tally.hold(unit, now + tenths(wait));
+            self.paused_units.push(unit);
+            self.tally.hold(unit, now + to_time(wait));
         }
         self.counts.relayed += u64::from(outcome == Outcome::Relayed);
         let (ran, rests) = (!outcome.never_ran(), outcome.may_run_on());
         if over {
-            self.over(serial);
+            self.finish(serial);
         } else if let Some(owed) = self.owed.get_mut(&serial) {
             let sent = owed.out.take();
             if sent.is_some() {
@@ -879,7 +898,7 @@
                 if rests && !owed.item.is_empty() {
                     self.rests.push((owed.item.clone(), now));
                 }
-                self.note(&Record::Back { serial, ran, rests, at: now });
+                self.append_record(&Record::Back { serial, ran, rests, at: now });
             }
         }
         log::debug!(
@@ -888,56 +907,64 @@
         );
         let report = load.and_then(|load| self.names.report(&load));
         let took = now.saturating_sub(started);
-        self.inputs.push(Input::Ended(Ended { mail, outcome, over, wait: tenths(wait), took, kept, report }));
+        self.inputs.push(Input::Ended(Ended {
+            mail,
+            outcome,
+            over,
+            wait: to_time(wait),
+            took,
+            kept,
+            report,
+        }));
         self.notify.notify_one();
     }
 
     /// One turn of the module, and its actions.
     pub fn turn(&mut self) {
-        if self.stopped || self.held {
+        if self.stopped || self.turns_held {
             return;
         }
         let now = self.clock.now();
         if self.last_turn == 0 {
             // The pace begins with the turns.
-            let together = self.batches.iter().copied().max().unwrap_or(1);
-            self.backlog.keep_pace(now, backlog::Pace { bears: 0.0, within: OFFERED_WITHIN, together });
+            let together = self.batch_limits.iter().copied().max().unwrap_or(1);
+            self.backlog.keep_pace(now, backlog::Pace { bears: 0.0, within: SUBMITTED_WITHIN, together });
         }
         self.last_turn = now;
-        self.offer_owed(now);
+        self.submit_backlog(now);
         let mut actions = std::mem::take(&mut self.actions);
         self.wake = self.control.round(now, &self.inputs, &mut actions);
         self.inputs.clear();
         // A long list has gone through it.
-        self.inputs.shrink_to(MOST_INPUTS);
-        self.hushed.clear();
+        self.inputs.shrink_to(MAX_KEPT_INPUTS);
+        self.paused_units.clear();
         let mut calls: Vec<Call> = Vec::new();
         for action in actions.drain(..) {
             match action {
                 Action::Connect { mail, endpoint, timeout, fresh } => {
-                    self.add(&mut calls, mail, endpoint, now + timeout, fresh);
+                    self.add_connect(&mut calls, mail, endpoint, now + timeout, fresh);
                 }
                 Action::Defer { mail, pause } => self.give_up(mail, Verdict::Bounced(pause)),
                 Action::Bounce { mail } => self.give_up(mail, Verdict::Dead),
                 Action::LetGo(endpoint) => {
-                    let _ = self.orders.send(Order::LetGo(self.peers[endpoint].place));
+                    let _ = self.orders.send(Order::CloseIdle(self.endpoints[endpoint].incarnation));
                 }
                 Action::FreeEndpoint(endpoint) => {
-                    let left = std::mem::take(&mut self.peers[endpoint].place);
+                    let left = std::mem::take(&mut self.endpoints[endpoint].incarnation);
                     self.tally.held.remove(&audit::Unit::Route(endpoint));
-                    let _ = self.orders.send(Order::LetGo(left));
-                    self.endpoints.leave(endpoint);
+                    let _ = self.orders.send(Order::CloseIdle(left));
+                    self.endpoint_names.leave(endpoint);
                 }
                 // A watch is always kept open.
                 Action::WatchList => {}
                 Action::Tell { endpoint, news } => {
-                    if let (Some(notes), Some(name)) = (&self.news, self.endpoints.outside(endpoint)) {
+                    if let (Some(notes), Some(name)) = (&self.news, self.endpoint_names.outside(endpoint)) {
                         self.counts.told += 1;
                         let _ = notes.send((Bytes::copy_from_slice(name), news));
                     }
                 }
-                Action::FreeMail(mail) => self.mails.leave(mail),
-                Action::FreeKey(key) => self.keys.leave(key),
+                Action::FreeMail(mail) => self.mail_serials.leave(mail),
+                Action::FreeKey(key) => self.order_keys.leave(key),
             }
         }
         self.actions = actions;
@@ -960,8 +987,8 @@
 
     /// What is limited, and told to wait, as one with this endpoint.
     fn unit(&self, endpoint: usize) -> audit::Unit {
-        let peer = &self.peers[endpoint];
-        match self.apart.get((peer.kind as usize).min(self.apart.len() - 1)) {
+        let peer = &self.endpoints[endpoint];
+        match self.limited_alone.get((peer.kind as usize).min(self.limited_alone.len() - 1)) {
             Some(true) => audit::Unit::Route(endpoint),
             _ => audit::Unit::Dest(peer.group),
         }
@@ -974,9 +1001,9 @@
             owed: &self.owed,
             ids: &self.ids,
             open: self.open,
-            flying: &self.flying,
-            mails: &self.mails,
-            groups: &|endpoint| self.peers[endpoint].group,
+            flying: &self.connects_out,
+            mails: &self.mail_serials,
+            groups: &|endpoint| self.endpoints[endpoint].group,
             on_file: self.journal.live(),
             taken: self.counts.taken,
             index: self.index,
@@ -988,7 +1015,7 @@
     /// Spoils one book, so that a test can show that the audit sees it; false where there is nothing to spoil.
     #[cfg(any(debug_assertions, feature = "spoil"))]
     pub fn spoil(&mut self, what: &str) -> bool {
-        let flight = self.flying.iter().position(|flight| flight.is_some_and(|flight| flight.begun));
+        let flight = self.connects_out.iter().position(|flight| flight.is_some_and(|flight| flight.begun));
         let first = self.owed.keys().next().copied();
         match (what, flight, first) {
             ("taken", ..) => self.counts.taken += 1,
@@ -1000,11 +1027,11 @@
             }
             ("one id more", ..) => drop(self.ids.insert(Bytes::from_static(b"none"), 0)),
             ("bytes on file", ..) => self.journal.shrink(1),
-            ("an index of a mail", ..) => drop(self.mails.enter(u64::MAX)),
+            ("an index of a mail", ..) => drop(self.mail_serials.enter(u64::MAX)),
             ("an outcome", ..) => self.tally.landed += 1,
-            ("a connect lost", Some(mail), _) => self.flying[mail] = None,
+            ("a connect lost", Some(mail), _) => self.connects_out[mail] = None,
             ("a record lost", Some(mail), _) => {
-                let serial = self.flying[mail].map_or(0, |flight| flight.serial);
+                let serial = self.connects_out[mail].map_or(0, |flight| flight.serial);
                 self.owed.get_mut(&serial).into_iter().for_each(|owed| owed.out = None);
             }
             ("a record too many", _, Some(_)) => {
@@ -1013,24 +1040,24 @@
             }
             ("an endpoint", Some(mail), _) => {
                 let other = |e: usize| if e == 0 { 1 } else { 0 };
-                let flight = self.flying[mail].as_mut();
+                let flight = self.connects_out[mail].as_mut();
                 flight.into_iter().for_each(|flight| flight.endpoint = other(flight.endpoint));
             }
             ("a group", Some(mail), _) => {
-                let endpoint = self.flying[mail].map_or(0, |flight| flight.endpoint);
-                self.peers[endpoint].group += 1;
+                let endpoint = self.connects_out[mail].map_or(0, |flight| flight.endpoint);
+                self.endpoints[endpoint].group += 1;
             }
             ("a mail twice", Some(mail), _) => {
-                let copy = self.flying[mail];
-                self.flying.push(copy);
+                let copy = self.connects_out[mail];
+                self.connects_out.push(copy);
             }
             ("two calls made one", Some(_), _) => {
-                self.flying.iter_mut().flatten().for_each(|flight| flight.call = 0);
+                self.connects_out.iter_mut().flatten().for_each(|flight| flight.call = 0);
             }
             ("a version", ..) => self.index -= 1,
             ("an older list", ..) => self.counts.older += 1,
             ("a told wait", Some(mail), _) => {
-                let endpoint = self.flying[mail].map_or(0, |flight| flight.endpoint);
+                let endpoint = self.connects_out[mail].map_or(0, |flight| flight.endpoint);
                 self.tally.hold(self.unit(endpoint), Time::MAX);
             }
             _ => return self.control.spoil(what),
@@ -1044,56 +1071,57 @@
     }
 
     /// A connect joins the round's call to its endpoint while that has room.
-    fn add(&mut self, calls: &mut Vec<Call>, mail: usize, endpoint: usize, until: Time, fresh: bool) {
-        let serial = self.mails.outside(mail).copied();
+    fn add_connect(&mut self, calls: &mut Vec<Call>, mail: usize, endpoint: usize, until: Time, fresh: bool) {
+        let serial = self.mail_serials.outside(mail).copied();
         let Some((serial, owed)) = serial.and_then(|serial| Some((serial, self.owed.get(&serial)?))) else {
             must!(self.counts.broken, false, "a connect was asked for a mail that is not in hand");
             return;
         };
-        if mail >= self.flying.len() {
-            self.flying.resize(mail + 1, None);
+        if mail >= self.connects_out.len() {
+            self.connects_out.resize(mail + 1, None);
         }
-        must!(self.counts.broken, self.flying[mail].is_none(), "a mail has two connects out at once");
+        must!(self.counts.broken, self.connects_out[mail].is_none(), "a mail has two connects out at once");
         self.tally.begun += 1;
         log::debug!(
             "mail {serial} for {}: connect to endpoint {endpoint}, {}",
             owed.dest,
             until - self.last_turn
         );
-        let letter = Letter {
+        let carried = CallMail {
             serial,
             id: owed.id.clone(),
             key: owed.key.clone(),
             body: owed.body.clone(),
             until,
             due: owed.due,
-            latest: self.latest(owed),
+            latest: self.send_deadline(owed),
         };
-        let peer = &self.peers[endpoint];
-        let most = self.batches[(peer.kind as usize).min(self.batches.len() - 1)];
-        let size = http::size_in_batch(&letter.id, &letter.key, &letter.body);
-        let fits = |c: &Call| c.letters.len() < most && c.size + size <= http::MOST_BODY;
+        let peer = &self.endpoints[endpoint];
+        let most = self.batch_limits[(peer.kind as usize).min(self.batch_limits.len() - 1)];
+        let size = http::size_in_batch(&carried.id, &carried.key, &carried.body);
+        let fits = |c: &Call| c.mails.len() < most && c.size + size <= http::MAX_BODY;
         // Guards against two of the module's calls made one: a trial would carry several mails.
         let slot = self.control.flight(mail).map_or(usize::MAX, |(slot, _)| slot);
         let at = calls.iter().position(|c| c.slot == slot && fits(c)).unwrap_or(calls.len());
         match calls.get_mut(at) {
             Some(call) => {
-                call.letters.push(letter);
+                call.mails.push(carried);
                 call.size += size;
-                call.fresh |= fresh;
+                call.new_connection |= fresh;
             }
             None => {
-                let (place, address, letters) = (peer.place, peer.address.get(), vec![letter]);
-                calls.push(Call { endpoint, slot, place, address, fresh, letters, size });
+                let (incarnation, address, mails) = (peer.incarnation, peer.address.get(), vec![carried]);
+                calls.push(Call { endpoint, slot, incarnation, address, new_connection: fresh, mails, size });
             }
         }
         let call = self.counts.calls + at as u64;
-        self.flying[mail] = Some(Flight { serial, endpoint, call, started: self.last_turn, begun: false });
+        self.connects_out[mail] =
+            Some(Flight { serial, endpoint, call, started: self.last_turn, begun: false });
     }
 
     fn give_up(&mut self, mail: usize, verdict: Verdict) {
         let now = self.clock.now();
-        let serial = self.mails.outside(mail).copied();
+        let serial = self.mail_serials.outside(mail).copied();
         let owed = serial.and_then(|serial| self.owed.get_mut(&serial));
         let (Some(serial), Some(owed)) = (serial, owed) else {
             must!(self.counts.broken, false, "a mail that is not in hand was given up");
@@ -1108,7 +1136,7 @@
         self.counts.given_up += 1;
         // Guards against a mail that is handed back, handed in anew, and sent by the next process all the same:
         // what is not on file as given up is not told as harmless to hand in again.
-        let noted = self.note(&Record::GivenUp { serial, verdict });
+        let noted = self.append_record(&Record::GivenUp { serial, verdict });
         let verdict = if noted { verdict } else { Verdict::Dead };
         if let Some(owed) = self.owed.get_mut(&serial) {
             owed.verdict = Some(verdict);
@@ -1118,7 +1146,7 @@
             "message {words}, mail {serial} for {dest}: given up, {verdict:?}, {} ms left",
             left / 10
         );
-        self.tell(Notice { serial, id, verdict });
+        self.send_notice(Notice { serial, id, verdict });
     }
 
     /// When the next turn is due.
@@ -1139,19 +1167,19 @@
 
     /// No call begins until `release`; mails are taken on meanwhile.
     pub fn hold(&mut self) {
-        self.held = true;
+        self.turns_held = true;
     }
 
     pub fn release(&mut self) {
-        if std::mem::take(&mut self.held) {
+        if std::mem::take(&mut self.turns_held) {
             self.notify.notify_one();
         }
     }
 
     /// The process was asked to end: calls begin for so long, and those of the next process no sooner than that.
-    pub fn ends(&mut self, calls_for: Duration, next_after: Duration) {
+    pub fn begin_shutdown(&mut self, calls_for: Duration, next_after: Duration) {
         let now = self.clock.now();
-        let ending = Ending { calls_until: now + tenths(calls_for), next_from: now + tenths(next_after) };
+        let ending = Ending { calls_until: now + to_time(calls_for), next_from: now + to_time(next_after) };
         self.inputs.push(Input::Ending(ending));
         self.notify.notify_one();
     }
@@ -1174,17 +1202,17 @@
 
     /// Connects that have no outcome yet.
     pub fn in_flight(&self) -> usize {
-        self.flying.iter().flatten().count()
+        self.connects_out.iter().flatten().count()
     }
 }
 
 impl Listener for Exchange {
     fn listed(&mut self, list: &Update) {
-        self.take_up(list);
+        self.apply_list(list);
     }
 
     fn count_with(&self, changes: &Update) -> usize {
-        self.endpoints.len() + changes.added(|name| self.endpoints.find(name.as_bytes()).is_some())
+        self.endpoint_names.len() + changes.added(|name| self.endpoint_names.find(name.as_bytes()).is_some())
     }
 
     fn hold(&mut self) {
@@ -1198,7 +1226,7 @@
 
 /// Gives the module its turns: when something was seen, and when it asked for one, but no more often than
 /// the settings say.
-pub async fn drive(shared: Shared) {
+pub async fn run_turns(shared: Shared) {
     let (notify, clock) = {
         let exchange = shared.borrow();
         (exchange.notify.clone(), exchange.clock)
--- a/crates/courier/src/http.rs
+++ b/crates/courier/src/http.rs
@@ -8,11 +8,11 @@
 use bytes::{Bytes, BytesMut};
 use serde::Deserialize;
 
-const MOST_HEAD: usize = 16 * 1024;
-const MOST_FIELDS: usize = 64;
+const MAX_HEAD: usize = 16 * 1024;
+const MAX_FIELDS: usize = 64;
 
 /// The longest body, either way.
-pub const MOST_BODY: usize = 64 * 1024;
+pub const MAX_BODY: usize = 64 * 1024;
 
 #[derive(Debug, PartialEq, Eq)]
 pub struct Malformed(pub &'static str);
@@ -25,7 +25,7 @@
     Chunks(Option<u64>),
     /// After the last chunk: fields until an empty line.
     Trailer,
-    UntilEnd,
+    UntilClose,
 }
 
 /// The first part of an answer.
@@ -33,35 +33,42 @@
 pub struct Head {
     pub status: u16,
     pub body: Body,
-    pub keep: bool,
-    pub wait: Option<Duration>,
+    pub keep_alive: bool,
+    pub retry_after: Option<Duration>,
     pub over_slots: bool,
     pub load: Option<String>,
 }
 
 /// Takes the first part of an answer off the buffer; `None` while it has not all come.
-pub fn head(buffer: &mut BytesMut) -> Result<Option<Head>, Malformed> {
+pub fn read_head(buffer: &mut BytesMut) -> Result<Option<Head>, Malformed> {
     loop {
-        let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
+        let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut answer = httparse::Response::new(&mut fields);
         let size = match answer.parse(buffer) {
             Ok(httparse::Status::Complete(size)) => size,
-            Ok(httparse::Status::Partial) if buffer.len() < MOST_HEAD => return Ok(None),
+            Ok(httparse::Status::Partial) if buffer.len() < MAX_HEAD => return Ok(None),
             Ok(httparse::Status::Partial) => return Err(Malformed("an answer's head is too long")),
             // Guards against a good answer that is lost to a load report which cannot be read.
-            Err(_) if cut_load(buffer) => continue,
+            Err(_) if remove_load_field(buffer) => continue,
             Err(_) => return Err(Malformed("an answer's head cannot be read")),
         };
         let status = answer.code.unwrap_or(0);
-        let keep = answer.version == Some(1);
-        let mut head = Head { status, body: Body::UntilEnd, keep, wait: None, over_slots: false, load: None };
+        let keep_alive = answer.version == Some(1);
+        let mut head = Head {
+            status,
+            body: Body::UntilClose,
+            keep_alive,
+            retry_after: None,
+            over_slots: false,
+            load: None,
+        };
         for field in answer.headers.iter() {
             read_field(&mut head, field)?;
         }
         if matches!(status, 204 | 304) || (100..200).contains(&status) {
             head.body = Body::Length(0);
         }
-        head.keep &= head.body != Body::UntilEnd;
+        head.keep_alive &= head.body != Body::UntilClose;
         let _ = buffer.split_to(size);
         // An interim answer: the real one follows.
         if (100..200).contains(&status) && status != 101 {
@@ -72,7 +79,7 @@
 }
 
 /// Cuts the first load report out of a head; whether there was one that has come whole.
-fn cut_load(buffer: &mut BytesMut) -> bool {
+fn remove_load_field(buffer: &mut BytesMut) -> bool {
     let name = b"\r\nx-load:";
     let Some(start) = buffer.windows(name.len()).position(|bytes| bytes.eq_ignore_ascii_case(name)) else {
         return false;
@@ -90,7 +97,7 @@
 }
 
 /// Whether the front of the buffer, of which no head can be read, is a whole first line that says 200.
-pub fn says_served(buffer: &[u8]) -> bool {
+pub fn has_ok_status_line(buffer: &[u8]) -> bool {
     let line = buffer.iter().position(|&b| b == b'\n').map(|end| buffer[..end].trim_ascii_end());
     let Some(rest) = line.and_then(|line| line.strip_prefix(b"HTTP/1.")) else { return false };
     matches!(rest, [b'0' | b'1', b' ', b'2', b'0', b'0'] | [b'0' | b'1', b' ', b'2', b'0', b'0', b' ', ..])
@@ -105,15 +112,15 @@
         if matches!(head.body, Body::Length(other) if other != length) {
             return Err(Malformed("an answer has two lengths"));
         }
-        if head.body == Body::UntilEnd {
+        if head.body == Body::UntilClose {
             head.body = Body::Length(length);
         }
     } else if is("Transfer-Encoding") && names("chunked") {
         head.body = Body::Chunks(None);
     } else if is("Connection") {
-        head.keep &= !names("close");
+        head.keep_alive &= !names("close");
     } else if is("Retry-After") {
-        head.wait = seconds(text);
+        head.retry_after = seconds(text);
     } else if is("X-Over-Slots") {
         head.over_slots = text == "1";
     } else if is("X-Load") {
@@ -129,7 +136,7 @@
 }
 
 /// The value of one name in a list of names and values.
-pub fn pair<'a>(text: &'a str, name: &str) -> Option<&'a str> {
+pub fn pair_value<'a>(text: &'a str, name: &str) -> Option<&'a str> {
     let pairs = text.split(',').filter_map(|pair| pair.split_once('='));
     pairs.filter(|(key, _)| key.trim() == name).map(|(_, value)| value.trim()).next()
 }
@@ -149,9 +156,9 @@
         loop {
             match self {
                 Body::Length(0) => return Ok(Piece::Ended),
-                Body::UntilEnd if buffer.is_empty() => return Ok(Piece::More),
-                Body::UntilEnd => return Ok(Piece::Bytes(buffer.split().freeze())),
-                Body::Length(left) => return Ok(cut(buffer, left)),
+                Body::UntilClose if buffer.is_empty() => return Ok(Piece::More),
+                Body::UntilClose => return Ok(Piece::Bytes(buffer.split().freeze())),
+                Body::Length(left) => return Ok(take_up_to(buffer, left)),
                 Body::Chunks(Some(0)) => {
                     if buffer.len() < 2 {
                         return Ok(Piece::More);
@@ -161,18 +168,18 @@
                     }
                     *self = Body::Chunks(None);
                 }
-                Body::Chunks(Some(left)) => return Ok(cut(buffer, left)),
+                Body::Chunks(Some(left)) => return Ok(take_up_to(buffer, left)),
                 Body::Chunks(None) => match httparse::parse_chunk_size(buffer) {
                     Ok(httparse::Status::Complete((size, length))) => {
                         let _ = buffer.split_to(size);
                         *self = if length == 0 { Body::Trailer } else { Body::Chunks(Some(length)) };
                     }
-                    Ok(httparse::Status::Partial) if buffer.len() < MOST_HEAD => return Ok(Piece::More),
+                    Ok(httparse::Status::Partial) if buffer.len() < MAX_HEAD => return Ok(Piece::More),
                     _ => return Err(Malformed("a chunk's size cannot be read")),
                 },
                 Body::Trailer => {
                     let Some(end) = buffer.iter().position(|&b| b == b'\n') else {
-                        let long = buffer.len() >= MOST_HEAD;
+                        let long = buffer.len() >= MAX_HEAD;
                         return if long { Err(Malformed("a trailer is too long")) } else { Ok(Piece::More) };
                     };
                     let line = buffer.split_to(end + 1);
@@ -185,7 +192,7 @@
     }
 }
 
-fn cut(buffer: &mut BytesMut, left: &mut u64) -> Piece {
+fn take_up_to(buffer: &mut BytesMut, left: &mut u64) -> Piece {
     if buffer.is_empty() {
         return Piece::More;
     }
@@ -194,30 +201,35 @@
     Piece::Bytes(buffer.split_to(size).freeze())
 }
 
-fn post(out: &mut BytesMut, path: &str, host: &str, more: std::fmt::Arguments, body: &[u8]) {
+fn write_post(out: &mut BytesMut, path: &str, host: &str, extra_fields: std::fmt::Arguments, body: &[u8]) {
     let length = body.len();
-    line(out, format_args!("POST {path} HTTP/1.1\r\nHost: {host}\r\n{more}Content-Length: {length}\r\n\r\n"));
+    write_fmt(
+        out,
+        format_args!(
+            "POST {path} HTTP/1.1\r\nHost: {host}\r\n{extra_fields}Content-Length: {length}\r\n\r\n"
+        ),
+    );
     out.extend_from_slice(body);
 }
 
-fn line(out: &mut BytesMut, text: std::fmt::Arguments) {
+fn write_fmt(out: &mut BytesMut, text: std::fmt::Arguments) {
     // Writing to a buffer that grows cannot fail.
     let _ = out.write_fmt(text);
 }
 
 /// A mail as a call carries it.
-pub struct Letter<'a> {
+pub struct Mail<'a> {
     pub id: &'a str,
     pub key: &'a str,
     pub body: &'a [u8],
 }
 
 /// A call with one mail.
-pub fn hook(out: &mut BytesMut, host: &str, letter: &Letter, wait: Duration) {
-    let (id, key, wait) = (letter.id, letter.key, wait.as_secs_f64());
+pub fn write_hook(out: &mut BytesMut, host: &str, mail: &Mail, wait: Duration) {
+    let (id, key, wait) = (mail.id, mail.key, wait.as_secs_f64());
     let fields = |key: std::fmt::Arguments, out: &mut BytesMut| {
-        let more = format_args!("X-Request-Id: {id}\r\n{key}X-Deadline: {wait:.3}\r\n");
-        post(out, "/hook", host, more, letter.body);
+        let extra_fields = format_args!("X-Request-Id: {id}\r\n{key}X-Deadline: {wait:.3}\r\n");
+        write_post(out, "/hook", host, extra_fields, mail.body);
     };
     match key {
         "" => fields(format_args!(""), out),
@@ -231,22 +243,22 @@
 }
 
 /// A call with several mails. Ids and keys hold nothing that JSON would want escaped.
-pub fn hook_batch(out: &mut BytesMut, host: &str, letters: &[Letter], wait: Duration) {
+pub fn write_hook_batch(out: &mut BytesMut, host: &str, mails: &[Mail], wait: Duration) {
     let mut body = String::from("[");
-    for (i, letter) in letters.iter().enumerate() {
+    for (i, mail) in mails.iter().enumerate() {
         let comma = if i > 0 { "," } else { "" };
-        let _ = write!(body, "{comma}{{\"id\":\"{}\",", letter.id);
-        if !letter.key.is_empty() {
-            let _ = write!(body, "\"key\":\"{}\",", letter.key);
+        let _ = write!(body, "{comma}{{\"id\":\"{}\",", mail.id);
+        if !mail.key.is_empty() {
+            let _ = write!(body, "\"key\":\"{}\",", mail.key);
         }
         body.push_str("\"body\":\"");
-        STANDARD.encode_string(letter.body, &mut body);
+        STANDARD.encode_string(mail.body, &mut body);
         body.push_str("\"}");
     }
     body.push(']');
     let wait = wait.as_secs_f64();
-    let more = format_args!("X-Deadline: {wait:.3}\r\nContent-Type: application/json\r\n");
-    post(out, "/hook/batch", host, more, body.as_bytes());
+    let extra_fields = format_args!("X-Deadline: {wait:.3}\r\nContent-Type: application/json\r\n");
+    write_post(out, "/hook/batch", host, extra_fields, body.as_bytes());
 }
 
 /// What a batch answer says of one mail.
@@ -256,6 +268,6 @@
     pub state: String,
 }
 
-pub fn items(body: &[u8]) -> Option<Vec<Item>> {
+pub fn read_items(body: &[u8]) -> Option<Vec<Item>> {
     serde_json::from_slice(body).ok()
 }
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -95,9 +95,9 @@
     let Config { name, listen, state, sockets, disk, known, decoded, peers, relays, list, .. } = config;
     let for_clients = sockets / 3;
     let limits = endpoints::Limits {
-        connect: exchange::duration(decoded.settings.connect_timeout),
-        idle: exchange::duration(decoded.settings.keep_idle),
-        connections: sockets - OWN_SOCKETS - for_clients,
+        connect_timeout: exchange::duration(decoded.settings.connect_timeout),
+        idle_timeout: exchange::duration(decoded.settings.keep_idle),
+        max_connections: sockets - OWN_SOCKETS - for_clients,
         may_overlap: decoded.may_overlap,
     };
     // First, so that a second start by mistake touches nothing.
@@ -132,9 +132,9 @@
     let shared: Shared = Rc::new(RefCell::new(exchange));
     let (phase, phase_in) = watch::channel(Phase::Serving);
     let mut parts = JoinSet::new();
-    parts.spawn_local(exchange::drive(shared.clone()));
+    parts.spawn_local(exchange::run_turns(shared.clone()));
     parts.spawn_local(endpoints::run(shared.clone(), orders_in, limits));
-    parts.spawn_local(notices::tell(shared.clone(), discovery.clone(), notices_in));
+    parts.spawn_local(notices::run(shared.clone(), discovery.clone(), notices_in));
     let limits = (list, seed);
     match relays {
         None => parts.spawn_local(discovery::follow(shared.clone(), clock, discovery, index, push, limits)),
@@ -162,12 +162,12 @@
 
     log::info!("{name} ends: {} mails in hand", shared.borrow().in_hand());
     // Before the moment from which the stop is reckoned, which no turn may come before.
-    shared.borrow_mut().ends(BEGIN_ON, NEXT_AFTER);
+    shared.borrow_mut().begin_shutdown(BEGIN_ON, NEXT_AFTER);
     let asked = Instant::now();
     // New clients and mails are served as ever for as long as the platform still sends them here.
-    phase.send_replace(Phase::MovingOff);
+    phase.send_replace(Phase::Draining);
     sleep(ACCEPT_ON).await;
-    phase.send_replace(Phase::Shut);
+    phase.send_replace(Phase::NotAccepting);
     // Guards against an exit, and so a reset, under a client that has not been answered yet, or whose answer
     // is still on its way.
     let none = |count: fn(&Exchange) -> usize| {
@@ -198,7 +198,7 @@
         let exchange = shared.borrow();
         let (counts, in_hand) = (exchange.counts, exchange.in_hand());
         if counts != last {
-            let versions = exchange.versions.words(exchange.clock.now());
+            let versions = exchange.versions.summary(exchange.clock.now());
             let versions = versions.map(|words| format!("; {words}")).unwrap_or_default();
             log::info!("{in_hand} mails in hand, {counts:?}{versions}");
             last = counts;
--- a/crates/courier/src/link.rs
+++ b/crates/courier/src/link.rs
@@ -14,17 +14,17 @@
 use crate::http::{self, Body, Head, Piece};
 
 /// What has begun of an answer's head is followed by the rest within this time.
-const HEAD: Duration = Duration::from_millis(300);
+const HEAD_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// And a head by its body.
-const REST: Duration = Duration::from_secs(1);
+const BODY_TIMEOUT: Duration = Duration::from_secs(1);
 
-pub struct Link {
+pub struct HttpConnection {
     stream: TcpStream,
     buffer: BytesMut,
 }
 
-fn bad(malformed: http::Malformed) -> io::Error {
+fn invalid_data(malformed: http::Malformed) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, malformed.0)
 }
 
@@ -34,11 +34,11 @@
     SockRef::from(stream).peek(&mut [MaybeUninit::uninit(); 1])
 }
 
-impl Link {
-    pub async fn open(address: SocketAddr) -> io::Result<Link> {
+impl HttpConnection {
+    pub async fn open(address: SocketAddr) -> io::Result<HttpConnection> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        Ok(Link { stream, buffer: BytesMut::new() })
+        Ok(HttpConnection { stream, buffer: BytesMut::new() })
     }
 
     /// Whether an idle connection can carry a request: still open, and nothing unasked has come on it.
@@ -47,33 +47,34 @@
     }
 
     /// Whether what has come of an answer is a first line that says 200, though no head can be read.
-    pub fn says_served(&self) -> bool {
-        http::says_served(&self.buffer)
+    pub fn has_ok_status_line(&self) -> bool {
+        http::has_ok_status_line(&self.buffer)
     }
 
     pub async fn send(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await
     }
 
-    async fn more(&mut self) -> io::Result<usize> {
+    async fn fill(&mut self) -> io::Result<usize> {
         self.buffer.reserve(2048);
         self.stream.read_buf(&mut self.buffer).await
     }
 
     /// The first part of an answer. Interim ones are passed over, however long the real one takes.
-    pub async fn head(&mut self) -> io::Result<Head> {
-        let mut rest = None;
+    pub async fn read_head(&mut self) -> io::Result<Head> {
+        let mut deadline = None;
         loop {
-            if let Some(head) = http::head(&mut self.buffer).map_err(bad)? {
+            if let Some(head) = http::read_head(&mut self.buffer).map_err(invalid_data)? {
                 return Ok(head);
             }
             // Guards against a head that has begun and never ends, which would hold a slot for nothing.
-            rest = if self.buffer.is_empty() { None } else { rest.or(Some(Instant::now() + HEAD)) };
-            let read = match rest {
-                None => self.more().await?,
-                Some(rest) => {
-                    let read = timeout_at(rest, self.more()).await;
-                    read.map_err(|_| bad(http::Malformed("an answer's head does not end")))??
+            deadline =
+                if self.buffer.is_empty() { None } else { deadline.or(Some(Instant::now() + HEAD_TIMEOUT)) };
+            let read = match deadline {
+                None => self.fill().await?,
+                Some(deadline) => {
+                    let read = timeout_at(deadline, self.fill()).await;
+                    read.map_err(|_| invalid_data(http::Malformed("an answer's head does not end")))??
                 }
             };
             if read == 0 {
@@ -83,37 +84,37 @@
     }
 
     /// Some more of a body; `None` at its end.
-    pub async fn piece(&mut self, body: &mut Body) -> io::Result<Option<Bytes>> {
+    pub async fn next_piece(&mut self, body: &mut Body) -> io::Result<Option<Bytes>> {
         loop {
-            match body.next(&mut self.buffer).map_err(bad)? {
+            match body.next(&mut self.buffer).map_err(invalid_data)? {
                 Piece::Bytes(bytes) => return Ok(Some(bytes)),
                 Piece::Ended => return Ok(None),
                 Piece::More => {}
             }
-            if self.more().await? == 0 {
-                let whole = *body == Body::UntilEnd;
-                return if whole { Ok(None) } else { Err(io::ErrorKind::UnexpectedEof.into()) };
+            if self.fill().await? == 0 {
+                let complete = *body == Body::UntilClose;
+                return if complete { Ok(None) } else { Err(io::ErrorKind::UnexpectedEof.into()) };
             }
         }
     }
 
     /// The body that follows a head that has come.
-    pub async fn rest(&mut self, body: Body, most: usize) -> io::Result<BytesMut> {
-        timeout_at(Instant::now() + REST, self.whole(body, most)).await?
+    pub async fn read_body(&mut self, body: Body, max_size: usize) -> io::Result<BytesMut> {
+        timeout_at(Instant::now() + BODY_TIMEOUT, self.collect_body(body, max_size)).await?
     }
 
-    /// All of a body, which may be no longer than `most`.
-    async fn whole(&mut self, mut body: Body, most: usize) -> io::Result<BytesMut> {
-        let mut whole = BytesMut::new();
-        if matches!(body, Body::Length(length) if length > most as u64) {
+    /// All of a body, which may be no longer than `max_size`.
+    async fn collect_body(&mut self, mut body: Body, max_size: usize) -> io::Result<BytesMut> {
+        let mut collected = BytesMut::new();
+        if matches!(body, Body::Length(length) if length > max_size as u64) {
             return Err(io::Error::new(io::ErrorKind::InvalidData, "a body claims to be too long"));
         }
-        while let Some(bytes) = self.piece(&mut body).await? {
-            if whole.len() + bytes.len() > most {
+        while let Some(bytes) = self.next_piece(&mut body).await? {
+            if collected.len() + bytes.len() > max_size {
                 return Err(io::Error::new(io::ErrorKind::InvalidData, "a body is too long"));
             }
-            whole.extend_from_slice(&bytes);
+            collected.extend_from_slice(&bytes);
         }
-        Ok(whole)
+        Ok(collected)
     }
 }
--- a/crates/courier/src/notes.rs
+++ b/crates/courier/src/notes.rs
@@ -52,7 +52,7 @@
             received = socket.recv_from(&mut buffer) => match received {
                 Ok((length, from)) if others.contains(&from) => {
                     if let Some((name, news)) = read(&buffer[..length]) {
-                        shared.borrow_mut().heard(name, news);
+                        shared.borrow_mut().note_received(name, news);
                     }
                 }
                 // An error is that of an earlier note that found nobody.
--- a/crates/courier/src/notices.rs
+++ b/crates/courier/src/notices.rs
@@ -18,15 +18,15 @@
 use crate::journal::Verdict;
 use crate::platform::Connection;
 
-const MOST_LINES: usize = 256;
-const MOST_ANSWER: usize = 64 * 1024;
+const MAX_BATCH: usize = 256;
+const MAX_ANSWER: usize = 64 * 1024;
 /// The platform answers at once; one that hangs is asked again while the answer still counts.
-const PATIENCE: Duration = Duration::from_millis(200);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
 /// One that it cannot read is sent again, alone, so often.
-const AGAIN: Duration = Duration::from_millis(500);
-const PAUSES: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(160));
+const UNREADABLE_RETRY: Duration = Duration::from_millis(500);
+const RETRY_PAUSES: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(160));
 
-fn lines(notices: &[Notice]) -> String {
+fn format_lines(notices: &[Notice]) -> String {
     let mut text = String::new();
     for notice in notices {
         // Ids hold nothing that JSON would want escaped.
@@ -44,24 +44,24 @@
 }
 
 /// The first failure in a row is worth a line, the others are not.
-fn failed(pause: Duration) -> log::Level {
-    if pause == PAUSES.0 {
+fn failure_level(pause: Duration) -> log::Level {
+    if pause == RETRY_PAUSES.0 {
         log::Level::Warn
     } else {
         log::Level::Debug
     }
 }
 
-struct Teller {
+struct NoticeSender {
     address: watch::Receiver<SocketAddr>,
-    kept: Option<Connection>,
+    connection: Option<Connection>,
 }
 
-impl Teller {
+impl NoticeSender {
     /// Sends some notices on the connection that is kept, or a new one; the status of the answer.
     async fn post(&mut self, notices: &[Notice]) -> io::Result<StatusCode> {
         // One that leads to where the platform was is not used again.
-        let kept = self.kept.take().filter(Connection::is_usable);
+        let kept = self.connection.take().filter(Connection::is_usable);
         let kept = if self.address.has_changed().unwrap_or(false) { None } else { kept };
         let address = *self.address.borrow_and_update();
         let mut connection = match kept {
@@ -69,37 +69,37 @@
             None => Connection::open(address).await?,
         };
         let request = Request::post("/v1/notices").header(CONTENT_TYPE, "application/x-ndjson");
-        let request = request.body(Full::from(lines(notices))).map_err(io::Error::other)?;
+        let request = request.body(Full::from(format_lines(notices))).map_err(io::Error::other)?;
         let answer = connection.send(request).await?;
         let status = answer.status();
-        Limited::new(answer, MOST_ANSWER).collect().await.map_err(io::Error::other)?;
-        self.kept = Some(connection);
+        Limited::new(answer, MAX_ANSWER).collect().await.map_err(io::Error::other)?;
+        self.connection = Some(connection);
         Ok(status)
     }
 }
 
-pub async fn tell(
+pub async fn run(
     shared: Shared,
     mut address: watch::Receiver<SocketAddr>,
     mut queue: UnboundedReceiver<Notice>,
 ) {
-    let mut teller = Teller { address: address.clone(), kept: None };
+    let mut sender = NoticeSender { address: address.clone(), connection: None };
     let mut waiting: VecDeque<Notice> = VecDeque::new();
     // What the platform could not read, each by itself, and when one of it is sent again.
-    let (mut unread, mut again): (VecDeque<Notice>, _) = (VecDeque::new(), Instant::now());
+    let (mut unreadable, mut retry_at): (VecDeque<Notice>, _) = (VecDeque::new(), Instant::now());
     // One among the first is looked for; one was heard since the last was put aside.
-    let (mut searching, mut heard) = (false, true);
-    let (mut most, mut pause) = (MOST_LINES, PAUSES.0);
+    let (mut searching, mut accepted) = (false, true);
+    let (mut batch_size, mut pause) = (MAX_BATCH, RETRY_PAUSES.0);
     loop {
         while let Ok(notice) = queue.try_recv() {
             waiting.push_back(notice);
         }
-        let aside = waiting.is_empty();
-        let some: Vec<Notice> = if aside {
-            (searching, most) = (false, MOST_LINES);
+        let retrying = waiting.is_empty();
+        let batch: Vec<Notice> = if retrying {
+            (searching, batch_size) = (false, MAX_BATCH);
             let notice = tokio::select! {
                 biased;
-                () = sleep_until(again), if !unread.is_empty() => None,
+                () = sleep_until(retry_at), if !unreadable.is_empty() => None,
                 notice = queue.recv() => match notice {
                     Some(notice) => Some(notice),
                     None => return,
@@ -109,67 +109,67 @@
                 waiting.push_back(notice);
                 continue;
             }
-            again = Instant::now() + AGAIN;
-            unread.pop_front().into_iter().collect()
+            retry_at = Instant::now() + UNREADABLE_RETRY;
+            unreadable.pop_front().into_iter().collect()
         } else {
-            waiting.drain(..most.min(waiting.len())).collect()
+            waiting.drain(..batch_size.min(waiting.len())).collect()
         };
-        match timeout(PATIENCE, teller.post(&some)).await {
+        match timeout(ANSWER_TIMEOUT, sender.post(&batch)).await {
             Ok(Ok(StatusCode::NO_CONTENT)) => {
-                some.iter().for_each(|notice| shared.borrow_mut().told(notice.serial));
-                (heard, pause) = (true, PAUSES.0);
-                most = if searching { most } else { MOST_LINES };
-                if aside {
+                batch.iter().for_each(|notice| shared.borrow_mut().notice_accepted(notice.serial));
+                (accepted, pause) = (true, RETRY_PAUSES.0);
+                batch_size = if searching { batch_size } else { MAX_BATCH };
+                if retrying {
                     // It can read what it could not: the others too, perhaps.
-                    waiting.extend(unread.drain(..));
+                    waiting.extend(unreadable.drain(..));
                 }
                 continue;
             }
             Ok(Ok(status @ (StatusCode::BAD_REQUEST | StatusCode::PAYLOAD_TOO_LARGE))) => {
                 // One that the platform cannot read must not hold up the others, which are owed to their clients by
                 // now: it is found by halves, without a pause, and put aside.
-                searching = some.len() > 1;
-                most = if searching { some.len() / 2 } else { MOST_LINES };
+                searching = batch.len() > 1;
+                batch_size = if searching { batch.len() / 2 } else { MAX_BATCH };
                 if searching {
-                    log::debug!("{} notices were answered {status}", some.len());
-                    put_back(&mut waiting, some);
+                    log::debug!("{} notices were answered {status}", batch.len());
+                    requeue(&mut waiting, batch);
                 } else {
                     log::warn!("a notice was answered {status}");
-                    again = Instant::now() + AGAIN;
-                    unread.extend(some);
+                    retry_at = Instant::now() + UNREADABLE_RETRY;
+                    unreadable.extend(batch);
                 }
                 // Guards against a platform that can read nothing, and gets everything singly without a pause.
-                if searching || std::mem::take(&mut heard) {
+                if searching || std::mem::take(&mut accepted) {
                     continue;
                 }
             }
             Ok(Ok(status)) => {
-                log::log!(failed(pause), "{} notices were answered {status}", some.len());
+                log::log!(failure_level(pause), "{} notices were answered {status}", batch.len());
                 // Guards against one over which the platform fails: singly from here, it last.
-                if some.len() == 1 {
-                    waiting.extend(some);
+                if batch.len() == 1 {
+                    waiting.extend(batch);
                 } else {
-                    put_back(&mut waiting, some);
+                    requeue(&mut waiting, batch);
                 }
-                most = 1;
+                batch_size = 1;
             }
             Ok(Err(e)) => {
-                log::log!(failed(pause), "notices cannot be sent: {e}");
-                put_back(&mut waiting, some);
+                log::log!(failure_level(pause), "notices cannot be sent: {e}");
+                requeue(&mut waiting, batch);
             }
             Err(_) => {
-                log::log!(failed(pause), "notices are not answered");
-                put_back(&mut waiting, some);
+                log::log!(failure_level(pause), "notices are not answered");
+                requeue(&mut waiting, batch);
             }
         }
         tokio::select! {
-            () = moved(&mut address) => pause = PAUSES.0,
-            () = sleep(pause) => pause = (pause * 2).min(PAUSES.1),
+            () = moved(&mut address) => pause = RETRY_PAUSES.0,
+            () = sleep(pause) => pause = (pause * 2).min(RETRY_PAUSES.1),
         }
     }
 }
 
 /// In their order, before those that wait.
-fn put_back(waiting: &mut VecDeque<Notice>, some: Vec<Notice>) {
-    some.into_iter().rev().for_each(|notice| waiting.push_front(notice));
+fn requeue(waiting: &mut VecDeque<Notice>, batch: Vec<Notice>) {
+    batch.into_iter().rev().for_each(|notice| waiting.push_front(notice));
 }
--- a/crates/courier/src/numbers.rs
+++ b/crates/courier/src/numbers.rs
@@ -15,11 +15,11 @@
     /// What a message of each is taken on with.
     pub terms: Vec<Terms>,
     /// Those that a message may be taken on with now.
-    pub named: HashMap<Bytes, usize>,
+    pub by_name: HashMap<Bytes, usize>,
 }
 
 /// What a message keeps of its class to its end.
-fn rules(c: &QueueClass) -> (meadowhold::interface::Effect, bool, meadowhold::interface::Time, bool) {
+fn fixed_rules(c: &QueueClass) -> (meadowhold::interface::Effect, bool, meadowhold::interface::Time, bool) {
     (c.effect, c.by_zone, c.window, c.in_turn)
 }
 
@@ -31,52 +31,54 @@
     ///
     /// # Errors
     /// Words, where too many classes of earlier versions still have messages.
-    pub fn after(
+    pub fn next_version(
         &self,
         names: &[String],
         new: &[QueueClass],
         is_used: impl Fn(usize) -> bool,
     ) -> Result<Classes, &'static str> {
-        let mut after = Classes { named: HashMap::new(), ..self.clone() };
+        let mut next = Classes { by_name: HashMap::new(), ..self.clone() };
         let mut claimed: BTreeSet<usize> = BTreeSet::new();
         let mut moved = Vec::new();
         // Of two with one name the last counts, as at a start.
         let last = |&(i, _): &(usize, (&String, _))| !names[i + 1..].contains(&names[i]);
         for (_, (name, class)) in names.iter().zip(new).enumerate().filter(last) {
-            let held = self.named.get(name.as_bytes()).copied();
-            match held.filter(|&at| rules(&self.classes[at]) == rules(class) && claimed.insert(at)) {
-                Some(at) => after.put(at, name, class),
+            let current = self.by_name.get(name.as_bytes()).copied();
+            match current.filter(|&number| {
+                fixed_rules(&self.classes[number]) == fixed_rules(class) && claimed.insert(number)
+            }) {
+                Some(number) => next.set(number, name, class),
                 None => moved.push((name, class)),
             }
         }
         for (name, class) in moved {
-            let free = (0..after.classes.len()).find(|&at| !claimed.contains(&at) && !is_used(at));
-            let at = free.unwrap_or(after.classes.len());
-            claimed.insert(at);
-            after.put(at, name, class);
+            let free = (0..next.classes.len()).find(|&number| !claimed.contains(&number) && !is_used(number));
+            let number = free.unwrap_or(next.classes.len());
+            claimed.insert(number);
+            next.set(number, name, class);
         }
-        if after.classes.len() > MOST_CLASSES {
+        if next.classes.len() > MOST_CLASSES {
             return Err("are too many with those that still have messages");
         }
-        for at in (0..after.classes.len()).filter(|at| !claimed.contains(at)) {
-            let held = &self.classes[at];
-            let same = names.iter().rposition(|name| name.as_bytes() == self.terms[at].class);
-            let base = same.or_else(|| new.iter().position(|class| class.effect == held.effect));
-            let (effect, by_zone, window, in_turn) = rules(held);
+        for number in (0..next.classes.len()).filter(|number| !claimed.contains(number)) {
+            let current = &self.classes[number];
+            let same = names.iter().rposition(|name| name.as_bytes() == self.terms[number].class);
+            let base = same.or_else(|| new.iter().position(|class| class.effect == current.effect));
+            let (effect, by_zone, window, in_turn) = fixed_rules(current);
             let base = new[base.unwrap_or_default()].clone();
-            after.classes[at] = QueueClass { effect, by_zone, window, in_turn, ..base };
+            next.classes[number] = QueueClass { effect, by_zone, window, in_turn, ..base };
         }
-        Ok(after)
+        Ok(next)
     }
 
-    fn put(&mut self, at: usize, name: &str, class: &QueueClass) {
+    fn set(&mut self, number: usize, name: &str, class: &QueueClass) {
         let terms = Terms::new(name, class);
-        self.named.insert(terms.class.clone(), at);
-        if at == self.classes.len() {
+        self.by_name.insert(terms.class.clone(), number);
+        if number == self.classes.len() {
             self.classes.push(class.clone());
             self.terms.push(terms);
         } else {
-            (self.classes[at], self.terms[at]) = (class.clone(), terms);
+            (self.classes[number], self.terms[number]) = (class.clone(), terms);
         }
     }
 }
--- a/crates/courier/tests/audit.rs
+++ b/crates/courier/tests/audit.rs
@@ -14,7 +14,9 @@
 };
 use meadowhold::interface::{News, Outcome, Time, SECOND};
 use meadowhold_courier::discovery::List;
-use meadowhold_courier::exchange::{Answer, Call, Clock, Exchange, Letter, Notice, Offer, Order, Seen};
+use meadowhold_courier::exchange::{
+    Answer, Call, CallMail, Clock, ConnectResult, Exchange, Notice, Offer, Order,
+};
 use meadowhold_courier::journal::{Found, Journal};
 use meadowhold_settings::decode_json;
 use serde_json::{json, Value};
@@ -44,9 +46,9 @@
     exchange: Exchange,
     orders: UnboundedReceiver<Order>,
     notices: UnboundedReceiver<Notice>,
-    /// Calls that wait for their connection, and letters whose call has begun.
+    /// Calls that wait for their connection, and mails whose call has begun.
     waiting: Vec<Call>,
-    out: Vec<Letter>,
+    out: Vec<CallMail>,
     /// Told of as silent; what came of them may turn out yet.
     silent: Vec<u64>,
     owed_notices: Vec<u64>,
@@ -155,9 +157,9 @@
         let offer = Offer {
             id: text(&self.ids.to_string()),
             key: Bytes::new(),
-            item: text(["0000", "7f3a", "9b1f"][self.chance.usize(..3)]),
+            order_key: text(["0000", "7f3a", "9b1f"][self.chance.usize(..3)]),
             class: text(class),
-            dest: self.chance.u64(..4),
+            destination: self.chance.u64(..4),
             lifetime: Duration::from_millis(self.chance.u64(1..4000)),
             body: vec![b'x'; self.chance.usize(..300) * if self.chance.u8(..20) == 0 { 100 } else { 1 }]
                 .into(),
@@ -175,12 +177,12 @@
             return;
         }
         let mut call = self.waiting.swap_remove(self.chance.usize(..self.waiting.len()));
-        let letters = std::mem::take(&mut call.letters);
+        let mails = std::mem::take(&mut call.mails);
         if self.chance.u8(..10) == 0 {
-            let unreached = Seen::only(Outcome::Unreached);
-            return letters.iter().for_each(|letter| self.exchange.seen(letter.serial, unreached.clone()));
+            let unreached = ConnectResult::of(Outcome::Unreached);
+            return mails.iter().for_each(|mail| self.exchange.connect_ended(mail.serial, unreached.clone()));
         }
-        let going = self.exchange.begin(&call, letters);
+        let going = self.exchange.begin(&call, mails);
         self.begun += going.len() as u64;
         self.out.extend(going);
     }
@@ -189,15 +191,16 @@
         if self.out.is_empty() {
             return;
         }
-        let letter = self.out.swap_remove(self.chance.usize(..self.out.len()));
+        let mail = self.out.swap_remove(self.chance.usize(..self.out.len()));
         let any = OUTCOMES[self.chance.usize(..9)];
         let outcome = if self.chance.bool() { Outcome::Relayed } else { any };
         let wait = if outcome == Outcome::Refused { self.chance.u64(..1500) } else { 0 };
         let over = outcome == Outcome::Relayed || outcome == Outcome::Unsent && self.chance.bool();
         let (wait, kept) = (Duration::from_millis(wait), self.chance.bool());
-        self.exchange.seen(letter.serial, Seen { over, wait, kept, ..Seen::only(outcome) });
+        self.exchange
+            .connect_ended(mail.serial, ConnectResult { over, wait, kept, ..ConnectResult::of(outcome) });
         if outcome == Outcome::Silent {
-            self.silent.push(letter.serial);
+            self.silent.push(mail.serial);
         }
     }
 
@@ -257,18 +260,18 @@
                 let news =
                     [News::Out, News::Back, News::Full(self.chance.u64(..9000))][self.chance.usize(..3)];
                 let name = format!("e{}", self.chance.u8(..9));
-                self.exchange.heard(name.as_bytes(), news);
+                self.exchange.note_received(name.as_bytes(), news);
             }
             960..980 => {
                 let told = self.owed_notices.pop();
-                told.into_iter().for_each(|serial| self.exchange.told(serial));
+                told.into_iter().for_each(|serial| self.exchange.notice_accepted(serial));
             }
             980..990 => {
                 let late = self.silent.pop();
                 late.into_iter().for_each(|serial| self.exchange.relayed_late(serial));
             }
             990..996 => {
-                let gone = self.out.first().map(|letter| letter.serial);
+                let gone = self.out.first().map(|mail| mail.serial);
                 gone.into_iter().for_each(|serial| self.exchange.hangup(serial));
             }
             996..998 => {
@@ -332,9 +335,9 @@
         let offer = Offer {
             id: text(&format!("m{i}")),
             key: Bytes::new(),
-            item: text("0000"),
+            order_key: text("0000"),
             class: text(class),
-            dest: 0,
+            destination: 0,
             lifetime: Duration::from_secs(4),
             body: Bytes::from_static(b"x"),
         };
@@ -359,7 +362,7 @@
         let mut day = alone();
         let calls = handed_in(&mut day, "once", 2);
         let [first, second] = &calls[..] else { panic!("{calls:?}") };
-        assert_eq!(day.exchange.begin(first, first.letters.clone()).len(), 1);
+        assert_eq!(day.exchange.begin(first, first.mails.clone()).len(), 1);
         let changed = |status: &str| {
             let entry = json!({"name": "e0", "group": 0, "type": "single", "zone": "a", "status": status});
             serde_json::from_value::<List>(json!({"index": 8, "snapshot": false, "endpoints": [entry]}))
@@ -368,9 +371,12 @@
         match told {
             "wait" => {
                 let wait = Duration::from_secs(1);
-                day.exchange.seen(first.letters[0].serial, Seen { wait, ..Seen::only(Outcome::Refused) });
+                day.exchange.connect_ended(
+                    first.mails[0].serial,
+                    ConnectResult { wait, ..ConnectResult::of(Outcome::Refused) },
+                );
             }
-            "note" => day.exchange.heard(b"e0", News::Full(SECOND)),
+            "note" => day.exchange.note_received(b"e0", News::Full(SECOND)),
             "drain" => day.exchange.listed(&changed("DRAINING")),
             "gone" => {
                 let whole = json!({"index": 8, "snapshot": true, "endpoints": []});
@@ -379,7 +385,7 @@
             _ => {}
         }
         // No turn in between.
-        let going = day.exchange.begin(second, second.letters.clone()).len();
+        let going = day.exchange.begin(second, second.mails.clone()).len();
         assert_eq!(going, usize::from(told == "nothing"), "{told}");
         day.turn();
         assert_eq!((day.exchange.in_hand(), day.exchange.counts.broken), (2, 0), "{told}");
@@ -390,9 +396,9 @@
 fn a_mail_whose_client_goes_between_its_outcome_and_the_next_turn_is_given_up_by_nobody() {
     let mut day = Day::new(1);
     let calls = handed_in(&mut day, "once", 1);
-    let letter = day.exchange.begin(&calls[0], calls[0].letters.clone()).remove(0);
-    day.exchange.seen(letter.serial, Seen::only(Outcome::Broken));
-    day.exchange.hangup(letter.serial);
+    let mail = day.exchange.begin(&calls[0], calls[0].mails.clone()).remove(0);
+    day.exchange.connect_ended(mail.serial, ConnectResult::of(Outcome::Broken));
+    day.exchange.hangup(mail.serial);
     day.turn();
     assert_eq!((day.exchange.in_hand(), day.exchange.counts.broken, day.owed_notices.len()), (0, 0, 0));
 }
@@ -419,8 +425,11 @@
         day.exchange.listed(&list(version, whole, status));
         let begun = handed_in(&mut day, "again", 1);
         assert_eq!((begun.len(), day.exchange.counts.older), (calls, older), "{version} {status}");
-        for letter in begun.iter().flat_map(|call| &call.letters) {
-            day.exchange.seen(letter.serial, Seen { over: true, ..Seen::only(Outcome::Unsent) });
+        for mail in begun.iter().flat_map(|call| &call.mails) {
+            day.exchange.connect_ended(
+                mail.serial,
+                ConnectResult { over: true, ..ConnectResult::of(Outcome::Unsent) },
+            );
         }
         let left: Vec<u64> = Found::load(&day.folder.path).unwrap().0.owed.into_keys().collect();
         left.into_iter().for_each(|serial| day.exchange.hangup(serial));
@@ -437,9 +446,9 @@
         let offer = Offer {
             id: text(&format!("m{i}")),
             key: Bytes::new(),
-            item: text("0000"),
+            order_key: text("0000"),
             class: text("again"),
-            dest: 1,
+            destination: 1,
             lifetime: Duration::from_secs(4),
             body: vec![b'x'; if i % 3 == 0 { 30_000 } else { 9 }].into(),
         };
@@ -452,7 +461,7 @@
     );
     day.turn();
     let mails = |slot: usize| -> usize {
-        day.waiting.iter().filter(|call| call.slot == slot).map(|call| call.letters.len()).sum()
+        day.waiting.iter().filter(|call| call.slot == slot).map(|call| call.mails.len()).sum()
     };
     assert_eq!([mails(0), mails(1)], [10, 10]);
     assert!(day.waiting.len() > 2, "cut by size");
@@ -468,9 +477,9 @@
         let offer = Offer {
             id: text(&format!("m{i}")),
             key: Bytes::new(),
-            item: text("7f3a"),
+            order_key: text("7f3a"),
             class: text(class),
-            dest: i as u64 % 3,
+            destination: i as u64 % 3,
             lifetime: Duration::from_secs(4),
             body: vec![b'x'; 9].into(),
         };
@@ -478,8 +487,8 @@
     }
     day.turn();
     for call in std::mem::take(&mut day.waiting) {
-        let letters = call.letters.clone();
-        day.out.extend(day.exchange.begin(&call, letters));
+        let mails = call.mails.clone();
+        day.out.extend(day.exchange.begin(&call, mails));
     }
     assert!(day.out.len() > 3 && day.exchange.in_hand() > day.out.len());
     assert_eq!(day.exchange.audit(), Vec::<String>::new());
@@ -551,17 +560,17 @@
     });
     is_told(&mut alone(), "a call begins before a told wait is over", |day| {
         let calls = handed_in(day, "once", 2);
-        assert_eq!(day.exchange.begin(&calls[0], calls[0].letters.clone()).len(), 1);
+        assert_eq!(day.exchange.begin(&calls[0], calls[0].mails.clone()).len(), 1);
         assert!(day.exchange.spoil("a told wait"));
-        day.exchange.begin(&calls[1], calls[1].letters.clone());
+        day.exchange.begin(&calls[1], calls[1].mails.clone());
     });
     is_told(&mut alone(), "a call begins with a connect that is not out", |day| {
         let calls = handed_in(day, "once", 1);
-        (0..2).for_each(|_| drop(day.exchange.begin(&calls[0], calls[0].letters.clone())));
+        (0..2).for_each(|_| drop(day.exchange.begin(&calls[0], calls[0].mails.clone())));
     });
     is_told(&mut busy(), "an outcome came for a connect that is not out", |day| {
         let serial = day.out[0].serial;
-        (0..2).for_each(|_| day.exchange.seen(serial, Seen::only(Outcome::Broken)));
+        (0..2).for_each(|_| day.exchange.connect_ended(serial, ConnectResult::of(Outcome::Broken)));
     });
 }
 
--- a/crates/courier/tests/behind.rs
+++ b/crates/courier/tests/behind.rs
@@ -8,7 +8,7 @@
 use common::{settings, Folder};
 use meadowhold::interface::{Outcome, Time, SECOND};
 use meadowhold_courier::discovery::List;
-use meadowhold_courier::exchange::{Answer, Clock, Exchange, Notice, Offer, Order, Seen};
+use meadowhold_courier::exchange::{Answer, Clock, ConnectResult, Exchange, Notice, Offer, Order};
 use meadowhold_courier::journal::Journal;
 use meadowhold_settings::decode_json;
 use serde_json::json;
@@ -49,9 +49,9 @@
         let answer = self.exchange.hand_in(Offer {
             id: text(&id.to_string()),
             key: text("5c0f"),
-            item: text("0000"),
+            order_key: text("0000"),
             class: text(class),
-            dest: 7,
+            destination: 7,
             lifetime: Duration::from_secs(4),
             body: text("hello"),
         });
@@ -64,9 +64,9 @@
         let mut called = Vec::new();
         while let Ok(order) = self.orders.try_recv() {
             let Order::Call(call) = order else { continue };
-            for letter in self.exchange.begin(&call, call.letters.clone()) {
+            for mail in self.exchange.begin(&call, call.mails.clone()) {
                 called.push(call.endpoint);
-                self.exchange.seen(letter.serial, Seen::only(outcome(call.endpoint)));
+                self.exchange.connect_ended(mail.serial, ConnectResult::of(outcome(call.endpoint)));
             }
         }
         self.now += 100;
--- a/crates/courier/tests/codecs.rs
+++ b/crates/courier/tests/codecs.rs
@@ -4,7 +4,7 @@
 
 use bytes::BytesMut;
 use meadowhold::interface::{News, Time};
-use meadowhold_courier::http::{self, Body, Letter, Piece};
+use meadowhold_courier::http::{self, Body, Mail, Piece};
 use meadowhold_courier::{notes, resp};
 
 #[test]
@@ -14,7 +14,7 @@
         let mut buffer = BytesMut::from(&whole[..cut]);
         let mut commands = Vec::new();
         for more in [&whole[cut..], b""] {
-            while let Some(words) = resp::command(&mut buffer).unwrap() {
+            while let Some(words) = resp::read_command(&mut buffer).unwrap() {
                 commands.push(words);
             }
             buffer.extend_from_slice(more);
@@ -30,7 +30,7 @@
     let cases: [(&[u8], &[&[u8]]); 4] =
         [(b"PING\r\n", &[b"PING"]), (b" a  b\n", &[b"a", b"b"]), (b"\r\n", &[]), (b"*0\r\n", &[])];
     for (line, expected) in cases {
-        assert_eq!(resp::command(&mut BytesMut::from(line)).unwrap().unwrap(), expected);
+        assert_eq!(resp::read_command(&mut BytesMut::from(line)).unwrap().unwrap(), expected);
     }
 }
 
@@ -49,7 +49,7 @@
         (&long, "a line is too long"),
     ];
     for (bytes, words) in cases {
-        match resp::command(&mut BytesMut::from(bytes)) {
+        match resp::read_command(&mut BytesMut::from(bytes)) {
             Err(malformed) => assert_eq!(malformed.0, words),
             Ok(read) => assert_eq!((read, words), (None, "")),
         }
@@ -61,7 +61,7 @@
         many.extend([b'x'; 40_000]);
         many.extend(b"\r\n");
     }
-    let read = resp::command(&mut BytesMut::from(&many[..]));
+    let read = resp::read_command(&mut BytesMut::from(&many[..]));
     assert_eq!(read, Err(resp::Malformed("a command is too long")));
 }
 
@@ -73,7 +73,7 @@
     let mut body = Vec::new();
     loop {
         if head.is_none() {
-            head = http::head(&mut buffer)?;
+            head = http::read_head(&mut buffer)?;
         }
         if let Some(head) = &mut head {
             match head.body.next(&mut buffer)? {
@@ -107,10 +107,10 @@
         (b"HTTP/1.1 204 No Content\r\n\r\n", 204, b"", true),
         (b"HTTP/1.0 500 Error\r\nContent-Length: 1\r\n\r\nx", 500, b"x", false),
     ];
-    for (bytes, status, body, keep) in answers {
+    for (bytes, status, body, keep_alive) in answers {
         for cut in 0..=bytes.len() {
             let (head, read) = answer(&bytes[..cut], &bytes[cut..]).unwrap();
-            assert_eq!((head.status, &read[..], head.keep), (status, body, keep), "cut at {cut}");
+            assert_eq!((head.status, &read[..], head.keep_alive), (status, body, keep_alive), "cut at {cut}");
         }
     }
 }
@@ -118,19 +118,19 @@
 #[test]
 fn headers_of_an_answer_are_read() {
     let head = |fields: &str| {
-        http::head(&mut BytesMut::from(format!("HTTP/1.1 429 X\r\n{fields}\r\n").as_bytes()))
+        http::read_head(&mut BytesMut::from(format!("HTTP/1.1 429 X\r\n{fields}\r\n").as_bytes()))
             .unwrap()
             .unwrap()
     };
     let waits = [("1.25", Some(1250)), ("0", None), ("-3", None), ("NaN", None), ("1e300", Some(3_600_000))];
     for (text, wait) in waits {
         let expected = wait.map(Duration::from_millis);
-        assert_eq!(head(&format!("retry-after: {text}\r\n")).wait, expected, "{text}");
+        assert_eq!(head(&format!("retry-after: {text}\r\n")).retry_after, expected, "{text}");
     }
     let full = head("X-Over-Slots: 1\r\nX-Load: x0=0.4,x1=25\r\n");
-    assert!(full.over_slots && !full.keep, "no length: it lasts until the connection ends");
-    assert_eq!(http::pair(full.load.as_deref().unwrap(), "x1"), Some("25"));
-    assert_eq!(http::pair("a=1,b", "b"), None);
+    assert!(full.over_slots && !full.keep_alive, "no length: it lasts until the connection ends");
+    assert_eq!(http::pair_value(full.load.as_deref().unwrap(), "x1"), Some("25"));
+    assert_eq!(http::pair_value("a=1,b", "b"), None);
 }
 
 #[test]
@@ -157,38 +157,39 @@
 #[test]
 fn calls_are_written_as_the_protocol_has_them() {
     let wait = Duration::from_millis(1500);
-    let letters = [
-        Letter { id: "9b1f", key: "", body: b"hello" },
-        Letter { id: "77aa", key: "5c0f", body: &[0, 255, b'\r', b'\n'] },
+    let mails = [
+        Mail { id: "9b1f", key: "", body: b"hello" },
+        Mail { id: "77aa", key: "5c0f", body: &[0, 255, b'\r', b'\n'] },
     ];
     let text = |out: &BytesMut| String::from_utf8_lossy(out).into_owned();
     let mut out = BytesMut::new();
-    http::hook(&mut out, "h:1", &letters[0], wait);
+    http::write_hook(&mut out, "h:1", &mails[0], wait);
     let single = "POST /hook HTTP/1.1\r\nHost: h:1\r\nX-Request-Id: 9b1f\r\nX-Deadline: 1.500\r\n\
         Content-Length: 5\r\n\r\nhello";
     assert_eq!(text(&out), single);
     out.clear();
-    http::hook(&mut out, "h:1", &letters[1], wait);
+    http::write_hook(&mut out, "h:1", &mails[1], wait);
     assert!(text(&out).contains("\r\nIdempotency-Key: 5c0f\r\n"));
     assert!(out.ends_with(b"\r\n\r\n\0\xff\r\n"), "any byte may stand in a body");
     out.clear();
-    http::hook_batch(&mut out, "h:1", &letters, wait);
+    http::write_hook_batch(&mut out, "h:1", &mails, wait);
     let body =
         "[{\"id\":\"9b1f\",\"body\":\"aGVsbG8=\"},{\"id\":\"77aa\",\"key\":\"5c0f\",\"body\":\"AP8NCg==\"}]";
     assert!(text(&out).ends_with(&format!("Content-Length: {}\r\n\r\n{body}", body.len())), "{}", text(&out));
-    let size = |l: &Letter| http::size_in_batch(l.id.as_bytes(), l.key.as_bytes(), l.body);
-    assert!(body.len() <= letters.iter().map(size).sum());
+    let size = |l: &Mail| http::size_in_batch(l.id.as_bytes(), l.key.as_bytes(), l.body);
+    assert!(body.len() <= mails.iter().map(size).sum());
 }
 
 #[test]
 fn batch_answers_are_read_or_not_at_all() {
-    let items = http::items(br#"[{"id":"a","state":"ok","more":1},{"id":"b","state":"later"}]"#).unwrap();
+    let items =
+        http::read_items(br#"[{"id":"a","state":"ok","more":1},{"id":"b","state":"later"}]"#).unwrap();
     assert_eq!(
         items.iter().map(|i| (&i.id[..], &i.state[..])).collect::<Vec<_>>(),
         [("a", "ok"), ("b", "later")]
     );
     for broken in [&b""[..], b"{}", b"[{\"id\":\"a\"}]", b"[{\"id\":1,\"state\":\"ok\"}]"] {
-        assert_eq!(http::items(broken), None);
+        assert_eq!(http::read_items(broken), None);
     }
 }
 
--- a/crates/courier/tests/common/process.rs
+++ b/crates/courier/tests/common/process.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use meadowhold::interface::{Outcome, Time, SECOND};
 use meadowhold_courier::discovery::List;
-use meadowhold_courier::exchange::{Answer, Call, Clock, Exchange, Notice, Offer, Order, Seen};
+use meadowhold_courier::exchange::{Answer, Call, Clock, ConnectResult, Exchange, Notice, Offer, Order};
 use meadowhold_courier::journal::{Found, Journal, Verdict};
 use meadowhold_settings::decode_json;
 use serde_json::json;
@@ -67,9 +67,9 @@
         self.exchange.hand_in(Offer {
             id: text(id),
             key: text("5c0f"),
-            item: text("0000"),
+            order_key: text("0000"),
             class: text(class),
-            dest,
+            destination: dest,
             lifetime: Duration::from_secs(4),
             body: text("hello"),
         })
@@ -96,7 +96,7 @@
     }
 
     pub fn begin(&mut self, call: &Call) -> bool {
-        !self.exchange.begin(call, call.letters.clone()).is_empty()
+        !self.exchange.begin(call, call.mails.clone()).is_empty()
     }
 
     pub fn ends(&mut self) -> Vec<(String, Verdict)> {
@@ -109,9 +109,9 @@
         let (mut sent, until) = (Vec::new(), self.now + time);
         while self.now < until {
             for call in self.calls() {
-                for letter in self.exchange.begin(&call, call.letters.clone()) {
-                    sent.push(String::from_utf8(letter.id.to_vec()).unwrap());
-                    self.exchange.seen(letter.serial, Seen::only(outcome));
+                for mail in self.exchange.begin(&call, call.mails.clone()) {
+                    sent.push(String::from_utf8(mail.id.to_vec()).unwrap());
+                    self.exchange.connect_ended(mail.serial, ConnectResult::of(outcome));
                 }
             }
             self.pass(200);
--- a/crates/courier/tests/crash_points.rs
+++ b/crates/courier/tests/crash_points.rs
@@ -15,7 +15,7 @@
     answers, command, config, own_address, put, until, Client, Courier, Endpoint, Folder, Platform, Reply, OK,
 };
 use meadowhold::interface::{Outcome, Time, SECOND};
-use meadowhold_courier::exchange::{Answer, Seen};
+use meadowhold_courier::exchange::{Answer, ConnectResult};
 use meadowhold_courier::journal::Verdict;
 use process::{Process, START};
 use serde_json::json;
@@ -59,8 +59,8 @@
             // Whatever is cut off behind this length, its bytes may go out now.
             assert!(process.begin(&call));
             begun.push((id, size(&folder)));
-            let serial = call.letters[0].serial;
-            process.exchange.seen(serial, Seen::only(outcome));
+            let serial = call.mails[0].serial;
+            process.exchange.connect_ended(serial, ConnectResult::of(outcome));
             if outcome == Outcome::Unreached && i == 0 {
                 never.insert(id, size(&folder));
             }
@@ -70,7 +70,7 @@
             process.exchange.turn();
             process.ends().iter().for_each(|(_, verdict)| assert_eq!(*verdict, Verdict::Dead));
             if id == "broken" {
-                process.exchange.told(serial);
+                process.exchange.notice_accepted(serial);
             }
         }
         if id == "out" {
@@ -231,14 +231,14 @@
                 process = Process::start(&folder, ALLOWANCE, sent + decided * 10, Some(1_000_000));
             } else {
                 process.pass(decided * 10);
-                process.exchange.seen(first.letters[0].serial, Seen::only(Outcome::Silent));
+                process.exchange.connect_ended(first.mails[0].serial, ConnectResult::of(Outcome::Silent));
             }
             let repeat = process.calls().pop().unwrap();
-            assert_eq!(repeat.letters[0].latest, sent + SECOND, "the last byte's latest time");
-            let mut letters = repeat.letters.clone();
-            letters[0].until = Time::MAX;
+            assert_eq!(repeat.mails[0].latest, sent + SECOND, "the last byte's latest time");
+            let mut mails = repeat.mails.clone();
+            mails[0].until = Time::MAX;
             process.pass(connected * 10);
-            let begun = process.exchange.begin(&repeat, letters).len();
+            let begun = process.exchange.begin(&repeat, mails).len();
             assert_eq!(begun == 1, begins, "{restart} {decided} {connected}");
         }
     }
--- a/crates/courier/tests/exchange.rs
+++ b/crates/courier/tests/exchange.rs
@@ -9,7 +9,7 @@
 use common::{settings, Folder};
 use meadowhold::interface::Outcome;
 use meadowhold_courier::discovery::List;
-use meadowhold_courier::exchange::{Answer, Call, Clock, Exchange, Notice, Offer, Order, Seen};
+use meadowhold_courier::exchange::{Answer, Call, Clock, ConnectResult, Exchange, Notice, Offer, Order};
 use meadowhold_courier::journal::{Found, Journal, Verdict};
 use meadowhold_settings::decode_json;
 use serde_json::json;
@@ -49,9 +49,9 @@
         self.exchange.hand_in(Offer {
             id: text(id),
             key: Bytes::new(),
-            item: text("0000"),
+            order_key: text("0000"),
             class: text(class),
-            dest: 7,
+            destination: 7,
             lifetime: Duration::from_secs(4),
             body: vec![b'x'; body].into(),
         })
@@ -73,9 +73,9 @@
     }
 }
 
-fn seen(outcome: Outcome) -> Seen {
+fn seen(outcome: Outcome) -> ConnectResult {
     let wait = Duration::from_secs(if outcome == Outcome::Refused { 2 } else { 0 });
-    Seen { wait, ..Seen::only(outcome) }
+    ConnectResult { wait, ..ConnectResult::of(outcome) }
 }
 
 fn serial(answer: Answer) -> u64 {
@@ -98,11 +98,11 @@
             world.exchange.turn();
         } else {
             let second = world.call();
-            assert_eq!(world.exchange.begin(&second, second.letters.clone()).len(), 1);
-            world.exchange.seen(second.letters[0].serial, seen(Outcome::Refused));
+            assert_eq!(world.exchange.begin(&second, second.mails.clone()).len(), 1);
+            world.exchange.connect_ended(second.mails[0].serial, seen(Outcome::Refused));
             world.exchange.turn();
         }
-        assert!(world.exchange.begin(&call, call.letters.clone()).is_empty(), "{told}");
+        assert!(world.exchange.begin(&call, call.mails.clone()).is_empty(), "{told}");
         assert!(world.calls().is_empty(), "{told}: it waits");
         // Never sent, so it can be served later; nothing was given up.
         assert_eq!((first, world.exchange.in_hand(), world.exchange.in_flight()), (1, 2, 0));
@@ -121,7 +121,7 @@
     world.exchange.release();
     assert!(world.calls().is_empty(), "the endpoint drains");
     world.exchange.listed(&list("SERVING", "single"));
-    assert_eq!(world.call().letters.len(), 1);
+    assert_eq!(world.call().mails.len(), 1);
 }
 
 #[test]
@@ -131,10 +131,10 @@
         serial(world.put(id, class, 1));
     }
     let mut call = world.call();
-    let late = call.letters.iter().position(|letter| letter.id == "01").unwrap();
-    call.letters[late].until = world.exchange.clock.now();
-    let going = world.exchange.begin(&call, call.letters.clone());
-    assert_eq!(going.iter().map(|letter| &letter.id[..]).collect::<Vec<_>>(), [b"02"]);
+    let late = call.mails.iter().position(|mail| mail.id == "01").unwrap();
+    call.mails[late].until = world.exchange.clock.now();
+    let going = world.exchange.begin(&call, call.mails.clone());
+    assert_eq!(going.iter().map(|mail| &mail.id[..]).collect::<Vec<_>>(), [b"02"]);
     assert_eq!((world.exchange.in_hand(), world.exchange.in_flight()), (2, 1));
 }
 
@@ -144,11 +144,11 @@
         let mut world = world("single");
         let mail = serial(world.put("01", "once", 1));
         let call = out.then(|| world.call());
-        let begun = call.map(|call| world.exchange.begin(&call, call.letters.clone()));
+        let begun = call.map(|call| world.exchange.begin(&call, call.mails.clone()));
         world.exchange.hangup(mail);
         assert_eq!((world.calls().len(), world.exchange.in_hand()), (0, 0));
-        if begun.is_some_and(|letters| letters.len() == 1) {
-            world.exchange.seen(mail, seen(Outcome::Broken));
+        if begun.is_some_and(|mails| mails.len() == 1) {
+            world.exchange.connect_ended(mail, seen(Outcome::Broken));
             assert_eq!((world.calls().len(), world.exchange.in_flight()), (0, 0));
         }
         assert!(world.notices.try_recv().is_err());
@@ -160,29 +160,29 @@
 fn an_index_is_given_back_when_its_endpoint_has_gone_and_a_call_knows_where_it_was_to_go() {
     let mut world = world("single");
     let mut list = list("SERVING", "single");
-    let (mut most, mut places) = (0, Vec::new());
+    let (mut most, mut incarnations) = (0, Vec::new());
     for i in 0..50 {
         serial(world.put(&i.to_string(), "once", 1));
         let call = world.call();
         most = most.max(call.endpoint);
-        places.push(call.place);
+        incarnations.push(call.incarnation);
         assert!(world.exchange.is_current(&call));
         // Another endpoint at the same address, while the call waits for its connection.
         list.endpoints[0].name = format!("n{i}");
         world.exchange.listed(&list);
         world.exchange.turn();
-        assert!(world.exchange.begin(&call, call.letters.clone()).is_empty(), "it has gone");
+        assert!(world.exchange.begin(&call, call.mails.clone()).is_empty(), "it has gone");
         let again = world.call();
         most = most.max(again.endpoint);
-        assert!(!world.exchange.is_current(&call) && again.place != call.place);
-        assert_eq!(world.exchange.begin(&again, again.letters.clone()).len(), 1);
-        world.exchange.seen(again.letters[0].serial, seen(Outcome::Relayed));
+        assert!(!world.exchange.is_current(&call) && again.incarnation != call.incarnation);
+        assert_eq!(world.exchange.begin(&again, again.mails.clone()).len(), 1);
+        world.exchange.connect_ended(again.mails[0].serial, seen(Outcome::Relayed));
         world.exchange.turn();
     }
     assert!(most < 4, "{most}");
-    places.sort();
-    places.dedup();
-    assert_eq!((places.len(), world.exchange.in_hand(), world.exchange.counts.broken), (50, 0, 0));
+    incarnations.sort();
+    incarnations.dedup();
+    assert_eq!((incarnations.len(), world.exchange.in_hand(), world.exchange.counts.broken), (50, 0, 0));
 }
 
 #[test]
@@ -199,8 +199,8 @@
     let mut world = world("single");
     let mail = serial(world.put("01", "again", 1));
     let call = world.call();
-    assert_eq!(world.exchange.begin(&call, call.letters.clone()).len(), 1);
-    world.exchange.seen(mail, seen(Outcome::Silent));
+    assert_eq!(world.exchange.begin(&call, call.mails.clone()).len(), 1);
+    world.exchange.connect_ended(mail, seen(Outcome::Silent));
     world.exchange.turn();
     world.exchange.relayed_late(mail);
     world.exchange.relayed_late(mail);
@@ -213,13 +213,13 @@
     let mut world = world("single");
     let mail = serial(world.put("01", "once", 1));
     let call = world.call();
-    world.exchange.begin(&call, call.letters.clone());
-    world.exchange.seen(mail, seen(Outcome::Broken));
+    world.exchange.begin(&call, call.mails.clone());
+    world.exchange.connect_ended(mail, seen(Outcome::Broken));
     assert!(world.calls().is_empty());
     let notice = world.notices.try_recv().unwrap();
     assert_eq!((notice.serial, notice.verdict), (mail, Verdict::Dead));
     assert_eq!(world.exchange.in_hand(), 1, "until the platform has heard of it");
-    world.exchange.told(mail);
+    world.exchange.notice_accepted(mail);
     assert_eq!(world.exchange.in_hand(), 0);
 }
 
@@ -259,15 +259,15 @@
             let calls = world.calls();
             look(&world, "given up");
             for call in calls {
-                assert_eq!(world.exchange.begin(&call, call.letters.clone()).len(), 1, "{i}");
+                assert_eq!(world.exchange.begin(&call, call.mails.clone()).len(), 1, "{i}");
                 look(&world, "out");
-                let mail = call.letters[0].serial;
+                let mail = call.mails[0].serial;
                 let outcome = to_come.get_mut(&mail).and_then(Vec::pop).unwrap();
-                world.exchange.seen(mail, seen(outcome));
+                world.exchange.connect_ended(mail, seen(outcome));
                 look(&world, if outcome == Outcome::Relayed { "over" } else { "back" });
             }
             if let Ok(notice) = world.notices.try_recv() {
-                world.exchange.told(notice.serial);
+                world.exchange.notice_accepted(notice.serial);
                 look(&world, "told");
             }
         }
@@ -282,7 +282,7 @@
     let mut world = world("many");
     (0..5).for_each(|id| assert_ne!(world.put(&id.to_string(), "again", 20_000), Answer::Busy));
     let calls = world.calls();
-    let sizes: Vec<usize> = calls.iter().map(|call| call.letters.len()).collect();
+    let sizes: Vec<usize> = calls.iter().map(|call| call.mails.len()).collect();
     assert_eq!(sizes, [2, 2, 1]);
     assert!(calls.iter().all(|call| call.size <= 64 * 1024));
 }
@@ -296,10 +296,10 @@
         world.exchange.clock = Clock::still(start);
         serial(world.put("01", "once", 1));
         let call = world.call();
-        assert_eq!(world.exchange.begin(&call, call.letters.clone()).len(), 1);
+        assert_eq!(world.exchange.begin(&call, call.mails.clone()).len(), 1);
         world.exchange.clock = Clock::still(start + after * 10);
         assert!(world.calls().is_empty());
-        world.exchange.seen(call.letters[0].serial, seen(outcome));
+        world.exchange.connect_ended(call.mails[0].serial, seen(outcome));
         let mut next = None;
         for ms in (after + 10..30_000).step_by(10) {
             world.exchange.clock = Clock::still(start + ms * 10);
@@ -308,11 +308,11 @@
             }
             for call in world.calls() {
                 next = next.or(Some(ms));
-                assert_eq!(world.exchange.begin(&call, call.letters.clone()).len(), 1);
-                world.exchange.seen(call.letters[0].serial, seen(Outcome::Relayed));
+                assert_eq!(world.exchange.begin(&call, call.mails.clone()).len(), 1);
+                world.exchange.connect_ended(call.mails[0].serial, seen(Outcome::Relayed));
             }
             while let Ok(notice) = world.notices.try_recv() {
-                world.exchange.told(notice.serial);
+                world.exchange.notice_accepted(notice.serial);
             }
         }
         assert!(next.is_some(), "{outcome:?}: not one call in half a minute");
--- a/crates/courier/tests/late.rs
+++ b/crates/courier/tests/late.rs
@@ -8,7 +8,7 @@
 use common::{settings, Folder};
 use meadowhold::interface::Outcome;
 use meadowhold_courier::discovery::List;
-use meadowhold_courier::exchange::{Answer, Exchange, Offer, Order, Seen};
+use meadowhold_courier::exchange::{Answer, ConnectResult, Exchange, Offer, Order};
 use meadowhold_courier::journal::Journal;
 use meadowhold_settings::decode_json;
 use serde_json::json;
@@ -34,17 +34,17 @@
     let answer = exchange.hand_in(Offer {
         id: text("01"),
         key: Bytes::new(),
-        item: text("0000"),
+        order_key: text("0000"),
         class: text("once"),
-        dest: 7,
+        destination: 7,
         lifetime: Duration::from_secs(4),
         body: Bytes::new(),
     });
     let Answer::Taken(serial) = answer else { panic!("{answer:?}") };
     exchange.turn();
     let Ok(Order::Call(call)) = orders.try_recv() else { panic!("no call") };
-    assert_eq!(exchange.begin(&call, call.letters.clone()).len(), 1);
-    exchange.seen(serial, Seen::only(Outcome::Silent));
+    assert_eq!(exchange.begin(&call, call.mails.clone()).len(), 1);
+    exchange.connect_ended(serial, ConnectResult::of(Outcome::Silent));
     exchange.relayed_late(serial);
     exchange.turn();
     assert_eq!((exchange.counts.broken, exchange.in_hand()), (0, 0));
--- a/crates/courier/tests/other_folder.rs
+++ b/crates/courier/tests/other_folder.rs
@@ -11,7 +11,7 @@
 use common::{settings, until, Courier, Endpoint, Folder, Platform};
 use meadowhold::interface::{Outcome, Time, SECOND};
 use meadowhold_courier::discovery::List;
-use meadowhold_courier::exchange::{Answer, Call, Clock, Exchange, Notice, Offer, Order, Seen};
+use meadowhold_courier::exchange::{Answer, Call, Clock, ConnectResult, Exchange, Notice, Offer, Order};
 use meadowhold_courier::journal::{Journal, Verdict};
 use meadowhold_settings::decode_json;
 use serde_json::{json, Value};
@@ -75,9 +75,9 @@
         let answer = self.exchange.hand_in(Offer {
             id: text(id),
             key: text("5c0f"),
-            item: text("0000"),
+            order_key: text("0000"),
             class: text(class),
-            dest: 7,
+            destination: 7,
             lifetime: Duration::from_secs(4),
             body: text("hello"),
         });
@@ -109,8 +109,8 @@
     /// The id of the next mail that is called for, its call begun, and its endpoint.
     fn begun(&mut self, ms: u64) -> Option<(String, usize)> {
         let call = self.calls(ms).pop()?;
-        let letters = self.exchange.begin(&call, call.letters.clone());
-        let id = String::from_utf8(letters.first()?.id.to_vec()).unwrap();
+        let mails = self.exchange.begin(&call, call.mails.clone());
+        let id = String::from_utf8(mails.first()?.id.to_vec()).unwrap();
         Some((id, call.endpoint))
     }
 
@@ -167,7 +167,7 @@
         drop(world);
         let mut next = process(&folder, &with(&classes, &["a", "b"]), &["a"], START + SECOND);
         assert_eq!(next.begun(0), Some(("01".to_string(), 0)), "{words}");
-        next.exchange.seen(1, Seen::only(Outcome::Error));
+        next.exchange.connect_ended(1, ConnectResult::of(Outcome::Error));
         assert!(next.calls(5000).is_empty(), "{words}: sent again");
         assert_eq!(next.ends(), BTreeMap::from([("01".to_string(), Verdict::Dead)]), "{words}");
     }
@@ -262,7 +262,7 @@
     let serial = world.put("01", "tagged");
     world.begun(0).unwrap();
     world.exchange.listed(&list(&["DRAINED", "y"]));
-    world.exchange.seen(serial, Seen::only(Outcome::Error));
+    world.exchange.connect_ended(serial, ConnectResult::of(Outcome::Error));
     let call = world.calls(1900);
     assert!(call.iter().all(|call| call.endpoint == 0), "{call:?}");
 }
@@ -311,7 +311,7 @@
         let mut next = process(&folder, &with(&ours(), &["a", "b"]), &["a"], START + SECOND);
         assert_eq!(next.begun(100).is_some(), !out, "{class}");
         if !out {
-            next.exchange.seen(9, Seen::only(Outcome::Error));
+            next.exchange.connect_ended(9, ConnectResult::of(Outcome::Error));
         }
         assert!(next.calls(5000).is_empty(), "{class}: sent again");
         assert_eq!(next.ends(), BTreeMap::from([("a1".to_string(), Verdict::Dead)]), "{class}");
@@ -365,10 +365,10 @@
 
     fn begin(&mut self, world: &mut World, call: Call, at: &[&str], classes: &[Value]) -> Vec<(u64, String)> {
         let (now, zone) = (world.now, at[call.endpoint]);
-        let begun = world.exchange.begin(&call, call.letters.clone());
+        let begun = world.exchange.begin(&call, call.mails.clone());
         let mut out = Vec::new();
-        for letter in begun {
-            let id = String::from_utf8(letter.id.to_vec()).unwrap();
+        for mail in begun {
+            let id = String::from_utf8(mail.id.to_vec()).unwrap();
             let life = self.lives.get_mut(&id).unwrap();
             assert!(!life.over && life.told.is_none(), "{id} is over");
             let strict = classes.iter().any(|c| c["Name"] == life.name && c["Effect"] == "non_idempotent");
@@ -381,7 +381,7 @@
                 }
             }
             life.ran.push((now, zone.to_string()));
-            out.push((letter.serial, id));
+            out.push((mail.serial, id));
         }
         out
     }
@@ -395,7 +395,7 @@
             life.ran.pop();
         }
         life.over = outcome == Outcome::Relayed;
-        world.exchange.seen(serial, Seen::only(outcome));
+        world.exchange.connect_ended(serial, ConnectResult::of(outcome));
     }
 
     fn heard(&mut self, world: &mut World) {
--- a/crates/courier/tests/renamed.rs
+++ b/crates/courier/tests/renamed.rs
@@ -14,7 +14,9 @@
 use meadowhold::door::Door;
 use meadowhold::interface::{Action, Ended, Input, Life, Listed, News, Outcome, Report, Taken, Time, SECOND};
 use meadowhold_courier::discovery::List;
-use meadowhold_courier::exchange::{duration, Answer, Call, Clock, Exchange, Notice, Offer, Order, Seen};
+use meadowhold_courier::exchange::{
+    duration, Answer, Call, Clock, ConnectResult, Exchange, Notice, Offer, Order,
+};
 use meadowhold_courier::journal::Journal;
 use meadowhold_settings::{decode_json, Decoded};
 use serde_json::{json, Value};
@@ -402,9 +404,9 @@
         let answer = self.exchange.hand_in(Offer {
             id: text(&format!("{}{number}", self.names.endpoint)),
             key: text(&format!("{}{number}", self.names.item)),
-            item: message.key.map_or(text("0000"), |key| text(&format!("{}{key}", self.names.item))),
+            order_key: message.key.map_or(text("0000"), |key| text(&format!("{}{key}", self.names.item))),
             class: text(self.names.classes[message.class]),
-            dest: self.names.destinations[message.dest],
+            destination: self.names.destinations[message.dest],
             lifetime: duration(message.lifetime),
             body: Bytes::from_static(b"body"),
         });
@@ -423,13 +425,13 @@
         self.waiting = waiting;
         let up: Vec<(Time, Call)> = up;
         for (_, mut call) in up {
-            let letters = std::mem::take(&mut call.letters);
-            let going = self.exchange.begin(&call, letters);
-            let serials: Vec<u64> = going.iter().map(|letter| letter.serial).collect();
+            let mails = std::mem::take(&mut call.mails);
+            let going = self.exchange.begin(&call, mails);
+            let serials: Vec<u64> = going.iter().map(|mail| mail.serial).collect();
             self.trace.push(format!("begins: {serials:?}"));
-            for letter in going {
-                let end = self.world.end(letter.until - now);
-                self.out.push((now + end.after, letter.serial, end));
+            for mail in going {
+                let end = self.world.end(mail.until - now);
+                self.out.push((now + end.after, mail.serial, end));
             }
         }
         let (over, out) = std::mem::take(&mut self.out).into_iter().partition(|(at, ..)| *at <= now);
@@ -437,7 +439,10 @@
         let over: Vec<(Time, u64, End)> = over;
         for (_, serial, End { outcome, wait, kept, report, .. }) in over {
             let load = report.map(|report| format!("x0={},x1={}", report.left, report.limit));
-            self.exchange.seen(serial, Seen { wait: duration(wait), kept, load, ..Seen::only(outcome) });
+            self.exchange.connect_ended(
+                serial,
+                ConnectResult { wait: duration(wait), kept, load, ..ConnectResult::of(outcome) },
+            );
         }
     }
 
@@ -446,13 +451,16 @@
         let mut decided = vec![format!("turn {turn}")];
         while let Ok(order) = self.around.0.try_recv() {
             match order {
-                Order::Times { .. } => {}
-                Order::LetGo(place) => decided.push(format!("close {place}")),
+                Order::SetTimeouts { .. } => {}
+                Order::CloseIdle(incarnation) => decided.push(format!("close {incarnation}")),
                 Order::Call(call) => {
                     let sent: Vec<(u64, Time, Time)> =
-                        call.letters.iter().map(|letter| (letter.serial, letter.until, letter.due)).collect();
-                    let Call { endpoint, slot, place, address, fresh, size: _, letters: _ } = call;
-                    decided.push(format!("call {endpoint} {slot} {place} {address:?} {fresh} {sent:?}"));
+                        call.mails.iter().map(|mail| (mail.serial, mail.until, mail.due)).collect();
+                    let Call { endpoint, slot, incarnation, address, new_connection, size: _, mails: _ } =
+                        call;
+                    decided.push(format!(
+                        "call {endpoint} {slot} {incarnation} {address:?} {new_connection} {sent:?}"
+                    ));
                     let up = self.world.now + self.world.chance.u64(..900);
                     self.world.count(if sent.len() > 1 { "calls of several" } else { "calls of one" });
                     self.waiting.push((up, call));
@@ -462,7 +470,7 @@
         while let Ok(notice) = self.around.1.try_recv() {
             decided.push(format!("notice {} {:?}", notice.serial, notice.verdict));
             self.world.count("notices");
-            self.exchange.told(notice.serial);
+            self.exchange.notice_accepted(notice.serial);
         }
         while let Ok((name, news)) = self.around.2.try_recv() {
             let at = (0..ENDPOINTS).find(|&at| self.names.endpoint(at).as_bytes() == name);
@@ -491,7 +499,7 @@
         let gone = play.out.first().filter(|_| play.world.hangs_up()).map(|(_, serial, _)| *serial);
         gone.into_iter().for_each(|serial| play.exchange.hangup(serial));
         if let Some((at, news)) = play.world.news() {
-            play.exchange.heard(names.endpoint(at).as_bytes(), news);
+            play.exchange.note_received(names.endpoint(at).as_bytes(), news);
         }
         play.turn(turn);
         told = play.world.change();
--- a/crates/courier/tests/replaced.rs
+++ b/crates/courier/tests/replaced.rs
@@ -33,8 +33,10 @@
         let (call, _) = (process.call().unwrap(), process.pass(10));
         largest = largest.max(call.endpoint);
         process.begin(&call);
-        let serial = call.letters[0].serial;
-        process.exchange.seen(serial, meadowhold_courier::exchange::Seen::only(Outcome::Relayed));
+        let serial = call.mails[0].serial;
+        process
+            .exchange
+            .connect_ended(serial, meadowhold_courier::exchange::ConnectResult::of(Outcome::Relayed));
         process.pass(SECOND / 100);
         process.calls();
     }
--- a/crates/courier/tests/settings_exchange.rs
+++ b/crates/courier/tests/settings_exchange.rs
@@ -13,7 +13,9 @@
 use meadowhold_courier::changes::{take, Held};
 use meadowhold_courier::config::Offered;
 use meadowhold_courier::discovery::List;
-use meadowhold_courier::exchange::{Answer, Call, Clock, Exchange, Letter, Notice, Offer, Order, Seen};
+use meadowhold_courier::exchange::{
+    Answer, Call, CallMail, Clock, ConnectResult, Exchange, Notice, Offer, Order,
+};
 use meadowhold_courier::journal::{Found, Journal, Terms, Verdict};
 use meadowhold_courier::kept_settings::{self, Kept};
 use meadowhold_courier::numbers::Classes;
@@ -106,8 +108,8 @@
         for order in orders {
             match order {
                 Order::Call(call) => self.waiting.push(call),
-                Order::Times { .. } => times += 1,
-                Order::LetGo(_) => {}
+                Order::SetTimeouts { .. } => times += 1,
+                Order::CloseIdle(_) => {}
             }
         }
         let taken = heard.is_some_and(|read| read.is_ok()) && times == 1;
@@ -131,9 +133,9 @@
         self.exchange.hand_in(Offer {
             id: bytes(id),
             key: bytes("5c0f"),
-            item: bytes("0000"),
+            order_key: bytes("0000"),
             class: bytes(class),
-            dest,
+            destination: dest,
             lifetime: Duration::from_secs(4),
             body: bytes("hello"),
         })
@@ -160,17 +162,17 @@
         }
     }
 
-    /// The calls of the next turns, begun, up to this time from now: each letter with its endpoint.
-    fn begun(&mut self, time: Time) -> Vec<(Letter, usize)> {
+    /// The calls of the next turns, begun, up to this time from now: each mail with its endpoint.
+    fn begun(&mut self, time: Time) -> Vec<(CallMail, usize)> {
         let until = self.now + time;
         loop {
             self.turn();
             let calls = std::mem::take(&mut self.waiting);
             let begin = |call: Call| {
-                let letters = self.exchange.begin(&call, call.letters.clone());
-                letters.into_iter().map(move |letter| (letter, call.endpoint))
+                let mails = self.exchange.begin(&call, call.mails.clone());
+                mails.into_iter().map(move |mail| (mail, call.endpoint))
             };
-            let begun: Vec<(Letter, usize)> = calls.into_iter().flat_map(begin).collect();
+            let begun: Vec<(CallMail, usize)> = calls.into_iter().flat_map(begin).collect();
             if !begun.is_empty() || self.now >= until {
                 return begun;
             }
@@ -183,21 +185,21 @@
         self.turn();
         let calls = std::mem::take(&mut self.waiting);
         for call in &calls {
-            for letter in self.exchange.begin(call, call.letters.clone()) {
-                self.exchange.seen(letter.serial, Seen::only(Outcome::Relayed));
+            for mail in self.exchange.begin(call, call.mails.clone()) {
+                self.exchange.connect_ended(mail.serial, ConnectResult::of(Outcome::Relayed));
             }
         }
         self.play(SECOND, Outcome::Relayed);
-        calls.iter().map(|call| call.letters.len()).max()
+        calls.iter().map(|call| call.mails.len()).max()
     }
 
     /// All that is sent for so long, each with this outcome; the ids in order.
     fn play(&mut self, time: Time, outcome: Outcome) -> Vec<String> {
         let (mut sent, until) = (Vec::new(), self.now + time);
         while self.now < until {
-            for (letter, _) in self.begun(0) {
-                sent.push(String::from_utf8(letter.id.to_vec()).unwrap());
-                self.exchange.seen(letter.serial, Seen::only(outcome));
+            for (mail, _) in self.begun(0) {
+                sent.push(String::from_utf8(mail.id.to_vec()).unwrap());
+                self.exchange.connect_ended(mail.serial, ConnectResult::of(outcome));
             }
             self.pass(100);
         }
@@ -225,7 +227,7 @@
         let classes = three().map(|c| if c["Name"] == name { class(name, effect) } else { c });
         world.change(&config(2, &classes));
         world.takes("new", name);
-        world.exchange.seen(begun[0].0.serial, Seen::only(Outcome::Error));
+        world.exchange.connect_ended(begun[0].0.serial, ConnectResult::of(Outcome::Error));
         let sent = world.play(5 * SECOND, Outcome::Error);
         let times = |id: &str| sent.iter().filter(|sent| *sent == id).count() + usize::from(id == "out");
         for (id, again) in [("out", old), ("parked", old), ("new", new)] {
@@ -250,8 +252,8 @@
         assert_eq!((begun.len(), also.len()), (1, 1));
         // Half a second later: within the one window, beyond the other.
         world.pass(SECOND / 2);
-        begun.iter().chain(&also).for_each(|(letter, _)| {
-            world.exchange.seen(letter.serial, Seen::only(Outcome::Error));
+        begun.iter().chain(&also).for_each(|(mail, _)| {
+            world.exchange.connect_ended(mail.serial, ConnectResult::of(Outcome::Error));
         });
         let sent = world.play(SECOND, Outcome::Relayed);
         let goes = |id: &str| sent.iter().any(|sent| sent == id);
@@ -273,8 +275,8 @@
         assert_eq!(world.put("x", name), Answer::Failed("ERR unknown class"));
     }
     world.takes("x", "other");
-    for (i, (letter, _)) in begun.iter().enumerate() {
-        world.exchange.seen(letter.serial, Seen::only(outcomes[i % 4]));
+    for (i, (mail, _)) in begun.iter().enumerate() {
+        world.exchange.connect_ended(mail.serial, ConnectResult::of(outcomes[i % 4]));
     }
     world.play(5 * SECOND, Outcome::Relayed);
     let counts = world.exchange.counts;
@@ -311,7 +313,7 @@
         ("n4", "a", "new", 9),
     ];
     world.exchange.listed(&list(3, &ends));
-    world.exchange.seen(begun[0].0.serial, Seen::only(Outcome::Error));
+    world.exchange.connect_ended(begun[0].0.serial, ConnectResult::of(Outcome::Error));
     let again = world.begun(2 * SECOND);
     assert_eq!(again.len(), 1);
     let name = ends[again[0].1 - 2].1;
@@ -355,9 +357,9 @@
         let mut at = [0u32; 2];
         for i in 0..40 {
             world.takes(&format!("m{i}"), "again");
-            for (letter, endpoint) in world.begun(SECOND / 10) {
+            for (mail, endpoint) in world.begun(SECOND / 10) {
                 at[endpoint] += 1;
-                world.exchange.seen(letter.serial, Seen::only(Outcome::Relayed));
+                world.exchange.connect_ended(mail.serial, ConnectResult::of(Outcome::Relayed));
             }
             world.pass(SECOND / 5);
         }
@@ -376,13 +378,7 @@
     for cut in 0..text.len() {
         assert!(!world.offer(&text[..cut]), "cut at {cut}");
         assert_eq!(world.exchange.versions.in_force, Some((2, START)));
-        assert!(world
-            .exchange
-            .versions
-            .turned_down
-            .as_ref()
-            .unwrap()
-            .contains("turned down: cannot be read"));
+        assert!(world.exchange.versions.rejected.as_ref().unwrap().contains("turned down: cannot be read"));
     }
     assert_eq!(fs::read(world.folder.path.join("settings")).unwrap(), kept);
     world.takes("m", "again");
@@ -429,7 +425,7 @@
     // A folder in the place of the file that is to be written.
     fs::create_dir(world.folder.path.join("settings.new")).unwrap();
     assert!(!world.offer(next.to_string().as_bytes()));
-    let words = world.exchange.versions.words(START).unwrap();
+    let words = world.exchange.versions.summary(START).unwrap();
     assert!(words.contains("version 2 are turned down: ROUTER_STATE cannot keep it: "), "{words}");
     world.takes("m", "again");
     fs::remove_dir(world.folder.path.join("settings.new")).unwrap();
@@ -463,16 +459,16 @@
         let decoded = Offered::of(text.as_bytes(), &variable).read.unwrap().decoded;
         let used: BTreeSet<usize> = messages.iter().map(|message| message.0).collect();
         let new = &decoded.settings.classes;
-        held = held.after(&decoded.classes, new, |class| used.contains(&class)).unwrap();
+        held = held.next_version(&decoded.classes, new, |class| used.contains(&class)).unwrap();
         assert_eq!(held.classes.len(), held.terms.len());
         for name in &decoded.classes {
-            let at = held.named[name.as_bytes()];
+            let at = held.by_name[name.as_bytes()];
             // Of two with one name the last counts, as at a start.
             let last = decoded.classes.iter().rposition(|other| other == name).unwrap();
             assert_eq!(held.classes[at], new[last], "{name}");
             assert_eq!(held.terms[at], Terms::new(name, &new[last]));
         }
-        assert_eq!(held.named.len(), decoded.classes.iter().collect::<BTreeSet<_>>().len());
+        assert_eq!(held.by_name.len(), decoded.classes.iter().collect::<BTreeSet<_>>().len());
         for (class, was) in &messages {
             assert_eq!(rules(&held.classes[*class]), *was);
         }
@@ -480,7 +476,7 @@
         let top = new.iter().map(|c| c.importance).fold(0.0, f64::max);
         assert!(held.classes.iter().all(|c| c.importance <= top));
         for _ in 0..chance.usize(..4) {
-            let at = *held.named.values().min().unwrap();
+            let at = *held.by_name.values().min().unwrap();
             messages.push((at, rules(&held.classes[at])));
         }
         messages.retain(|_| chance.u8(..4) > 0);
@@ -503,7 +499,7 @@
         let mut world = World::new(Folder::new(), &now, &ENDS, START);
         // What was taken on, with the effect of then, and how often it may have run.
         let mut known: BTreeMap<String, (String, u64)> = BTreeMap::new();
-        let mut out: Vec<Letter> = Vec::new();
+        let mut out: Vec<CallMail> = Vec::new();
         let mut over: BTreeSet<String> = BTreeSet::new();
         let mut number = 1;
         for step in 0..2500 {
@@ -524,26 +520,26 @@
                     }
                 }
                 10..22 => {
-                    for (letter, _) in world.begun(0) {
-                        let id = String::from_utf8(letter.id.to_vec()).unwrap();
+                    for (mail, _) in world.begun(0) {
+                        let id = String::from_utf8(mail.id.to_vec()).unwrap();
                         let (effect, ran) = &known[&id];
                         assert!(!over.contains(&id), "{id} is over");
                         assert!(effect != "non_idempotent" || *ran == 0, "{id} may have run");
-                        out.push(letter);
+                        out.push(mail);
                         begun_in_all += 1;
                     }
                     world.pass(chance.u64(1..200));
                 }
                 22..34 if !out.is_empty() => {
-                    let letter = out.swap_remove(chance.usize(..out.len()));
+                    let mail = out.swap_remove(chance.usize(..out.len()));
                     let outcomes = [Outcome::Relayed, Outcome::Error, Outcome::Unreached, Outcome::Silent];
                     let outcome = outcomes[if chance.bool() { 0 } else { chance.usize(..4) }];
-                    let id = String::from_utf8(letter.id.to_vec()).unwrap();
+                    let id = String::from_utf8(mail.id.to_vec()).unwrap();
                     known.get_mut(&id).unwrap().1 += u64::from(!outcome.never_ran());
                     if outcome == Outcome::Relayed {
                         assert!(over.insert(id), "one end each");
                     }
-                    world.exchange.seen(letter.serial, Seen::only(outcome));
+                    world.exchange.connect_ended(mail.serial, ConnectResult::of(outcome));
                 }
                 34..38 => {
                     number += 1;
@@ -574,8 +570,8 @@
                     for file in ["journal", "settings"] {
                         let _ = fs::copy(world.folder.path.join(file), folder.path.join(file));
                     }
-                    for letter in out.drain(..) {
-                        let id = String::from_utf8(letter.id.to_vec()).unwrap();
+                    for mail in out.drain(..) {
+                        let id = String::from_utf8(mail.id.to_vec()).unwrap();
                         known.get_mut(&id).unwrap().1 += 1;
                     }
                     let kept =
@@ -598,10 +594,10 @@
             }
         }
         // No more changes: all that is owed has its end.
-        for letter in out.drain(..) {
-            known.get_mut(std::str::from_utf8(&letter.id).unwrap()).unwrap().1 += 1;
-            over.insert(String::from_utf8(letter.id.to_vec()).unwrap());
-            world.exchange.seen(letter.serial, Seen::only(Outcome::Relayed));
+        for mail in out.drain(..) {
+            known.get_mut(std::str::from_utf8(&mail.id).unwrap()).unwrap().1 += 1;
+            over.insert(String::from_utf8(mail.id.to_vec()).unwrap());
+            world.exchange.connect_ended(mail.serial, ConnectResult::of(Outcome::Relayed));
         }
         let sent = world.play(6 * SECOND, Outcome::Relayed);
         over.extend(sent);
