--- a/crates/courier/src/endpoints.rs
+++ b/crates/courier/src/endpoints.rs
@@ -14,7 +14,7 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, timeout_at, Interval, MissedTickBehavior};
 
-use crate::exchange::{Call, CallMail, Clock, ConnectResult, Order, Shared};
+use crate::exchange::{Call, CallMail, Clock, ConnectReport, Order, Shared};
 use crate::http::{self, Body, Head};
 use crate::link::HttpConnection;
 
@@ -104,7 +104,7 @@
 }
 
 /// The table of answers: what a status says of every mail of the call. `kept`: its connection served before.
-pub fn result_by_status(head: &Head, is_batch: bool, kept: bool) -> ConnectResult {
+pub fn result_by_status(head: &Head, is_batch: bool, kept: bool) -> ConnectReport {
     let (outcome, over) = match head.status {
         200 => (Outcome::Relayed, true),
         429 => (Outcome::Refused, false),
@@ -123,7 +123,7 @@
 }
 
 /// The table of a batch's answers, item by item; a mail that is not named may have run.
-pub fn result_by_item(state: Option<&str>, head: &Head) -> ConnectResult {
+pub fn result_by_item(state: Option<&str>, head: &Head) -> ConnectReport {
     let (outcome, over) = match state {
         Some("ok") => (Outcome::Relayed, true),
         Some("later") => (Outcome::Refused, false),
@@ -135,12 +135,12 @@
 }
 
 /// What an answer's head tells goes with each of its mails.
-fn result_with_head(outcome: Outcome, over: bool, head: &Head) -> ConnectResult {
-    ConnectResult {
+fn result_with_head(outcome: Outcome, over: bool, head: &Head) -> ConnectReport {
+    ConnectReport {
         wait: head.retry_after.unwrap_or_default(),
         load: head.load.clone(),
         over,
-        ..ConnectResult::of(outcome)
+        ..ConnectReport::of(outcome)
     }
 }
 
@@ -249,7 +249,7 @@
         };
         let mut counted = match connection {
             Ok(counted) => counted,
-            Err(outcome) => return self.report_result(&mails, &ConnectResult::of(outcome)),
+            Err(outcome) => return self.report_result(&mails, &ConnectReport::of(outcome)),
         };
         let mut mails = self.shared.borrow_mut().begin(&call, mails);
         if mails.is_empty() {
@@ -262,7 +262,7 @@
         let ends = mails.iter().map(|mail| mail.due.min(mail.latest)).min().unwrap_or(last);
         let written_by = until.min(self.clock.instant(ends));
         if !matches!(timeout_at(written_by.into(), link.send(&request)).await, Ok(Ok(()))) {
-            return self.report_result(&mails, &ConnectResult::of(Outcome::Unreached));
+            return self.report_result(&mails, &ConnectReport::of(Outcome::Unreached));
         }
         let is_batch = mails.len() > 1;
         let Some(answer) = self.wait_for_answer(&mut mails, read_answer(link, is_batch)).await else {
@@ -276,7 +276,7 @@
                 self.report_result(&mails, &result_with_head(Outcome::Spoilt, false, &head))
             }
             Answer::Unread(Outcome::Relayed) if spans_expiry => {
-                self.report_result(&mails, &ConnectResult::of(Outcome::Spoilt))
+                self.report_result(&mails, &ConnectReport::of(Outcome::Spoilt))
             }
             Answer::Read(head, body) => {
                 self.report_answer(&mails, &head, body.as_deref(), counted.kept);
@@ -289,7 +289,7 @@
             Answer::Unread(outcome) => {
                 self.report_result(
                     &mails,
-                    &ConnectResult { kept: counted.kept, ..ConnectResult::of(outcome) },
+                    &ConnectReport { kept: counted.kept, ..ConnectReport::of(outcome) },
                 );
             }
         }
@@ -325,7 +325,7 @@
             }
             let (over, left) = std::mem::take(mails).into_iter().partition(|mail| mail.due == next);
             *mails = left;
-            self.report_result(&over, &ConnectResult::of(Outcome::Unsent));
+            self.report_result(&over, &ConnectReport::of(Outcome::Unsent));
         }
     }
 
@@ -342,7 +342,7 @@
             }
             for mail in mails.iter_mut().filter(|l| l.until == next) {
                 mail.until = 0; // told
-                self.shared.borrow_mut().connect_ended(mail.serial, ConnectResult::of(Outcome::Silent));
+                self.shared.borrow_mut().connect_ended(mail.serial, ConnectReport::of(Outcome::Silent));
             }
         }
     }
@@ -366,7 +366,7 @@
 
     /// Guards against a second outcome for a mail that was told of as silent: it may be out again, and only
     /// its end is news.
-    fn report_result(&self, mails: &[CallMail], result: &ConnectResult) {
+    fn report_result(&self, mails: &[CallMail], result: &ConnectReport) {
         let mut exchange = self.shared.borrow_mut();
         for mail in mails {
             if mail.until > 0 {
--- a/crates/courier/src/exchange.rs
+++ b/crates/courier/src/exchange.rs
@@ -9,11 +9,11 @@
 
 use bytes::Bytes;
 use meadowhold::control::Control;
-use meadowhold::door::Door;
 use meadowhold::interface::{
-    Action, Effect, Ended, Ending, Input, Kind, Life, Listed, News, Outcome, Report, Settings, Taken, Time,
-    SECOND,
+    AcceptedMail, Action, ConnectResult, Effect, EndpointStatus, Input, Kind, LimitReport, ListEntry,
+    Outcome, PeerNote, Settings, Shutdown, Time, SECOND,
 };
+use meadowhold::interner::Interner;
 use meadowhold_settings::{name, Decoded};
 use meadowhold_start::backlog::{self, Backlog};
 use tokio::sync::mpsc::UnboundedSender;
@@ -156,7 +156,7 @@
 
 /// What was seen of one mail's connect.
 #[derive(Clone, Debug)]
-pub struct ConnectResult {
+pub struct ConnectReport {
     pub outcome: Outcome,
     pub over: bool,
     pub wait: Duration,
@@ -165,10 +165,10 @@
     pub kept: bool,
 }
 
-impl ConnectResult {
+impl ConnectReport {
     /// Where nothing but the outcome is known.
-    pub fn of(outcome: Outcome) -> ConnectResult {
-        ConnectResult {
+    pub fn of(outcome: Outcome) -> ConnectReport {
+        ConnectReport {
             outcome,
             over: outcome == Outcome::Relayed,
             wait: Duration::ZERO,
@@ -250,10 +250,10 @@
     classes: Classes,
     turn_gap: Time,
     resolution: Time,
-    mail_serials: Door<u64>,
-    endpoint_names: Door<Box<[u8]>>,
-    destinations: Door<u64>,
-    order_keys: Door<Bytes>,
+    mail_serials: Interner<u64>,
+    endpoint_names: Interner<Box<[u8]>>,
+    destinations: Interner<u64>,
+    order_keys: Interner<Bytes>,
     /// Endpoints by index.
     endpoints: Vec<EndpointState>,
     /// Connects that have no outcome yet, by the index of their mail.
@@ -283,7 +283,7 @@
     orders: UnboundedSender<Order>,
     notices: UnboundedSender<Notice>,
     /// What goes to the other couriers, where there are any.
-    news: Option<UnboundedSender<(Bytes, News)>>,
+    news: Option<UnboundedSender<(Bytes, PeerNote)>>,
     /// Version of the list that was taken up last, and the last by which a turn was taken.
     index: u64,
     in_force: u64,
@@ -340,12 +340,12 @@
     }
 
     /// What a load report says of the limit.
-    fn report(&self, load: &str) -> Option<Report> {
+    fn report(&self, load: &str) -> Option<LimitReport> {
         let value = |place: Option<usize>| -> Option<f64> {
             let value: f64 = http::pair_value(load, self.fields.get(place?)?)?.parse().ok()?;
             value.is_finite().then_some(value)
         };
-        Some(Report { left: value(self.report[0])?, limit: value(self.report[1])? })
+        Some(LimitReport { remaining: value(self.report[0])?, limit: value(self.report[1])? })
     }
 }
 
@@ -355,7 +355,7 @@
         (journal, found): (Journal, Found),
         orders: UnboundedSender<Order>,
         notices: UnboundedSender<Notice>,
-        news: Option<UnboundedSender<(Bytes, News)>>,
+        news: Option<UnboundedSender<(Bytes, PeerNote)>>,
     ) -> Exchange {
         Exchange::with_clock(Clock::new(), decoded, (journal, found), orders, notices, news)
     }
@@ -367,7 +367,7 @@
         (journal, mut found): (Journal, Found),
         orders: UnboundedSender<Order>,
         notices: UnboundedSender<Notice>,
-        news: Option<UnboundedSender<(Bytes, News)>>,
+        news: Option<UnboundedSender<(Bytes, PeerNote)>>,
     ) -> Exchange {
         let deployment = deployment(&decoded);
         let Decoded { mut settings, report, fields, classes, zones, mut kinds, .. } = decoded;
@@ -387,18 +387,18 @@
         let mut exchange = Exchange {
             keeper: Keeper::new(folder, allowance, deployment),
             names: Names { zones, on_file: 0, other: kinds.len() - 1, kinds, report, fields },
-            max_open: settings.room,
-            batch_limits: settings.kinds.iter().map(|kind| kind.batch).collect(),
-            limited_alone: settings.kinds.iter().map(|kind| kind.apart).collect(),
+            max_open: settings.max_mails,
+            batch_limits: settings.kinds.iter().map(|kind| kind.max_batch).collect(),
+            limited_alone: settings.kinds.iter().map(|kind| kind.per_endpoint_limits).collect(),
             classes: Classes { classes: settings.classes.clone(), terms, by_name },
-            turn_gap: settings.turn_gap,
-            resolution: settings.resolution,
+            turn_gap: settings.ordering_gap,
+            resolution: settings.timer_resolution,
             control: Control::new(settings),
             clock,
-            mail_serials: Door::default(),
-            endpoint_names: Door::default(),
-            destinations: Door::default(),
-            order_keys: Door::default(),
+            mail_serials: Interner::default(),
+            endpoint_names: Interner::default(),
+            destinations: Interner::default(),
+            order_keys: Interner::default(),
             endpoints: Vec::new(),
             connects_out: Vec::new(),
             paused_units: Vec::new(),
@@ -478,8 +478,8 @@
         self.drop_elapsed_rests();
         for i in 0..self.rests.len() {
             let (item, since) = self.rests[i].clone();
-            let key = self.order_keys.enter(item);
-            self.inputs.push(Input::Rested { key, since });
+            let key = self.order_keys.intern(item);
+            self.inputs.push(Input::KeyInFlight { key, at: since });
         }
         self.backlog = Backlog::new(now, mails);
         self.notify.notify_one();
@@ -490,7 +490,7 @@
 
     /// Whether a mail keeps its order among those of its key.
     fn is_ordered(&self, owed: &Owed) -> bool {
-        !owed.item.is_empty() && self.classes.classes[usize::from(owed.class)].in_turn
+        !owed.item.is_empty() && self.classes.classes[usize::from(owed.class)].ordered
     }
 
     /// What an earlier process took on and is to be offered by now goes to the module.
@@ -508,16 +508,16 @@
     fn submit(&mut self, serial: u64, owed: &Owed) {
         let class = usize::from(owed.class);
         let ordered = self.is_ordered(owed);
-        let mail = self.mail_serials.enter(serial);
-        self.inputs.push(Input::Taken(Taken {
+        let mail = self.mail_serials.intern(serial);
+        self.inputs.push(Input::AcceptedMail(AcceptedMail {
             mail,
-            dest: self.destinations.enter(owed.dest),
+            destination: self.destinations.intern(owed.dest),
             class,
-            key: ordered.then(|| self.order_keys.enter(owed.item.clone())),
-            since: owed.since,
-            due: owed.due,
-            connects: owed.connects as usize,
-            ran: owed.ran.map(|(at, zone)| (at, usize::from(zone))),
+            key: ordered.then(|| self.order_keys.intern(owed.item.clone())),
+            submitted_at: owed.since,
+            deadline: owed.due,
+            connects_used: owed.connects as usize,
+            first_run: owed.ran.map(|(at, zone)| (at, usize::from(zone))),
         }));
         self.notify.notify_one();
     }
@@ -528,7 +528,7 @@
             return Answer::Failed("ERR unknown class");
         };
         // One that no list has named is none, and would never be served.
-        let Some(dest) = self.destinations.find(&offer.destination) else {
+        let Some(dest) = self.destinations.get(&offer.destination) else {
             self.counts.failed += 1;
             return Answer::Failed("ERR unknown destination");
         };
@@ -536,7 +536,7 @@
         if self.ids.contains_key(&offer.id) {
             return Answer::Known;
         }
-        let ordered = self.classes.classes[class].in_turn && offer.order_key.iter().any(|&b| b != b'0');
+        let ordered = self.classes.classes[class].ordered && offer.order_key.iter().any(|&b| b != b'0');
         let owed = Owed {
             id: offer.id,
             key: offer.key,
@@ -552,7 +552,7 @@
         let serial = self.next_serial;
         log::debug!("mail {serial} for {} of class {class} has come", owed.dest);
         if self.open >= self.max_open
-            || self.control.turns_away(dest, class, owed.due)
+            || self.control.would_reject(dest, class, owed.due)
             || !self.journal.has_room(&owed)
             || !self.append_record(&Record::Taken { serial, owed: &owed })
         {
@@ -596,7 +596,7 @@
         for (i, zone) in zones.iter().enumerate() {
             let at = names.zone(zone);
             fees.resize(fees.len().max(names.zones.len()), 0.0);
-            if let (Some(fee), Some(held)) = (settings.fees.get(i), fees.get_mut(at)) {
+            if let (Some(fee), Some(held)) = (settings.zone_fees.get(i), fees.get_mut(at)) {
                 *held = *fee;
             }
         }
@@ -605,24 +605,26 @@
             let at = names.kinds.iter().position(|known| *known == name).unwrap_or(names.kinds.len());
             if at == names.kinds.len() {
                 names.kinds.push(name);
-                self.batch_limits.push(kind.batch);
-                self.limited_alone.push(kind.apart);
+                self.batch_limits.push(kind.max_batch);
+                self.limited_alone.push(kind.per_endpoint_limits);
             }
-            self.batch_limits[at] = kind.batch;
+            self.batch_limits[at] = kind.max_batch;
             names.other = at;
         }
         (names.report, names.fields) = (report, fields);
         let by_number = self.batch_limits.iter().zip(&self.limited_alone);
         let settings = Settings {
-            kinds: by_number.map(|(&batch, &apart)| Kind { batch, apart }).collect(),
+            kinds: by_number
+                .map(|(&batch, &apart)| Kind { max_batch: batch, per_endpoint_limits: apart })
+                .collect(),
             classes: classes.classes.clone(),
-            fees,
+            zone_fees: fees,
             ..settings
         };
         self.classes = classes;
         (self.max_open, self.turn_gap, self.resolution) =
-            (settings.room, settings.turn_gap, settings.resolution);
-        let timeouts = (duration(settings.connect_timeout), duration(settings.keep_idle));
+            (settings.max_mails, settings.ordering_gap, settings.timer_resolution);
+        let timeouts = (duration(settings.connection_timeout), duration(settings.idle_timeout));
         let _ =
             self.orders.send(Order::SetTimeouts { connect_timeout: timeouts.0, idle_timeout: timeouts.1 });
         self.inputs.push(Input::Settings(Box::new(settings)));
@@ -682,11 +684,12 @@
         if self.owed.get(&serial).is_some_and(|owed| owed.verdict.is_none()) {
             self.counts.hangups += 1;
             self.finish(serial);
-            if let Some(mail) = self.mail_serials.find(&serial) {
+            if let Some(mail) = self.mail_serials.get(&serial) {
                 // Guards against an outcome that the module reads first, giving up a mail that is over.
-                let ended = |input: &Input| matches!(input, Input::Ended(ended) if ended.mail == mail);
+                let ended =
+                    |input: &Input| matches!(input, Input::ConnectResult(ended) if ended.mail == mail);
                 let at = self.inputs.iter().position(ended).unwrap_or(self.inputs.len());
-                self.inputs.insert(at, Input::Hangup { mail });
+                self.inputs.insert(at, Input::ClientGone { mail });
             }
             self.notify.notify_one();
         }
@@ -701,15 +704,15 @@
     }
 
     /// What another courier saw of an endpoint; nothing if the list has not named it here.
-    pub fn note_received(&mut self, name: &[u8], news: News) {
-        if let Some(endpoint) = self.endpoint_names.find(name) {
+    pub fn note_received(&mut self, name: &[u8], note: PeerNote) {
+        if let Some(endpoint) = self.endpoint_names.get(name) {
             self.counts.heard += 1;
-            if let News::Full(wait @ 1..) = news {
+            if let PeerNote::Refusing(wait @ 1..) = note {
                 let unit = self.unit(endpoint);
                 self.paused_units.push(unit);
                 self.tally.hold(unit, self.clock.now() + wait);
             }
-            self.inputs.push(Input::Heard { endpoint, news });
+            self.inputs.push(Input::PeerNote { endpoint, note });
             self.notify.notify_one();
         }
     }
@@ -748,7 +751,7 @@
         self.tally.listed(list.index);
         self.endpoints.iter_mut().filter(|_| list.whole).for_each(|peer| peer.ready = false);
         self.keeper.take_up(list);
-        self.inputs.push(Input::ListBegin { whole: list.whole });
+        self.inputs.push(Input::ListBegin { complete: list.whole });
         let mut places: Option<(&str, &str, usize, usize)> = None;
         for entry in list.entries.iter() {
             // Most entries name the zone and the kind that the one before named.
@@ -761,9 +764,9 @@
             let (address, since, group) = (Address::read(entry.address), entry.since_ms, entry.group);
             let mut life = entry.life();
             let name = entry.name.as_bytes();
-            let endpoint = match self.endpoint_names.find(name) {
-                None if life == Life::Gone => continue,
-                None => self.endpoint_names.enter(name.into()),
+            let endpoint = match self.endpoint_names.get(name) {
+                None if life == EndpointStatus::Removed => continue,
+                None => self.endpoint_names.intern(name.into()),
                 Some(endpoint) => endpoint,
             };
             let incarnation = self.next_incarnation;
@@ -782,7 +785,7 @@
                 None => self.endpoints.push(new),
                 Some(old) if old.incarnation == 0 => *old = new,
                 // Guards against a name that turns up at another destination: mails for the old one stay away.
-                Some(old) if old.group != group => life = Life::Gone,
+                Some(old) if old.group != group => life = EndpointStatus::Removed,
                 // Moved or started anew: what is open leads nowhere.
                 Some(old) if old.address != new.address || old.since != since => {
                     (old.address, old.since) = (new.address, since);
@@ -793,14 +796,14 @@
             }
             self.next_incarnation += 1;
             let peer = &mut self.endpoints[endpoint];
-            peer.ready = life == Life::Ready;
+            peer.ready = life == EndpointStatus::Ready;
             let group = peer.group;
-            self.inputs.push(Input::Listed(Listed {
+            self.inputs.push(Input::ListEntry(ListEntry {
                 endpoint,
-                dest: self.destinations.enter(group),
+                destination: self.destinations.intern(group),
                 zone,
                 kind,
-                life,
+                status: life,
                 rate: entry.weight,
             }));
         }
@@ -815,7 +818,7 @@
         let class = &self.classes.classes[usize::from(owed.class)];
         match (owed.ran, class.effect) {
             (None, _) | (_, Effect::Redeliverable) => Time::MAX,
-            (Some((sent, _)), Effect::Tagged) => sent.saturating_add(class.window),
+            (Some((sent, _)), Effect::Tagged) => sent.saturating_add(class.dedup_window),
             (Some(_), Effect::OnceOnly) => 0,
         }
     }
@@ -830,7 +833,7 @@
             && !self.paused_units.contains(&unit)
             && self.endpoints[endpoint].ready
             && self.is_current(call)
-            && self.control.may_begin(endpoint, now);
+            && self.control.may_call(endpoint, now);
         let sent: Sent = (now, self.endpoints[endpoint].zone);
         let (mut going, mut staying) = (Vec::with_capacity(mails.len()), Vec::new());
         for carried in mails {
@@ -844,10 +847,8 @@
                     owed.out = Some(sent);
                     owed.connects += 1;
                 });
-                let flight = self
-                    .mail_serials
-                    .find(&serial)
-                    .and_then(|mail| self.connects_out.get_mut(mail)?.as_mut());
+                let flight =
+                    self.mail_serials.get(&serial).and_then(|mail| self.connects_out.get_mut(mail)?.as_mut());
                 let begun = flight.map(|flight| std::mem::replace(&mut flight.begun, true));
                 must!(
                     self.counts.broken,
@@ -859,9 +860,9 @@
                 staying.push(serial);
             }
         }
-        staying.into_iter().for_each(|serial| self.connect_ended(serial, ConnectResult::of(Outcome::Unsent)));
+        staying.into_iter().for_each(|serial| self.connect_ended(serial, ConnectReport::of(Outcome::Unsent)));
         let early =
-            !going.is_empty() && (self.tally.is_held(unit, now) || self.control.is_held(endpoint, now));
+            !going.is_empty() && (self.tally.is_held(unit, now) || self.control.is_on_hold(endpoint, now));
         must!(self.counts.broken, !early, "a call begins before a told wait is over");
         going
     }
@@ -872,15 +873,15 @@
     }
 
     /// The outcome of one mail's connect.
-    pub fn connect_ended(&mut self, serial: u64, result: ConnectResult) {
+    pub fn connect_ended(&mut self, serial: u64, result: ConnectReport) {
         let now = self.clock.now();
-        let mail = self.mail_serials.find(&serial);
+        let mail = self.mail_serials.get(&serial);
         let started = mail.and_then(|mail| self.connects_out.get_mut(mail)?.take());
         let (Some(mail), Some(Flight { endpoint, started, .. })) = (mail, started) else {
             must!(self.counts.broken, false, "an outcome came for a connect that is not out");
             return;
         };
-        let ConnectResult { outcome, over, wait, load, kept } = result;
+        let ConnectReport { outcome, over, wait, load, kept } = result;
         self.tally.landed += 1;
         if wait > Duration::ZERO {
             let unit = self.unit(endpoint);
@@ -888,7 +889,7 @@
             self.tally.hold(unit, now + to_time(wait));
         }
         self.counts.relayed += u64::from(outcome == Outcome::Relayed);
-        let (ran, rests) = (!outcome.never_ran(), outcome.may_run_on());
+        let (ran, rests) = (!outcome.never_ran(), outcome.may_still_run());
         if over {
             self.finish(serial);
         } else if let Some(owed) = self.owed.get_mut(&serial) {
@@ -907,14 +908,14 @@
         );
         let report = load.and_then(|load| self.names.report(&load));
         let took = now.saturating_sub(started);
-        self.inputs.push(Input::Ended(Ended {
+        self.inputs.push(Input::ConnectResult(ConnectResult {
             mail,
             outcome,
-            over,
-            wait: to_time(wait),
-            took,
-            kept,
-            report,
+            finished: over,
+            retry_after: to_time(wait),
+            duration: took,
+            reused_connection: kept,
+            limit_report: report,
         }));
         self.notify.notify_one();
     }
@@ -933,7 +934,7 @@
         self.last_turn = now;
         self.submit_backlog(now);
         let mut actions = std::mem::take(&mut self.actions);
-        self.wake = self.control.round(now, &self.inputs, &mut actions);
+        self.wake = self.control.step(now, &self.inputs, &mut actions);
         self.inputs.clear();
         // A long list has gone through it.
         self.inputs.shrink_to(MAX_KEPT_INPUTS);
@@ -941,30 +942,30 @@
         let mut calls: Vec<Call> = Vec::new();
         for action in actions.drain(..) {
             match action {
-                Action::Connect { mail, endpoint, timeout, fresh } => {
-                    self.add_connect(&mut calls, mail, endpoint, now + timeout, fresh);
+                Action::Connect { mail, endpoint, timeout, new_connection } => {
+                    self.add_connect(&mut calls, mail, endpoint, now + timeout, new_connection);
                 }
-                Action::Defer { mail, pause } => self.give_up(mail, Verdict::Bounced(pause)),
+                Action::Defer { mail, retry_after: pause } => self.give_up(mail, Verdict::Bounced(pause)),
                 Action::Bounce { mail } => self.give_up(mail, Verdict::Dead),
-                Action::LetGo(endpoint) => {
+                Action::CloseIdle(endpoint) => {
                     let _ = self.orders.send(Order::CloseIdle(self.endpoints[endpoint].incarnation));
                 }
                 Action::FreeEndpoint(endpoint) => {
                     let left = std::mem::take(&mut self.endpoints[endpoint].incarnation);
                     self.tally.held.remove(&audit::Unit::Route(endpoint));
                     let _ = self.orders.send(Order::CloseIdle(left));
-                    self.endpoint_names.leave(endpoint);
+                    self.endpoint_names.release(endpoint);
                 }
                 // A watch is always kept open.
-                Action::WatchList => {}
-                Action::Tell { endpoint, news } => {
-                    if let (Some(notes), Some(name)) = (&self.news, self.endpoint_names.outside(endpoint)) {
+                Action::RequestList => {}
+                Action::SendNote { endpoint, note } => {
+                    if let (Some(notes), Some(name)) = (&self.news, self.endpoint_names.id(endpoint)) {
                         self.counts.told += 1;
-                        let _ = notes.send((Bytes::copy_from_slice(name), news));
+                        let _ = notes.send((Bytes::copy_from_slice(name), note));
                     }
                 }
-                Action::FreeMail(mail) => self.mail_serials.leave(mail),
-                Action::FreeKey(key) => self.order_keys.leave(key),
+                Action::FreeMail(mail) => self.mail_serials.release(mail),
+                Action::FreeKey(key) => self.order_keys.release(key),
             }
         }
         self.actions = actions;
@@ -1027,7 +1028,7 @@
             }
             ("one id more", ..) => drop(self.ids.insert(Bytes::from_static(b"none"), 0)),
             ("bytes on file", ..) => self.journal.shrink(1),
-            ("an index of a mail", ..) => drop(self.mail_serials.enter(u64::MAX)),
+            ("an index of a mail", ..) => drop(self.mail_serials.intern(u64::MAX)),
             ("an outcome", ..) => self.tally.landed += 1,
             ("a connect lost", Some(mail), _) => self.connects_out[mail] = None,
             ("a record lost", Some(mail), _) => {
@@ -1060,7 +1061,7 @@
                 let endpoint = self.connects_out[mail].map_or(0, |flight| flight.endpoint);
                 self.tally.hold(self.unit(endpoint), Time::MAX);
             }
-            _ => return self.control.spoil(what),
+            _ => return self.control.corrupt(what),
         }
         true
     }
@@ -1071,8 +1072,15 @@
     }
 
     /// A connect joins the round's call to its endpoint while that has room.
-    fn add_connect(&mut self, calls: &mut Vec<Call>, mail: usize, endpoint: usize, until: Time, fresh: bool) {
-        let serial = self.mail_serials.outside(mail).copied();
+    fn add_connect(
+        &mut self,
+        calls: &mut Vec<Call>,
+        mail: usize,
+        endpoint: usize,
+        until: Time,
+        new_connection: bool,
+    ) {
+        let serial = self.mail_serials.id(mail).copied();
         let Some((serial, owed)) = serial.and_then(|serial| Some((serial, self.owed.get(&serial)?))) else {
             must!(self.counts.broken, false, "a connect was asked for a mail that is not in hand");
             return;
@@ -1101,17 +1109,17 @@
         let size = http::size_in_batch(&carried.id, &carried.key, &carried.body);
         let fits = |c: &Call| c.mails.len() < most && c.size + size <= http::MAX_BODY;
         // Guards against two of the module's calls made one: a trial would carry several mails.
-        let slot = self.control.flight(mail).map_or(usize::MAX, |(slot, _)| slot);
+        let slot = self.control.call_of(mail).map_or(usize::MAX, |(slot, _)| slot);
         let at = calls.iter().position(|c| c.slot == slot && fits(c)).unwrap_or(calls.len());
         match calls.get_mut(at) {
             Some(call) => {
                 call.mails.push(carried);
                 call.size += size;
-                call.new_connection |= fresh;
+                call.new_connection |= new_connection;
             }
             None => {
                 let (incarnation, address, mails) = (peer.incarnation, peer.address.get(), vec![carried]);
-                calls.push(Call { endpoint, slot, incarnation, address, new_connection: fresh, mails, size });
+                calls.push(Call { endpoint, slot, incarnation, address, new_connection, mails, size });
             }
         }
         let call = self.counts.calls + at as u64;
@@ -1121,7 +1129,7 @@
 
     fn give_up(&mut self, mail: usize, verdict: Verdict) {
         let now = self.clock.now();
-        let serial = self.mail_serials.outside(mail).copied();
+        let serial = self.mail_serials.id(mail).copied();
         let owed = serial.and_then(|serial| self.owed.get_mut(&serial));
         let (Some(serial), Some(owed)) = (serial, owed) else {
             must!(self.counts.broken, false, "a mail that is not in hand was given up");
@@ -1179,8 +1187,9 @@
     /// The process was asked to end: calls begin for so long, and those of the next process no sooner than that.
     pub fn begin_shutdown(&mut self, calls_for: Duration, next_after: Duration) {
         let now = self.clock.now();
-        let ending = Ending { calls_until: now + to_time(calls_for), next_from: now + to_time(next_after) };
-        self.inputs.push(Input::Ending(ending));
+        let shutdown =
+            Shutdown { calls_until: now + to_time(calls_for), successor_from: now + to_time(next_after) };
+        self.inputs.push(Input::Shutdown(shutdown));
         self.notify.notify_one();
     }
 
@@ -1212,7 +1221,7 @@
     }
 
     fn count_with(&self, changes: &Update) -> usize {
-        self.endpoint_names.len() + changes.added(|name| self.endpoint_names.find(name.as_bytes()).is_some())
+        self.endpoint_names.len() + changes.added(|name| self.endpoint_names.get(name.as_bytes()).is_some())
     }
 
     fn hold(&mut self) {
--- a/crates/courier/src/numbers.rs
+++ b/crates/courier/src/numbers.rs
@@ -20,7 +20,7 @@
 
 /// What a message keeps of its class to its end.
 fn fixed_rules(c: &QueueClass) -> (meadowhold::interface::Effect, bool, meadowhold::interface::Time, bool) {
-    (c.effect, c.by_zone, c.window, c.in_turn)
+    (c.effect, c.dedup_by_zone, c.dedup_window, c.ordered)
 }
 
 impl Classes {
@@ -66,7 +66,8 @@
             let base = same.or_else(|| new.iter().position(|class| class.effect == current.effect));
             let (effect, by_zone, window, in_turn) = fixed_rules(current);
             let base = new[base.unwrap_or_default()].clone();
-            next.classes[number] = QueueClass { effect, by_zone, window, in_turn, ..base };
+            next.classes[number] =
+                QueueClass { effect, dedup_by_zone: by_zone, dedup_window: window, ordered: in_turn, ..base };
         }
         Ok(next)
     }
--- a/crates/courier/tests/audit.rs
+++ b/crates/courier/tests/audit.rs
@@ -12,10 +12,10 @@
 use common::{
     command, config, own_address, put, settings, until, Client, Endpoint, Folder, Platform, Reply, OK,
 };
-use meadowhold::interface::{News, Outcome, Time, SECOND};
+use meadowhold::interface::{Outcome, PeerNote, Time, SECOND};
 use meadowhold_courier::discovery::List;
 use meadowhold_courier::exchange::{
-    Answer, Call, CallMail, Clock, ConnectResult, Exchange, Notice, Offer, Order,
+    Answer, Call, CallMail, Clock, ConnectReport, Exchange, Notice, Offer, Order,
 };
 use meadowhold_courier::journal::{Found, Journal};
 use meadowhold_settings::decode_json;
@@ -179,7 +179,7 @@
         let mut call = self.waiting.swap_remove(self.chance.usize(..self.waiting.len()));
         let mails = std::mem::take(&mut call.mails);
         if self.chance.u8(..10) == 0 {
-            let unreached = ConnectResult::of(Outcome::Unreached);
+            let unreached = ConnectReport::of(Outcome::Unreached);
             return mails.iter().for_each(|mail| self.exchange.connect_ended(mail.serial, unreached.clone()));
         }
         let going = self.exchange.begin(&call, mails);
@@ -198,7 +198,7 @@
         let over = outcome == Outcome::Relayed || outcome == Outcome::Unsent && self.chance.bool();
         let (wait, kept) = (Duration::from_millis(wait), self.chance.bool());
         self.exchange
-            .connect_ended(mail.serial, ConnectResult { over, wait, kept, ..ConnectResult::of(outcome) });
+            .connect_ended(mail.serial, ConnectReport { over, wait, kept, ..ConnectReport::of(outcome) });
         if outcome == Outcome::Silent {
             self.silent.push(mail.serial);
         }
@@ -257,8 +257,8 @@
             }
             900..940 => self.some_change(),
             940..960 => {
-                let news =
-                    [News::Out, News::Back, News::Full(self.chance.u64(..9000))][self.chance.usize(..3)];
+                let news = [PeerNote::Down, PeerNote::Recovered, PeerNote::Refusing(self.chance.u64(..9000))]
+                    [self.chance.usize(..3)];
                 let name = format!("e{}", self.chance.u8(..9));
                 self.exchange.note_received(name.as_bytes(), news);
             }
@@ -373,10 +373,10 @@
                 let wait = Duration::from_secs(1);
                 day.exchange.connect_ended(
                     first.mails[0].serial,
-                    ConnectResult { wait, ..ConnectResult::of(Outcome::Refused) },
+                    ConnectReport { wait, ..ConnectReport::of(Outcome::Refused) },
                 );
             }
-            "note" => day.exchange.note_received(b"e0", News::Full(SECOND)),
+            "note" => day.exchange.note_received(b"e0", PeerNote::Refusing(SECOND)),
             "drain" => day.exchange.listed(&changed("DRAINING")),
             "gone" => {
                 let whole = json!({"index": 8, "snapshot": true, "endpoints": []});
@@ -397,7 +397,7 @@
     let mut day = Day::new(1);
     let calls = handed_in(&mut day, "once", 1);
     let mail = day.exchange.begin(&calls[0], calls[0].mails.clone()).remove(0);
-    day.exchange.connect_ended(mail.serial, ConnectResult::of(Outcome::Broken));
+    day.exchange.connect_ended(mail.serial, ConnectReport::of(Outcome::Broken));
     day.exchange.hangup(mail.serial);
     day.turn();
     assert_eq!((day.exchange.in_hand(), day.exchange.counts.broken, day.owed_notices.len()), (0, 0, 0));
@@ -428,7 +428,7 @@
         for mail in begun.iter().flat_map(|call| &call.mails) {
             day.exchange.connect_ended(
                 mail.serial,
-                ConnectResult { over: true, ..ConnectResult::of(Outcome::Unsent) },
+                ConnectReport { over: true, ..ConnectReport::of(Outcome::Unsent) },
             );
         }
         let left: Vec<u64> = Found::load(&day.folder.path).unwrap().0.owed.into_keys().collect();
@@ -570,7 +570,7 @@
     });
     is_told(&mut busy(), "an outcome came for a connect that is not out", |day| {
         let serial = day.out[0].serial;
-        (0..2).for_each(|_| day.exchange.connect_ended(serial, ConnectResult::of(Outcome::Broken)));
+        (0..2).for_each(|_| day.exchange.connect_ended(serial, ConnectReport::of(Outcome::Broken)));
     });
 }
 
--- a/crates/courier/tests/behind.rs
+++ b/crates/courier/tests/behind.rs
@@ -8,7 +8,7 @@
 use common::{settings, Folder};
 use meadowhold::interface::{Outcome, Time, SECOND};
 use meadowhold_courier::discovery::List;
-use meadowhold_courier::exchange::{Answer, Clock, ConnectResult, Exchange, Notice, Offer, Order};
+use meadowhold_courier::exchange::{Answer, Clock, ConnectReport, Exchange, Notice, Offer, Order};
 use meadowhold_courier::journal::Journal;
 use meadowhold_settings::decode_json;
 use serde_json::json;
@@ -66,7 +66,7 @@
             let Order::Call(call) = order else { continue };
             for mail in self.exchange.begin(&call, call.mails.clone()) {
                 called.push(call.endpoint);
-                self.exchange.connect_ended(mail.serial, ConnectResult::of(outcome(call.endpoint)));
+                self.exchange.connect_ended(mail.serial, ConnectReport::of(outcome(call.endpoint)));
             }
         }
         self.now += 100;
--- a/crates/courier/tests/common/process.rs
+++ b/crates/courier/tests/common/process.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use meadowhold::interface::{Outcome, Time, SECOND};
 use meadowhold_courier::discovery::List;
-use meadowhold_courier::exchange::{Answer, Call, Clock, ConnectResult, Exchange, Notice, Offer, Order};
+use meadowhold_courier::exchange::{Answer, Call, Clock, ConnectReport, Exchange, Notice, Offer, Order};
 use meadowhold_courier::journal::{Found, Journal, Verdict};
 use meadowhold_settings::decode_json;
 use serde_json::json;
@@ -111,7 +111,7 @@
             for call in self.calls() {
                 for mail in self.exchange.begin(&call, call.mails.clone()) {
                     sent.push(String::from_utf8(mail.id.to_vec()).unwrap());
-                    self.exchange.connect_ended(mail.serial, ConnectResult::of(outcome));
+                    self.exchange.connect_ended(mail.serial, ConnectReport::of(outcome));
                 }
             }
             self.pass(200);
--- a/crates/courier/tests/crash_points.rs
+++ b/crates/courier/tests/crash_points.rs
@@ -15,7 +15,7 @@
     answers, command, config, own_address, put, until, Client, Courier, Endpoint, Folder, Platform, Reply, OK,
 };
 use meadowhold::interface::{Outcome, Time, SECOND};
-use meadowhold_courier::exchange::{Answer, ConnectResult};
+use meadowhold_courier::exchange::{Answer, ConnectReport};
 use meadowhold_courier::journal::Verdict;
 use process::{Process, START};
 use serde_json::json;
@@ -60,7 +60,7 @@
             assert!(process.begin(&call));
             begun.push((id, size(&folder)));
             let serial = call.mails[0].serial;
-            process.exchange.connect_ended(serial, ConnectResult::of(outcome));
+            process.exchange.connect_ended(serial, ConnectReport::of(outcome));
             if outcome == Outcome::Unreached && i == 0 {
                 never.insert(id, size(&folder));
             }
@@ -231,7 +231,7 @@
                 process = Process::start(&folder, ALLOWANCE, sent + decided * 10, Some(1_000_000));
             } else {
                 process.pass(decided * 10);
-                process.exchange.connect_ended(first.mails[0].serial, ConnectResult::of(Outcome::Silent));
+                process.exchange.connect_ended(first.mails[0].serial, ConnectReport::of(Outcome::Silent));
             }
             let repeat = process.calls().pop().unwrap();
             assert_eq!(repeat.mails[0].latest, sent + SECOND, "the last byte's latest time");
--- a/crates/courier/tests/exchange.rs
+++ b/crates/courier/tests/exchange.rs
@@ -9,7 +9,7 @@
 use common::{settings, Folder};
 use meadowhold::interface::Outcome;
 use meadowhold_courier::discovery::List;
-use meadowhold_courier::exchange::{Answer, Call, Clock, ConnectResult, Exchange, Notice, Offer, Order};
+use meadowhold_courier::exchange::{Answer, Call, Clock, ConnectReport, Exchange, Notice, Offer, Order};
 use meadowhold_courier::journal::{Found, Journal, Verdict};
 use meadowhold_settings::decode_json;
 use serde_json::json;
@@ -73,9 +73,9 @@
     }
 }
 
-fn seen(outcome: Outcome) -> ConnectResult {
+fn seen(outcome: Outcome) -> ConnectReport {
     let wait = Duration::from_secs(if outcome == Outcome::Refused { 2 } else { 0 });
-    ConnectResult { wait, ..ConnectResult::of(outcome) }
+    ConnectReport { wait, ..ConnectReport::of(outcome) }
 }
 
 fn serial(answer: Answer) -> u64 {
--- a/crates/courier/tests/late.rs
+++ b/crates/courier/tests/late.rs
@@ -8,7 +8,7 @@
 use common::{settings, Folder};
 use meadowhold::interface::Outcome;
 use meadowhold_courier::discovery::List;
-use meadowhold_courier::exchange::{Answer, ConnectResult, Exchange, Offer, Order};
+use meadowhold_courier::exchange::{Answer, ConnectReport, Exchange, Offer, Order};
 use meadowhold_courier::journal::Journal;
 use meadowhold_settings::decode_json;
 use serde_json::json;
@@ -44,7 +44,7 @@
     exchange.turn();
     let Ok(Order::Call(call)) = orders.try_recv() else { panic!("no call") };
     assert_eq!(exchange.begin(&call, call.mails.clone()).len(), 1);
-    exchange.connect_ended(serial, ConnectResult::of(Outcome::Silent));
+    exchange.connect_ended(serial, ConnectReport::of(Outcome::Silent));
     exchange.relayed_late(serial);
     exchange.turn();
     assert_eq!((exchange.counts.broken, exchange.in_hand()), (0, 0));
--- a/crates/courier/tests/other_folder.rs
+++ b/crates/courier/tests/other_folder.rs
@@ -11,7 +11,7 @@
 use common::{settings, until, Courier, Endpoint, Folder, Platform};
 use meadowhold::interface::{Outcome, Time, SECOND};
 use meadowhold_courier::discovery::List;
-use meadowhold_courier::exchange::{Answer, Call, Clock, ConnectResult, Exchange, Notice, Offer, Order};
+use meadowhold_courier::exchange::{Answer, Call, Clock, ConnectReport, Exchange, Notice, Offer, Order};
 use meadowhold_courier::journal::{Journal, Verdict};
 use meadowhold_settings::decode_json;
 use serde_json::{json, Value};
@@ -167,7 +167,7 @@
         drop(world);
         let mut next = process(&folder, &with(&classes, &["a", "b"]), &["a"], START + SECOND);
         assert_eq!(next.begun(0), Some(("01".to_string(), 0)), "{words}");
-        next.exchange.connect_ended(1, ConnectResult::of(Outcome::Error));
+        next.exchange.connect_ended(1, ConnectReport::of(Outcome::Error));
         assert!(next.calls(5000).is_empty(), "{words}: sent again");
         assert_eq!(next.ends(), BTreeMap::from([("01".to_string(), Verdict::Dead)]), "{words}");
     }
@@ -262,7 +262,7 @@
     let serial = world.put("01", "tagged");
     world.begun(0).unwrap();
     world.exchange.listed(&list(&["DRAINED", "y"]));
-    world.exchange.connect_ended(serial, ConnectResult::of(Outcome::Error));
+    world.exchange.connect_ended(serial, ConnectReport::of(Outcome::Error));
     let call = world.calls(1900);
     assert!(call.iter().all(|call| call.endpoint == 0), "{call:?}");
 }
@@ -311,7 +311,7 @@
         let mut next = process(&folder, &with(&ours(), &["a", "b"]), &["a"], START + SECOND);
         assert_eq!(next.begun(100).is_some(), !out, "{class}");
         if !out {
-            next.exchange.connect_ended(9, ConnectResult::of(Outcome::Error));
+            next.exchange.connect_ended(9, ConnectReport::of(Outcome::Error));
         }
         assert!(next.calls(5000).is_empty(), "{class}: sent again");
         assert_eq!(next.ends(), BTreeMap::from([("a1".to_string(), Verdict::Dead)]), "{class}");
@@ -395,7 +395,7 @@
             life.ran.pop();
         }
         life.over = outcome == Outcome::Relayed;
-        world.exchange.connect_ended(serial, ConnectResult::of(outcome));
+        world.exchange.connect_ended(serial, ConnectReport::of(outcome));
     }
 
     fn heard(&mut self, world: &mut World) {
--- a/crates/courier/tests/replaced.rs
+++ b/crates/courier/tests/replaced.rs
@@ -36,7 +36,7 @@
         let serial = call.mails[0].serial;
         process
             .exchange
-            .connect_ended(serial, meadowhold_courier::exchange::ConnectResult::of(Outcome::Relayed));
+            .connect_ended(serial, meadowhold_courier::exchange::ConnectReport::of(Outcome::Relayed));
         process.pass(SECOND / 100);
         process.calls();
     }
--- a/crates/courier/tests/settings_exchange.rs
+++ b/crates/courier/tests/settings_exchange.rs
@@ -14,7 +14,7 @@
 use meadowhold_courier::config::Offered;
 use meadowhold_courier::discovery::List;
 use meadowhold_courier::exchange::{
-    Answer, Call, CallMail, Clock, ConnectResult, Exchange, Notice, Offer, Order,
+    Answer, Call, CallMail, Clock, ConnectReport, Exchange, Notice, Offer, Order,
 };
 use meadowhold_courier::journal::{Found, Journal, Terms, Verdict};
 use meadowhold_courier::kept_settings::{self, Kept};
@@ -186,7 +186,7 @@
         let calls = std::mem::take(&mut self.waiting);
         for call in &calls {
             for mail in self.exchange.begin(call, call.mails.clone()) {
-                self.exchange.connect_ended(mail.serial, ConnectResult::of(Outcome::Relayed));
+                self.exchange.connect_ended(mail.serial, ConnectReport::of(Outcome::Relayed));
             }
         }
         self.play(SECOND, Outcome::Relayed);
@@ -199,7 +199,7 @@
         while self.now < until {
             for (mail, _) in self.begun(0) {
                 sent.push(String::from_utf8(mail.id.to_vec()).unwrap());
-                self.exchange.connect_ended(mail.serial, ConnectResult::of(outcome));
+                self.exchange.connect_ended(mail.serial, ConnectReport::of(outcome));
             }
             self.pass(100);
         }
@@ -227,7 +227,7 @@
         let classes = three().map(|c| if c["Name"] == name { class(name, effect) } else { c });
         world.change(&config(2, &classes));
         world.takes("new", name);
-        world.exchange.connect_ended(begun[0].0.serial, ConnectResult::of(Outcome::Error));
+        world.exchange.connect_ended(begun[0].0.serial, ConnectReport::of(Outcome::Error));
         let sent = world.play(5 * SECOND, Outcome::Error);
         let times = |id: &str| sent.iter().filter(|sent| *sent == id).count() + usize::from(id == "out");
         for (id, again) in [("out", old), ("parked", old), ("new", new)] {
@@ -253,7 +253,7 @@
         // Half a second later: within the one window, beyond the other.
         world.pass(SECOND / 2);
         begun.iter().chain(&also).for_each(|(mail, _)| {
-            world.exchange.connect_ended(mail.serial, ConnectResult::of(Outcome::Error));
+            world.exchange.connect_ended(mail.serial, ConnectReport::of(Outcome::Error));
         });
         let sent = world.play(SECOND, Outcome::Relayed);
         let goes = |id: &str| sent.iter().any(|sent| sent == id);
@@ -276,7 +276,7 @@
     }
     world.takes("x", "other");
     for (i, (mail, _)) in begun.iter().enumerate() {
-        world.exchange.connect_ended(mail.serial, ConnectResult::of(outcomes[i % 4]));
+        world.exchange.connect_ended(mail.serial, ConnectReport::of(outcomes[i % 4]));
     }
     world.play(5 * SECOND, Outcome::Relayed);
     let counts = world.exchange.counts;
@@ -313,7 +313,7 @@
         ("n4", "a", "new", 9),
     ];
     world.exchange.listed(&list(3, &ends));
-    world.exchange.connect_ended(begun[0].0.serial, ConnectResult::of(Outcome::Error));
+    world.exchange.connect_ended(begun[0].0.serial, ConnectReport::of(Outcome::Error));
     let again = world.begun(2 * SECOND);
     assert_eq!(again.len(), 1);
     let name = ends[again[0].1 - 2].1;
@@ -359,7 +359,7 @@
             world.takes(&format!("m{i}"), "again");
             for (mail, endpoint) in world.begun(SECOND / 10) {
                 at[endpoint] += 1;
-                world.exchange.connect_ended(mail.serial, ConnectResult::of(Outcome::Relayed));
+                world.exchange.connect_ended(mail.serial, ConnectReport::of(Outcome::Relayed));
             }
             world.pass(SECOND / 5);
         }
@@ -448,7 +448,7 @@
     let seed = 3;
     println!("seed {seed}");
     let mut chance = fastrand::Rng::with_seed(seed);
-    let rules = |c: &QueueClass| (c.effect, c.by_zone, c.window, c.in_turn);
+    let rules = |c: &QueueClass| (c.effect, c.dedup_by_zone, c.dedup_window, c.ordered);
     let mut held = Classes::default();
     // Messages in hand, by the number and the rules that they were taken on with.
     let mut messages: Vec<(usize, (Effect, bool, Time, bool))> = Vec::new();
@@ -539,7 +539,7 @@
                     if outcome == Outcome::Relayed {
                         assert!(over.insert(id), "one end each");
                     }
-                    world.exchange.connect_ended(mail.serial, ConnectResult::of(outcome));
+                    world.exchange.connect_ended(mail.serial, ConnectReport::of(outcome));
                 }
                 34..38 => {
                     number += 1;
@@ -597,7 +597,7 @@
         for mail in out.drain(..) {
             known.get_mut(std::str::from_utf8(&mail.id).unwrap()).unwrap().1 += 1;
             over.insert(String::from_utf8(mail.id.to_vec()).unwrap());
-            world.exchange.connect_ended(mail.serial, ConnectResult::of(Outcome::Relayed));
+            world.exchange.connect_ended(mail.serial, ConnectReport::of(Outcome::Relayed));
         }
         let sent = world.play(6 * SECOND, Outcome::Relayed);
         over.extend(sent);
