--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -5,7 +5,7 @@
 use meadowhold::control::Control;
 use meadowhold::door::Door;
 use meadowhold::interface::{Action, Ended, Input, Listed, Taken, Time};
-use meadowhold_settings::{decode, tenths, Decoded};
+use meadowhold_settings::{decode, time_from_us, Decoded};
 
 use crate::wire::{self, Address, Event, Frame, Malformed, Reply};
 
@@ -41,7 +41,7 @@
 
 impl Host {
     pub fn round(&mut self, frame: &Frame, out: &mut Vec<u8>) -> Result<(), Malformed> {
-        let now = tenths(frame.clock_us);
+        let now = time_from_us(frame.clock_us);
         for event in frame.events() {
             let (instance, event) = event?;
             self.take(instance as usize, event, now)?;
@@ -104,7 +104,7 @@
         Courier {
             in_turn: decoded.settings.classes.iter().map(|c| c.in_turn).collect(),
             control: Control::new(decoded.settings),
-            report: decoded.report,
+            report: decoded.report_positions,
             mails: Door::default(),
             endpoints: Door::default(),
             named: HashMap::new(),
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,7 +1,7 @@
 //! The bench wire: frames of fixed-size records with one tail. Every offset is checked before use.
 
 use meadowhold::interface::{Life, News, Outcome, Report, Time};
-use meadowhold_settings::tenths;
+use meadowhold_settings::time_from_us;
 
 pub const EVENT: usize = 48;
 pub const ACTION: usize = 24;
@@ -9,7 +9,7 @@
 const REPLY_HEADER: usize = 12;
 const ENTRY: usize = 23;
 /// Microseconds in a tenth of a millisecond.
-const TENTH: u64 = 100;
+const US_PER_TICK: u64 = 100;
 
 pub type Address = [u8; 6];
 
@@ -100,7 +100,7 @@
                     dest: dest as u16,
                     class: r[14].into(),
                     item: be64(r, 21),
-                    due: tenths(be64(r, 29)),
+                    due: time_from_us(be64(r, 29)),
                 }
             }
             80 => Event::Crash,
@@ -115,7 +115,7 @@
                     over: r[9] != 0,
                     outcome,
                     wait: if refused { Time::from(be32(r, 19)) * 10 } else { 0 },
-                    took: tenths(be32(r, 23).into()),
+                    took: time_from_us(be32(r, 23).into()),
                     report: (count, [28, 32, 36, 40].map(|at| f32::from_bits(be32(r, at)))),
                 })
             }
@@ -217,12 +217,12 @@
     }
 
     pub fn transmit(&mut self, instance: u32, handle: u32, endpoint: Address, timeout: Time) {
-        let us = u32::try_from(timeout * TENTH).unwrap_or(u32::MAX).max(1);
+        let us = u32::try_from(timeout * US_PER_TICK).unwrap_or(u32::MAX).max(1);
         self.record(40, instance, &[&handle.to_be_bytes(), &endpoint, &us.to_be_bytes()]);
     }
 
     pub fn busy(&mut self, instance: u32, handle: u32, pause: Time) {
-        let us = u32::try_from(pause * TENTH).unwrap_or(u32::MAX);
+        let us = u32::try_from(pause * US_PER_TICK).unwrap_or(u32::MAX);
         self.record(120, instance, &[&handle.to_be_bytes(), &us.to_be_bytes()]);
     }
 
@@ -246,7 +246,7 @@
     }
 
     pub fn after(&mut self, instance: u32, at: Time) {
-        self.record(70, instance, &[&(at * TENTH).to_be_bytes()]);
+        self.record(70, instance, &[&(at * US_PER_TICK).to_be_bytes()]);
     }
 
     pub fn bail_out(&mut self, instance: u32, words: &str) {
--- a/crates/courier/src/config.rs
+++ b/crates/courier/src/config.rs
@@ -375,7 +375,7 @@
             None
         } else {
             let add = |fault: &meadowhold_settings::Fault| {
-                faults.insert(format!("setting {}", fault.place), fault.words.to_string());
+                faults.insert(format!("setting {}", fault.path), fault.problem.to_string());
             };
             decode_json(seed, &file.settings).map_err(|all| all.0.iter().for_each(add)).ok()
         };
--- a/crates/courier/src/exchange.rs
+++ b/crates/courier/src/exchange.rs
@@ -14,7 +14,7 @@
     Action, Effect, Ended, Ending, Input, Kind, Life, Listed, News, Outcome, Report, Settings, Taken, Time,
     SECOND,
 };
-use meadowhold_settings::{name, Decoded};
+use meadowhold_settings::{normalized_name, Decoded};
 use meadowhold_start::backlog::{self, Backlog};
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::Notify;
@@ -325,7 +325,7 @@
     /// The module's number of a zone. Guards against two zones, neither of which the settings name, that would
     /// be held to be one: a key that is known in one of them is not known in the other.
     fn zone(&mut self, text: &str) -> usize {
-        let zone = name(text);
+        let zone = normalized_name(text);
         let at = self.zones.iter().position(|known| *known == zone).unwrap_or(self.zones.len());
         if at == self.zones.len() && at < usize::from(NO_ZONE) {
             self.zones.push(zone);
@@ -364,7 +364,15 @@
         news: Option<UnboundedSender<(Bytes, News)>>,
     ) -> Exchange {
         let deployment = deployment(&decoded);
-        let Decoded { mut settings, report, fields, classes, zones, mut kinds, .. } = decoded;
+        let Decoded {
+            mut settings,
+            report_positions: report,
+            report_fields: fields,
+            classes,
+            zones,
+            mut kinds,
+            ..
+        } = decoded;
         let today: Vec<Terms> =
             classes.iter().zip(&settings.classes).map(|(name, class)| Terms::new(name, class)).collect();
         let mut terms = today.clone();
@@ -584,7 +592,7 @@
     /// These settings are in force from here on, between two turns; `classes` as `numbered` had them just now. The same
     /// kinds must be apart as before. What is out or taken on stays as it is.
     pub fn adopt(&mut self, decoded: Decoded, classes: Classes) {
-        let Decoded { settings, report, fields, zones, kinds, .. } = decoded;
+        let Decoded { settings, report_positions: report, report_fields: fields, zones, kinds, .. } = decoded;
         let names = &mut self.names;
         let mut fees = Vec::new();
         for (i, zone) in zones.iter().enumerate() {
@@ -745,7 +753,7 @@
         for entry in list.entries.iter() {
             // Most entries name the zone and the kind that the one before named.
             if places.is_none_or(|(zone, kind, ..)| (zone, kind) != (entry.zone, entry.kind)) {
-                let kind = self.names.kinds.iter().position(|kind| *kind == name(entry.kind));
+                let kind = self.names.kinds.iter().position(|kind| *kind == normalized_name(entry.kind));
                 let kind = kind.unwrap_or(self.names.other);
                 places = Some((entry.zone, entry.kind, self.names.zone(entry.zone), kind));
             }
--- a/crates/courier/src/version.rs
+++ b/crates/courier/src/version.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use meadowhold_settings::texts;
+use meadowhold_settings::raw_values;
 use serde_json::Value;
 
 /// What is wrong, by place: a path in the file, or `setting` and a path in the settings.
@@ -75,7 +75,7 @@
         }
         let settings = object.get("settings").unwrap_or(&Value::Null);
         for (key, absent) in FIXED_SETTINGS {
-            let text = texts(settings, [key])[0].clone().unwrap_or_else(|| absent.to_string());
+            let text = raw_values(settings, [key])[0].clone().unwrap_or_else(|| absent.to_string());
             let text = if key == "Weights" { is_rate(&text).to_string() } else { text };
             fixed.insert(format!("setting {key}"), Sum::of(&text.into()));
         }
@@ -122,7 +122,7 @@
 }
 
 fn apart(settings: &Value) -> BTreeMap<String, bool> {
-    let [kinds, apart] = texts(settings, ["Kinds", APART]).map(Option::unwrap_or_default);
+    let [kinds, apart] = raw_values(settings, ["Kinds", APART]).map(Option::unwrap_or_default);
     let apart: Vec<bool> = apart.split(',').map(|item| item == "true").collect();
     let kinds = kinds.split(',').enumerate();
     kinds.map(|(i, kind)| (kind.to_string(), apart.get(i).or(apart.last()) == Some(&true))).collect()
--- a/crates/courier/tests/renamed.rs
+++ b/crates/courier/tests/renamed.rs
@@ -249,7 +249,7 @@
 fn by_the_decisions(names: &Names, seed: u64) -> Played {
     let Decoded { settings, classes, zones, kinds, .. } = decode(names);
     let place = |list: &[String], text: &str| {
-        list.iter().position(|n| *n == meadowhold_settings::name(text)).unwrap()
+        list.iter().position(|n| *n == meadowhold_settings::normalized_name(text)).unwrap()
     };
     let (mut world, mut control, mut trace) = (World::new(seed), Control::new(settings), Vec::new());
     let (mut mails, mut endpoints) = (Door::<u64>::default(), Door::<String>::default());
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -10,7 +10,7 @@
     Profiles.0.PromiseUs=1000000\nProfiles.0.HardLimitUs=4000000\nProfiles.0.Worth=1.5\nDcs=\n";
 
 #[test]
-fn json_says_what_the_lines_say() {
+fn json_and_lines_decode_to_the_same_settings() {
     let profile = json!({"Name": "n", "Effect": "read_like", "PromiseUs": 1_000_000,
         "HardLimitUs": 4_000_000, "Worth": 1.5, "New": [1, {"a": null}]});
     let json = json!({"NInstances": 2, "FamilyInfo": {"Slots": 4, "KindBatch": [4, 1],
@@ -21,13 +21,13 @@
     let (lines, json) = (decode(9, LINES.as_bytes()).unwrap(), decode_json(9, &json).unwrap());
     assert_eq!(format!("{lines:?}"), format!("{json:?}"));
     assert_eq!(
-        (json.report, &json.kinds[0][..], json.settings.keep_idle),
+        (json.report_positions, &json.kinds[0][..], json.settings.keep_idle),
         ([Some(1), Some(0)], "a_b", 50_000)
     );
 }
 
 #[test]
-fn absurd_settings_are_refused_by_name() {
+fn invalid_settings_are_rejected_by_name() {
     let cases = [
         ("Limits.ConnectTimeoutUs=1000000", "Limits.ConnectTimeoutUs=99999999999999999", "is no time"),
         ("Profiles.0.Worth=1.5", "Profiles.0.Worth=inf", "is not a number"),
@@ -35,14 +35,14 @@
         ("FamilyInfo.Slots=4", "FamilyInfo.Slots=-4", "setting FamilyInfo.Slots cannot be read"),
         ("Profiles.count=1", "Profiles.count=257", "setting Profiles.count is over 256"),
     ];
-    for (old, new, words) in cases {
-        let refused = decode(9, LINES.replace(old, new).as_bytes()).err().unwrap();
-        assert!(refused.contains(words), "{refused}");
+    for (old, new, problem) in cases {
+        let error = decode(9, LINES.replace(old, new).as_bytes()).err().unwrap();
+        assert!(error.contains(problem), "{error}");
     }
 }
 
 #[test]
-fn all_that_is_out_of_order_is_told_at_once_each_place_once() {
+fn all_faults_are_reported_together_and_each_path_once() {
     let json = json!({"NInstances": "two", "FamilyInfo": {"Slots": 4, "KindBatch": ["x", "y"]},
         "Limits": {"MaxOpen": 20, "MaxAttempts": 3}, "ResolutionUs": 5000, "MembershipMode": "push",
         "Profiles": [{"Name": "n", "Effect": "odd", "PromiseUs": -1, "HardLimitUs": 4_000_000}]});
