--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Decodes the settings that a courier is given, from the bench's lines or from nested JSON: one set of
-//! names, one decoder. Unknown keys are passed over.
+//! Decodes the settings of a courier, either from `key=value` lines (as the bench sends them) or from nested
+//! JSON. Both forms use the same key names and the same decoder. Unknown keys are ignored.
 #![forbid(unsafe_code)]
 
 use std::cell::RefCell;
@@ -10,9 +10,10 @@
 use meadowhold::interface::{Effect, Kind, QueueClass, Settings, Time};
 use serde_json::Value;
 
-/// Microseconds in a tenth of a millisecond.
+/// Microseconds in one tick of `Time` (0.1 ms).
 const US_PER_TICK: u64 = 100;
 
+/// Converts microseconds to `Time`, rounding down.
 pub fn time_from_us(us: u64) -> Time {
     us / US_PER_TICK
 }
@@ -20,18 +21,19 @@
 #[derive(Debug)]
 pub struct Decoded {
     pub settings: Settings,
-    /// Places of the limit's two values in a load report.
+    /// Positions of `x0` (what is left of the limit) and `x1` (the limit) among the values of a load report.
     pub report_positions: [Option<usize>; 2],
-    /// Names of the report's values, and of what else is numbered by its place in a list.
+    /// Names of the values of a load report.
     pub report_fields: Vec<String>,
+    /// Names of the queue classes, zones and kinds, each indexed by its number.
     pub classes: Vec<String>,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
-    /// A mail may have two connects out at once.
+    /// Whether a mail may have two connects in flight at once.
     pub may_overlap: bool,
 }
 
-/// Settings by path, every value as text.
+/// Settings keyed by dotted path, with every value as text.
 struct Pairs(HashMap<String, String>);
 
 impl Pairs {
@@ -46,7 +48,8 @@
         pairs
     }
 
-    /// Nested objects become paths, plain lists are joined with commas, other lists are numbered.
+    /// Nested objects become dotted paths and lists of scalars are joined with commas. The items of a list with
+    /// objects get numbered paths, and the list's length is stored under `count`.
     fn flatten(&mut self, path: &str, value: &Value) {
         let join = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
         match value {
@@ -59,7 +62,8 @@
                 let items: Vec<String> = items.iter().map(scalar_text).collect();
                 self.0.insert(path.to_string(), items.join(","));
             }
-            // Guards against a name that is no longer what its clients write: only lists are joined.
+            // A single string is kept as it is: normalizing it would change names that clients send. Only names
+            // in comma-separated lists need it.
             Value::String(text) => {
                 self.0.insert(path.to_string(), text.clone());
             }
@@ -70,7 +74,7 @@
     }
 }
 
-/// A single value as the lines would hold it.
+/// The text of a scalar as an item of a comma-separated list.
 fn scalar_text(value: &Value) -> String {
     match value {
         Value::String(text) => normalized_name(text),
@@ -79,21 +83,20 @@
     }
 }
 
-/// A name as settings spell it.
+/// Replaces spaces and commas, which cannot occur in a name within a comma-separated list, with underscores.
 pub fn normalized_name(text: &str) -> String {
     text.replace([' ', ','], "_")
 }
 
-/// What is out of order at one place of the settings.
+/// A setting that is missing or invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// A path of names and numbers, such as `Profiles.0.PromiseUs`.
+    /// Dotted path of the setting, such as `Profiles.0.PromiseUs`.
     pub path: String,
     pub problem: &'static str,
 }
 
-/// Everything that is out of order in a courier's settings, in the order in which they are read; each place
-/// at most once.
+/// All faults of a courier's settings, in decoding order, with at most one for each path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Faults(pub Vec<Fault>);
 
@@ -108,13 +111,13 @@
 
 impl std::error::Error for Faults {}
 
-/// A list of settings is no longer.
+/// Maximum length of a list of objects.
 const MAX_ITEMS: usize = 256;
 const MISSING: &str = "is missing";
 const UNREADABLE: &str = "cannot be read";
 
-/// Reads values and notes what is out of order: any value stands in for one that cannot be had, and nothing
-/// that is read so leaves the decoder.
+/// Reads values and collects faults. A missing or invalid value is replaced by an arbitrary one so that decoding
+/// can go on and find all faults; the decoder returns no settings if there is any fault.
 struct Reader<'a> {
     pairs: &'a Pairs,
     faults: RefCell<Vec<Fault>>,
@@ -123,7 +126,7 @@
 impl Reader<'_> {
     fn add_fault(&self, path: &str, problem: &'static str) {
         let mut faults = self.faults.borrow_mut();
-        // Guards against one fault told twice: some lists are read for more than one purpose.
+        // Some lists are read more than once; each fault is reported only once.
         if faults.iter().all(|fault| fault.path != path) {
             faults.push(Fault { path: path.to_string(), problem });
         }
@@ -163,7 +166,7 @@
         self.checked_time(key, self.optional(key, default))
     }
 
-    /// Guards against times that would overflow once they are added up: none is longer than ten years.
+    /// Rejects times longer than ten years, so that sums of times cannot overflow.
     fn checked_time(&self, key: &str, us: u64) -> Time {
         if us > 10 * 366 * 86_400 * 1_000_000 {
             self.add_fault(key, "is no time");
@@ -187,7 +190,7 @@
     fn objects<T>(&self, list: &str, decode: impl Fn(&str) -> T) -> Vec<T> {
         let path = format!("{list}.count");
         let count: usize = self.optional(&path, 0);
-        // Guards against a long list of which the rest would be passed over without a word.
+        // A list that is too long is a fault: its further items must not be dropped silently.
         if count > MAX_ITEMS {
             self.add_fault(&path, "is over 256");
         }
@@ -195,18 +198,18 @@
     }
 }
 
-/// From the bench's lines.
+/// Decodes `key=value` lines, as the bench sends them.
 pub fn decode(seed: u64, info: &[u8]) -> Result<Decoded, String> {
     let text = std::str::from_utf8(info).map_err(|_| "the settings are not text".to_string())?;
     decode_pairs(seed, &Pairs::from_lines(text)).map_err(|faults| faults.to_string())
 }
 
-/// From the nested JSON of a courier's configuration.
+/// Decodes the nested JSON of a courier's configuration.
 pub fn decode_json(seed: u64, settings: &Value) -> Result<Decoded, Faults> {
     decode_pairs(seed, &Pairs::from_json(settings))
 }
 
-/// What nested JSON says at these paths, as the lines would; `None` where it says nothing. Nothing is checked.
+/// The unchecked texts of the values at these paths of nested JSON; `None` where a value is absent.
 pub fn raw_values<const N: usize>(settings: &Value, paths: [&str; N]) -> [Option<String>; N] {
     let pairs = Pairs::from_json(settings);
     paths.map(|path| pairs.0.get(path).cloned())
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,4 +1,4 @@
-//! Both forms of the settings, and what is out of order in them.
+//! Tests of both input forms and of the reported faults.
 
 use super::*;
 use serde_json::json;
