--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -17,8 +17,8 @@
     mails: Door<u32>,
     endpoints: Door<Address>,
     /// Endpoints by the short names that notes use.
-    named: HashMap<u32, Address>,
-    dests: Door<u16>,
+    by_short_name: HashMap<u32, Address>,
+    destinations: Door<u16>,
     keys: Door<u64>,
     /// Earliest timer that is still to fire.
     timer: Option<Time>,
@@ -32,56 +32,56 @@
     actions: Vec<Action>,
     reply: Reply,
     /// Couriers with an event in this batch, in the order of their first.
-    woken: Vec<usize>,
+    pending: Vec<usize>,
 }
 
 /// Bounds on what numbers may grow tables here, far above what the wire uses.
-const MOST_COURIERS: usize = 1 << 16;
-const MOST_LISTS: usize = 256;
+const MAX_COURIERS: usize = 1 << 16;
+const MAX_LISTS: usize = 256;
 
 impl Host {
-    pub fn round(&mut self, frame: &Frame, out: &mut Vec<u8>) -> Result<(), Malformed> {
+    pub fn process_frame(&mut self, frame: &Frame, out: &mut Vec<u8>) -> Result<(), Malformed> {
         let now = time_from_us(frame.clock_us);
         for event in frame.events() {
             let (instance, event) = event?;
-            self.take(instance as usize, event, now)?;
+            self.handle_event(instance as usize, event, now)?;
         }
-        for i in 0..self.woken.len() {
-            let index = self.woken[i];
+        for i in 0..self.pending.len() {
+            let index = self.pending[i];
             if let Some(courier) = &mut self.couriers[index] {
                 courier.decide(index as u32, now, &mut self.actions, &mut self.reply);
             }
         }
-        self.woken.clear();
+        self.pending.clear();
         self.reply.finish(frame.number, out);
         Ok(())
     }
 
-    fn take(&mut self, index: usize, event: Event, now: Time) -> Result<(), Malformed> {
-        if let Event::Census { number, entries } = event {
+    fn handle_event(&mut self, index: usize, event: Event, now: Time) -> Result<(), Malformed> {
+        if let Event::EndpointList { number, entries } = event {
             let number = number as usize;
-            if number >= MOST_LISTS {
+            if number >= MAX_LISTS {
                 return Err("a census has a number out of range");
             }
             if number >= self.lists.len() {
                 self.lists.resize_with(number + 1, Vec::new);
             }
             self.lists[number].clear();
-            self.lists[number].extend(wire::entries(entries));
+            self.lists[number].extend(wire::decode_entries(entries));
             return Ok(());
         }
-        if index >= MOST_COURIERS {
+        if index >= MAX_COURIERS {
             return Err("an event has an instance number out of range");
         }
         if index >= self.couriers.len() {
             self.couriers.resize_with(index + 1, || None);
         }
         match event {
-            Event::Hello { seed, info } => {
+            Event::Start { seed, info } => {
                 self.couriers[index] = match decode(seed, info) {
                     Ok(decoded) => Some(Courier::new(decoded)),
                     Err(words) => {
-                        self.reply.bail_out(index as u32, &words);
+                        self.reply.reject_settings(index as u32, &words);
                         None
                     }
                 }
@@ -89,11 +89,11 @@
             Event::Crash => self.couriers[index] = None,
             event => {
                 let Some(courier) = &mut self.couriers[index] else { return Ok(()) };
-                courier.take(event, &self.lists, now)?;
+                courier.add_input(event, &self.lists, now)?;
             }
         }
-        if !self.woken.contains(&index) {
-            self.woken.push(index);
+        if !self.pending.contains(&index) {
+            self.pending.push(index);
         }
         Ok(())
     }
@@ -107,32 +107,32 @@
             report: decoded.report_positions,
             mails: Door::default(),
             endpoints: Door::default(),
-            named: HashMap::new(),
-            dests: Door::default(),
+            by_short_name: HashMap::new(),
+            destinations: Door::default(),
             keys: Door::default(),
             timer: None,
             inputs: Vec::new(),
         }
     }
 
-    fn take(&mut self, event: Event, lists: &[Vec<wire::Entry>], now: Time) -> Result<(), Malformed> {
+    fn add_input(&mut self, event: Event, lists: &[Vec<wire::Entry>], now: Time) -> Result<(), Malformed> {
         let input = match event {
-            Event::View { scope: 3, .. } => Input::ListFailed,
-            Event::View { scope, census } => {
-                let list = lists.get(census as usize).ok_or("a view names a census that never came")?;
+            Event::ListUpdate { scope: 3, .. } => Input::ListFailed,
+            Event::ListUpdate { scope, list } => {
+                let list = lists.get(list as usize).ok_or("a view names a census that never came")?;
                 self.inputs.push(Input::ListBegin { whole: scope != 0 });
                 for e in list {
                     let endpoint = self.endpoints.enter(e.endpoint);
-                    self.named.insert(wire::short(e.endpoint), e.endpoint);
-                    let dest = self.dests.enter(e.dest);
+                    self.by_short_name.insert(wire::short_name(e.endpoint), e.endpoint);
+                    let dest = self.destinations.enter(e.destination);
                     let (zone, kind, life, rate) = (e.zone, e.kind, e.life, e.rate);
                     self.inputs.push(Input::Listed(Listed { endpoint, dest, zone, kind, life, rate }));
                 }
                 Input::ListEnd
             }
-            Event::Arrival { handle, dest, class, item, due } => Input::Taken(Taken {
+            Event::Arrival { handle, destination, class, item, due } => Input::Taken(Taken {
                 mail: self.mails.enter(handle),
-                dest: self.dests.enter(dest),
+                dest: self.destinations.enter(destination),
                 class,
                 key: (item != 0 && self.in_turn.get(class) == Some(&true)).then(|| self.keys.enter(item)),
                 since: now,
@@ -143,27 +143,27 @@
                 Some(mail) => Input::Hangup { mail },
                 None => return Ok(()),
             },
-            Event::Alarm => {
+            Event::TimerFired => {
                 self.timer = self.timer.filter(|&at| at > now);
                 Input::Woken
             }
-            Event::Settled(s) => match self.mails.find(&s.handle) {
+            Event::ConnectEnded(s) => match self.mails.find(&s.handle) {
                 Some(mail) => Input::Ended(Ended {
                     mail,
                     outcome: s.outcome,
-                    over: s.over,
+                    over: s.is_final,
                     wait: s.wait,
                     took: s.took,
                     kept: false,
-                    report: wire::report(s.report, self.report[0], self.report[1]),
+                    report: wire::load_report(s.report, self.report[0], self.report[1]),
                 }),
                 None => return Ok(()),
             },
-            Event::Message { body } => {
-                let note = wire::noted(body);
-                let Some((endpoint, news)) =
-                    note.and_then(|(name, news)| Some((self.endpoints.find(self.named.get(&name)?)?, news)))
-                else {
+            Event::Note { body } => {
+                let note = wire::decode_note(body);
+                let Some((endpoint, news)) = note.and_then(|(name, news)| {
+                    Some((self.endpoints.find(self.by_short_name.get(&name)?)?, news))
+                }) else {
                     return Ok(());
                 };
                 Input::Heard { endpoint, news }
@@ -178,42 +178,42 @@
         let wake = self.control.round(now, &self.inputs, actions);
         self.inputs.clear();
         for action in actions.drain(..) {
-            self.put(instance, action, reply);
+            self.write_action(instance, action, reply);
         }
         if let Some(at) = wake.filter(|&at| self.timer.is_none_or(|set| at < set)) {
             self.timer = Some(at);
-            reply.after(instance, at);
+            reply.set_timer(instance, at);
         }
     }
 
-    fn put(&mut self, instance: u32, action: Action, reply: &mut Reply) {
+    fn write_action(&mut self, instance: u32, action: Action, reply: &mut Reply) {
         match action {
             Action::Connect { mail, endpoint, timeout, .. } => {
                 if let (Some(&m), Some(&e)) = (self.mails.outside(mail), self.endpoints.outside(endpoint)) {
-                    reply.transmit(instance, m, e, timeout);
+                    reply.connect(instance, m, e, timeout);
                 }
             }
             Action::Defer { mail, pause } => {
                 if let Some(&m) = self.mails.outside(mail) {
-                    reply.busy(instance, m, pause);
+                    reply.defer(instance, m, pause);
                 }
             }
             Action::Bounce { mail } => {
                 if let Some(&m) = self.mails.outside(mail) {
-                    reply.finish_error(instance, m);
+                    reply.bounce(instance, m);
                 }
             }
             Action::LetGo(endpoint) => {
                 if let Some(&e) = self.endpoints.outside(endpoint) {
-                    reply.let_go(instance, e);
+                    reply.close_idle(instance, e);
                 }
             }
             Action::Tell { endpoint, news } => {
                 if let Some(&e) = self.endpoints.outside(endpoint) {
-                    reply.publish(instance, &wire::note(e, news));
+                    reply.send_note(instance, &wire::encode_note(e, news));
                 }
             }
-            Action::WatchList => reply.watch(instance),
+            Action::WatchList => reply.watch_list(instance),
             Action::FreeMail(mail) => self.mails.leave(mail),
             Action::FreeKey(key) => self.keys.leave(key),
             Action::FreeEndpoint(endpoint) => self.endpoints.leave(endpoint),
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -13,7 +13,7 @@
     let (mut bytes, mut reply) = (Vec::new(), Vec::new());
     loop {
         bytes.resize(4, 0);
-        match read_all(&mut input, &mut bytes)? {
+        match read_full(&mut input, &mut bytes)? {
             0 => return Ok(()),
             4 => {}
             _ => return Err("the input ends inside a frame".to_string()),
@@ -24,12 +24,12 @@
             return Err("the input ends inside a frame".to_string());
         }
         reply.clear();
-        host.round(&wire::frame(&bytes)?, &mut reply)?;
+        host.process_frame(&wire::decode_frame(&bytes)?, &mut reply)?;
         output.write_all(&reply).and_then(|()| output.flush()).map_err(|e| e.to_string())?;
     }
 }
 
-fn read_all(input: &mut impl Read, bytes: &mut [u8]) -> Result<usize, String> {
+fn read_full(input: &mut impl Read, bytes: &mut [u8]) -> Result<usize, String> {
     let mut have = 0;
     while have < bytes.len() {
         match input.read(&mut bytes[have..]) {
@@ -45,8 +45,8 @@
 fn main() -> ExitCode {
     match serve(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(words) => {
-            eprintln!("meadowhold-adapter: {words}");
+        Err(error) => {
+            eprintln!("meadowhold-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/adapter/src/tests.rs
+++ b/crates/adapter/src/tests.rs
@@ -19,7 +19,7 @@
     let mut bytes = Vec::new();
     for record in records {
         let mut r = hex(record);
-        r.resize(wire::EVENT, 0);
+        r.resize(wire::EVENT_SIZE, 0);
         bytes.extend(r);
     }
     bytes.extend(tail);
@@ -36,40 +36,40 @@
     (serve(input, &mut output), output)
 }
 
-fn hello(settings: &str) -> Vec<u8> {
+fn start(settings: &str) -> Vec<u8> {
     let entries = hex("0a124a07 1b5b 00 00 0039 01 3f800000 0000000000000000");
     let mut tail = settings.as_bytes().to_vec();
     tail.extend(entries);
     let length = settings.len();
-    let census = format!("14 00000000 {length:08x} 00000001");
+    let list = format!("14 00000000 {length:08x} 00000001");
     frame(
         1,
-        &[&format!("32 00000003 0000000000000005 00000000 {length:08x}"), &census, "3c 00000003 02"],
+        &[&format!("32 00000003 0000000000000005 00000000 {length:08x}"), &list, "3c 00000003 02"],
         &tail,
     )
 }
 
 #[test]
-fn events_are_read() {
+fn events_are_decoded() {
     let cases: [(&str, Event); 5] = [
         (
             "46 00000003 5d3a91c4 42640000 01 00 00002ee0 0002 91f03b7c55d20a64 00000000008405da",
             Event::Arrival {
                 handle: 0x5d3a91c4,
-                dest: 57,
+                destination: 57,
                 class: 0,
                 item: 0x91f03b7c55d20a64,
                 due: 0x8405da / 100,
             },
         ),
         ("1e 00000005 0e6f2b19", Event::Hangup { handle: 0x0e6f2b19 }),
-        ("28 00000003 000000000000004d", Event::Alarm),
-        ("0a 00000003 0a9011f2 1b84 0001 00000578", Event::Other),
-        ("ff 00000003", Event::Other),
+        ("28 00000003 000000000000004d", Event::TimerFired),
+        ("0a 00000003 0a9011f2 1b84 0001 00000578", Event::Unknown),
+        ("ff 00000003", Event::Unknown),
     ];
     for (record, expected) in cases {
         let bytes = frame(1, &[record], &[]);
-        let read = wire::frame(&bytes).unwrap();
+        let read = wire::decode_frame(&bytes).unwrap();
         assert_eq!(read.events().next().unwrap().unwrap().1, expected, "{record}");
     }
     let bytes = frame(
@@ -77,33 +77,37 @@
         &["6e 00000003 5d3a91c4 01 00fe 00 0a124a07 1b5b 0000000c 00004844 02 3f000000 40000000"],
         &[],
     );
-    let read = wire::frame(&bytes).unwrap();
+    let read = wire::decode_frame(&bytes).unwrap();
     let first = read.events().next().unwrap().unwrap().1;
     match first {
-        Event::Settled(s) => {
+        Event::ConnectEnded(s) => {
             assert_eq!(
-                (s.handle, s.over, s.outcome, s.wait, s.took),
+                (s.handle, s.is_final, s.outcome, s.wait, s.took),
                 (0x5d3a91c4, true, Outcome::Refused, 120, 185)
             );
-            assert_eq!(wire::report(s.report, Some(0), Some(1)), Some(Report { left: 0.5, limit: 2.0 }));
-            assert_eq!(wire::report(s.report, Some(0), Some(2)), None);
+            assert_eq!(wire::load_report(s.report, Some(0), Some(1)), Some(Report { left: 0.5, limit: 2.0 }));
+            assert_eq!(wire::load_report(s.report, Some(0), Some(2)), None);
         }
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn entries_are_read() {
-    let entry = wire::entries(&hex("0a9011f2 1b84 01 02 0039 02 3fc00000 00000000005d1420")).next().unwrap();
-    assert_eq!((entry.zone, entry.kind, entry.dest, entry.life, entry.rate), (1, 2, 57, Life::Draining, 1.5));
+fn entries_are_decoded() {
+    let entry =
+        wire::decode_entries(&hex("0a9011f2 1b84 01 02 0039 02 3fc00000 00000000005d1420")).next().unwrap();
+    assert_eq!(
+        (entry.zone, entry.kind, entry.destination, entry.life, entry.rate),
+        (1, 2, 57, Life::Draining, 1.5)
+    );
 }
 
 #[test]
-fn replies_are_written() {
+fn replies_are_encoded() {
     let (mut reply, mut out) = (Reply::default(), Vec::new());
-    reply.transmit(3, 0x5d3a91c4, [10, 0x12, 0x4a, 7, 0x1b, 0x5b], 800);
-    reply.busy(3, 0x0e6f2b19, 2500);
-    reply.bail_out(3, "no");
+    reply.connect(3, 0x5d3a91c4, [10, 0x12, 0x4a, 7, 0x1b, 0x5b], 800);
+    reply.defer(3, 0x0e6f2b19, 2500);
+    reply.reject_settings(3, "no");
     reply.finish(12, &mut out);
     let expected = "00000003 00000056 0000000c 28 00000003 5d3a91c4 0a124a07 1b5b 00013880 0000000000 \
         78 00000003 0e6f2b19 0003d090 0000000000000000000000 1e 00000003 00000000 00000002 0000000000000000000000 6e6f";
@@ -114,7 +118,7 @@
 }
 
 #[test]
-fn malformed_input_ends_with_plain_words() {
+fn malformed_input_ends_with_an_error_message() {
     let mut long = frame(1, &[], &[]);
     long[7] = 9;
     let cases = [
@@ -137,19 +141,19 @@
 }
 
 #[test]
-fn settings_that_are_needed_are_asked_for_by_name() {
+fn missing_settings_are_reported_by_name() {
     for key in ["FamilyInfo.Slots", "Profiles.0.Effect", "MembershipMode"] {
         let text = SETTINGS.replace(key, "X");
-        let (ended, output) = run(&hello(&text));
+        let (ended, output) = run(&start(&text));
         assert_eq!((ended, output[12]), (Ok(()), 30));
         assert!(String::from_utf8_lossy(&output).ends_with(&format!("setting {key} is missing")), "{key}");
     }
 }
 
 #[test]
-fn a_courier_sends_what_arrives_and_forgets_all_when_killed() {
+fn a_courier_connects_arriving_mails_and_loses_its_state_in_a_crash() {
     let arrival = "46 00000003 5d3a91c4 42640000 00 00 00000000 0000 0000000000000000 00000000003d0900";
-    let mut input = hello(SETTINGS);
+    let mut input = start(SETTINGS);
     input.extend(frame(2, &[arrival], &[]));
     let (ended, output) = run(&input);
     assert_eq!((ended, output[12]), (Ok(()), 0), "the hello asks for nothing");
@@ -162,7 +166,7 @@
 }
 
 #[test]
-fn notes_are_four_bytes_that_are_read_as_they_were_written() {
+fn notes_take_four_bytes_and_decode_to_what_was_encoded() {
     let endpoint = [10, 18, 74, 7, 27, 91];
     // Waits are told in tenths of a second, rounded up, six seconds and a bit at most.
     let cases = [
@@ -174,14 +178,14 @@
         (News::Full(900_000), News::Full(63_000)),
     ];
     for (told, heard) in cases {
-        let note = wire::note(endpoint, told);
-        assert_eq!(wire::noted(&note), Some((wire::short(endpoint), heard)));
+        let note = wire::encode_note(endpoint, told);
+        assert_eq!(wire::decode_note(&note), Some((wire::short_name(endpoint), heard)));
     }
     for odd in [&b""[..], b"\x01", b"\0\0\0", b"\0\0\0\xc0", b"\0\0\0\0\0"] {
-        assert_eq!(wire::noted(odd), None, "{odd:?}");
+        assert_eq!(wire::decode_note(odd), None, "{odd:?}");
     }
     // Endpoints as they are listed: one machine's ports, one port on many machines.
     let all = (0..400u16).map(|i| [10, 18, (i / 20) as u8, (i % 20) as u8, 27, (i % 7) as u8]);
-    let names: std::collections::HashSet<u32> = all.map(wire::short).collect();
+    let names: std::collections::HashSet<u32> = all.map(wire::short_name).collect();
     assert_eq!(names.len(), 400);
 }
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -3,11 +3,11 @@
 use meadowhold::interface::{Life, News, Outcome, Report, Time};
 use meadowhold_settings::time_from_us;
 
-pub const EVENT: usize = 48;
-pub const ACTION: usize = 24;
-const HEADER: usize = 20;
-const REPLY_HEADER: usize = 12;
-const ENTRY: usize = 23;
+pub const EVENT_SIZE: usize = 48;
+pub const ACTION_SIZE: usize = 24;
+const HEADER_SIZE: usize = 20;
+const REPLY_HEADER_SIZE: usize = 12;
+const ENTRY_SIZE: usize = 23;
 /// Microseconds in a tenth of a millisecond.
 const US_PER_TICK: u64 = 100;
 
@@ -28,15 +28,15 @@
     pub endpoint: Address,
     pub zone: usize,
     pub kind: usize,
-    pub dest: u16,
+    pub destination: u16,
     pub life: Life,
     pub rate: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Settled {
+pub struct ConnectEnded {
     pub handle: u32,
-    pub over: bool,
+    pub is_final: bool,
     pub outcome: Outcome,
     pub wait: Time,
     pub took: Time,
@@ -46,30 +46,31 @@
 
 #[derive(Debug, PartialEq)]
 pub enum Event<'a> {
-    Hello { seed: u64, info: &'a [u8] },
-    Census { number: u32, entries: &'a [u8] },
-    View { scope: u8, census: u32 },
-    Arrival { handle: u32, dest: u16, class: usize, item: u64, due: Time },
+    Start { seed: u64, info: &'a [u8] },
+    EndpointList { number: u32, entries: &'a [u8] },
+    ListUpdate { scope: u8, list: u32 },
+    Arrival { handle: u32, destination: u16, class: usize, item: u64, due: Time },
     Hangup { handle: u32 },
-    Alarm,
+    TimerFired,
     Crash,
-    Settled(Settled),
-    Message { body: &'a [u8] },
-    Other,
+    ConnectEnded(ConnectEnded),
+    Note { body: &'a [u8] },
+    Unknown,
 }
 
 /// Bytes of the frame that starts here; `None` until its length has been read.
 pub fn frame_length(start: &[u8]) -> Option<Result<usize, Malformed>> {
     let length = u32::from_be_bytes(start.get(..4)?.try_into().ok()?) as usize;
-    Some(if length < HEADER { Err("a frame is shorter than its header") } else { Ok(length) })
+    Some(if length < HEADER_SIZE { Err("a frame is shorter than its header") } else { Ok(length) })
 }
 
-pub fn frame(bytes: &[u8]) -> Result<Frame<'_>, Malformed> {
-    if bytes.len() < HEADER {
+pub fn decode_frame(bytes: &[u8]) -> Result<Frame<'_>, Malformed> {
+    if bytes.len() < HEADER_SIZE {
         return Err("a frame is shorter than its header");
     }
-    let records = (be32(bytes, 4) as usize).checked_mul(EVENT).ok_or("a frame counts too many records")?;
-    let body = &bytes[HEADER..];
+    let records =
+        (be32(bytes, 4) as usize).checked_mul(EVENT_SIZE).ok_or("a frame counts too many records")?;
+    let body = &bytes[HEADER_SIZE..];
     if records > body.len() {
         return Err("a frame ends before its last record");
     }
@@ -80,50 +81,50 @@
 impl<'a> Frame<'a> {
     /// The events with the number of their instance (meaningless for a census).
     pub fn events(&self) -> impl Iterator<Item = Result<(u32, Event<'a>), Malformed>> + '_ {
-        self.records.chunks_exact(EVENT).map(|r| Ok((be32(r, 1), self.event(r)?)))
+        self.records.chunks_exact(EVENT_SIZE).map(|r| Ok((be32(r, 1), self.event(r)?)))
     }
 
     fn event(&self, r: &[u8]) -> Result<Event<'a>, Malformed> {
         Ok(match r[0] {
-            20 => Event::Census { number: be32(r, 1), entries: self.cut(r, 5, ENTRY)? },
+            20 => Event::EndpointList { number: be32(r, 1), entries: self.tail_slice(r, 5, ENTRY_SIZE)? },
             30 => Event::Hangup { handle: be32(r, 5) },
-            40 => Event::Alarm,
-            50 => Event::Hello { seed: be64(r, 5), info: self.cut(r, 13, 1)? },
-            60 => Event::View { scope: r[5], census: be32(r, 14) },
+            40 => Event::TimerFired,
+            50 => Event::Start { seed: be64(r, 5), info: self.tail_slice(r, 13, 1)? },
+            60 => Event::ListUpdate { scope: r[5], list: be32(r, 14) },
             70 => {
-                let dest = f32::from_bits(be32(r, 9));
-                if !(0.0..=f32::from(u16::MAX)).contains(&dest) || dest.fract() != 0.0 {
+                let destination = f32::from_bits(be32(r, 9));
+                if !(0.0..=f32::from(u16::MAX)).contains(&destination) || destination.fract() != 0.0 {
                     return Err("an arrival names no destination number");
                 }
                 Event::Arrival {
                     handle: be32(r, 5),
-                    dest: dest as u16,
+                    destination: destination as u16,
                     class: r[14].into(),
                     item: be64(r, 21),
                     due: time_from_us(be64(r, 29)),
                 }
             }
             80 => Event::Crash,
-            100 => Event::Message { body: self.cut(r, 7, 1)? },
+            100 => Event::Note { body: self.tail_slice(r, 7, 1)? },
             110 => {
                 let count = usize::from(r[27]).min(4);
                 let outcome = outcome(be16(r, 10)).ok_or("an outcome has an unknown reason")?;
                 // With other outcomes the field is no time to wait.
                 let refused = outcome == Outcome::Refused;
-                Event::Settled(Settled {
+                Event::ConnectEnded(ConnectEnded {
                     handle: be32(r, 5),
-                    over: r[9] != 0,
+                    is_final: r[9] != 0,
                     outcome,
                     wait: if refused { Time::from(be32(r, 19)) * 10 } else { 0 },
                     took: time_from_us(be32(r, 23).into()),
                     report: (count, [28, 32, 36, 40].map(|at| f32::from_bits(be32(r, at)))),
                 })
             }
-            _ => Event::Other,
+            _ => Event::Unknown,
         })
     }
 
-    fn cut(&self, r: &[u8], at: usize, size: usize) -> Result<&'a [u8], Malformed> {
+    fn tail_slice(&self, r: &[u8], at: usize, size: usize) -> Result<&'a [u8], Malformed> {
         let (offset, count) = (be32(r, at) as usize, be32(r, at + 4) as usize);
         count
             .checked_mul(size)
@@ -134,26 +135,26 @@
 
 /// A name of three bytes for an endpoint in notes, which are paid for by the byte. Two endpoints of one list
 /// hardly share one; a note that is taken for another's is a wrong hint, as a late one is.
-pub fn short(endpoint: Address) -> u32 {
+pub fn short_name(endpoint: Address) -> u32 {
     let mixed = endpoint.iter().fold(0x811c_9dc5_u32, |h, &b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193));
     (mixed ^ mixed >> 24) & 0xff_ffff
 }
 
 /// Tenths of a second that a note can hold: six bits.
-const LONGEST: Time = 63;
+const MAX_NOTE_WAIT: Time = 63;
 
 /// A note: the endpoint's short name, then two bits of news and six of its time in tenths of a second, rounded up.
-pub fn note(endpoint: Address, news: News) -> [u8; 4] {
+pub fn encode_note(endpoint: Address, news: News) -> [u8; 4] {
     let news = match news {
-        News::Full(wait) => wait.div_ceil(1000).min(LONGEST) as u32,
+        News::Full(wait) => wait.div_ceil(1000).min(MAX_NOTE_WAIT) as u32,
         News::Out => 1 << 6,
         News::Back => 2 << 6,
     };
-    (short(endpoint) << 8 | news).to_be_bytes()
+    (short_name(endpoint) << 8 | news).to_be_bytes()
 }
 
 /// What is no note that this courier knows is none.
-pub fn noted(body: &[u8]) -> Option<(u32, News)> {
+pub fn decode_note(body: &[u8]) -> Option<(u32, News)> {
     let note = u32::from_be_bytes(body.try_into().ok()?);
     let news = match note >> 6 & 3 {
         0 => News::Full(Time::from(note & 63) * 1000),
@@ -164,12 +165,12 @@
     Some((note >> 8, news))
 }
 
-pub fn entries(bytes: &[u8]) -> impl Iterator<Item = Entry> + '_ {
-    bytes.chunks_exact(ENTRY).map(|e| Entry {
+pub fn decode_entries(bytes: &[u8]) -> impl Iterator<Item = Entry> + '_ {
+    bytes.chunks_exact(ENTRY_SIZE).map(|e| Entry {
         endpoint: address(e, 0),
         zone: e[6].into(),
         kind: e[7].into(),
-        dest: be16(e, 8),
+        destination: be16(e, 8),
         life: match e[10] {
             1 => Life::Ready,
             2 => Life::Draining,
@@ -194,8 +195,8 @@
 }
 
 /// Reads any `load report` by the names of its fields.
-pub fn report(told: (usize, [f32; 4]), left: Option<usize>, limit: Option<usize>) -> Option<Report> {
-    let value = |at: Option<usize>| at.filter(|&i| i < told.0).map(|i| f64::from(told.1[i]));
+pub fn load_report(values: (usize, [f32; 4]), left: Option<usize>, limit: Option<usize>) -> Option<Report> {
+    let value = |at: Option<usize>| at.filter(|&i| i < values.0).map(|i| f64::from(values.1[i]));
     let known = Report { left: value(left)?, limit: value(limit)? };
     (known.left.is_finite() && known.limit.is_finite()).then_some(known)
 }
@@ -209,47 +210,47 @@
 
 impl Reply {
     fn record(&mut self, code: u8, instance: u32, fields: &[&[u8]]) {
-        let end = self.records.len() + ACTION;
+        let end = self.records.len() + ACTION_SIZE;
         self.records.push(code);
         self.records.extend_from_slice(&instance.to_be_bytes());
         fields.iter().for_each(|f| self.records.extend_from_slice(f));
         self.records.resize(end, 0);
     }
 
-    pub fn transmit(&mut self, instance: u32, handle: u32, endpoint: Address, timeout: Time) {
+    pub fn connect(&mut self, instance: u32, handle: u32, endpoint: Address, timeout: Time) {
         let us = u32::try_from(timeout * US_PER_TICK).unwrap_or(u32::MAX).max(1);
         self.record(40, instance, &[&handle.to_be_bytes(), &endpoint, &us.to_be_bytes()]);
     }
 
-    pub fn busy(&mut self, instance: u32, handle: u32, pause: Time) {
+    pub fn defer(&mut self, instance: u32, handle: u32, pause: Time) {
         let us = u32::try_from(pause * US_PER_TICK).unwrap_or(u32::MAX);
         self.record(120, instance, &[&handle.to_be_bytes(), &us.to_be_bytes()]);
     }
 
-    pub fn finish_error(&mut self, instance: u32, handle: u32) {
+    pub fn bounce(&mut self, instance: u32, handle: u32) {
         self.record(50, instance, &[&handle.to_be_bytes()]);
     }
 
-    pub fn let_go(&mut self, instance: u32, endpoint: Address) {
+    pub fn close_idle(&mut self, instance: u32, endpoint: Address) {
         self.record(20, instance, &[&endpoint]);
     }
 
     /// To all other couriers.
-    pub fn publish(&mut self, instance: u32, body: &[u8]) {
+    pub fn send_note(&mut self, instance: u32, body: &[u8]) {
         let (offset, length) = (self.tail.len() as u32, body.len() as u32);
         self.tail.extend_from_slice(body);
         self.record(100, instance, &[&[0xff; 4], &offset.to_be_bytes(), &length.to_be_bytes()]);
     }
 
-    pub fn watch(&mut self, instance: u32) {
+    pub fn watch_list(&mut self, instance: u32) {
         self.record(10, instance, &[&[1]]);
     }
 
-    pub fn after(&mut self, instance: u32, at: Time) {
+    pub fn set_timer(&mut self, instance: u32, at: Time) {
         self.record(70, instance, &[&(at * US_PER_TICK).to_be_bytes()]);
     }
 
-    pub fn bail_out(&mut self, instance: u32, words: &str) {
+    pub fn reject_settings(&mut self, instance: u32, words: &str) {
         let (offset, length) = (self.tail.len() as u32, words.len() as u32);
         self.tail.extend_from_slice(words.as_bytes());
         self.record(30, instance, &[&offset.to_be_bytes(), &length.to_be_bytes()]);
@@ -257,8 +258,8 @@
 
     /// Writes the reply to `out` and starts the next one.
     pub fn finish(&mut self, number: u32, out: &mut Vec<u8>) {
-        let count = (self.records.len() / ACTION) as u32;
-        let length = (REPLY_HEADER + self.records.len() + self.tail.len()) as u32;
+        let count = (self.records.len() / ACTION_SIZE) as u32;
+        let length = (REPLY_HEADER_SIZE + self.records.len() + self.tail.len()) as u32;
         for word in [count, length, number] {
             out.extend_from_slice(&word.to_be_bytes());
         }
