--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -1,4 +1,5 @@
-//! Many couriers in one process: each with its own doors and decisions. They share the numbered lists only.
+//! Hosts many couriers in one process. Each has its own decision state and index tables; only the numbered
+//! endpoint lists are shared.
 
 use std::collections::HashMap;
 
@@ -12,15 +13,15 @@
 struct Courier {
     control: Control,
     report: [Option<usize>; 2],
-    /// Queue classes that keep their order; a key on any other mail says nothing.
+    /// By queue class: whether its mails are delivered in order by key. The keys of other mails are ignored.
     in_turn: Vec<bool>,
     mails: Door<u32>,
     endpoints: Door<Address>,
-    /// Endpoints by the short names that notes use.
+    /// Endpoint addresses by the short names used in notes.
     by_short_name: HashMap<u32, Address>,
     destinations: Door<u16>,
     keys: Door<u64>,
-    /// Earliest timer that is still to fire.
+    /// The earliest timer that has been set and has not fired.
     timer: Option<Time>,
     inputs: Vec<Input>,
 }
@@ -31,11 +32,12 @@
     lists: Vec<Vec<wire::Entry>>,
     actions: Vec<Action>,
     reply: Reply,
-    /// Couriers with an event in this batch, in the order of their first.
+    /// Couriers with an event in this frame, in the order of their first event.
     pending: Vec<usize>,
 }
 
-/// Bounds on what numbers may grow tables here, far above what the wire uses.
+/// Limits on the numbers that size the tables here, so that a bad number cannot exhaust memory; far above those
+/// in use.
 const MAX_COURIERS: usize = 1 << 16;
 const MAX_LISTS: usize = 256;
 
@@ -61,7 +63,7 @@
         if let Event::EndpointList { number, entries } = event {
             let number = number as usize;
             if number >= MAX_LISTS {
-                return Err("a census has a number out of range");
+                return Err("the number of an endpoint list is out of range");
             }
             if number >= self.lists.len() {
                 self.lists.resize_with(number + 1, Vec::new);
@@ -119,7 +121,9 @@
         let input = match event {
             Event::ListUpdate { scope: 3, .. } => Input::ListFailed,
             Event::ListUpdate { scope, list } => {
-                let list = lists.get(list as usize).ok_or("a view names a census that never came")?;
+                let list = lists
+                    .get(list as usize)
+                    .ok_or("a list update names an endpoint list that was not sent")?;
                 self.inputs.push(Input::ListBegin { whole: scope != 0 });
                 for e in list {
                     let endpoint = self.endpoints.enter(e.endpoint);
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! The bench adapter: reads batches of events, lets each courier decide, writes one reply a batch.
+//! The bench adapter: reads frames of events, runs the decisions of each courier concerned, and writes one
+//! reply per frame.
 #![forbid(unsafe_code)]
 
 mod host;
@@ -7,7 +8,7 @@
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
 
-/// Reads whole frames until the input ends between two of them.
+/// Processes frames until the input ends; an end within a frame is an error.
 fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), String> {
     let mut host = host::Host::default();
     let (mut bytes, mut reply) = (Vec::new(), Vec::new());
@@ -18,7 +19,7 @@
             4 => {}
             _ => return Err("the input ends inside a frame".to_string()),
         }
-        let length = wire::frame_length(&bytes).ok_or("a frame has no length")??;
+        let length = wire::frame_length(&bytes).ok_or("the length of a frame is missing")??;
         let rest = (&mut input).take(length as u64 - 4).read_to_end(&mut bytes);
         if rest.map_err(|e| e.to_string())? != length - 4 {
             return Err("the input ends inside a frame".to_string());
@@ -29,6 +30,7 @@
     }
 }
 
+/// Fills `bytes`, unless the input ends first; returns how many bytes were read.
 fn read_full(input: &mut impl Read, bytes: &mut [u8]) -> Result<usize, String> {
     let mut have = 0;
     while have < bytes.len() {
--- a/crates/adapter/src/tests.rs
+++ b/crates/adapter/src/tests.rs
@@ -1,4 +1,4 @@
-//! The wire codec and the host: frames both ways, odd and malformed ones.
+//! Tests of the codec and the host: frames in both directions, unknown events, malformed input.
 
 use super::*;
 use meadowhold::interface::{Life, News, Outcome, Report};
@@ -14,7 +14,7 @@
     digits.chunks(2).map(|d| u8::from_str_radix(std::str::from_utf8(d).unwrap(), 16).unwrap()).collect()
 }
 
-/// A frame of these records (filled up with zeros), at `second`.
+/// A frame with the time `second` and these records, padded with zeros.
 fn frame(second: u64, records: &[&str], tail: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::new();
     for record in records {
@@ -131,7 +131,10 @@
             frame(1, &["32 00000000 0000000000000001 ffffffff ffffffff"], &[]),
             "a record points outside the tail",
         ),
-        (frame(1, &["46 00000000 00000001 7fc00000"], &[]), "an arrival names no destination number"),
+        (
+            frame(1, &["46 00000000 00000001 7fc00000"], &[]),
+            "the destination of an arrival is not a 16-bit number",
+        ),
         (frame(1, &["6e 00000000 00000001 00 0009"], &[]), "an outcome has an unknown reason"),
     ];
     for (input, words) in cases {
@@ -156,9 +159,9 @@
     let mut input = start(SETTINGS);
     input.extend(frame(2, &[arrival], &[]));
     let (ended, output) = run(&input);
-    assert_eq!((ended, output[12]), (Ok(()), 0), "the hello asks for nothing");
-    assert_eq!(output[24..29], hex("28 00000003"), "the mail is sent");
-    // The outcome of a mail from before a restart is passed over, as is an instance that is not running.
+    assert_eq!((ended, output[12]), (Ok(()), 0), "no action on start");
+    assert_eq!(output[24..29], hex("28 00000003"), "a connect of the mail");
+    // Outcomes for a courier that has crashed, and mails that arrive for it, are ignored.
     input.extend(frame(3, &["50 00000003", "6e 00000003 5d3a91c4 01 0000 00 0a124a07 1b5b", arrival], &[]));
     let (ended, output) = run(&input);
     assert_eq!(ended, Ok(()));
@@ -168,7 +171,7 @@
 #[test]
 fn notes_take_four_bytes_and_decode_to_what_was_encoded() {
     let endpoint = [10, 18, 74, 7, 27, 91];
-    // Waits are told in tenths of a second, rounded up, six seconds and a bit at most.
+    // Waits are encoded in tenths of a second, rounded up, up to 6.3 s.
     let cases = [
         (News::Out, News::Out),
         (News::Back, News::Back),
@@ -184,7 +187,7 @@
     for odd in [&b""[..], b"\x01", b"\0\0\0", b"\0\0\0\xc0", b"\0\0\0\0\0"] {
         assert_eq!(wire::decode_note(odd), None, "{odd:?}");
     }
-    // Endpoints as they are listed: one machine's ports, one port on many machines.
+    // Addresses that are alike, as in real lists: several ports of one host, one port on many hosts.
     let all = (0..400u16).map(|i| [10, 18, (i / 20) as u8, (i % 20) as u8, 27, (i % 7) as u8]);
     let names: std::collections::HashSet<u32> = all.map(wire::short_name).collect();
     assert_eq!(names.len(), 400);
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,4 +1,5 @@
-//! The bench wire: frames of fixed-size records with one tail. Every offset is checked before use.
+//! Codec of the bench protocol. A frame holds fixed-size records followed by a tail with data of variable
+//! length, to which records refer by offset. Every offset is checked before use.
 
 use meadowhold::interface::{Life, News, Outcome, Report, Time};
 use meadowhold_settings::time_from_us;
@@ -8,12 +9,12 @@
 const HEADER_SIZE: usize = 20;
 const REPLY_HEADER_SIZE: usize = 12;
 const ENTRY_SIZE: usize = 23;
-/// Microseconds in a tenth of a millisecond.
+/// Microseconds in one tick of `Time` (0.1 ms).
 const US_PER_TICK: u64 = 100;
 
 pub type Address = [u8; 6];
 
-/// What is wrong with a frame, in plain words.
+/// Describes what is wrong with a frame.
 pub type Malformed = &'static str;
 
 pub struct Frame<'a> {
@@ -40,7 +41,7 @@
     pub outcome: Outcome,
     pub wait: Time,
     pub took: Time,
-    /// The values of the load report, as many as were told.
+    /// The number of values in the load report, and the values.
     pub report: (usize, [f32; 4]),
 }
 
@@ -58,7 +59,8 @@
     Unknown,
 }
 
-/// Bytes of the frame that starts here; `None` until its length has been read.
+/// Length in bytes of the frame that begins with `start`; `None` if `start` does not hold the whole length
+/// field.
 pub fn frame_length(start: &[u8]) -> Option<Result<usize, Malformed>> {
     let length = u32::from_be_bytes(start.get(..4)?.try_into().ok()?) as usize;
     Some(if length < HEADER_SIZE { Err("a frame is shorter than its header") } else { Ok(length) })
@@ -68,8 +70,9 @@
     if bytes.len() < HEADER_SIZE {
         return Err("a frame is shorter than its header");
     }
-    let records =
-        (be32(bytes, 4) as usize).checked_mul(EVENT_SIZE).ok_or("a frame counts too many records")?;
+    let records = (be32(bytes, 4) as usize)
+        .checked_mul(EVENT_SIZE)
+        .ok_or("the record count of a frame is too large")?;
     let body = &bytes[HEADER_SIZE..];
     if records > body.len() {
         return Err("a frame ends before its last record");
@@ -79,7 +82,7 @@
 }
 
 impl<'a> Frame<'a> {
-    /// The events with the number of their instance (meaningless for a census).
+    /// The events, each with the number of the courier that it is for (meaningless for `EndpointList`).
     pub fn events(&self) -> impl Iterator<Item = Result<(u32, Event<'a>), Malformed>> + '_ {
         self.records.chunks_exact(EVENT_SIZE).map(|r| Ok((be32(r, 1), self.event(r)?)))
     }
@@ -94,7 +97,7 @@
             70 => {
                 let destination = f32::from_bits(be32(r, 9));
                 if !(0.0..=f32::from(u16::MAX)).contains(&destination) || destination.fract() != 0.0 {
-                    return Err("an arrival names no destination number");
+                    return Err("the destination of an arrival is not a 16-bit number");
                 }
                 Event::Arrival {
                     handle: be32(r, 5),
@@ -109,7 +112,7 @@
             110 => {
                 let count = usize::from(r[27]).min(4);
                 let outcome = outcome(be16(r, 10)).ok_or("an outcome has an unknown reason")?;
-                // With other outcomes the field is no time to wait.
+                // The wait field has a meaning for refusals only.
                 let refused = outcome == Outcome::Refused;
                 Event::ConnectEnded(ConnectEnded {
                     handle: be32(r, 5),
@@ -124,6 +127,7 @@
         })
     }
 
+    /// The tail's part to which a record refers by an offset and a count of items of `size` bytes.
     fn tail_slice(&self, r: &[u8], at: usize, size: usize) -> Result<&'a [u8], Malformed> {
         let (offset, count) = (be32(r, at) as usize, be32(r, at + 4) as usize);
         count
@@ -133,17 +137,19 @@
     }
 }
 
-/// A name of three bytes for an endpoint in notes, which are paid for by the byte. Two endpoints of one list
-/// hardly share one; a note that is taken for another's is a wrong hint, as a late one is.
+/// A three-byte hash that stands for an endpoint in notes, which are charged by the byte. Two endpoints of one
+/// list are unlikely to share one. A collision makes a note a wrong hint, which couriers tolerate as they do a
+/// late note.
 pub fn short_name(endpoint: Address) -> u32 {
     let mixed = endpoint.iter().fold(0x811c_9dc5_u32, |h, &b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193));
     (mixed ^ mixed >> 24) & 0xff_ffff
 }
 
-/// Tenths of a second that a note can hold: six bits.
+/// Longest wait in a note, in tenths of a second: six bits.
 const MAX_NOTE_WAIT: Time = 63;
 
-/// A note: the endpoint's short name, then two bits of news and six of its time in tenths of a second, rounded up.
+/// Encodes a note: the short name of the endpoint, two bits for the kind of news and six for its wait in tenths
+/// of a second, rounded up.
 pub fn encode_note(endpoint: Address, news: News) -> [u8; 4] {
     let news = match news {
         News::Full(wait) => wait.div_ceil(1000).min(MAX_NOTE_WAIT) as u32,
@@ -153,7 +159,7 @@
     (short_name(endpoint) << 8 | news).to_be_bytes()
 }
 
-/// What is no note that this courier knows is none.
+/// Decodes a note; `None` if the length or the kind of news is unknown.
 pub fn decode_note(body: &[u8]) -> Option<(u32, News)> {
     let note = u32::from_be_bytes(body.try_into().ok()?);
     let news = match note >> 6 & 3 {
@@ -194,14 +200,14 @@
     })
 }
 
-/// Reads any `load report` by the names of its fields.
+/// The load report, with its two values at the positions that the settings name.
 pub fn load_report(values: (usize, [f32; 4]), left: Option<usize>, limit: Option<usize>) -> Option<Report> {
     let value = |at: Option<usize>| at.filter(|&i| i < values.0).map(|i| f64::from(values.1[i]));
     let known = Report { left: value(left)?, limit: value(limit)? };
     (known.left.is_finite() && known.limit.is_finite()).then_some(known)
 }
 
-/// A reply under way: records, and the tail for their words.
+/// A reply being built: action records, and the tail that they refer to.
 #[derive(Default)]
 pub struct Reply {
     records: Vec<u8>,
@@ -231,11 +237,12 @@
         self.record(50, instance, &[&handle.to_be_bytes()]);
     }
 
+    /// Closes the idle connections to an endpoint.
     pub fn close_idle(&mut self, instance: u32, endpoint: Address) {
         self.record(20, instance, &[&endpoint]);
     }
 
-    /// To all other couriers.
+    /// Sends a note to all other couriers.
     pub fn send_note(&mut self, instance: u32, body: &[u8]) {
         let (offset, length) = (self.tail.len() as u32, body.len() as u32);
         self.tail.extend_from_slice(body);
