--- a/crates/start/src/backlog.rs
+++ b/crates/start/src/backlog.rs
@@ -1,44 +1,46 @@
-//! The mails that an earlier process took on: in which order and when they are offered to the decisions.
-//! By importance, then by the end of their time; mails of one key in the order in which they were taken on.
-//! At a pace that is spread over a stated time at most, and each before a quarter of what was left of its own
-//! has passed. The order is kept strictly: one that is pressed takes those before it along.
+//! Orders and paces the mails that an earlier process took on, as they are offered to the decisions. They are
+//! ordered by importance, then by deadline; mails of one key keep the order in which they were taken on. They are
+//! spread over a given time at most, and each is offered before a quarter of its remaining lifetime has passed.
+//! The order is strict: an urgent mail pulls forward those ahead of it.
 
 use std::collections::HashMap;
 
 use meadowhold::interface::{Time, SECOND};
 
-/// Part of its time that a mail may wait to be offered, as one over.
+/// A mail is offered within its remaining lifetime divided by this.
 const WAIT_DIVISOR: Time = 4;
 
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Mail {
     pub serial: u64,
     pub importance: f64,
-    /// The end of its time.
+    /// Deadline: the end of its lifetime.
     pub due: Time,
-    /// Mails of the same key keep the order of their serials.
+    /// Mails of the same key keep the order of their serial numbers.
     pub key: Option<u64>,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
-    /// Mails a second that this courier may send on: its part of what the destinations bear; 0: not known.
+    /// This courier's share of the destinations' capacity; 0: not known.
     pub mails_per_second: f64,
-    /// All are offered within this time.
+    /// All mails are offered within this time.
     pub max_duration: Time,
-    /// So many are offered at once: what one call carries. Guards against calls that carry one mail each.
+    /// Number of mails offered at once: as many as one call carries. Mails offered one at a time would go out in
+    /// calls of one mail each.
     pub batch: usize,
 }
 
-/// What is still to be offered, last one first.
+/// The mails still to be offered.
 #[derive(Debug, Default)]
 pub struct Backlog {
+    /// Time of the offer and serial number, in reverse order.
     queue: Vec<(Time, u64)>,
 }
 
 impl Backlog {
-    /// `now`: when the journal has been read. What is past its end comes first and at once: it only needs its
-    /// final answer. The others are offered as late as may be, until there is a pace.
+    /// `now` is when the journal has been read. Expired mails come first and at once: they only need their final
+    /// answer. The others are offered as late as possible until a pace is set.
     pub fn new(now: Time, mut mails: Vec<Mail>) -> Backlog {
         mails.sort_by(|a, b| {
             let is_live = |mail: &Mail| mail.due > now;
@@ -46,7 +48,7 @@
             ordering.then(a.due.cmp(&b.due)).then(a.serial.cmp(&b.serial))
         });
         restore_key_order(now, &mut mails);
-        // From the last on: nobody is offered later than one behind him that is pressed.
+        // From the last to the first: none is offered later than a more urgent one behind it.
         let mut latest = Time::MAX;
         let queue = mails.iter().rev().map(|mail| {
             latest = latest.min(now + mail.due.saturating_sub(now) / WAIT_DIVISOR);
@@ -55,10 +57,10 @@
         Backlog { queue: queue.collect() }
     }
 
-    /// From now on they are offered at this pace, or earlier.
+    /// From now on mails are offered at this pace, or earlier.
     pub fn set_pace(&mut self, now: Time, pace: Pace) {
         let batch = pace.batch.max(1);
-        // What is due at once takes nobody's place in the pace.
+        // Mails due at once do not count towards the pace.
         let waiting = self.queue.iter().filter(|&&(at, _)| at > now).count();
         let gap_by_duration = pace.max_duration as f64 / waiting.div_ceil(batch).max(1) as f64;
         let gap_by_capacity = SECOND as f64 * batch as f64 / pace.mails_per_second;
@@ -69,18 +71,18 @@
         }
     }
 
-    /// When the next one is to be offered.
+    /// When the next mail is to be offered.
     pub fn wake(&self) -> Option<Time> {
         self.queue.last().map(|&(at, _)| at)
     }
 
-    /// Takes out the next one that is due to be offered.
+    /// Removes and returns the next mail that is due to be offered.
     pub fn pop_due(&mut self, now: Time) -> Option<u64> {
         let (_, serial) = self.queue.pop_if(|&mut (at, _)| at <= now)?;
         Some(serial)
     }
 
-    /// The mails that are still to be offered.
+    /// The serial numbers of the mails still to be offered.
     pub fn waiting(&self) -> impl Iterator<Item = u64> + '_ {
         self.queue.iter().map(|&(_, serial)| serial)
     }
@@ -94,8 +96,8 @@
     }
 }
 
-/// Mails of one key change places among themselves. Those past their end stay where they are: nothing runs for
-/// them any more.
+/// Reorders the mails of each key among the places that they occupy, by serial number. Expired mails stay where
+/// they are: they are not delivered any more.
 fn restore_key_order(now: Time, mails: &mut [Mail]) {
     let mut places: HashMap<u64, Vec<usize>> = HashMap::new();
     for (i, mail) in mails.iter().enumerate().filter(|(_, mail)| mail.due > now) {
@@ -122,7 +124,7 @@
         Mail { serial, importance, due, key }
     }
 
-    /// Each mail's serial and when it was offered, with turns at the asked-for times.
+    /// The serial number and offer time of each mail, polled at the times of `wake`.
     fn offered(mut backlog: Backlog) -> Vec<(u64, Time)> {
         let mut seen = Vec::new();
         while let Some(now) = backlog.wake() {
@@ -135,12 +137,12 @@
 
     #[test]
     fn order_and_times_of_small_backlogs() {
-        // (mails, offered in this order at these times)
+        // (mails, expected order and times)
         type Row = (Vec<Mail>, Vec<(u64, Time)>);
         let rows: Vec<Row> = vec![
             (vec![], vec![]),
             (vec![mail(1, 1.0, 50_000, None)], vec![(1, 1000)]),
-            // Importance, then the end, then the serial; evenly over the time.
+            // By importance, deadline and serial number; evenly over the duration.
             (
                 vec![
                     mail(1, 1.0, 60_000, None),
@@ -150,12 +152,12 @@
                 ],
                 vec![(3, 1000), (2, 1625), (4, 2250), (1, 2875)],
             ),
-            // Past its end: first, and it takes nobody's place in the pace.
+            // An expired mail comes first and does not count towards the pace.
             (
                 vec![mail(1, 9.0, 60_000, None), mail(2, 0.1, 900, None), mail(3, 9.0, 61_000, None)],
                 vec![(2, 1000), (1, 1000), (3, 2250)],
             ),
-            // A pressed one takes those before it along.
+            // An urgent mail pulls forward those ahead of it.
             (
                 vec![
                     mail(1, 9.0, 60_000, None),
@@ -165,7 +167,7 @@
                 ],
                 vec![(1, 1000), (2, 1100), (3, 1100), (4, 2875)],
             ),
-            // Mails of one key as they were taken on, whatever their ends.
+            // Mails of one key keep their order, whatever their deadlines.
             (vec![mail(1, 1.0, 70_000, Some(5)), mail(2, 1.0, 60_000, Some(5))], vec![(1, 1000), (2, 2250)]),
         ];
         for (mails, expected) in rows {
@@ -183,7 +185,7 @@
             offered(backlog).into_iter().map(|seen| seen.1).collect::<Vec<_>>()
         };
         assert_eq!(times(5, Pace { batch: 2, ..PACE }), [1000, 1000, 1833, 1833, 2666]);
-        // Fifty a second, two at once: 40 ms between them, as long as all are offered within the time.
+        // 50 per second in pairs: one pair every 40 ms, if all are offered within the duration that way.
         assert_eq!(
             times(5, Pace { mails_per_second: 50.0, batch: 2, ..PACE }),
             [1000, 1000, 1400, 1400, 1800]
@@ -207,7 +209,7 @@
             let pace =
                 Pace { mails_per_second: f64::from(r.u8(0..200)), max_duration: r.u64(0..5000), batch };
             let mut backlog = Backlog::new(now, mails.clone());
-            // Until there is a pace nothing is missed either.
+            // Deadlines hold also before a pace is set.
             let paced_at = now + if r.bool() { 0 } else { r.u64(0..4000) };
             let mut seen = Vec::new();
             while let Some(at) = backlog.wake().filter(|&at| at < paced_at) {
@@ -215,7 +217,7 @@
             }
             backlog.set_pace(paced_at, pace);
             seen.extend(offered(backlog));
-            assert_eq!(seen.len(), mails.len(), "seed {seed}: each once");
+            assert_eq!(seen.len(), mails.len(), "seed {seed}: each mail once");
             let of = |serial: u64| &mails[serial as usize];
             let mut all: Vec<u64> = seen.iter().map(|s| s.0).collect();
             for pair in seen.windows(2) {
@@ -227,7 +229,7 @@
             }
             for (i, a) in seen.iter().enumerate() {
                 let mail = of(a.0);
-                assert!(a.1 <= paced_at + pace.max_duration, "seed {seed}: within the stated time");
+                assert!(a.1 <= paced_at + pace.max_duration, "seed {seed}: within the duration");
                 if mail.due > now {
                     assert!(a.1 < mail.due && a.1 <= now + (mail.due - now) / 4, "seed {seed}: in time");
                 } else {
--- a/crates/start/src/connection_pacing.rs
+++ b/crates/start/src/connection_pacing.rs
@@ -1,6 +1,7 @@
-//! When a starting courier may open a new connection to an endpoint. Of what an endpoint bears each courier
-//! has an even part, and its instants on a grid of the common clock; the grids of all couriers lie evenly.
-//! No instant is saved up: guards against couriers that all open at once what they had let pass.
+//! Decides when a starting courier may open a new connection to an endpoint. Each courier has an even share of
+//! the endpoint's capacity: it opens connections at fixed intervals on the common clock, and the phases of all
+//! couriers are evenly spread. Unused opportunities do not accumulate, since couriers could then open many
+//! connections at once.
 
 use std::collections::HashMap;
 
@@ -8,35 +9,35 @@
 
 use crate::stagger;
 
-/// What endpoints bear is counted over this time.
+/// The time over which an endpoint's capacity for new connections is counted.
 pub const CAPACITY_WINDOW: Time = SECOND / 10;
-/// Part of it that is used, for the grids are not quite even.
+/// Fraction of the capacity that is used, since the phases are not perfectly even.
 const USED_FRACTION: f64 = 0.7;
 
 #[derive(Clone, Copy, Debug)]
 pub struct Params {
     pub couriers: usize,
-    /// New connections that an endpoint bears in `SPAN`; 0: not known, and no pace is kept.
+    /// New connections that an endpoint can take in `CAPACITY_WINDOW`; 0: not known, and nothing is delayed.
     pub connections_per_window: f64,
-    /// No connection waits longer for its instant, whatever the endpoint bears.
+    /// Maximum delay of a connection, whatever the endpoint's capacity.
     pub max_wait: Time,
-    /// For so long after its start a courier keeps to the pace.
+    /// How long after its start a courier paces its connections.
     pub duration: Time,
 }
 
 #[derive(Debug)]
 pub struct ConnectionPacer {
-    /// Between two instants; 0: no pace.
+    /// Time between two connections to one endpoint; 0: no pacing.
     interval: Time,
     position: f64,
     paced_until: Time,
-    /// The next instant that is not used, by endpoint.
+    /// By endpoint: the earliest time that is not yet taken by a connection.
     next_free: HashMap<Box<[u8]>, Time>,
     max_wait: Time,
 }
 
 impl ConnectionPacer {
-    /// `now`: the start of the process, on a clock that the couriers have in common.
+    /// `now` is the start of the process on a clock that all couriers share.
     pub fn new(now: Time, position: f64, params: Params) -> ConnectionPacer {
         let windows = if params.connections_per_window > 0.0 {
             params.couriers as f64 / (params.connections_per_window * USED_FRACTION)
@@ -48,14 +49,14 @@
         ConnectionPacer { interval, position, paced_until, next_free: HashMap::new(), max_wait }
     }
 
-    /// When a connection to the endpoint of this name that is wanted now may be opened; the instant is used by
-    /// that. Never later than the most wait from now.
+    /// Reserves a time to open a connection that is wanted now to the endpoint of this name: at most `max_wait`
+    /// from now.
     pub fn open_at(&mut self, now: Time, endpoint: &[u8]) -> Time {
         if self.interval == 0 || now >= self.paced_until {
             return now;
         }
         let phase = (stagger::rotated(self.position, endpoint) * self.interval as f64) as Time;
-        // The first instant of the grid from now on.
+        // The next time in this courier's phase.
         let next_instant = now + (self.interval + phase - now % self.interval) % self.interval;
         let next_free = self.next_free.entry(endpoint.into()).or_default();
         let at = next_instant.max(*next_free).min(now + self.max_wait);
@@ -83,7 +84,7 @@
         for _ in 0..5 {
             assert!(pacer.open_at(500, b"e1") <= 500 + 2 * SECOND);
         }
-        // Another endpoint has instants of its own; after the start there is no pace.
+        // Endpoints are paced independently, and only during the start.
         assert!(pacer.open_at(500, b"e2") - 500 < interval);
         assert_eq!(pacer.open_at(500 + 3 * SECOND, b"e1"), 500 + 3 * SECOND);
     }
--- a/crates/start/src/endpoint_state.rs
+++ b/crates/start/src/endpoint_state.rs
@@ -1,21 +1,21 @@
-//! What an earlier process knew of an endpoint, taken up with the doubt that its age asks for.
+//! Restores what an earlier process knew of an endpoint, with less confidence the older it is.
 
 use meadowhold::interface::{Time, SECOND};
 
 /// What was known of an endpoint, and when.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Observation {
-    /// When this was last so.
+    /// When this was last known to be true.
     pub at: Time,
-    /// It was held to be out.
+    /// Whether the endpoint was considered out.
     pub out: bool,
-    /// When it was last seen to come back: it was cold then. 0: long ago.
+    /// When it was last seen to come back from an outage, cold; 0: long ago.
     pub back_at: Time,
-    /// Until then it was to be left alone; 0: no told wait.
+    /// Until when it asked not to be called; 0: it did not ask.
     pub wait_until: Time,
-    /// Tail latency of served calls; 0: none was seen.
+    /// Tail latency of relayed calls; 0: not known.
     pub tail: Time,
-    /// Calls a second that this courier allowed itself; 0: no pace was kept.
+    /// Calls per second to which this courier limited itself; 0: not limited.
     pub pace: f64,
 }
 
@@ -23,46 +23,46 @@
 pub struct Params {
     /// How long an endpoint takes to warm up.
     pub warm_up: Time,
-    /// The longest told wait that is believed of a file.
+    /// Longest wait that is accepted from the file.
     pub max_wait: Time,
-    /// A restart ends told waits, by the platform's word: nothing is taken up of them.
+    /// Whether waits end with a restart, as the platform specifies it; then none is restored.
     pub restart_ends_waits: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
     Healthy,
-    /// One call of those that may run again, before others go.
+    /// One call whose mails may run twice goes first, as a probe.
     Suspect,
     Out,
 }
 
-/// What a new process takes up.
+/// The state with which a new process begins.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Restored {
     pub health: Health,
-    /// How much of its warming up is still before it, 1: all.
+    /// Fraction of the warm-up that is still ahead; 1: all of it.
     pub cold: f64,
-    /// Left of a told wait.
+    /// Remaining time for which the endpoint asked not to be called.
     pub wait: Time,
-    /// The tail latency, wider with age; none where it is too old to say anything.
+    /// Tail latency, widened with age; `None` if too old or not known.
     pub tail: Option<Time>,
-    /// A pace, nearer to the even share with age; none where it is too old.
+    /// Calls per second, moved towards the even share with age; `None` if too old or not known.
     pub pace: Option<f64>,
 }
 
-/// What an endpoint's standing is worth at each age: one that was out is out still, may be, or is like any other.
+/// An endpoint that was out is considered out up to the first age, suspect up to the second, and healthy after.
 const OUT_FOR: Time = 10 * SECOND;
 const SUSPECT_FOR: Time = 60 * SECOND;
-/// A tail widens by its whole over the first, and says nothing after the other; a pace comes to the even share
-/// over the second.
+/// A tail latency is doubled over the first of these ages and dropped after the second. A pace approaches the
+/// even share until the third, and is dropped then.
 const TAIL_WIDENS_OVER: Time = 60 * SECOND;
 const TAIL_VALID_FOR: Time = 600 * SECOND;
 const PACE_VALID_FOR: Time = 20 * SECOND;
 
-/// `even_share`: this courier's even share of calls a second, for the pace to come to; 0: not known.
+/// `even_share` is this courier's even share of calls per second, which the pace approaches; 0: not known.
 pub fn restore(observation: &Observation, now: Time, even_share: f64, params: Params) -> Restored {
-    // Guards against a file from the future, by a clock that was set back: it is held to be as old as can be.
+    // A time in the future means that the clock was set back: the age is unknown and taken as the maximum.
     let age = now.checked_sub(observation.at).unwrap_or(Time::MAX);
     let health = match (observation.out, age) {
         (false, _) => Health::Healthy,
@@ -108,7 +108,7 @@
             tail: 1000,
             pace: 10.0,
         };
-        // (age, standing, tail, pace by an even share of 30)
+        // (age, health, tail, pace with an even share of 30)
         let rows = [
             (0, Health::Out, Some(1000), Some(10.0)),
             (OUT_FOR - 1, Health::Out, Some(1166), None),
--- a/crates/start/src/lib.rs
+++ b/crates/start/src/lib.rs
@@ -1,7 +1,7 @@
-//! What a starting courier may do when, so that hundreds can start at once: asking for the list, opening
-//! connections, offering the mails that an earlier process took on, answering its first `PING`.
-//! Decisions only: no I/O, no clock, no logging. Time, names and chance are handed in; what is to be done comes
-//! out. Times are whole tenths of a millisecond on the caller's clock, as everywhere.
+//! Paces the start of a courier, so that hundreds can start at once: when it requests the endpoint list, opens
+//! connections, offers the mails that an earlier process took on to the decisions, and first answers `PING`.
+//! Pure logic: no I/O, no clock, no logging. Time, names and random numbers are passed in; the actions to take
+//! are returned. Times are in ticks of 0.1 ms on the caller's clock.
 #![forbid(unsafe_code)]
 
 pub mod backlog;
--- a/crates/start/src/list_request.rs
+++ b/crates/start/src/list_request.rs
@@ -1,31 +1,31 @@
-//! When the list is asked for. A first ask is spread by the courier's name over a window that grows with the
-//! couriers' number; a further one by chance, that differs from courier to courier, and further out with each
-//! failure in a row. A told wait is kept.
+//! Decides when to request the endpoint list. First requests are spread by courier name over a window that grows
+//! with the number of couriers. Retries follow with randomized exponential backoff, and respect a wait that the
+//! service asks for.
 
 use meadowhold::interface::{Time, SECOND};
 
 use crate::stagger;
 
-/// Where nobody knows what the list's service bears: this much of the window for each courier.
+/// Window per courier if the capacity of the list service is not known.
 const WINDOW_PER_COURIER: Time = SECOND / 250;
-/// Nobody is kept from a first ask for longer: what a service bears less of than this, it refuses.
+/// Maximum delay of a first request. A service that cannot take the resulting rate refuses requests.
 const MAX_WINDOW: Time = 6 * SECOND;
-/// A service that is well has answered by then; one that is silent is asked anew.
+/// A healthy service answers within this time; after it the request is aborted and retried.
 pub const ANSWER_TIMEOUT: Time = SECOND;
-/// Least mean pause after a failure, and doublings at most.
+/// Minimum mean pause after a failure, and how often it is doubled at most.
 const MIN_PAUSE: Time = SECOND / 4;
 const MAX_DOUBLINGS: u32 = 3;
 
 #[derive(Clone, Copy, Debug)]
 pub struct Params {
-    /// All couriers, this one included: as many may start at once.
+    /// Number of all couriers, including this one: as many may start at once.
     pub couriers: usize,
-    /// Asks a second that the list's service bears; 0: not known.
+    /// Capacity of the list service; 0: not known.
     pub requests_per_second: f64,
 }
 
 impl Params {
-    /// Over how long the first asks of all couriers are spread.
+    /// The time over which the first requests of all couriers are spread.
     pub fn window(&self) -> Time {
         let per_courier = if self.requests_per_second > 0.0 {
             SECOND as f64 / self.requests_per_second
@@ -36,25 +36,26 @@
     }
 }
 
-/// How the last ask ended.
+/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
     List,
-    /// It failed; with a told wait, or 0.
+    /// It failed; with the wait that the service asked for, or 0.
     Failed(Time),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     Send,
-    /// The ask that is out has been silent for too long: its connection is to be closed.
+    /// Close the connection of the request in flight: it has timed out.
     Abort,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
+    /// Until this time.
     Waiting(Time),
-    /// Since when.
+    /// Since this time.
     InFlight(Time),
     Done,
 }
@@ -67,14 +68,14 @@
 }
 
 impl ListRequest {
-    /// `now`: the start of the process.
+    /// `now` is the start of the process, `position` that of the courier (see `stagger`).
     pub fn new(now: Time, position: f64, params: Params) -> ListRequest {
         let window = params.window();
         let first = now + (stagger::rotated(position, b"list") * window as f64) as Time;
         ListRequest { window, stage: Stage::Waiting(first), failures: 0 }
     }
 
-    /// When `turn` has something to do; `None` once the list has come.
+    /// When `poll` is to be called next; `None` once the list has been received.
     pub fn wake(&self) -> Option<Time> {
         match self.stage {
             Stage::Waiting(at) => Some(at),
@@ -95,23 +96,24 @@
         Some(Step::Send)
     }
 
-    /// What came of an ask, also of one that was abandoned: a list is a list.
+    /// Handles the end of a request, including one that was aborted: a late list counts as well.
     pub fn on_reply(&mut self, now: Time, reply: Reply, rng: &mut fastrand::Rng) {
         match (reply, self.stage) {
             (Reply::List, _) => self.stage = Stage::Done,
             (Reply::Failed(wait), Stage::InFlight(_)) => self.back_off(now, wait, rng),
-            // The failure of an ask that was abandoned has been counted. A wait that it told still holds.
+            // The failure of an aborted request has been counted already, but a wait that it carries still holds.
             (Reply::Failed(wait), Stage::Waiting(at)) => self.stage = Stage::Waiting(at.max(now + wait)),
             (Reply::Failed(_), Stage::Done) => {}
         }
     }
 
     fn back_off(&mut self, now: Time, wait: Time, rng: &mut fastrand::Rng) {
-        // A window and more: guards against first and second asks that add up to over twice the even rate.
+        // At least the window on average: otherwise first requests and retries could add up to more than twice
+        // the even rate.
         let mean = (self.window.max(MIN_PAUSE) << self.failures.min(MAX_DOUBLINGS)) as f64;
         self.failures += 1;
         let pause = (mean * (0.5 + rng.f64())) as Time;
-        // Guards against couriers that were all told to come back at the same time.
+        // Couriers that were all told to come back at the same time must not do so at once.
         let jitter = (self.window as f64 * rng.f64()) as Time;
         let told = if wait > 0 { wait + jitter } else { 0 };
         self.stage = Stage::Waiting(now + pause.max(told));
@@ -133,7 +135,7 @@
 
     #[test]
     fn window_by_couriers_and_capacity() {
-        // (couriers, asks a second that are borne, window)
+        // (couriers, requests per second, window)
         let rows =
             [(1, 0.0, 40), (300, 0.0, 12_000), (300, 200.0, 15_000), (300, 10.0, 60_000), (1, 1.0, SECOND)];
         for (couriers, requests_per_second, window) in rows {
--- a/crates/start/src/stagger.rs
+++ b/crates/start/src/stagger.rs
@@ -1,21 +1,22 @@
-//! Where a courier stands among all, by its name alone: nobody has to be asked for a place.
+//! Derives a courier's position among all couriers from its name alone, so that their actions can be staggered
+//! without coordination.
 
-/// The golden ratio's part after the point. The first n multiples of it, taken round a circle, lie nearly
-/// evenly for every n: names that are counted up get places that crowd nowhere.
+/// Fractional part of the golden ratio. Its first n multiples modulo 1 are nearly evenly spread for every n, so
+/// consecutively numbered names get evenly spread positions.
 const GOLDEN_FRACTION: f64 = 0.618_033_988_749_894_9;
 
-/// A courier's place, from 0 up to and without 1. Names that end in a number (`n0`, `n1`, ...) lie evenly,
-/// others at random, the same one each time.
+/// The position of a courier in 0..1. Names that end in a number (`n0`, `n1`, ...) are spread evenly; others get
+/// a pseudo-random position that is the same each time.
 pub fn position(name: &str) -> f64 {
     let stem = name.trim_end_matches(|c: char| c.is_ascii_digit());
-    // More digits than a float keeps exactly are an id, not a count.
+    // A number that does not fit into 32 bits is an id rather than a count.
     let count = name[stem.len()..].parse::<u32>();
     let base = hash_fraction(stem);
     count.map_or_else(|_| hash_fraction(name), |count| (base + f64::from(count) * GOLDEN_FRACTION).fract())
 }
 
-/// The same places turned by another name, so that who comes early at one thing comes late at another. All
-/// places turn together: even ones stay even.
+/// Rotates a position by the hash of `by`, so that a courier that is early for one purpose may be late for
+/// another. All positions are rotated alike, so evenly spread ones stay so.
 pub fn rotated(position: f64, by: &[u8]) -> f64 {
     (position + f64::from(crc32fast::hash(by)) / 4_294_967_296.0).fract()
 }
--- a/crates/start/src/start.rs
+++ b/crates/start/src/start.rs
@@ -1,4 +1,4 @@
-//! A courier's start as a table: from the reading of its journal to the first `+PONG`.
+//! State machine of a courier's start, from reading its journal to its first `+PONG`.
 
 use meadowhold::interface::{Time, SECOND};
 
@@ -6,23 +6,25 @@
 use crate::list_request::{self, ListRequest, Reply};
 use crate::stagger;
 
-/// With a list from before, the service is waited for so long; without one, or without a word, until the limit.
+/// How long to wait for the list service if there is a stored list. Without one, the wait lasts until
+/// `START_LIMIT`.
 const LIST_WAIT: Time = 3 * SECOND;
-/// A list from before that is older than the first is worth waiting a little longer than for one that is not.
+/// If the stored list is at least this old, it is worth waiting longer for the service.
 const OLD_LIST_AGE: Time = 600 * SECOND;
 const OLD_LIST_WAIT: Time = 6 * SECOND;
-/// By then a courier serves, whatever it knows. Under the 10 s that operators are promised.
+/// Once the journal is read, a courier serves from this time on, even without a list. Below the 10 s promised to
+/// operators.
 pub const START_LIMIT: Time = 9 * SECOND;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
-    /// The journal is read.
+    /// The journal is being read.
     ReadingJournal,
-    /// The same, and the list has come.
+    /// The journal is being read, and the list has been received.
     ReadingJournalWithList,
-    /// Nothing but the list is waited for.
+    /// The journal has been read; the list has not been received.
     AwaitingList,
-    /// What is owed is offered.
+    /// The mails owed from the journal are being offered to the decisions.
     Offering,
     Serving,
 }
@@ -31,9 +33,9 @@
 pub enum Event {
     JournalRead,
     ListReceived,
-    /// An ask was refused, broke or fell silent.
+    /// A list request was refused, broke off or timed out.
     RequestFailed,
-    /// The list's service has been waited for long enough, and there is a list from before.
+    /// The wait for the list service is over, and there is a stored list.
     ListWaitOver,
     LimitReached,
     AllOffered,
@@ -41,20 +43,20 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// What came is the list from now on.
+    /// Use the received list from now on.
     ApplyList,
-    /// The list from before is to do; the asking goes on.
+    /// Use the stored list for now; requests for the list go on.
     UseStoredList,
-    /// The mails that are owed stand in line. Those that can wait no longer are offered, whatever is known of
-    /// the list: guards against ends that pass while it is waited for.
+    /// Queue the mails owed. Those that can wait no longer are offered even without a list, so that none expires
+    /// while the list is awaited.
     Enqueue,
-    /// They are offered at their pace.
+    /// Offer the queued mails at the configured pace.
     Offer,
-    /// They are offered at once, all that are left.
+    /// Offer all remaining mails at once.
     OfferAll,
-    /// `PING` is answered by `+PONG` from now on.
+    /// Answer `PING` with `+PONG` from now on.
     AnswerPing,
-    /// One line for the operator: the journal is not read, and without it nothing can be taken on.
+    /// Log one line for the operator: the journal is still being read, and no mail can be taken on before that.
     LogJournalDelay,
 }
 
@@ -64,13 +66,13 @@
 
 pub type Row = (State, Event, State, &'static [Effect]);
 
-/// All there is to a start. A row for each state and event; when an ask is made again is `Asking`'s.
+/// One row for each state and event. `ListRequest` decides when a request is repeated.
 pub const TRANSITIONS: [Row; 30] = [
     (ReadingJournal, JournalRead, AwaitingList, &[Enqueue]),
     (ReadingJournal, ListReceived, ReadingJournalWithList, &[ApplyList]),
     (ReadingJournal, RequestFailed, ReadingJournal, &[]),
     (ReadingJournal, ListWaitOver, ReadingJournal, &[]),
-    // Guards against a courier that takes on what it cannot put on file.
+    // The courier must not take on mails that it cannot write to the journal.
     (ReadingJournal, LimitReached, ReadingJournal, &[LogJournalDelay]),
     (ReadingJournal, AllOffered, ReadingJournal, &[]),
     (ReadingJournalWithList, JournalRead, Offering, &[Enqueue, Offer]),
@@ -83,7 +85,7 @@
     (AwaitingList, ListReceived, Offering, &[ApplyList, Offer]),
     (AwaitingList, RequestFailed, AwaitingList, &[]),
     (AwaitingList, ListWaitOver, Offering, &[UseStoredList, Offer]),
-    // Nobody is known: what is owed has its end at its time, and clients hear so.
+    // No endpoint is known: the mails owed expire in time, and clients are told so.
     (AwaitingList, LimitReached, Serving, &[OfferAll, AnswerPing]),
     (AwaitingList, AllOffered, AwaitingList, &[]),
     (Offering, JournalRead, Offering, &[]),
@@ -101,30 +103,31 @@
 ];
 
 pub fn transition(state: State, event: Event) -> (State, &'static [Effect]) {
-    // Every pair has its row, in the order of both: see the tests.
+    // The rows are sorted by state and event, and none is missing: see the tests.
     let row = TRANSITIONS[state as usize * 6 + event as usize];
     (row.2, row.3)
 }
 
-/// What the outside tells a start.
+/// Inputs from the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// The journal has been read, and these are owed.
+    /// The journal has been read; these mails are owed.
     JournalRead(Vec<Mail>),
-    /// An ask has ended.
+    /// A list request has ended.
     RequestEnded(Reply),
 }
 
-/// What the outside is to do.
+/// Actions for the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     RequestList,
-    /// Close the connection of the ask that is out.
+    /// Close the connection of the request in flight.
     AbortRequest,
-    /// The list that came, or the one from before, is to be followed from now on.
+    /// Use the received list, or the stored one, from now on.
     ApplyList,
     UseStoredList,
-    /// This mail goes to the decisions. One that is past its end goes too, for its final answer.
+    /// Offer the mail with this serial number to the decisions. Expired mails are offered too, for their final
+    /// answer.
     Offer(u64),
     AnswerPing,
     LogJournalDelay,
@@ -134,7 +137,7 @@
     pub name: &'a str,
     pub list_request: list_request::Params,
     pub pace: Pace,
-    /// How old the list from before is; none: there is none.
+    /// Age of the stored list; `None`: there is none.
     pub stored_list_age: Option<Time>,
     pub seed: u64,
 }
@@ -143,7 +146,7 @@
     state: State,
     list_request: ListRequest,
     pace: Pace,
-    /// The mails that are owed, until they stand in line.
+    /// The mails owed, until they are queued in `backlog`.
     owed: Vec<Mail>,
     backlog: Backlog,
     list_wait_end: Option<Time>,
@@ -152,10 +155,10 @@
 }
 
 impl Start {
-    /// `now`: the start of the process.
+    /// `now` is the start of the process.
     pub fn new(now: Time, params: &Params) -> Start {
         let position = stagger::position(params.name);
-        // By name too: guards against couriers with equal seeds that back off in step.
+        // The name is mixed in so that couriers with equal seeds do not back off in step.
         let seed = params.seed ^ position.to_bits();
         let list_wait_end = params
             .stored_list_age
@@ -181,7 +184,7 @@
             Input::JournalRead(owed) => {
                 self.owed = owed;
                 self.event(now, JournalRead, out);
-                // What may have been waited for meanwhile is over, and is told once more.
+                // Both waits ended while the journal was being read: raise the limit's event again.
                 if self.state == AwaitingList && self.list_wait_end.is_none() && self.limit.is_none() {
                     self.event(now, LimitReached, out);
                 }
@@ -194,7 +197,7 @@
         self.poll(now, out);
     }
 
-    /// What is due by now. To be called at `wake`, and may be called at any time.
+    /// Handles all that is due by now. To be called at `wake`; may be called at any time.
     pub fn poll(&mut self, now: Time, out: &mut Vec<Action>) {
         while let Some(step) = self.list_request.poll(now, &mut self.rng) {
             match step {
@@ -205,7 +208,7 @@
                 }
             }
         }
-        // Patience is kept until somebody can make use of its end: the journal may take long.
+        // The event is held back until the journal has been read: it has no effect before.
         if self.state != ReadingJournal && self.list_wait_end.take_if(|at| *at <= now).is_some() {
             self.event(now, ListWaitOver, out);
         }
@@ -259,17 +262,17 @@
             assert_eq!(transition(state, event), (next, effects));
             assert!(
                 next >= state || (state, next) == (ReadingJournalWithList, Offering),
-                "no way back: {state:?}"
+                "goes back: {state:?}"
             );
-            // The first PONG is said at the one way into serving, and what is owed is offered once.
+            // The first PONG comes with the transition to serving, and mails are offered only before it.
             let enters = next == Serving && state != Serving;
             assert_eq!(effects.contains(&AnswerPing), enters, "{state:?} {event:?}");
             let offers = effects.contains(&Offer) || effects.contains(&OfferAll);
             assert!(!offers || !matches!(state, ReadingJournal | Serving), "{state:?} {event:?}");
             assert_eq!(effects.contains(&Enqueue), event == JournalRead && state <= ReadingJournalWithList);
-            // A list is never passed over, in whatever state it comes.
+            // A received list is applied in every state.
             assert_eq!(effects.contains(&ApplyList), event == ListReceived, "{state:?} {event:?}");
-            // Nothing is promised to clients before the journal can be written.
+            // Clients are served only once the journal can be written.
             assert!(
                 !matches!(state, ReadingJournal | ReadingJournalWithList) || !enters,
                 "{state:?} {event:?}"
@@ -295,7 +298,7 @@
         (0..many).map(|serial| Mail { serial, due: 90 * SECOND, ..Mail::default() }).collect()
     }
 
-    /// Turns at each wake until the time; what was done when, asks left out.
+    /// Polls at each `wake` until the time `to`; collects the actions except requests.
     fn run(start: &mut Start, to: Time, seen: &mut Vec<(Time, Action)>) {
         while let Some(now) = start.wake().filter(|&at| at <= to) {
             let mut out = Vec::new();
@@ -309,10 +312,10 @@
     fn starts_with_delayed_or_missing_list_and_journal() {
         use Action::{AnswerPing, ApplyList, LogJournalDelay, Offer, UseStoredList};
         let (never, second) = (Time::MAX, SECOND);
-        // (age of the old list, journal read at, list comes at, mails; what is done when)
+        // (age of the stored list, journal read at, list received at, number of mails, expected actions)
         type Row = (Option<Time>, Time, Time, u64, Vec<(Time, Action)>);
         let rows: Vec<Row> = vec![
-            // Well, in both orders.
+            // No trouble, in both orders.
             (None, 100, 300, 0, vec![(300, ApplyList), (300, AnswerPing)]),
             (None, 300, 100, 0, vec![(100, ApplyList), (300, AnswerPing)]),
             (
@@ -322,7 +325,7 @@
                 2,
                 vec![(300, ApplyList), (300, Offer(0)), (1550, Offer(1)), (1550, AnswerPing)],
             ),
-            // The service is out: by the old list, sooner if it is not so old, else at the limit.
+            // The service is out: start with the stored list, sooner if it is recent, or without one at the limit.
             (Some(second), 100, never, 0, vec![(LIST_WAIT, UseStoredList), (LIST_WAIT, AnswerPing)]),
             (
                 Some(OLD_LIST_AGE),
@@ -332,7 +335,7 @@
                 vec![(OLD_LIST_WAIT, UseStoredList), (OLD_LIST_WAIT, AnswerPing)],
             ),
             (None, 100, never, 1, vec![(START_LIMIT, AnswerPing), (START_LIMIT, Offer(0))]),
-            // It comes later: taken up while serving.
+            // The list comes late: it is applied while serving.
             (
                 Some(0),
                 100,
@@ -340,7 +343,7 @@
                 0,
                 vec![(LIST_WAIT, UseStoredList), (LIST_WAIT, AnswerPing), (LIST_WAIT + 5, ApplyList)],
             ),
-            // The journal takes long: nothing is answered before it is read, and at once after.
+            // The journal takes long: serving begins as soon as it is read.
             (Some(0), 4 * second, never, 0, vec![(4 * second, UseStoredList), (4 * second, AnswerPing)]),
             (
                 None,
--- a/crates/start/tests/herd.rs
+++ b/crates/start/tests/herd.rs
@@ -1,4 +1,4 @@
-//! Three hundred couriers that start at once, in simulated time.
+//! Simulates 300 couriers that start at once (a thundering herd).
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -13,11 +13,11 @@
 const COURIERS: usize = 300;
 const SEEDS: std::ops::Range<u64> = 0..21;
 
-/// How the list's service does.
+/// Behaviour of the list service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Service {
     Healthy,
-    /// 503 with this told wait, for so long.
+    /// Answers 503 with this wait until the given time.
     Refuses {
         wait: Time,
         until: Time,
@@ -30,16 +30,17 @@
 #[derive(Default)]
 struct Observed {
     requests: Vec<Time>,
-    /// When each courier answered its first `PING`, from its own start.
+    /// Time from each courier's start until it answers `PING`.
     ready: Vec<Option<Time>>,
-    /// Mails offered past their end that were not when the journal was read; mails not offered; or twice.
+    /// Mails offered after their deadline although it had not passed when the journal was read; mails that were
+    /// not offered; mails offered twice.
     late: usize,
     missing: usize,
     twice: usize,
     aborted: usize,
 }
 
-/// Plays one herd. Starts lie within 50 ms; `old`: the couriers have a list from before.
+/// Simulates one start of all couriers within 50 ms; `old`: they have a stored list.
 fn simulate(seed: u64, service: Service, old: bool, capacity: f64, to: Time) -> Observed {
     let mut r = fastrand::Rng::with_seed(seed);
     let began: Vec<Time> = (0..COURIERS).map(|_| 1000 * SECOND + r.u64(0..500)).collect();
@@ -48,13 +49,13 @@
             let name = format!("n{i}");
             let list_request = list_request::Params { couriers: COURIERS, requests_per_second: capacity };
             let pace = Pace { mails_per_second: r.f64() * 40.0, max_duration: 2500, batch: 1 };
-            // The same seed for all: names alone have to tell them apart.
+            // All have the same seed: only their names differ.
             let params =
                 Params { name: &name, list_request, pace, stored_list_age: old.then_some(SECOND), seed };
             Start::new(began[i], &params)
         })
         .collect();
-    // What comes to each courier, and when: the journal, answers.
+    // Events by time and courier: 0: the journal is read, 1: list received, 2: request refused, 9: wake-up.
     let mut heap: BinaryHeap<Reverse<(Time, usize, u8)>> = BinaryHeap::new();
     let mut mails: Vec<Vec<Mail>> = Vec::new();
     for (i, &began) in began.iter().enumerate() {
@@ -110,11 +111,11 @@
                 }
                 Action::AnswerPing => {
                     assert_eq!(starts[i].state(), State::Serving);
-                    assert!(seen.ready[i].replace(now - began[i]).is_none(), "said once");
+                    assert!(seen.ready[i].replace(now - began[i]).is_none(), "answered once");
                 }
                 Action::AbortRequest => seen.aborted += 1,
                 Action::ApplyList | Action::UseStoredList => {}
-                Action::LogJournalDelay => panic!("the journal was read"),
+                Action::LogJournalDelay => panic!("the journal is read in time"),
             }
         }
         let wake = starts[i].wake().map_or(Time::MAX, |at| at.max(now + 1));
@@ -127,7 +128,7 @@
     seen
 }
 
-/// Most of these times within any span.
+/// The largest number of these times within any interval of length `span`.
 fn peak(mut times: Vec<Time>, span: Time) -> usize {
     times.sort_unstable();
     let mut from = 0;
@@ -154,9 +155,9 @@
             let even = COURIERS as f64
                 / list_request::Params { couriers: COURIERS, requests_per_second: capacity }.window() as f64;
             let most = (2.0 * even * SECOND as f64) as usize;
-            assert_eq!(seen.requests.len(), COURIERS, "one ask each");
+            assert_eq!(seen.requests.len(), COURIERS, "one request each");
             let worst = peak(seen.requests.clone(), SECOND);
-            assert!(worst <= most, "seed {seed}, {capacity}: {worst} asks");
+            assert!(worst <= most, "seed {seed}, {capacity}: {worst} requests");
             max_requests = max_requests.max(worst);
             let soon = ready_within(&seen, 2 * SECOND);
             assert!(soon * 100 >= COURIERS * 95, "seed {seed}, {capacity}: {soon} within 2 s");
@@ -164,7 +165,7 @@
             last = last.max(seen.ready.iter().flatten().copied().max().unwrap_or(0));
         }
         println!(
-            "well, bears {capacity} a second: {max_requests} asks in a second, last ready {} ms",
+            "healthy, capacity {capacity}: at most {max_requests} requests in a second, last ready {} ms",
             last / 10
         );
     }
@@ -198,7 +199,7 @@
                 last = last.max(seen.ready.iter().flatten().copied().max().unwrap_or(0));
             }
             println!(
-                "{service:?}, bears {capacity}: {max_requests} asks in a second, last ready {} ms",
+                "{service:?}, capacity {capacity}: at most {max_requests} requests in a second, last ready {} ms",
                 last / 10
             );
         }
@@ -222,7 +223,7 @@
             let began = 1000 * SECOND + r.u64(0..500);
             let mut pacer = ConnectionPacer::new(began, stagger::position(&format!("n{i}")), params);
             for (endpoint, opened) in endpoints.iter().zip(&mut opened) {
-                // All want one at once, the worst there is; some want another later on.
+                // Worst case: all want a connection at once; some want another one later.
                 let second = r.bool().then(|| began + r.u64(10_000..30_000));
                 for wanted in [Some(began + r.u64(0..100)), second].into_iter().flatten() {
                     let at = pacer.open_at(wanted, endpoint.as_bytes());
@@ -237,5 +238,5 @@
             most = most.max(worst);
         }
     }
-    println!("{most} new connections to an endpoint in 100 ms, of 30");
+    println!("at most {most} new connections to an endpoint in 100 ms; capacity 30");
 }
