--- a/crates/catalog/src/choice.rs
+++ b/crates/catalog/src/choice.rs
@@ -8,26 +8,26 @@
 use crate::{Time, SECOND};
 
 /// A relay that is followed is asked so often what it holds, less up to a quarter by chance.
-pub const EVERY: Time = SECOND;
+pub const CHECK_INTERVAL: Time = SECOND;
 /// An ask that is not answered by then has failed.
-pub const PATIENCE: Time = 8 * SECOND / 10;
+pub const ANSWER_TIMEOUT: Time = 8 * SECOND / 10;
 /// Who has lost its relay asks the next within this, by chance. Guards against all of them at one moment.
-pub const SPREAD: Time = 4 * SECOND / 10;
+pub const FAILOVER_JITTER: Time = 4 * SECOND / 10;
 /// Where all have failed: the pause before the next round, which doubles, and the most of it.
-const ROUND: (Time, Time) = (SECOND / 5, 2 * SECOND);
+const ROUND_PAUSE: (Time, Time) = (SECOND / 5, 2 * SECOND);
 /// A better choice is tried after the first of these and up to the sum of both, by chance.
-pub const BACK: (Time, Time) = (5 * SECOND, 25 * SECOND);
+pub const RETURN_DELAY: (Time, Time) = (5 * SECOND, 25 * SECOND);
 /// A relay that stays behind what is held for so long is left for one that does not.
-const BEHIND: Time = 3 * SECOND;
+const MAX_LAG: Time = 3 * SECOND;
 
 /// The relays in the order in which this follower prefers them, as indexes. `relays`: address and weight; one
 /// of no weight comes last.
-pub fn order(follower: &str, relays: &[(String, f64)]) -> Vec<usize> {
+pub fn rank_relays(follower: &str, relays: &[(String, f64)]) -> Vec<usize> {
     let seed = xxh3_64_with_seed(follower.as_bytes(), 0);
     let score = |(address, weight): &(String, f64)| {
         // Evenly spread over (0, 1].
-        let even = ((xxh3_64_with_seed(address.as_bytes(), seed) >> 11) + 1) as f64 / (1_u64 << 53) as f64;
-        -even.ln() / weight.max(f64::MIN_POSITIVE)
+        let uniform = ((xxh3_64_with_seed(address.as_bytes(), seed) >> 11) + 1) as f64 / (1_u64 << 53) as f64;
+        -uniform.ln() / weight.max(f64::MIN_POSITIVE)
     };
     let mut scored: Vec<(f64, &str, usize)> =
         relays.iter().enumerate().map(|(i, relay)| (score(relay), relay.0.as_str(), i)).collect();
@@ -39,16 +39,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     /// None is followed; this one is asked next.
-    Rest(usize),
+    Idle(usize),
     /// None is followed, this one has been asked.
-    Asked(usize),
+    Querying(usize),
     /// This one is followed.
     Following(usize),
     /// It is followed, and has been asked.
-    Checked(usize),
+    Checking(usize),
     /// The first is followed, the second has been asked: it would be better, or holds what the first does
     /// not.
-    Trying(usize, usize),
+    Comparing(usize, usize),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,18 +56,18 @@
     /// The time that `due` named has come.
     Due,
     /// The one that was asked holds this.
-    Said(Version),
+    Answered(Version),
     /// It was refused, broke off, or holds nothing.
     Failed,
     /// `Due` or `Failed` of the relay that is followed, while its list or watch is heard: it lives.
-    Unanswered,
+    FailedButAlive,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Nothing,
     /// Ask this relay what it holds; an ask that is out is given up.
-    Ask(usize),
+    Query(usize),
     /// Follow this relay's list from here on, by its index among those given.
     Follow(usize),
 }
@@ -75,46 +75,46 @@
 pub struct Choice {
     order: Vec<usize>,
     state: State,
-    at: Time,
+    due_at: Time,
     /// Ranks that are left of this round.
-    round: Vec<usize>,
+    remaining: Vec<usize>,
     rounds: u32,
     /// Of those asked in this round and behind what is held, the one that is least so.
-    best: Option<(Version, usize)>,
+    least_behind: Option<(Version, usize)>,
     /// It is taken though it is behind: none is better.
-    lenient: bool,
+    accept_behind: bool,
     /// When a better choice is tried, and which.
-    back: Time,
-    better: usize,
+    compare_at: Time,
+    candidate: usize,
     behind_since: Option<Time>,
     /// The newest version that another relay said it holds, and since when. Guards against one that answers
     /// on and has no news any more.
-    elsewhere: Option<(Version, Time)>,
+    newer_elsewhere: Option<(Version, Time)>,
 }
 
 impl Choice {
     /// `order`: as `order` gives it, not empty.
     pub fn new(order: Vec<usize>, now: Time) -> Choice {
         debug_assert!(!order.is_empty());
-        let round = (1..order.len()).collect();
+        let remaining = (1..order.len()).collect();
         Choice {
             order,
-            state: State::Rest(0),
-            at: now,
-            round,
+            state: State::Idle(0),
+            due_at: now,
+            remaining,
             rounds: 0,
-            best: None,
-            lenient: false,
-            back: now,
-            better: 0,
+            least_behind: None,
+            accept_behind: false,
+            compare_at: now,
+            candidate: 0,
             behind_since: None,
-            elsewhere: None,
+            newer_elsewhere: None,
         }
     }
 
     /// When `Input::Due` is to be given, unless something comes first.
     pub fn due(&self) -> Time {
-        self.at
+        self.due_at
     }
 
     pub fn state(&self) -> State {
@@ -122,135 +122,137 @@
     }
 
     /// The relay that is followed is the one that was asked.
-    pub fn is_checked(&self) -> bool {
-        matches!(self.state, State::Checked(_))
+    pub fn is_checking(&self) -> bool {
+        matches!(self.state, State::Checking(_))
     }
 
     /// The relay that is followed, by its index among those given.
     pub fn followed(&self) -> Option<usize> {
         match self.state {
-            State::Rest(_) | State::Asked(_) => None,
-            State::Following(r) | State::Checked(r) | State::Trying(r, _) => Some(self.order[r]),
+            State::Idle(_) | State::Querying(_) => None,
+            State::Following(r) | State::Checking(r) | State::Comparing(r, _) => Some(self.order[r]),
         }
     }
 
-    /// `held`: the version that the follower holds; `chance` is evenly spread from 0 to 1.
-    pub fn put(&mut self, now: Time, input: Input, held: Option<Version>, chance: f64) -> Effect {
-        use Input::{Due, Failed, Said, Unanswered};
-        use State::{Asked, Checked, Following, Rest, Trying};
-        if input == Due && now < self.at {
+    /// `held`: the version that the follower holds; `random` is evenly spread from 0 to 1.
+    pub fn handle(&mut self, now: Time, input: Input, held: Option<Version>, random: f64) -> Effect {
+        use Input::{Answered, Due, Failed, FailedButAlive};
+        use State::{Checking, Comparing, Following, Idle, Querying};
+        if input == Due && now < self.due_at {
             return Effect::Nothing;
         }
         let is_behind = |version: Version| held.is_some_and(|held| version < held);
         // The table: state, input, next state, effect.
         match (self.state, input) {
-            (Rest(r), Due) => {
-                (self.state, self.at) = (Asked(r), now + PATIENCE);
-                Effect::Ask(self.order[r])
+            (Idle(r), Due) => {
+                (self.state, self.due_at) = (Querying(r), now + ANSWER_TIMEOUT);
+                Effect::Query(self.order[r])
             }
-            (Asked(r), Said(version)) if !is_behind(version) || self.lenient => {
-                self.follow(r, now, chance);
+            (Querying(r), Answered(version)) if !is_behind(version) || self.accept_behind => {
+                self.follow(r, now, random);
                 self.behind_since = is_behind(version).then_some(now);
                 Effect::Follow(self.order[r])
             }
-            (Asked(r), Said(version)) => {
-                self.best = self.best.max(Some((version, r)));
-                self.next(now, chance);
+            (Querying(r), Answered(version)) => {
+                self.least_behind = self.least_behind.max(Some((version, r)));
+                self.try_next(now, random);
                 Effect::Nothing
             }
-            (Asked(_), Failed | Unanswered | Due) => {
-                self.lenient = false;
-                self.next(now, chance);
+            (Querying(_), Failed | FailedButAlive | Due) => {
+                self.accept_behind = false;
+                self.try_next(now, random);
                 Effect::Nothing
             }
-            (Following(r), Due) if self.order.len() > 1 && now >= self.back => {
+            (Following(r), Due) if self.order.len() > 1 && now >= self.compare_at => {
                 // One that would be better; where none is, any other.
-                let better = if r > 0 { self.better % r } else { 1 + self.better % (self.order.len() - 1) };
-                self.better = self.better.wrapping_add(1);
-                (self.state, self.at) = (Trying(r, better), now + PATIENCE);
-                Effect::Ask(self.order[better])
+                let other =
+                    if r > 0 { self.candidate % r } else { 1 + self.candidate % (self.order.len() - 1) };
+                self.candidate = self.candidate.wrapping_add(1);
+                (self.state, self.due_at) = (Comparing(r, other), now + ANSWER_TIMEOUT);
+                Effect::Query(self.order[other])
             }
             (Following(r), Due) => {
-                (self.state, self.at) = (Checked(r), now + PATIENCE);
-                Effect::Ask(self.order[r])
+                (self.state, self.due_at) = (Checking(r), now + ANSWER_TIMEOUT);
+                Effect::Query(self.order[r])
             }
-            (Checked(r), Said(version)) => {
-                self.elsewhere = self.elsewhere.filter(|&(newest, _)| version < newest);
+            (Checking(r), Answered(version)) => {
+                self.newer_elsewhere = self.newer_elsewhere.filter(|&(newest, _)| version < newest);
                 self.behind_since = is_behind(version).then(|| self.behind_since.unwrap_or(now));
-                self.keep_unless_behind(r, now, chance);
+                self.keep_unless_behind(r, now, random);
                 Effect::Nothing
             }
-            (Checked(r), Unanswered) => {
-                self.keep_unless_behind(r, now, chance);
+            (Checking(r), FailedButAlive) => {
+                self.keep_unless_behind(r, now, random);
                 Effect::Nothing
             }
-            (Checked(r), Failed | Due) => {
-                self.lose(r, now, chance);
+            (Checking(r), Failed | Due) => {
+                self.leave(r, now, random);
                 Effect::Nothing
             }
-            (Trying(r, better), Said(version)) if better < r && !is_behind(version) => {
-                self.follow(better, now, chance);
-                Effect::Follow(self.order[better])
+            (Comparing(r, other), Answered(version)) if other < r && !is_behind(version) => {
+                self.follow(other, now, random);
+                Effect::Follow(self.order[other])
             }
-            (Trying(r, _), Said(_) | Failed | Unanswered | Due) => {
-                if let Said(version) = input {
+            (Comparing(r, _), Answered(_) | Failed | FailedButAlive | Due) => {
+                if let Answered(version) = input {
                     let newer = held.is_none_or(|held| version > held);
-                    self.elsewhere = self.elsewhere.or(newer.then_some((version, now)));
+                    self.newer_elsewhere = self.newer_elsewhere.or(newer.then_some((version, now)));
                 }
-                (self.state, self.at, self.back) = (Following(r), now, later(now, chance));
+                (self.state, self.due_at, self.compare_at) = (Following(r), now, compare_time(now, random));
                 Effect::Nothing
             }
             // Of an ask that was given up.
-            (Rest(_) | Following(_), Said(_) | Failed | Unanswered) => Effect::Nothing,
+            (Idle(_) | Following(_), Answered(_) | Failed | FailedButAlive) => Effect::Nothing,
         }
     }
 
-    /// The relay that is followed lives: it is kept, unless it has lacked for `BEHIND` what is known elsewhere.
-    fn keep_unless_behind(&mut self, rank: usize, now: Time, chance: f64) {
-        let since = self.behind_since.or(self.elsewhere.map(|(_, since)| since));
-        if since.is_some_and(|since| now >= since + BEHIND) && self.order.len() > 1 {
-            self.lose(rank, now, chance);
+    /// The relay that is followed lives: it is kept, unless it has lacked for `MAX_LAG` what is known elsewhere.
+    fn keep_unless_behind(&mut self, rank: usize, now: Time, random: f64) {
+        let since = self.behind_since.or(self.newer_elsewhere.map(|(_, since)| since));
+        if since.is_some_and(|since| now >= since + MAX_LAG) && self.order.len() > 1 {
+            self.leave(rank, now, random);
         } else {
-            (self.state, self.at) = (State::Following(rank), now + every(chance));
+            (self.state, self.due_at) = (State::Following(rank), now + check_pause(random));
         }
     }
 
-    fn follow(&mut self, rank: usize, now: Time, chance: f64) {
-        (self.state, self.at, self.back) = (State::Following(rank), now + every(chance), later(now, chance));
-        (self.rounds, self.better, self.best, self.lenient) = (0, 0, None, false);
-        (self.behind_since, self.elsewhere) = (None, None);
+    fn follow(&mut self, rank: usize, now: Time, random: f64) {
+        (self.state, self.due_at, self.compare_at) =
+            (State::Following(rank), now + check_pause(random), compare_time(now, random));
+        (self.rounds, self.candidate, self.least_behind, self.accept_behind) = (0, 0, None, false);
+        (self.behind_since, self.newer_elsewhere) = (None, None);
     }
 
     /// The others come first, and then this one.
-    fn lose(&mut self, rank: usize, now: Time, chance: f64) {
-        self.round = (0..self.order.len()).filter(|&other| other != rank).chain([rank]).collect();
-        (self.best, self.lenient, self.rounds) = (None, false, 0);
-        let first = self.round.remove(0);
-        (self.state, self.at) = (State::Rest(first), now + (SPREAD as f64 * chance) as Time);
+    fn leave(&mut self, rank: usize, now: Time, random: f64) {
+        self.remaining = (0..self.order.len()).filter(|&other| other != rank).chain([rank]).collect();
+        (self.least_behind, self.accept_behind, self.rounds) = (None, false, 0);
+        let first = self.remaining.remove(0);
+        (self.state, self.due_at) = (State::Idle(first), now + (FAILOVER_JITTER as f64 * random) as Time);
     }
 
-    fn next(&mut self, now: Time, chance: f64) {
-        if !self.round.is_empty() {
-            (self.state, self.at) = (State::Rest(self.round.remove(0)), now);
+    fn try_next(&mut self, now: Time, random: f64) {
+        if !self.remaining.is_empty() {
+            (self.state, self.due_at) = (State::Idle(self.remaining.remove(0)), now);
             return;
         }
         // Guards against a follower without a relay where each is a little behind the one that was lost: what
         // it holds stays until the relay has caught up.
-        if let Some((_, best)) = self.best.take().filter(|_| !self.lenient) {
-            (self.state, self.at, self.lenient) = (State::Rest(best), now, true);
+        if let Some((_, best)) = self.least_behind.take().filter(|_| !self.accept_behind) {
+            (self.state, self.due_at, self.accept_behind) = (State::Idle(best), now, true);
             return;
         }
-        let step = (ROUND.0 << self.rounds.min(8)).min(ROUND.1);
-        (self.rounds, self.lenient) = (self.rounds.saturating_add(1), false);
-        self.round = (1..self.order.len()).collect();
-        (self.state, self.at) = (State::Rest(0), now + step / 2 + (step as f64 / 2.0 * chance) as Time);
+        let step = (ROUND_PAUSE.0 << self.rounds.min(8)).min(ROUND_PAUSE.1);
+        (self.rounds, self.accept_behind) = (self.rounds.saturating_add(1), false);
+        self.remaining = (1..self.order.len()).collect();
+        (self.state, self.due_at) = (State::Idle(0), now + step / 2 + (step as f64 / 2.0 * random) as Time);
     }
 }
 
-fn every(chance: f64) -> Time {
-    EVERY - (EVERY as f64 / 4.0 * chance) as Time
+fn check_pause(random: f64) -> Time {
+    CHECK_INTERVAL - (CHECK_INTERVAL as f64 / 4.0 * random) as Time
 }
 
-fn later(now: Time, chance: f64) -> Time {
-    now + BACK.0 + (BACK.1 as f64 * chance) as Time
+fn compare_time(now: Time, random: f64) -> Time {
+    now + RETURN_DELAY.0 + (RETURN_DELAY.1 as f64 * random) as Time
 }
--- a/crates/catalog/src/store.rs
+++ b/crates/catalog/src/store.rs
@@ -9,18 +9,18 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::content::entry_hash;
-use crate::versions::{self, Fault, Glance, Offer, Verdict, Version, Versions};
+use crate::versions::{self, EntrySummary, Fault, Offer, Verdict, Version, Versions};
 
 /// A destination's partition, the same in each process and release.
 pub fn partition(destination: u64, partitions: u32) -> u32 {
     (xxh3_64(&destination.to_le_bytes()) % u64::from(partitions.max(1))) as u32
 }
 
-pub const MOST_PARTITIONS: u32 = 4096;
+pub const MAX_PARTITIONS: u32 = 4096;
 
 /// Differences that are kept for who asks next, of one version. Guards against one for each version that was
 /// ever held.
-const MOST_FOLDS: usize = 16;
+const MAX_DELTAS: usize = 16;
 
 /// What a store may hold at most.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -34,33 +34,33 @@
 
 /// An entry, its text as it goes to followers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Item {
+pub struct ListEntry {
     pub name: String,
     pub destination: u64,
     pub text: Bytes,
     /// It is listed no more.
-    pub gone: bool,
+    pub removed: bool,
 }
 
 #[derive(Clone, Debug)]
-struct Kept {
+struct StoredEntry {
     hash: u64,
     text: Bytes,
 }
 
 /// One partition.
 #[derive(Clone, Debug, Default)]
-pub struct Part {
+pub struct Partition {
     /// That of the list at which it last changed, as far as is known: no earlier one than it is.
     pub version: Version,
     /// Of names and texts, in whatever order.
     pub hash: u64,
-    entries: BTreeMap<String, Kept>,
+    entries: BTreeMap<String, StoredEntry>,
     /// All its texts, a comma before each.
     text: Bytes,
 }
 
-impl Part {
+impl Partition {
     pub fn text(&self) -> &Bytes {
         &self.text
     }
@@ -69,43 +69,43 @@
         self.entries.len()
     }
 
-    fn put(&mut self, item: &Item) -> bool {
+    fn put(&mut self, item: &ListEntry) -> bool {
         let hash = entry_hash(&item.name, &item.text);
         match self.entries.get(&item.name) {
-            None if item.gone => return false,
-            Some(kept) if !item.gone && kept.hash == hash => return false,
-            Some(kept) => self.hash = self.hash.wrapping_sub(kept.hash),
+            None if item.removed => return false,
+            Some(stored) if !item.removed && stored.hash == hash => return false,
+            Some(stored) => self.hash = self.hash.wrapping_sub(stored.hash),
             None => {}
         }
-        if item.gone {
+        if item.removed {
             self.entries.remove(&item.name);
         } else {
             self.hash = self.hash.wrapping_add(hash);
-            self.entries.insert(item.name.clone(), Kept { hash, text: item.text.clone() });
+            self.entries.insert(item.name.clone(), StoredEntry { hash, text: item.text.clone() });
         }
         true
     }
 
     /// Puts its texts together, and has each entry's be a piece of the whole: so it is held once.
-    fn join(&mut self) {
-        let length = self.entries.values().map(|kept| kept.text.len() + 1).sum();
+    fn rebuild_text(&mut self) {
+        let length = self.entries.values().map(|stored| stored.text.len() + 1).sum();
         let mut all = BytesMut::with_capacity(length);
-        for kept in self.entries.values() {
+        for stored in self.entries.values() {
             all.extend_from_slice(b",");
-            all.extend_from_slice(&kept.text);
+            all.extend_from_slice(&stored.text);
         }
         self.text = all.freeze();
         let mut at = 0;
-        for kept in self.entries.values_mut() {
-            let end = at + 1 + kept.text.len();
-            kept.text = self.text.slice(at + 1..end);
+        for stored in self.entries.values_mut() {
+            let end = at + 1 + stored.text.len();
+            stored.text = self.text.slice(at + 1..end);
             at = end;
         }
-        debug_assert!(self.hash_again() == self.hash, "a partition's hash is not that of its entries");
+        debug_assert!(self.recompute_hash() == self.hash, "a partition's hash is not that of its entries");
     }
 
-    fn hash_again(&self) -> u64 {
-        self.entries.iter().fold(0, |sum, (name, kept)| sum.wrapping_add(entry_hash(name, &kept.text)))
+    fn recompute_hash(&self) -> u64 {
+        self.entries.iter().fold(0, |sum, (name, stored)| sum.wrapping_add(entry_hash(name, &stored.text)))
     }
 }
 
@@ -115,19 +115,19 @@
     step: u64,
     partition: u32,
     name: String,
-    gone: Option<Bytes>,
+    tombstone: Option<Bytes>,
 }
 
 /// What someone who is behind is given: `entries` texts, commas between them.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fold {
+pub struct Delta {
     pub entries: usize,
     pub text: Bytes,
 }
 
 /// The whole list of one version, in pieces that are shared with the store and with other versions.
 #[derive(Clone, Debug)]
-pub struct Whole {
+pub struct Snapshot {
     pub version: Version,
     pub texts: Arc<[Bytes]>,
 }
@@ -144,9 +144,9 @@
 pub struct Store {
     bounds: Bounds,
     versions: Versions,
-    parts: Vec<Part>,
+    partitions: Vec<Partition>,
     /// Where each name is.
-    places: HashMap<String, u32>,
+    partition_by_name: HashMap<String, u32>,
     bytes: usize,
     /// Counts what was taken: two pieces of one version are two steps.
     step: u64,
@@ -154,27 +154,27 @@
     /// The steps of this epoch, as far back as changes are known; one index has several where it came in pieces.
     steps: VecDeque<Step>,
     /// Indexes up to this were held under an older epoch too: whoever names one may mean another list.
-    doubtful: u64,
-    whole: Option<Whole>,
-    folds: HashMap<u64, Fold>,
+    ambiguous_up_to: u64,
+    snapshot: Option<Snapshot>,
+    deltas: HashMap<u64, Delta>,
 }
 
 impl Store {
-    /// `partitions` is 1 to `MOST_PARTITIONS`, and stays as it is.
+    /// `partitions` is 1 to `MAX_PARTITIONS`, and stays as it is.
     pub fn new(partitions: u32, bounds: Bounds) -> Store {
-        debug_assert!((1..=MOST_PARTITIONS).contains(&partitions));
+        debug_assert!((1..=MAX_PARTITIONS).contains(&partitions));
         Store {
             bounds,
             versions: Versions::default(),
-            parts: vec![Part::default(); partitions.max(1) as usize],
-            places: HashMap::new(),
+            partitions: vec![Partition::default(); partitions.max(1) as usize],
+            partition_by_name: HashMap::new(),
             bytes: 0,
             step: 0,
             changes: VecDeque::new(),
             steps: VecDeque::new(),
-            doubtful: 0,
-            whole: None,
-            folds: HashMap::new(),
+            ambiguous_up_to: 0,
+            snapshot: None,
+            deltas: HashMap::new(),
         }
     }
 
@@ -186,127 +186,129 @@
         self.step
     }
 
-    pub fn has(&self, name: &str) -> bool {
-        self.places.contains_key(name)
+    pub fn contains(&self, name: &str) -> bool {
+        self.partition_by_name.contains_key(name)
     }
 
     pub fn entries(&self) -> usize {
-        self.places.len()
+        self.partition_by_name.len()
     }
 
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    pub fn parts(&self) -> &[Part] {
-        &self.parts
+    pub fn partitions(&self) -> &[Partition] {
+        &self.partitions
     }
 
     /// A hash of all that is held.
     pub fn hash(&self) -> u64 {
-        self.parts.iter().fold(0, |sum, part| sum.wrapping_add(part.hash))
+        self.partitions.iter().fold(0, |sum, partition| sum.wrapping_add(partition.hash))
     }
 
-    fn faults(&self, offer: &Offer, items: &[Item]) -> Vec<Fault> {
+    fn validate(&self, offer: &Offer, items: &[ListEntry]) -> Vec<Fault> {
         let Bounds { entries, bytes, .. } = self.bounds;
-        let glance = |item: &Item| if item.gone { 0 } else { item.text.len() };
-        let glances = items.iter().map(|item| Glance { name: &item.name, length: glance(item) });
-        let mut faults = versions::faults(offer, glances, entries, bytes);
+        let length = |item: &ListEntry| if item.removed { 0 } else { item.text.len() };
+        let summaries = items.iter().map(|item| EntrySummary { name: &item.name, length: length(item) });
+        let mut faults = versions::validate(offer, summaries, entries, bytes);
         // With changes it is what is held and what comes that must find room.
         if offer.after.is_some() {
-            let new = |item: &&Item| !item.gone && !self.places.contains_key(&item.name);
+            let new = |item: &&ListEntry| !item.removed && !self.partition_by_name.contains_key(&item.name);
             let (count, length) =
                 items.iter().filter(new).fold((0, 0), |(n, l), i| (n + 1, l + i.text.len()));
             if self.entries() + count > entries || self.bytes + length > bytes {
                 faults
-                    .push(Fault { place: "endpoints".to_string(), words: "find no room with what is held" });
+                    .push(Fault { path: "endpoints".to_string(), problem: "find no room with what is held" });
             }
         }
         faults
     }
 
     /// Takes an offer up whole, or nothing of it.
-    pub fn put(&mut self, offer: &Offer, items: Vec<Item>) -> Verdict {
+    pub fn apply(&mut self, offer: &Offer, items: Vec<ListEntry>) -> Verdict {
         let before = self.version();
-        let faults = self.faults(offer, &items);
-        let verdict = self.versions.put(offer, faults);
-        if verdict != Verdict::Take {
+        let faults = self.validate(offer, &items);
+        let verdict = self.versions.apply(offer, faults);
+        if verdict != Verdict::Apply {
             return verdict;
         }
-        let anew = before.is_none_or(|before| before.epoch != offer.version.epoch);
+        let is_new_epoch = before.is_none_or(|before| before.epoch != offer.version.epoch);
         self.step += 1;
         let mut changed = Vec::new();
         if offer.after.is_none() {
-            let names: HashSet<&str> = items.iter().filter(|i| !i.gone).map(|i| i.name.as_str()).collect();
-            let gone = self.places.keys().filter(|name| !names.contains(name.as_str())).cloned();
-            changed.extend(gone.collect::<Vec<_>>().into_iter().map(|name| (name, None)));
+            let names: HashSet<&str> = items.iter().filter(|i| !i.removed).map(|i| i.name.as_str()).collect();
+            let missing =
+                self.partition_by_name.keys().filter(|name| !names.contains(name.as_str())).cloned();
+            changed.extend(missing.collect::<Vec<_>>().into_iter().map(|name| (name, None)));
         }
         changed.extend(items.into_iter().map(|item| (item.name.clone(), Some(item))));
         let mut touched = HashSet::new();
         for (name, item) in changed {
-            self.change(&name, item, &mut touched);
+            self.change_entry(&name, item, &mut touched);
         }
         if touched.is_empty() && before == Some(offer.version) {
             // The same once more: nobody is to be told.
             self.step -= 1;
-            return Verdict::Take;
+            return Verdict::Apply;
         }
         for &partition in &touched {
-            let part = &mut self.parts[partition as usize];
-            debug_assert!(part.version <= offer.version, "a partition's version went back");
-            part.join();
-            part.version = offer.version;
+            let partition = &mut self.partitions[partition as usize];
+            debug_assert!(partition.version <= offer.version, "a partition's version went back");
+            partition.rebuild_text();
+            partition.version = offer.version;
         }
-        if let (true, Some(before)) = (anew, before) {
-            self.doubtful = self.doubtful.max(before.index);
+        if let (true, Some(before)) = (is_new_epoch, before) {
+            self.ambiguous_up_to = self.ambiguous_up_to.max(before.index);
         }
-        if anew {
+        if is_new_epoch {
             // Nobody under an older epoch, and nobody from before the first list, can be given a difference.
             self.changes.clear();
             self.steps.clear();
         }
         let (step, index, hash) = (self.step, offer.version.index, self.hash());
         self.steps.push_back(Step { step, index, hash });
-        self.forget();
-        (self.whole, self.bytes) = (None, self.parts.iter().map(|part| part.text.len()).sum());
-        self.folds.clear();
-        debug_assert!(self.is_sound());
-        Verdict::Take
+        self.trim_history();
+        (self.snapshot, self.bytes) =
+            (None, self.partitions.iter().map(|partition| partition.text.len()).sum());
+        self.deltas.clear();
+        debug_assert!(self.is_consistent());
+        Verdict::Apply
     }
 
     /// One entry; `None`: a whole list does not name it any more.
-    fn change(&mut self, name: &str, item: Option<Item>, touched: &mut HashSet<u32>) {
-        let count = self.parts.len() as u32;
-        let old = self.places.get(name).copied();
-        let new = item.as_ref().filter(|item| !item.gone).map(|item| partition(item.destination, count));
-        let gone = item.as_ref().filter(|item| item.gone).map(|item| item.text.clone());
+    fn change_entry(&mut self, name: &str, item: Option<ListEntry>, touched: &mut HashSet<u32>) {
+        let count = self.partitions.len() as u32;
+        let old = self.partition_by_name.get(name).copied();
+        let new = item.as_ref().filter(|item| !item.removed).map(|item| partition(item.destination, count));
+        let removal = item.as_ref().filter(|item| item.removed).map(|item| item.text.clone());
         // An entry that has moved to another destination is taken out where it was.
         if let Some(old) = old.filter(|&old| new != Some(old)) {
-            let part = &mut self.parts[old as usize];
-            if let Some(kept) = part.entries.remove(name) {
-                part.hash = part.hash.wrapping_sub(kept.hash);
+            let partition = &mut self.partitions[old as usize];
+            if let Some(stored) = partition.entries.remove(name) {
+                partition.hash = partition.hash.wrapping_sub(stored.hash);
                 touched.insert(old);
-                self.places.remove(name);
-                let gone = gone.or_else(|| Some(tombstone(name)));
+                self.partition_by_name.remove(name);
+                let tombstone = removal.or_else(|| Some(tombstone_text(name)));
                 self.changes.push_back(Change {
                     step: self.step,
                     partition: old,
                     name: name.to_string(),
-                    gone,
+                    tombstone,
                 });
             }
         }
         let (Some(new), Some(item)) = (new, item) else { return };
-        if self.parts[new as usize].put(&item) {
+        if self.partitions[new as usize].put(&item) {
             touched.insert(new);
-            self.places.insert(name.to_string(), new);
-            let change = Change { step: self.step, partition: new, name: name.to_string(), gone: None };
+            self.partition_by_name.insert(name.to_string(), new);
+            let change = Change { step: self.step, partition: new, name: name.to_string(), tombstone: None };
             self.changes.push_back(change);
         }
     }
 
     /// Keeps the window within its bound.
-    fn forget(&mut self) {
+    fn trim_history(&mut self) {
         while self.changes.len() > self.bounds.window {
             let Some(oldest) = self.changes.pop_front() else { return };
             // Positions before it have lost a change.
@@ -321,9 +323,9 @@
 
     /// The step from which one who holds this index is to be told what changed; `None`: the whole, since that
     /// is too long ago, or never was here.
-    pub fn position(&self, index: u64) -> Option<u64> {
+    pub fn step_at_index(&self, index: u64) -> Option<u64> {
         let held = self.version()?;
-        if index > held.index || index <= self.doubtful {
+        if index > held.index || index <= self.ambiguous_up_to {
             return None;
         }
         // This very one: guards against a difference from another version, in which what had changed and is
@@ -333,19 +335,19 @@
 
     /// The same for one who says which content it holds under this index: the step after which just that was held
     /// here. `None`: the whole, since a difference from other content would leave something out.
-    pub fn position_of(&self, index: u64, hash: u64) -> Option<u64> {
+    pub fn step_at_content(&self, index: u64, hash: u64) -> Option<u64> {
         self.steps.iter().rev().find(|held| held.index == index && held.hash == hash).map(|held| held.step)
     }
 
     /// What changed after a step, each entry once as it is now, of these partitions (`None`: all).
-    pub fn since(&mut self, step: u64, of: Option<&HashSet<u32>>) -> Option<Fold> {
+    pub fn changes_since(&mut self, step: u64, of: Option<&HashSet<u32>>) -> Option<Delta> {
         let first = self.steps.front()?.step;
         if step < first {
             return None;
         }
         if of.is_none() {
-            if let Some(fold) = self.folds.get(&step) {
-                return Some(fold.clone());
+            if let Some(delta) = self.deltas.get(&step) {
+                return Some(delta.clone());
             }
         }
         let (mut seen, mut text, mut entries) = (HashSet::new(), BytesMut::new(), 0);
@@ -355,35 +357,35 @@
             if !asked || !seen.insert(change.name.as_str()) {
                 continue;
             }
-            let kept = self.parts[change.partition as usize].entries.get(&change.name);
-            let Some(one) = change.gone.as_ref().or(kept.map(|kept| &kept.text)) else { continue };
+            let stored = self.partitions[change.partition as usize].entries.get(&change.name);
+            let Some(one) = change.tombstone.as_ref().or(stored.map(|stored| &stored.text)) else { continue };
             if entries > 0 {
                 text.extend_from_slice(b",");
             }
             text.extend_from_slice(one);
             entries += 1;
         }
-        let fold = Fold { entries, text: text.freeze() };
-        if of.is_none() && self.folds.len() < MOST_FOLDS {
-            self.folds.insert(step, fold.clone());
+        let delta = Delta { entries, text: text.freeze() };
+        if of.is_none() && self.deltas.len() < MAX_DELTAS {
+            self.deltas.insert(step, delta.clone());
         }
-        Some(fold)
+        Some(delta)
     }
 
     /// The whole list, put together once a version.
-    pub fn whole(&mut self) -> Option<Whole> {
+    pub fn snapshot(&mut self) -> Option<Snapshot> {
         let version = self.version()?;
-        let parts = &self.parts;
-        let whole = self.whole.get_or_insert_with(|| Whole {
+        let partitions = &self.partitions;
+        let snapshot = self.snapshot.get_or_insert_with(|| Snapshot {
             version,
-            texts: parts.iter().map(|part| part.text.clone()).collect(),
+            texts: partitions.iter().map(|partition| partition.text.clone()).collect(),
         });
-        Some(whole.clone())
+        Some(snapshot.clone())
     }
 
-    fn is_sound(&self) -> bool {
-        let entries: usize = self.parts.iter().map(Part::entries).sum();
-        entries == self.places.len()
+    fn is_consistent(&self) -> bool {
+        let entries: usize = self.partitions.iter().map(Partition::entries).sum();
+        entries == self.partition_by_name.len()
             && self.changes.len() <= self.bounds.window
             && self
                 .steps
@@ -393,7 +395,7 @@
 }
 
 /// Tells that an entry is listed no more; a name is text of JSON here.
-fn tombstone(name: &str) -> Bytes {
+fn tombstone_text(name: &str) -> Bytes {
     let mut text = String::with_capacity(name.len() + 48);
     text.push_str("{\"name\":\"");
     for c in name.chars() {
--- a/crates/catalog/src/versions.rs
+++ b/crates/catalog/src/versions.rs
@@ -22,78 +22,79 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    Take,
+    Apply,
     /// It is from before what is held.
-    Pass,
+    Ignore,
     /// What came between is not known.
-    AskWhole,
+    RequestSnapshot,
     /// It cannot be a list; nothing of it is taken.
-    TurnDown(Vec<Fault>),
+    Reject(Vec<Fault>),
 }
 
 /// One thing wrong with what was offered, with its place.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
     /// Such as `endpoints[3].name`.
-    pub place: String,
-    pub words: &'static str,
+    pub path: String,
+    pub problem: &'static str,
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{} {}", self.place, self.words)
+        write!(f, "{} {}", self.path, self.problem)
     }
 }
 
 /// What is looked at of an entry that is offered.
 #[derive(Clone, Copy, Debug)]
-pub struct Glance<'a> {
+pub struct EntrySummary<'a> {
     pub name: &'a str,
     /// Bytes of its text.
     pub length: usize,
 }
 
 /// Guards against a list of nothing but faults.
-pub const MOST_FAULTS: usize = 32;
-pub const LONGEST_NAME: usize = 1024;
+pub const MAX_FAULTS: usize = 32;
+pub const MAX_NAME_LENGTH: usize = 1024;
 
-/// Every fault of an offer, up to `MOST_FAULTS`. `entries` and `bytes` are the most that may be held. A name
+/// Every fault of an offer, up to `MAX_FAULTS`. `entries` and `bytes` are the most that may be held. A name
 /// that comes twice is one only in a whole list: among changes the later one counts.
-pub fn faults<'a>(
+pub fn validate<'a>(
     offer: &Offer,
-    glances: impl IntoIterator<Item = Glance<'a>>,
-    entries: usize,
-    bytes: usize,
+    entries_offered: impl IntoIterator<Item = EntrySummary<'a>>,
+    max_entries: usize,
+    max_bytes: usize,
 ) -> Vec<Fault> {
     let (mut faults, mut names, mut count, mut total) = (Vec::new(), HashSet::new(), 0_usize, 0_usize);
     if offer.version.index == 0 {
-        faults.push(Fault { place: "index".to_string(), words: "is 0, which is no version" });
+        faults.push(Fault { path: "index".to_string(), problem: "is 0, which is no version" });
     }
     if offer.after.is_some_and(|after| after > offer.version.index) {
-        faults.push(Fault { place: "index".to_string(), words: "is lower than what the changes come after" });
+        faults
+            .push(Fault { path: "index".to_string(), problem: "is lower than what the changes come after" });
     }
-    for (i, glance) in glances.into_iter().enumerate() {
-        (count, total) = (count + 1, total + glance.length);
-        let words = if glance.name.is_empty() {
+    for (i, entry) in entries_offered.into_iter().enumerate() {
+        (count, total) = (count + 1, total + entry.length);
+        let problem = if entry.name.is_empty() {
             "is empty"
-        } else if glance.name.len() > LONGEST_NAME {
+        } else if entry.name.len() > MAX_NAME_LENGTH {
             "is too long"
-        } else if !names.insert(glance.name) && offer.after.is_none() {
+        } else if !names.insert(entry.name) && offer.after.is_none() {
             "is there twice"
         } else {
             continue;
         };
-        if faults.len() < MOST_FAULTS {
-            faults.push(Fault { place: format!("endpoints[{i}].name"), words });
+        if faults.len() < MAX_FAULTS {
+            faults.push(Fault { path: format!("endpoints[{i}].name"), problem });
         }
     }
-    if count > entries {
-        faults.insert(0, Fault { place: "endpoints".to_string(), words: "are too many" });
+    if count > max_entries {
+        faults.insert(0, Fault { path: "endpoints".to_string(), problem: "are too many" });
     }
-    if total > bytes {
-        faults.insert(0, Fault { place: "endpoints".to_string(), words: "are too long" });
+    if total > max_bytes {
+        faults.insert(0, Fault { path: "endpoints".to_string(), problem: "are too long" });
     }
-    faults.truncate(MOST_FAULTS);
+    faults.truncate(MAX_FAULTS);
     faults
 }
 
@@ -115,34 +116,34 @@
     /// What becomes of an offer in which no fault was found, or some.
     pub fn judge(&self, offer: &Offer, faults: Vec<Fault>) -> Verdict {
         if !faults.is_empty() {
-            return Verdict::TurnDown(faults);
+            return Verdict::Reject(faults);
         }
         let Version { epoch, index } = offer.version;
         // The table: held, whole or after which, verdict.
         match (self.held, offer.after) {
-            (None, None) => Verdict::Take,
-            (None, Some(_)) => Verdict::AskWhole,
-            (Some(held), _) if offer.version < held => Verdict::Pass,
+            (None, None) => Verdict::Apply,
+            (None, Some(_)) => Verdict::RequestSnapshot,
+            (Some(held), _) if offer.version < held => Verdict::Ignore,
             // The same version once more too: a source may tell one in several pieces, and mend it by the
             // whole.
-            (Some(_), None) => Verdict::Take,
-            (Some(held), Some(_)) if epoch > held.epoch => Verdict::AskWhole,
+            (Some(_), None) => Verdict::Apply,
+            (Some(held), Some(_)) if epoch > held.epoch => Verdict::RequestSnapshot,
             (Some(held), Some(after)) if after == held.index => {
                 debug_assert!(epoch == held.epoch && index >= held.index);
-                Verdict::Take
+                Verdict::Apply
             }
             // Who tells has come to what is held.
-            (Some(held), Some(_)) if index == held.index => Verdict::Pass,
+            (Some(held), Some(_)) if index == held.index => Verdict::Ignore,
             // Guards against changes from an earlier version on, of one that never saw what is held: what had
             // changed between and is as it was is not among them.
-            (Some(_), Some(_)) => Verdict::AskWhole,
+            (Some(_), Some(_)) => Verdict::RequestSnapshot,
         }
     }
 
     /// Judges, and holds what is taken.
-    pub fn put(&mut self, offer: &Offer, faults: Vec<Fault>) -> Verdict {
+    pub fn apply(&mut self, offer: &Offer, faults: Vec<Fault>) -> Verdict {
         let verdict = self.judge(offer, faults);
-        if verdict == Verdict::Take {
+        if verdict == Verdict::Apply {
             debug_assert!(self.held.is_none_or(|held| held <= offer.version), "a version went back");
             self.held = Some(offer.version);
         }
--- a/crates/catalog/tests/choice.rs
+++ b/crates/catalog/tests/choice.rs
@@ -3,7 +3,9 @@
 
 use std::collections::HashMap;
 
-use meadowhold_catalog::choice::{order, Choice, Effect, Input, State, BACK, EVERY, PATIENCE, SPREAD};
+use meadowhold_catalog::choice::{
+    rank_relays, Choice, Effect, Input, State, ANSWER_TIMEOUT, CHECK_INTERVAL, FAILOVER_JITTER, RETURN_DELAY,
+};
 use meadowhold_catalog::versions::Version;
 use meadowhold_catalog::{Time, SECOND};
 use proptest::prelude::*;
@@ -20,13 +22,13 @@
 }
 
 #[test]
-fn the_order_is_written_down_and_a_relay_more_moves_its_own_followers_alone() {
-    assert_eq!(order("courier-1", &relays(5)), ORDER);
+fn the_ranking_is_stable_and_an_added_relay_moves_only_its_own_followers() {
+    assert_eq!(rank_relays("courier-1", &relays(5)), ORDER);
     let (five, six) = (relays(5), relays(6));
     let (mut moved, mut others) = (0, 0);
     for follower in 0..1300 {
         let name = format!("courier-{follower}");
-        let (before, after) = (order(&name, &five)[0], order(&name, &six)[0]);
+        let (before, after) = (rank_relays(&name, &five)[0], rank_relays(&name, &six)[0]);
         match (before == after, after) {
             (true, _) => {}
             (false, 5) => moved += 1,
@@ -40,11 +42,11 @@
 const ORDER: [usize; 5] = [1, 3, 4, 2, 0];
 
 #[test]
-fn followers_spread_by_weight_and_those_of_a_lost_relay_spread_over_all_others() {
+fn followers_spread_by_weight_and_those_of_a_lost_relay_over_all_others() {
     let mut five = relays(5);
     let mut counts = HashMap::new();
     for follower in 0..1300 {
-        let order = order(&format!("courier-{follower}"), &five);
+        let order = rank_relays(&format!("courier-{follower}"), &five);
         *counts.entry((order[0], order[1])).or_insert(0) += 1;
     }
     for first in 0..5 {
@@ -55,130 +57,131 @@
         assert!(seconds.iter().all(|count| (20..=112).contains(count)), "{seconds:?}");
     }
     five[2].1 = 3.0;
-    let thirds = (0..1300).filter(|follower| order(&format!("courier-{follower}"), &five)[0] == 2).count();
+    let thirds =
+        (0..1300).filter(|follower| rank_relays(&format!("courier-{follower}"), &five)[0] == 2).count();
     // Three of seven: 557.
     assert!((450..=664).contains(&thirds), "{thirds}");
 }
 
 /// One follower and its table, an input at a time.
-struct Driven {
+struct TestFollower {
     choice: Choice,
     now: Time,
     held: Option<Version>,
 }
 
-impl Driven {
-    fn new(relays: usize) -> Driven {
-        Driven { choice: Choice::new((0..relays).collect(), 0), now: 0, held: None }
+impl TestFollower {
+    fn new(relays: usize) -> TestFollower {
+        TestFollower { choice: Choice::new((0..relays).collect(), 0), now: 0, held: None }
     }
 
     fn due(&mut self) -> Effect {
         self.now = self.choice.due();
-        self.choice.put(self.now, Input::Due, self.held, 0.5)
+        self.choice.handle(self.now, Input::Due, self.held, 0.5)
     }
 
-    fn put(&mut self, input: Input) -> Effect {
-        self.choice.put(self.now, input, self.held, 0.5)
+    fn handle(&mut self, input: Input) -> Effect {
+        self.choice.handle(self.now, input, self.held, 0.5)
     }
 }
 
 #[test]
-fn the_table_of_choices() {
-    let mut one = Driven::new(3);
-    assert_eq!(one.due(), Effect::Ask(0));
-    assert_eq!(one.put(Input::Said(at(10))), Effect::Follow(0));
+fn state_transitions() {
+    let mut one = TestFollower::new(3);
+    assert_eq!(one.due(), Effect::Query(0));
+    assert_eq!(one.handle(Input::Answered(at(10))), Effect::Follow(0));
     one.held = Some(at(10));
     // Asked again and again, and silent in the end: the next one is asked, after a pause by chance.
-    assert_eq!(one.due(), Effect::Ask(0));
-    assert_eq!(one.put(Input::Said(at(11))), Effect::Nothing);
+    assert_eq!(one.due(), Effect::Query(0));
+    assert_eq!(one.handle(Input::Answered(at(11))), Effect::Nothing);
     assert_eq!(one.choice.state(), State::Following(0));
-    assert_eq!(one.due(), Effect::Ask(0));
+    assert_eq!(one.due(), Effect::Query(0));
     let asked = one.now;
     assert_eq!(one.due(), Effect::Nothing);
-    assert_eq!((one.choice.state(), one.now), (State::Rest(1), asked + PATIENCE));
-    assert_eq!(one.due(), Effect::Ask(1));
-    assert_eq!(one.now, asked + PATIENCE + SPREAD / 2);
+    assert_eq!((one.choice.state(), one.now), (State::Idle(1), asked + ANSWER_TIMEOUT));
+    assert_eq!(one.due(), Effect::Query(1));
+    assert_eq!(one.now, asked + ANSWER_TIMEOUT + FAILOVER_JITTER / 2);
     // It is behind: another first, and the least behind of all where none is as far.
-    assert_eq!(one.put(Input::Said(at(8))), Effect::Nothing);
-    assert_eq!(one.due(), Effect::Ask(2));
-    assert_eq!(one.put(Input::Said(at(9))), Effect::Nothing);
-    assert_eq!(one.due(), Effect::Ask(0));
-    assert_eq!(one.put(Input::Failed), Effect::Nothing);
-    assert_eq!(one.due(), Effect::Ask(2));
-    assert_eq!(one.put(Input::Said(at(9))), Effect::Follow(2));
+    assert_eq!(one.handle(Input::Answered(at(8))), Effect::Nothing);
+    assert_eq!(one.due(), Effect::Query(2));
+    assert_eq!(one.handle(Input::Answered(at(9))), Effect::Nothing);
+    assert_eq!(one.due(), Effect::Query(0));
+    assert_eq!(one.handle(Input::Failed), Effect::Nothing);
+    assert_eq!(one.due(), Effect::Query(2));
+    assert_eq!(one.handle(Input::Answered(at(9))), Effect::Follow(2));
     assert_eq!(one.choice.followed(), Some(2));
     // It stays behind: left after seconds, unless it catches up.
-    assert_eq!(one.due(), Effect::Ask(2));
-    assert_eq!(one.put(Input::Said(at(10))), Effect::Nothing);
+    assert_eq!(one.due(), Effect::Query(2));
+    assert_eq!(one.handle(Input::Answered(at(10))), Effect::Nothing);
     for _ in 0..3 {
-        assert_eq!(one.due(), Effect::Ask(2));
-        assert_eq!(one.put(Input::Said(at(9))), Effect::Nothing);
+        assert_eq!(one.due(), Effect::Query(2));
+        assert_eq!(one.handle(Input::Answered(at(9))), Effect::Nothing);
         assert_eq!(one.choice.state(), State::Following(2));
     }
     one.now += 4 * SECOND;
-    assert_eq!(one.choice.put(one.now, Input::Due, one.held, 0.5), Effect::Ask(2));
-    assert_eq!(one.put(Input::Said(at(9))), Effect::Nothing);
-    assert_eq!(one.choice.state(), State::Rest(0));
+    assert_eq!(one.choice.handle(one.now, Input::Due, one.held, 0.5), Effect::Query(2));
+    assert_eq!(one.handle(Input::Answered(at(9))), Effect::Nothing);
+    assert_eq!(one.choice.state(), State::Idle(0));
     // Nobody there at all: rounds further and further apart, and nothing is followed.
     let mut asks = Vec::new();
     for _ in 0..40 {
-        if let Effect::Ask(_) = one.due() {
+        if let Effect::Query(_) = one.due() {
             asks.push(one.now);
-            assert_eq!(one.put(Input::Failed), Effect::Nothing);
+            assert_eq!(one.handle(Input::Failed), Effect::Nothing);
         }
         assert_eq!(one.choice.followed(), None);
     }
     assert!(asks.windows(2).all(|pair| pair[1] - pair[0] <= 2 * SECOND));
     // An older epoch is behind, whatever its index.
-    let mut other = Driven::new(2);
+    let mut other = TestFollower::new(2);
     other.held = Some(Version { epoch: 2, index: 3 });
-    assert_eq!(other.due(), Effect::Ask(0));
-    assert_eq!(other.put(Input::Said(at(100))), Effect::Nothing);
-    assert_eq!(other.due(), Effect::Ask(1));
-    assert_eq!(other.put(Input::Said(Version { epoch: 3, index: 1 })), Effect::Follow(1));
+    assert_eq!(other.due(), Effect::Query(0));
+    assert_eq!(other.handle(Input::Answered(at(100))), Effect::Nothing);
+    assert_eq!(other.due(), Effect::Query(1));
+    assert_eq!(other.handle(Input::Answered(Version { epoch: 3, index: 1 })), Effect::Follow(1));
 }
 
 #[test]
-fn who_lost_its_relay_goes_back_after_a_delay_of_its_own() {
-    let mut one = Driven::new(2);
-    assert_eq!(one.due(), Effect::Ask(0));
-    assert_eq!(one.put(Input::Failed), Effect::Nothing);
-    assert_eq!(one.due(), Effect::Ask(1));
-    assert_eq!(one.put(Input::Said(AT)), Effect::Follow(1));
+fn a_follower_returns_to_its_preferred_relay_after_a_random_delay() {
+    let mut one = TestFollower::new(2);
+    assert_eq!(one.due(), Effect::Query(0));
+    assert_eq!(one.handle(Input::Failed), Effect::Nothing);
+    assert_eq!(one.due(), Effect::Query(1));
+    assert_eq!(one.handle(Input::Answered(AT)), Effect::Follow(1));
     let (since, mut tries) = (one.now, 0);
     while one.choice.followed() == Some(1) {
         let effect = one.due();
         let input = match effect {
-            Effect::Ask(1) => Input::Said(AT),
+            Effect::Query(1) => Input::Answered(AT),
             // The first try in vain: still followed meanwhile, and a new delay.
-            Effect::Ask(0) if tries == 0 => Input::Failed,
-            Effect::Ask(0) => Input::Said(AT),
+            Effect::Query(0) if tries == 0 => Input::Failed,
+            Effect::Query(0) => Input::Answered(AT),
             _ => continue,
         };
-        tries += usize::from(effect == Effect::Ask(0));
-        one.put(input);
+        tries += usize::from(effect == Effect::Query(0));
+        one.handle(input);
     }
-    let delay = BACK.0 + BACK.1 / 2;
+    let delay = RETURN_DELAY.0 + RETURN_DELAY.1 / 2;
     assert_eq!((one.choice.followed(), tries), (Some(0), 2));
-    assert!((2 * delay..2 * delay + 4 * EVERY).contains(&(one.now - since)), "{}", one.now - since);
+    assert!((2 * delay..2 * delay + 4 * CHECK_INTERVAL).contains(&(one.now - since)), "{}", one.now - since);
 }
 
 #[test]
-fn a_relay_without_news_that_answers_on_is_left_for_one_that_has_them() {
-    let mut one = Driven::new(3);
-    assert_eq!(one.due(), Effect::Ask(0));
-    assert_eq!(one.put(Input::Said(at(10))), Effect::Follow(0));
+fn a_relay_that_answers_but_stays_behind_is_left_for_a_current_one() {
+    let mut one = TestFollower::new(3);
+    assert_eq!(one.due(), Effect::Query(0));
+    assert_eq!(one.handle(Input::Answered(at(10))), Effect::Follow(0));
     one.held = Some(at(10));
     let (mut looked, mut left) = (Vec::new(), None);
     while left.is_none() && one.now < 120 * SECOND {
         match one.due() {
-            Effect::Ask(0) => {
-                one.put(Input::Said(at(10)));
+            Effect::Query(0) => {
+                one.handle(Input::Answered(at(10)));
             }
             // The others have news from half a minute on.
-            Effect::Ask(relay) => {
+            Effect::Query(relay) => {
                 looked.push((one.now, relay));
-                one.put(Input::Said(at(if one.now > 30 * SECOND { 11 } else { 10 })));
+                one.handle(Input::Answered(at(if one.now > 30 * SECOND { 11 } else { 10 })));
             }
             _ => {}
         }
@@ -186,23 +189,23 @@
     }
     let left = left.expect("it is left");
     assert!(looked.iter().any(|(_, relay)| *relay == 1) && looked.iter().any(|(_, relay)| *relay == 2));
-    assert!(left < 30 * SECOND + BACK.0 + BACK.1 + 5 * SECOND, "{left}");
-    assert_eq!(one.due(), Effect::Ask(1));
-    assert_eq!(one.put(Input::Said(Version { index: 11, ..AT })), Effect::Follow(1));
+    assert!(left < 30 * SECOND + RETURN_DELAY.0 + RETURN_DELAY.1 + 5 * SECOND, "{left}");
+    assert_eq!(one.due(), Effect::Query(1));
+    assert_eq!(one.handle(Input::Answered(Version { index: 11, ..AT })), Effect::Follow(1));
     // A relay that is only a moment later than the others is kept.
-    let mut other = Driven::new(2);
-    assert_eq!(other.due(), Effect::Ask(0));
-    assert_eq!(other.put(Input::Said(at(10))), Effect::Follow(0));
+    let mut other = TestFollower::new(2);
+    assert_eq!(other.due(), Effect::Query(0));
+    assert_eq!(other.handle(Input::Answered(at(10))), Effect::Follow(0));
     let mut index = 10;
     while other.now < 120 * SECOND {
         other.held = Some(at(index));
         match other.due() {
-            Effect::Ask(0) => {
+            Effect::Query(0) => {
                 index += 1;
-                other.put(Input::Said(at(index)));
+                other.handle(Input::Answered(at(index)));
             }
-            Effect::Ask(_) => {
-                other.put(Input::Said(at(index + 1)));
+            Effect::Query(_) => {
+                other.handle(Input::Answered(at(index + 1)));
             }
             _ => {}
         }
@@ -214,46 +217,48 @@
 type Follower = (Choice, Option<Version>, Option<(Time, usize)>);
 
 /// Followers and relays in simulated time: which relay answers when, and how far each is.
-struct World {
+struct Simulation {
     followers: Vec<Follower>,
-    chance: fastrand::Rng,
+    rng: fastrand::Rng,
 }
 
-impl World {
-    fn new(followers: usize, relays: &[(String, f64)], seed: u64) -> World {
-        let choice = |i| Choice::new(order(&format!("courier-{i}"), relays), 0);
+impl Simulation {
+    fn new(followers: usize, relays: &[(String, f64)], seed: u64) -> Simulation {
+        let choice = |i| Choice::new(rank_relays(&format!("courier-{i}"), relays), 0);
         let followers = (0..followers).map(|i| (choice(i), None, None)).collect();
-        World { followers, chance: fastrand::Rng::with_seed(seed) }
+        Simulation { followers, rng: fastrand::Rng::with_seed(seed) }
     }
 
-    /// Runs for so long; `says` is what a relay answers at a time, `None`: nothing, within patience.
+    /// Runs for so long; `answer_of` is what a relay answers at a time, `None`: nothing, within patience.
     fn run(
         &mut self,
         from: Time,
         to: Time,
-        says: impl Fn(usize, Time) -> Option<Version>,
+        answer_of: impl Fn(usize, Time) -> Option<Version>,
     ) -> Vec<(Time, usize)> {
         let mut followed = Vec::new();
         for (choice, held, out) in &mut self.followers {
             loop {
-                let answer = out.filter(|&(_, relay)| says(relay, from).is_some()).map(|(at, _)| at);
+                let answer = out.filter(|&(_, relay)| answer_of(relay, from).is_some()).map(|(at, _)| at);
                 let now = answer.unwrap_or(Time::MAX).min(choice.due()).max(from);
                 if now >= to {
                     break;
                 }
                 let input = match *out {
-                    Some((at, relay)) if at <= now => says(relay, now).map_or(Input::Failed, Input::Said),
+                    Some((at, relay)) if at <= now => {
+                        answer_of(relay, now).map_or(Input::Failed, Input::Answered)
+                    }
                     _ => Input::Due,
                 };
                 if input != Input::Due || now >= choice.due() {
                     *out = out.filter(|_| input == Input::Due);
                 }
-                match choice.put(now, input, *held, self.chance.f64()) {
+                match choice.handle(now, input, *held, self.rng.f64()) {
                     Effect::Nothing => {}
-                    Effect::Ask(relay) => *out = says(relay, now).map(|_| (now + 20, relay)),
+                    Effect::Query(relay) => *out = answer_of(relay, now).map(|_| (now + 20, relay)),
                     Effect::Follow(relay) => followed.push((now, relay)),
                 }
-                if let Some(version) = choice.followed().and_then(|relay| says(relay, now)) {
+                if let Some(version) = choice.followed().and_then(|relay| answer_of(relay, now)) {
                     *held = (*held).max(Some(version));
                 }
             }
@@ -263,24 +268,24 @@
 }
 
 #[test]
-fn a_lost_relay_is_left_within_seconds_and_gone_back_to_over_many() {
+fn followers_leave_a_lost_relay_within_seconds_and_return_spread_over_time() {
     let five = relays(5);
     for seed in 0..20 {
-        let mut world = World::new(1300, &five, seed);
-        let first = world.run(0, 60 * SECOND, |_, _| Some(AT));
+        let mut simulation = Simulation::new(1300, &five, seed);
+        let first = simulation.run(0, 60 * SECOND, |_, _| Some(AT));
         assert_eq!(first.len(), 1300);
         let mine = first.iter().filter(|(_, relay)| *relay == 3).count();
         // Relay 3 says nothing for a minute.
-        let moves = world.run(60 * SECOND, 120 * SECOND, |relay, _| (relay != 3).then_some(AT));
+        let moves = simulation.run(60 * SECOND, 120 * SECOND, |relay, _| (relay != 3).then_some(AT));
         assert_eq!(moves.len(), mine, "seed {seed}");
         let latest = moves.iter().map(|(at, _)| at - 60 * SECOND).max().unwrap();
-        assert!(latest <= EVERY + PATIENCE + SPREAD + 20, "seed {seed}: {latest}");
+        assert!(latest <= CHECK_INTERVAL + ANSWER_TIMEOUT + FAILOVER_JITTER + 20, "seed {seed}: {latest}");
         for relay in [0, 1, 2, 4] {
             let come = moves.iter().filter(|(_, to)| *to == relay).count();
             assert!(come * 2 < mine, "seed {seed}: {come} of {mine} to one");
         }
         // It is back: all its own return, spread.
-        let back = world.run(120 * SECOND, 200 * SECOND, |_, _| Some(AT));
+        let back = simulation.run(120 * SECOND, 200 * SECOND, |_, _| Some(AT));
         assert!(back.iter().all(|(_, relay)| *relay == 3) && back.len() == mine, "seed {seed}");
         let in_a_second =
             |from: Time| back.iter().filter(|(at, _)| (from..from + SECOND).contains(at)).count();
@@ -300,30 +305,30 @@
     /// Whatever is answered: it is due again before long, asks for what is there, and a relay that is behind
     /// is followed only after a whole round found none that is not.
     #[test]
-    fn any_answers(
+    fn invariants_hold_for_any_answers(
         count in 1_usize..6,
         steps in proptest::collection::vec((0_u8..4, 0_u64..20, 0.0..1.0, 0_u64..30_000), 1..200),
     ) {
-        let mut choice = Choice::new(order("courier-1", &relays(count)), 0);
+        let mut choice = Choice::new(rank_relays("courier-1", &relays(count)), 0);
         let (mut now, mut held, mut asked) = (0, None, None);
         let mut behind_in_row = 0;
-        for (kind, index, chance, wait) in steps {
+        for (kind, index, random, wait) in steps {
             now = if kind == 0 { choice.due().max(now) } else { (now + wait).min(choice.due().max(now)) };
             let input = match kind {
                 0 | 1 => Input::Due,
                 2 => Input::Failed,
-                _ => Input::Said(at(index)),
+                _ => Input::Answered(at(index)),
             };
             let state = choice.state();
-            let out = matches!(state, State::Asked(_) | State::Checked(_) | State::Trying(..));
-            let effect = choice.put(now, input, held, chance);
-            prop_assert!(choice.due() <= now + BACK.0 + BACK.1);
+            let out = matches!(state, State::Querying(_) | State::Checking(_) | State::Comparing(..));
+            let effect = choice.handle(now, input, held, random);
+            prop_assert!(choice.due() <= now + RETURN_DELAY.0 + RETURN_DELAY.1);
             match (input, effect) {
-                (_, Effect::Ask(relay)) => {
+                (_, Effect::Query(relay)) => {
                     prop_assert!(relay < count);
                     asked = Some(relay);
                 }
-                (Input::Said(version), Effect::Follow(relay)) => {
+                (Input::Answered(version), Effect::Follow(relay)) => {
                     prop_assert!(out && asked == Some(relay));
                     if Some(version) < held {
                         prop_assert!(behind_in_row > 0, "one that is behind was followed at once");
@@ -331,7 +336,7 @@
                     behind_in_row = 0;
                     held = held.max(Some(version));
                 }
-                (Input::Said(version), _) if matches!(state, State::Asked(_)) => {
+                (Input::Answered(version), _) if matches!(state, State::Querying(_)) => {
                     behind_in_row += usize::from(Some(version) < held);
                 }
                 (_, Effect::Follow(_)) => prop_assert!(false, "followed without a word"),
--- a/crates/catalog/tests/versions.rs
+++ b/crates/catalog/tests/versions.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 use meadowhold_catalog::content::ContentHash;
-use meadowhold_catalog::store::{partition, Bounds, Item, Store};
-use meadowhold_catalog::versions::{faults, Glance, Offer, Verdict, Version, Versions, MOST_FAULTS};
+use meadowhold_catalog::store::{partition, Bounds, ListEntry, Store};
+use meadowhold_catalog::versions::{validate, EntrySummary, Offer, Verdict, Version, Versions, MAX_FAULTS};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -18,14 +18,14 @@
     format!("{{\"name\":\"{name}\",\"group\":{destination},\"words\":\"{words}\"}}")
 }
 
-fn item(name: &str, destination: u64, words: &str) -> Item {
+fn item(name: &str, destination: u64, words: &str) -> ListEntry {
     let text = Bytes::from(text(name, destination, words));
-    Item { name: name.to_string(), destination, text, gone: false }
+    ListEntry { name: name.to_string(), destination, text, removed: false }
 }
 
-fn gone(name: &str) -> Item {
+fn removed(name: &str) -> ListEntry {
     let text = Bytes::from(format!("{{\"name\":\"{name}\",\"group\":0,\"status\":\"DELETED\"}}"));
-    Item { name: name.to_string(), destination: 0, text, gone: true }
+    ListEntry { name: name.to_string(), destination: 0, text, removed: true }
 }
 
 /// What a source's versions held, one after another, over several countings.
@@ -69,16 +69,16 @@
 
 /// A relay says: the version at this place of the history, whole or as changes after one some places before.
 #[derive(Clone, Debug)]
-struct Word {
+struct OfferSpec {
     place: usize,
     back: Option<usize>,
     /// Changes are what differs between the two: it never saw what was between.
     ends_alone: bool,
 }
 
-fn word() -> impl Strategy<Value = Word> {
+fn offer_spec() -> impl Strategy<Value = OfferSpec> {
     let back = prop_oneof![1 => Just(None), 2 => (1_usize..4).prop_map(Some)];
-    (any::<prop::sample::Index>(), back, any::<bool>()).prop_map(|(place, back, ends_alone)| Word {
+    (any::<prop::sample::Index>(), back, any::<bool>()).prop_map(|(place, back, ends_alone)| OfferSpec {
         place: place.index(1000),
         back,
         ends_alone,
@@ -86,33 +86,33 @@
 }
 
 /// An offer as a sound relay would make it, and its entries.
-fn offer(history: &History, word: &Word) -> (Offer, Vec<Item>) {
-    let place = word.place % history.versions.len();
+fn offer(history: &History, spec: &OfferSpec) -> (Offer, Vec<ListEntry>) {
+    let place = spec.place % history.versions.len();
     let (version, content) = &history.versions[place];
     let all = content.iter().map(|(name, (destination, words))| item(name, *destination, words));
     // Changes are those of one counting.
-    let base = word.back.and_then(|back| history.versions.get(place.checked_sub(back)?));
+    let base = spec.back.and_then(|back| history.versions.get(place.checked_sub(back)?));
     let Some((base, before)) = base.filter(|(base, _)| base.epoch == version.epoch) else {
         return (Offer { version: *version, after: None }, all.collect());
     };
     // Also what changed meanwhile and is as it was, by one that saw it.
     let steps = history.versions[..=place].windows(2).rev();
     let changed: HashSet<&String> = steps
-        .take(word.back.unwrap_or_default())
+        .take(spec.back.unwrap_or_default())
         .flat_map(|pair| {
             let names = pair[0].1.keys().chain(pair[1].1.keys());
             names.filter(|name| pair[0].1.get(*name) != pair[1].1.get(*name))
         })
-        .filter(|name| !word.ends_alone || before.get(*name) != content.get(*name))
+        .filter(|name| !spec.ends_alone || before.get(*name) != content.get(*name))
         .collect();
-    let mut items: Vec<Item> = all.filter(|item| changed.contains(&item.name)).collect();
-    items.extend(changed.iter().filter(|name| !content.contains_key(**name)).map(|name| gone(name)));
+    let mut items: Vec<ListEntry> = all.filter(|item| changed.contains(&item.name)).collect();
+    items.extend(changed.iter().filter(|name| !content.contains_key(**name)).map(|name| removed(name)));
     (Offer { version: *version, after: Some(base.index) }, items)
 }
 
 /// All that a store holds, as its texts say.
 fn held(store: &mut Store) -> Vec<String> {
-    let whole = store.whole().unwrap();
+    let whole = store.snapshot().unwrap();
     let all: String = whole.texts.iter().map(|text| std::str::from_utf8(text).unwrap()).collect();
     let all = format!("[{}]", all.strip_prefix(',').unwrap_or_default());
     let mut texts: Vec<String> = split(&all[1..all.len() - 1]);
@@ -139,13 +139,13 @@
 /// after a change only where nothing between is missing. `judge` is what is tried.
 fn model(
     history: &History,
-    words: &[Word],
+    specs: &[OfferSpec],
     judge: impl Fn(&Offer, Option<Version>) -> Verdict,
 ) -> Result<(), String> {
     let (mut version, mut content): (Option<Version>, Content) = (None, Content::new());
-    for word in words {
-        let (offer, items) = offer(history, word);
-        if judge(&offer, version) != Verdict::Take {
+    for spec in specs {
+        let (offer, items) = offer(history, spec);
+        if judge(&offer, version) != Verdict::Apply {
             continue;
         }
         if version.is_some_and(|version| offer.version < version) {
@@ -156,7 +156,7 @@
         }
         for item in items {
             content.remove(&item.name);
-            if !item.gone {
+            if !item.removed {
                 let text = String::from_utf8(item.text.to_vec()).unwrap();
                 let words = text.rsplit('"').nth(1).unwrap().to_string();
                 content.insert(item.name, (item.destination, words));
@@ -171,7 +171,7 @@
     Ok(())
 }
 
-fn sound(offer: &Offer, held: Option<Version>) -> Verdict {
+fn correct(offer: &Offer, held: Option<Version>) -> Verdict {
     Versions::new(held).judge(offer, Vec::new())
 }
 
@@ -184,17 +184,17 @@
     #![proptest_config(seeded())]
 
     #[test]
-    fn never_back_and_each_version_whole_or_not_there(
+    fn versions_never_go_back_and_are_complete(
         history in history(),
-        words in proptest::collection::vec(word(), 0..60),
+        specs in proptest::collection::vec(offer_spec(), 0..60),
     ) {
-        prop_assert_eq!(model(&history, &words, sound), Ok(()));
+        prop_assert_eq!(model(&history, &specs, correct), Ok(()));
     }
 
     #[test]
-    fn a_store_holds_what_the_source_held_and_brings_each_follower_to_it(
+    fn a_store_holds_what_the_source_held_and_brings_followers_up_to_date(
         history in history(),
-        words in proptest::collection::vec(word(), 1..60),
+        specs in proptest::collection::vec(offer_spec(), 1..60),
         window in 0_usize..40,
         parts in proptest::collection::hash_set(0..PARTITIONS, 0..5),
     ) {
@@ -203,33 +203,33 @@
         // Followers that stayed at an earlier version, by the index alone that a watch names: under the epoch
         // held.
         let mut followers: Vec<(u64, u64, BTreeMap<String, String>)> = Vec::new();
-        for word in &words {
-            let (offer, items) = offer(&history, word);
+        for spec in &specs {
+            let (offer, items) = offer(&history, spec);
             let before = store.version();
-            let expected = versions.put(&offer, Vec::new());
-            let verdict = store.put(&offer, items);
+            let expected = versions.apply(&offer, Vec::new());
+            let verdict = store.apply(&offer, items);
             prop_assert_eq!(&verdict, &expected);
             prop_assert!(store.version() >= before, "never back");
             let Some(version) = store.version() else { continue };
             let truth = &history.versions.iter().find(|(v, _)| *v == version).unwrap().1;
             prop_assert_eq!(held(&mut store), texts(truth));
-            if verdict != Verdict::Take {
+            if verdict != Verdict::Apply {
                 continue;
             }
             if before.is_some_and(|before| before.epoch != version.epoch) {
                 // Under another epoch all are given the whole, whatever index they name.
                 for (_, index, _) in &followers {
-                    prop_assert_eq!(store.position(*index), None);
+                    prop_assert_eq!(store.step_at_index(*index), None);
                 }
                 followers.clear();
             }
             for (step, index, content) in &mut followers {
                 // On an open watch, by its step; and one that comes anew, by its index, or by its content too.
-                let by_content = store.position_of(*index, hash_of(content));
-                for from in [Some(*step), store.position(*index), by_content] {
+                let by_content = store.step_at_content(*index, hash_of(content));
+                for from in [Some(*step), store.step_at_index(*index), by_content] {
                     let mut now = content.clone();
-                    match from.and_then(|from| store.since(from, None)) {
-                        Some(fold) => for one in split(std::str::from_utf8(&fold.text).unwrap()) {
+                    match from.and_then(|from| store.changes_since(from, None)) {
+                        Some(delta) => for one in split(std::str::from_utf8(&delta.text).unwrap()) {
                             let name = one.split('"').nth(3).unwrap().to_string();
                             now.remove(&name);
                             if !one.contains("DELETED") {
@@ -251,7 +251,7 @@
             // One that comes from another relay, with a version that was never here, is given the whole.
             for (other, _) in history.versions.iter().filter(|(other, _)| other.epoch == version.epoch) {
                 let was_here = followers.iter().any(|(_, index, _)| *index == other.index);
-                prop_assert!(was_here || store.position(other.index).is_none());
+                prop_assert!(was_here || store.step_at_index(other.index).is_none());
             }
         }
         // A part is those entries whose destinations it holds, and its hash that of the same by another way.
@@ -259,20 +259,20 @@
             let truth = &history.versions.iter().find(|(v, _)| *v == version).unwrap().1;
             let mut again = Store::new(PARTITIONS, bounds(100));
             let items = truth.iter().rev().map(|(n, (d, w))| item(n, *d, w)).collect();
-            again.put(&Offer { version, after: None }, items);
+            again.apply(&Offer { version, after: None }, items);
             prop_assert_eq!(again.hash(), store.hash());
             for &p in &parts {
-                let part = &store.parts()[p as usize];
+                let part = &store.partitions()[p as usize];
                 let mut of_part = split(std::str::from_utf8(part.text()).unwrap());
                 of_part.sort();
 let of = |(_, (destination, _)): &(&String, &(u64, String))| partition(*destination, PARTITIONS) == p;
                 let mine: Content = truth.iter().filter(of).map(|(n, e)| (n.clone(), e.clone())).collect();
                 prop_assert_eq!(of_part, texts(&mine));
-                prop_assert_eq!(part.hash, again.parts()[p as usize].hash);
+                prop_assert_eq!(part.hash, again.partitions()[p as usize].hash);
                 prop_assert!(part.version <= version);
             }
-            if let Some(fold) = store.since(store.step(), Some(&parts)) {
-                prop_assert_eq!(fold.entries, 0);
+            if let Some(delta) = store.changes_since(store.step(), Some(&parts)) {
+                prop_assert_eq!(delta.entries, 0);
             }
         }
     }
@@ -281,93 +281,93 @@
 /// The model must be able to fail: variants of the table, each with one row broken, and a seeded search that
 /// finds it.
 #[test]
-fn the_model_catches_a_table_with_a_broken_row() {
+fn the_model_detects_faulty_verdicts() {
     type Broken = fn(&Offer, Option<Version>) -> Verdict;
     let broken: [(&str, Broken); 5] = [
         ("takes an older whole list", |offer, held| match (offer.after, held) {
-            (None, Some(held)) if offer.version < held => Verdict::Take,
-            _ => sound(offer, held),
+            (None, Some(held)) if offer.version < held => Verdict::Apply,
+            _ => correct(offer, held),
         }),
         ("goes by the index alone", |offer, held| {
             let at = |version: Version| Version { epoch: 0, ..version };
-            sound(&Offer { version: at(offer.version), ..*offer }, held.map(at))
+            correct(&Offer { version: at(offer.version), ..*offer }, held.map(at))
         }),
         ("takes changes over a gap", |offer, held| match (offer.after, held) {
             (Some(_), Some(held)) if offer.version > held && offer.version.epoch == held.epoch => {
-                Verdict::Take
+                Verdict::Apply
             }
-            _ => sound(offer, held),
+            _ => correct(offer, held),
         }),
         ("takes changes from before what is held", |offer, held| match (offer.after, held) {
             (Some(after), Some(held)) if after < held.index && offer.version > held => {
-                match sound(offer, None) {
-                    Verdict::AskWhole if offer.version.epoch == held.epoch => Verdict::Take,
+                match correct(offer, None) {
+                    Verdict::RequestSnapshot if offer.version.epoch == held.epoch => Verdict::Apply,
                     other => other,
                 }
             }
-            _ => sound(offer, held),
+            _ => correct(offer, held),
         }),
         ("takes changes of a newer epoch", |offer, held| match (offer.after, held) {
-            (Some(_), Some(held)) if offer.version.epoch > held.epoch => Verdict::Take,
-            _ => sound(offer, held),
+            (Some(_), Some(held)) if offer.version.epoch > held.epoch => Verdict::Apply,
+            _ => correct(offer, held),
         }),
     ];
     use proptest::strategy::ValueTree;
     use proptest::test_runner::{Config, TestRunner};
     let mut runner = TestRunner::new(Config { rng_seed: RngSeed::Fixed(7), ..Config::default() });
-    let words = proptest::collection::vec(word(), 0..60);
+    let specs = proptest::collection::vec(offer_spec(), 0..60);
     let cases: Vec<_> = (0..400)
         .map(|_| {
             let history = history().new_tree(&mut runner).unwrap().current();
-            (history, words.new_tree(&mut runner).unwrap().current())
+            (history, specs.new_tree(&mut runner).unwrap().current())
         })
         .collect();
     for (name, judge) in broken {
         assert!(
-            cases.iter().any(|(history, words)| model(history, words, judge).is_err()),
+            cases.iter().any(|(history, specs)| model(history, specs, judge).is_err()),
             "not caught: {name}"
         );
     }
-    assert!(cases.iter().all(|(history, words)| model(history, words, sound).is_ok()));
+    assert!(cases.iter().all(|(history, specs)| model(history, specs, correct).is_ok()));
 }
 
 #[test]
-fn the_table_of_versions() {
-    use Verdict::{AskWhole, Pass, Take};
+fn verdicts() {
+    use Verdict::{Apply, Ignore, RequestSnapshot};
     let at = |epoch, index| Version { epoch, index };
     let rows = [
         // held, offered, after, verdict
-        (None, at(0, 5), None, Take),
-        (None, at(0, 5), Some(4), AskWhole),
-        (Some(at(0, 5)), at(0, 4), None, Pass),
-        (Some(at(0, 5)), at(0, 4), Some(3), Pass),
-        (Some(at(0, 5)), at(0, 5), None, Take),
-        (Some(at(0, 5)), at(0, 5), Some(5), Take),
-        (Some(at(0, 5)), at(0, 5), Some(4), Pass),
-        (Some(at(0, 5)), at(0, 9), None, Take),
-        (Some(at(0, 5)), at(0, 9), Some(5), Take),
-        (Some(at(0, 5)), at(0, 9), Some(2), AskWhole),
-        (Some(at(0, 5)), at(0, 9), Some(6), AskWhole),
-        (Some(at(1, 5)), at(0, 9), None, Pass),
-        (Some(at(1, 5)), at(0, 9), Some(5), Pass),
-        (Some(at(1, 5)), at(2, 1), None, Take),
-        (Some(at(1, 5)), at(2, 9), Some(5), AskWhole),
+        (None, at(0, 5), None, Apply),
+        (None, at(0, 5), Some(4), RequestSnapshot),
+        (Some(at(0, 5)), at(0, 4), None, Ignore),
+        (Some(at(0, 5)), at(0, 4), Some(3), Ignore),
+        (Some(at(0, 5)), at(0, 5), None, Apply),
+        (Some(at(0, 5)), at(0, 5), Some(5), Apply),
+        (Some(at(0, 5)), at(0, 5), Some(4), Ignore),
+        (Some(at(0, 5)), at(0, 9), None, Apply),
+        (Some(at(0, 5)), at(0, 9), Some(5), Apply),
+        (Some(at(0, 5)), at(0, 9), Some(2), RequestSnapshot),
+        (Some(at(0, 5)), at(0, 9), Some(6), RequestSnapshot),
+        (Some(at(1, 5)), at(0, 9), None, Ignore),
+        (Some(at(1, 5)), at(0, 9), Some(5), Ignore),
+        (Some(at(1, 5)), at(2, 1), None, Apply),
+        (Some(at(1, 5)), at(2, 9), Some(5), RequestSnapshot),
     ];
     for (held, version, after, verdict) in rows {
         let offer = Offer { version, after };
         let mut versions = Versions::new(held);
-        assert_eq!(versions.put(&offer, Vec::new()), verdict, "{held:?} {offer:?}");
-        assert_eq!(versions.held(), if verdict == Take { Some(version) } else { held });
+        assert_eq!(versions.apply(&offer, Vec::new()), verdict, "{held:?} {offer:?}");
+        assert_eq!(versions.held(), if verdict == Apply { Some(version) } else { held });
     }
 }
 
 #[test]
-fn every_fault_is_told_with_its_place_and_nothing_is_taken() {
+fn every_fault_is_reported_with_its_path_and_nothing_is_applied() {
     let offer = Offer { version: Version { epoch: 0, index: 0 }, after: None };
     let long = "n".repeat(2000);
     let names = ["a", "", "a", &long, "b"];
-    let glances = names.iter().map(|name| Glance { name, length: 10 });
-    let found = faults(&offer, glances, 4, 49);
+    let summaries = names.iter().map(|name| EntrySummary { name, length: 10 });
+    let found = validate(&offer, summaries, 4, 49);
     let told: Vec<String> = found.iter().map(ToString::to_string).collect();
     let expected = [
         "endpoints are too long",
@@ -378,21 +378,21 @@
         "endpoints[3].name is too long",
     ];
     assert_eq!(told, expected);
-    let many = faults(&offer, (0..1000).map(|_| Glance { name: "", length: 1 }), 4, 49);
-    assert_eq!(many.len(), MOST_FAULTS);
+    let many = validate(&offer, (0..1000).map(|_| EntrySummary { name: "", length: 1 }), 4, 49);
+    assert_eq!(many.len(), MAX_FAULTS);
 
     let mut store = Store::new(PARTITIONS, Bounds { entries: 2, bytes: 1000, window: 8 });
     let first = Offer { version: Version { epoch: 0, index: 3 }, after: None };
-    assert_eq!(store.put(&first, vec![item("a", 1, "x"), item("b", 2, "y")]), Verdict::Take);
+    assert_eq!(store.apply(&first, vec![item("a", 1, "x"), item("b", 2, "y")]), Verdict::Apply);
     let (before, hash) = (held(&mut store), store.hash());
     let next = Offer { version: Version { epoch: 0, index: 4 }, after: Some(3) };
-    let verdict = store.put(&next, vec![item("a", 1, "z"), item("c", 3, "w")]);
-    assert!(matches!(&verdict, Verdict::TurnDown(faults) if faults.len() == 1), "{verdict:?}");
+    let verdict = store.apply(&next, vec![item("a", 1, "z"), item("c", 3, "w")]);
+    assert!(matches!(&verdict, Verdict::Reject(faults) if faults.len() == 1), "{verdict:?}");
     assert_eq!((held(&mut store), store.hash(), store.version()), (before, hash, Some(first.version)));
 }
 
 #[test]
-fn partitions_are_the_same_in_each_release_and_spread_evenly() {
+fn partitions_are_stable_across_releases_and_spread_evenly() {
     // Written down once: another hash would have followers of parts look in the wrong ones.
     let first: Vec<u32> = (0..6).map(|destination| partition(destination, 1024)).collect();
     assert_eq!(first, FIRST);
@@ -406,22 +406,22 @@
 const FIRST: [u32; 6] = [217, 302, 579, 637, 376, 908];
 
 #[test]
-fn one_of_many_followers_shares_what_is_encoded_once() {
+fn followers_share_texts_that_are_encoded_once() {
     let mut store = Store::new(PARTITIONS, bounds(100));
     let whole = Offer { version: Version { epoch: 0, index: 1 }, after: None };
-    store.put(&whole, (0..50).map(|n| item(&format!("e{n}"), n, "x")).collect());
+    store.apply(&whole, (0..50).map(|n| item(&format!("e{n}"), n, "x")).collect());
     let step = store.step();
     let next = Offer { version: Version { epoch: 0, index: 2 }, after: Some(1) };
-    let before = store.whole().unwrap();
-    store.put(&next, vec![item("e3", 3, "y")]);
-    let (one, other) = (store.since(step, None).unwrap(), store.since(step, None).unwrap());
+    let before = store.snapshot().unwrap();
+    store.apply(&next, vec![item("e3", 3, "y")]);
+    let (one, other) = (store.changes_since(step, None).unwrap(), store.changes_since(step, None).unwrap());
     assert_eq!(one.text.as_ptr(), other.text.as_ptr());
     // Of two versions the pieces that did not change are the same.
-    let after = store.whole().unwrap();
+    let after = store.snapshot().unwrap();
     let same = before.texts.iter().zip(&*after.texts).filter(|(a, b)| a.as_ptr() == b.as_ptr()).count();
     assert_eq!(same, PARTITIONS as usize - 1);
     let of: HashSet<u32> = (0..PARTITIONS).filter(|&p| p != partition(3, PARTITIONS)).collect();
-    assert_eq!(store.since(step, Some(&of)).unwrap().entries, 0);
+    assert_eq!(store.changes_since(step, Some(&of)).unwrap().entries, 0);
 }
 
 fn hash_of(content: &BTreeMap<String, String>) -> u64 {
--- a/crates/courier/src/relay.rs
+++ b/crates/courier/src/relay.rs
@@ -117,7 +117,7 @@
     async fn save(&mut self) {
         let (whole, step) = {
             let mut hub = self.hub.borrow_mut();
-            (hub.store.whole(), hub.store.step())
+            (hub.store.snapshot(), hub.store.step())
         };
         let Some(whole) = whole.filter(|_| step != self.saved) else { return };
         let (folder, most, now) = (self.folder.clone(), self.most, self.clock.now());
--- a/crates/courier/src/relay/config.rs
+++ b/crates/courier/src/relay/config.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use garde::Validate;
-use meadowhold_catalog::store::{Bounds as Held, MOST_PARTITIONS};
+use meadowhold_catalog::store::{Bounds as Held, MAX_PARTITIONS};
 use serde::Deserialize;
 
 use crate::config::{self, many_addresses, one_address, Refused};
@@ -84,7 +84,7 @@
     #[garde(required)]
     state: Option<PathBuf>,
     epoch: u64,
-    #[garde(inner(range(min = 1, max = MOST_PARTITIONS)))]
+    #[garde(inner(range(min = 1, max = MAX_PARTITIONS)))]
     partitions: Option<u32>,
     #[garde(dive)]
     bounds: Bounds,
--- a/crates/courier/src/relay/hub.rs
+++ b/crates/courier/src/relay/hub.rs
@@ -9,7 +9,7 @@
 use bytes::{Bytes, BytesMut};
 use meadowhold::interface::{Life, Time, SECOND};
 use meadowhold_catalog::content::Content;
-use meadowhold_catalog::store::{Item, Store, Whole};
+use meadowhold_catalog::store::{ListEntry, Snapshot, Store};
 use meadowhold_catalog::versions::{Offer, Verdict, Version};
 use tokio::sync::watch;
 
@@ -82,10 +82,10 @@
     refused: bool,
 }
 
-fn item(entry: Listing) -> Item {
+fn item(entry: Listing) -> ListEntry {
     let text = Kept::from(&entry).text();
     let gone = entry.life() == Life::Gone;
-    Item { name: entry.name.to_string(), destination: entry.group, text: text.into(), gone }
+    ListEntry { name: entry.name.to_string(), destination: entry.group, text: text.into(), removed: gone }
 }
 
 impl Hub {
@@ -123,10 +123,10 @@
         }
     }
 
-    fn put(&mut self, offer: Offer, items: Vec<Item>) {
+    fn put(&mut self, offer: Offer, items: Vec<ListEntry>) {
         let before = self.store.version();
-        match self.store.put(&offer, items) {
-            Verdict::Take => {
+        match self.store.apply(&offer, items) {
+            Verdict::Apply => {
                 let now = self.clock.now();
                 if before != Some(offer.version) {
                     self.taken_at = now;
@@ -139,13 +139,13 @@
                 self.lines.clear();
                 self.step.send_replace(self.store.step());
             }
-            Verdict::AskWhole => self.heard.wants_whole = true,
+            Verdict::RequestSnapshot => self.heard.wants_whole = true,
             // One line for as long as it lasts.
-            Verdict::Pass => self.refuse(format!(
+            Verdict::Ignore => self.refuse(format!(
                 "the source tells {:?}, from before {before:?}; if it counts anew, raise epoch",
                 offer.version
             )),
-            Verdict::TurnDown(faults) => {
+            Verdict::Reject(faults) => {
                 let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
                 self.refuse(format!("a list is turned down: {}", faults.join("; ")));
             }
@@ -220,7 +220,7 @@
 
     /// The whole list, or these partitions of it. `None`: nothing is held.
     pub fn whole(&mut self, of: Option<&HashSet<u32>>) -> Option<(Vec<Bytes>, u64)> {
-        let Whole { version, texts } = self.store.whole()?;
+        let Snapshot { version, texts } = self.store.snapshot()?;
         let mut pieces = Vec::with_capacity(texts.len() + 2);
         pieces.push(self.head(version, true, of, None).into());
         let asked = |p: usize| of.is_none_or(|of| of.contains(&(p as u32)));
@@ -244,7 +244,7 @@
         let Version { epoch, index } = version;
         let mut head = format!("{{\"index\":{index},\"snapshot\":{snapshot},");
         if let Some(of) = of {
-            let parts = self.store.parts();
+            let parts = self.store.partitions();
             let _ = write!(head, "\"epoch\":{epoch},\"partitions\":{},\"parts\":[", parts.len());
             let mut of: Vec<u32> = of.iter().copied().collect();
             of.sort_unstable();
@@ -272,7 +272,7 @@
     /// What comes for one who has been told up to `step`, when `index` was held; `first`: on this watch.
     pub fn next(&mut self, step: Option<u64>, index: u64, first: bool, of: Option<&HashSet<u32>>) -> Next {
         let Some(version) = self.store.version() else { return Next::Nothing };
-        let fold = step.and_then(|step| Some((step, self.store.since(step, of)?)));
+        let fold = step.and_then(|step| Some((step, self.store.changes_since(step, of)?)));
         let Some((step, fold)) = fold else {
             return self.whole(of).map_or(Next::Nothing, |(pieces, index)| Next::Whole(pieces, index));
         };
@@ -318,7 +318,7 @@
     }
 
     fn count_with(&self, changes: &Update) -> usize {
-        self.store.entries() + changes.added(|name| self.store.has(name))
+        self.store.entries() + changes.added(|name| self.store.contains(name))
     }
 
     /// Nothing begins here.
--- a/crates/courier/src/relay/serve.rs
+++ b/crates/courier/src/relay/serve.rs
@@ -232,7 +232,7 @@
 
 fn list(hub: &Shared, watches: &Rc<RefCell<JoinSet<()>>>, from: IpAddr, query: &str) -> Reply {
     let mut held = hub.borrow_mut();
-    let count = held.store.parts().len() as u32;
+    let count = held.store.partitions().len() as u32;
     let of = match word(query, "partition").map(|text| partitions(text, count)).transpose() {
         Ok(of) => of,
         Err(words) => return plain(StatusCode::BAD_REQUEST, words),
@@ -252,8 +252,8 @@
         while watches.try_join_next().is_some() {}
         // Who says what it holds is told only what has changed since, or else all of it.
         let position = match content_hash(query) {
-            Some(hash) => held.store.position_of(after, hash),
-            None => held.store.position(after),
+            Some(hash) => held.store.step_at_content(after, hash),
+            None => held.store.step_at_index(after),
         };
         let open = Open { hub: hub.clone(), id };
         watches.spawn_local(watch(open, (after, position), of, lines));
--- a/crates/courier/src/relay/status.rs
+++ b/crates/courier/src/relay/status.rs
@@ -79,7 +79,7 @@
             held: hub.held(),
             entries: hub.store.entries(),
             bytes: hub.store.bytes(),
-            partitions: hub.store.parts().len(),
+            partitions: hub.store.partitions().len(),
             connections: hub.connections,
             followers: followers.collect(),
             watches: watches.collect(),
--- a/crates/courier/src/relays.rs
+++ b/crates/courier/src/relays.rs
@@ -14,7 +14,7 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::{Request, StatusCode};
 use meadowhold::interface::Life;
-use meadowhold_catalog::choice::{order, Choice, Effect, Input};
+use meadowhold_catalog::choice::{rank_relays, Choice, Effect, Input};
 use meadowhold_catalog::content::{Content, ContentHash};
 use meadowhold_catalog::versions::{Offer, Verdict, Version, Versions};
 use serde::{Deserialize, Serialize};
@@ -126,13 +126,13 @@
 impl<L: Listener> Listener for Guard<L> {
     fn listed(&mut self, list: &Update) {
         let offer = self.heard.offer(list);
-        match self.versions.put(&offer, Vec::new()) {
-            Verdict::Take => {
+        match self.versions.apply(&offer, Vec::new()) {
+            Verdict::Apply => {
                 self.note_content(list);
                 self.inner.borrow_mut().listed(list);
             }
-            Verdict::AskWhole => self.heard.wants_whole = true,
-            Verdict::Pass | Verdict::TurnDown(_) => {
+            Verdict::RequestSnapshot => self.heard.wants_whole = true,
+            Verdict::Ignore | Verdict::Reject(_) => {
                 let version = offer.version;
                 log::debug!("a relay's list {version:?} is from before {:?}", self.versions.held());
             }
@@ -273,7 +273,7 @@
         };
         let version = Version { epoch: held.epoch, index: held.index };
         self.kept = Some((relay, connection));
-        (Input::Said(version), Some(held))
+        (Input::Answered(version), Some(held))
     }
 
     /// Follows the list at a relay that has said what it holds, from the held content if that can be checked there.
@@ -326,15 +326,16 @@
             self.asking = None;
         }
         let before = self.choice.followed();
-        let is_unanswered = matches!(input, Input::Due | Input::Failed) && self.choice.is_checked();
-        let input = if is_unanswered && self.last_heard.is_recent(now) { Input::Unanswered } else { input };
-        let effect = self.choice.put(now, input, held, self.chance.f64());
+        let is_unanswered = matches!(input, Input::Due | Input::Failed) && self.choice.is_checking();
+        let input =
+            if is_unanswered && self.last_heard.is_recent(now) { Input::FailedButAlive } else { input };
+        let effect = self.choice.handle(now, input, held, self.chance.f64());
         let followed = self.choice.followed();
         if let (Some(relay), None) = (before, followed) {
             log::warn!("relay {} is lost or behind: another is asked", self.relays[relay]);
         }
         match (effect, said) {
-            (Effect::Ask(relay), _) => self.ask(relay),
+            (Effect::Query(relay), _) => self.ask(relay),
             (Effect::Follow(relay), Some(said)) if !self.is_heard_from(relay, said.epoch) => {
                 log::info!("the list is followed at relay {}", self.relays[relay]);
                 return self.move_to(relay, &said);
@@ -364,7 +365,7 @@
     // Guards against couriers of one seed that would all draw the same.
     let seed = seed ^ u64::from(crc32fast::hash(name.as_bytes()));
     let by_address: Vec<(String, f64)> = relays.iter().map(|relay| (relay.to_string(), 1.0)).collect();
-    let choice = Choice::new(order(&name, &by_address), clock.now());
+    let choice = Choice::new(rank_relays(&name, &by_address), clock.now());
     let mut feeder = Feeder {
         holder: holder.clone(),
         clock,
--- a/crates/courier/tests/relay.rs
+++ b/crates/courier/tests/relay.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use common::{command, output, own_address, serve, until, until_for, Courier, Endpoint, Folder, Platform};
-use meadowhold_catalog::choice::order;
+use meadowhold_catalog::choice::rank_relays;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
 
@@ -385,7 +385,7 @@
     // The one with the most followers, as the rendezvous has it.
     let addresses: Vec<(String, f64)> = relays.iter().map(|relay| (relay.address.to_string(), 1.0)).collect();
     let own = |relay: usize| -> Vec<&str> {
-        names.into_iter().filter(|name| order(name, &addresses)[0] == relay).collect()
+        names.into_iter().filter(|name| rank_relays(name, &addresses)[0] == relay).collect()
     };
     let lost = (0..3).max_by_key(|&relay| own(relay).len()).unwrap();
     let orphans = own(lost);
