--- a/crates/catalog/src/choice.rs
+++ b/crates/catalog/src/choice.rs
@@ -1,31 +1,34 @@
-//! Which relay a follower uses, when it leaves one that has fallen silent, and when it goes back. The order
-//! is that of a weighted rendezvous, so who loses a relay goes to a second choice of its own, and a relay
-//! more or less moves its own followers alone. Time and chance are handed in; one ask is out at a time.
+//! Chooses the relay that a follower uses: when to leave one that has become silent, and when to return. Relays
+//! are ranked by weighted rendezvous hashing, so the followers of a lost relay spread over all others, and adding
+//! or removing a relay moves only its own followers. Time and random numbers are passed in; at most one query is
+//! in flight.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::versions::Version;
 use crate::{Time, SECOND};
 
-/// A relay that is followed is asked so often what it holds, less up to a quarter by chance.
+/// Interval at which the followed relay is asked which version it holds; up to a quarter shorter at random.
 pub const CHECK_INTERVAL: Time = SECOND;
-/// An ask that is not answered by then has failed.
+/// A query that is not answered within this time has failed.
 pub const ANSWER_TIMEOUT: Time = 8 * SECOND / 10;
-/// Who has lost its relay asks the next within this, by chance. Guards against all of them at one moment.
+/// Maximum random delay before a follower that has lost its relay queries the next one, so that not all its
+/// followers do so at once.
 pub const FAILOVER_JITTER: Time = 4 * SECOND / 10;
-/// Where all have failed: the pause before the next round, which doubles, and the most of it.
+/// Pause after a round in which all relays have failed: the initial one, which doubles with each round, and the
+/// maximum.
 const ROUND_PAUSE: (Time, Time) = (SECOND / 5, 2 * SECOND);
-/// A better choice is tried after the first of these and up to the sum of both, by chance.
+/// Time until another relay is queried for comparison: the fixed part, and the maximum random addition.
 pub const RETURN_DELAY: (Time, Time) = (5 * SECOND, 25 * SECOND);
-/// A relay that stays behind what is held for so long is left for one that does not.
+/// A relay that lags for this long behind the version held here or known from another relay is left.
 const MAX_LAG: Time = 3 * SECOND;
 
-/// The relays in the order in which this follower prefers them, as indexes. `relays`: address and weight; one
-/// of no weight comes last.
+/// Ranks the relays for this follower by weighted rendezvous hashing; returns their indexes, the preferred one
+/// first. `relays` holds addresses and weights; a relay of weight 0 comes last.
 pub fn rank_relays(follower: &str, relays: &[(String, f64)]) -> Vec<usize> {
     let seed = xxh3_64_with_seed(follower.as_bytes(), 0);
     let score = |(address, weight): &(String, f64)| {
-        // Evenly spread over (0, 1].
+        // Uniform in (0, 1].
         let uniform = ((xxh3_64_with_seed(address.as_bytes(), seed) >> 11) + 1) as f64 / (1_u64 << 53) as f64;
         -uniform.ln() / weight.max(f64::MIN_POSITIVE)
     };
@@ -35,40 +38,40 @@
     scored.into_iter().map(|(_, _, i)| i).collect()
 }
 
-/// Ranks count in this follower's order, from 0.
+/// Relays are given by their rank for this follower, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// None is followed; this one is asked next.
+    /// No relay is followed; this one is queried next.
     Idle(usize),
-    /// None is followed, this one has been asked.
+    /// No relay is followed; this one has been queried.
     Querying(usize),
-    /// This one is followed.
+    /// This relay is followed.
     Following(usize),
-    /// It is followed, and has been asked.
+    /// This relay is followed and has been queried.
     Checking(usize),
-    /// The first is followed, the second has been asked: it would be better, or holds what the first does
-    /// not.
+    /// The first relay is followed and the second has been queried: it may rank higher, or hold a newer version.
     Comparing(usize, usize),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// The time that `due` named has come.
+    /// The time given by `due` has come.
     Due,
-    /// The one that was asked holds this.
+    /// The queried relay holds this version.
     Answered(Version),
-    /// It was refused, broke off, or holds nothing.
+    /// The query was refused or broke off, or the relay holds no list.
     Failed,
-    /// `Due` or `Failed` of the relay that is followed, while its list or watch is heard: it lives.
+    /// Instead of `Due` or `Failed`: the followed relay did not answer the query, but data of its list still
+    /// arrives, so it is alive.
     FailedButAlive,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Nothing,
-    /// Ask this relay what it holds; an ask that is out is given up.
+    /// Ask this relay which version it holds, and drop any query in flight. The relay is given by its index.
     Query(usize),
-    /// Follow this relay's list from here on, by its index among those given.
+    /// Follow the list of the relay with this index from now on.
     Follow(usize),
 }
 
@@ -76,24 +79,25 @@
     order: Vec<usize>,
     state: State,
     due_at: Time,
-    /// Ranks that are left of this round.
+    /// Ranks still to be queried in this round.
     remaining: Vec<usize>,
     rounds: u32,
-    /// Of those asked in this round and behind what is held, the one that is least so.
+    /// Of the relays found behind the held version in this round, the least behind one, with its version.
     least_behind: Option<(Version, usize)>,
-    /// It is taken though it is behind: none is better.
+    /// The relay queried next is followed even if it is behind, since the round found no better one.
     accept_behind: bool,
-    /// When a better choice is tried, and which.
+    /// When another relay is queried for comparison.
     compare_at: Time,
+    /// Counter that selects the next relay for comparison.
     candidate: usize,
     behind_since: Option<Time>,
-    /// The newest version that another relay said it holds, and since when. Guards against one that answers
-    /// on and has no news any more.
+    /// A version newer than the held one that another relay holds, and since when it is known. Detects a followed
+    /// relay that still answers but gets no changes any more.
     newer_elsewhere: Option<(Version, Time)>,
 }
 
 impl Choice {
-    /// `order`: as `order` gives it, not empty.
+    /// `order` is the result of `rank_relays`; it must not be empty.
     pub fn new(order: Vec<usize>, now: Time) -> Choice {
         debug_assert!(!order.is_empty());
         let remaining = (1..order.len()).collect();
@@ -112,7 +116,7 @@
         }
     }
 
-    /// When `Input::Due` is to be given, unless something comes first.
+    /// When to call `handle` with `Input::Due`, unless another input comes first.
     pub fn due(&self) -> Time {
         self.due_at
     }
@@ -121,12 +125,12 @@
         self.state
     }
 
-    /// The relay that is followed is the one that was asked.
+    /// Whether the query in flight is to the followed relay.
     pub fn is_checking(&self) -> bool {
         matches!(self.state, State::Checking(_))
     }
 
-    /// The relay that is followed, by its index among those given.
+    /// The index of the followed relay.
     pub fn followed(&self) -> Option<usize> {
         match self.state {
             State::Idle(_) | State::Querying(_) => None,
@@ -134,7 +138,7 @@
         }
     }
 
-    /// `held`: the version that the follower holds; `random` is evenly spread from 0 to 1.
+    /// `held` is the version that the follower holds; `random` is uniform in 0..1.
     pub fn handle(&mut self, now: Time, input: Input, held: Option<Version>, random: f64) -> Effect {
         use Input::{Answered, Due, Failed, FailedButAlive};
         use State::{Checking, Comparing, Following, Idle, Querying};
@@ -142,7 +146,7 @@
             return Effect::Nothing;
         }
         let is_behind = |version: Version| held.is_some_and(|held| version < held);
-        // The table: state, input, next state, effect.
+        // Transitions by state and input.
         match (self.state, input) {
             (Idle(r), Due) => {
                 (self.state, self.due_at) = (Querying(r), now + ANSWER_TIMEOUT);
@@ -164,7 +168,7 @@
                 Effect::Nothing
             }
             (Following(r), Due) if self.order.len() > 1 && now >= self.compare_at => {
-                // One that would be better; where none is, any other.
+                // A relay that ranks higher; if there is none, any other.
                 let other =
                     if r > 0 { self.candidate % r } else { 1 + self.candidate % (self.order.len() - 1) };
                 self.candidate = self.candidate.wrapping_add(1);
@@ -201,12 +205,12 @@
                 (self.state, self.due_at, self.compare_at) = (Following(r), now, compare_time(now, random));
                 Effect::Nothing
             }
-            // Of an ask that was given up.
+            // The answer to a query that was dropped.
             (Idle(_) | Following(_), Answered(_) | Failed | FailedButAlive) => Effect::Nothing,
         }
     }
 
-    /// The relay that is followed lives: it is kept, unless it has lacked for `MAX_LAG` what is known elsewhere.
+    /// Keeps the followed relay, which is alive, unless it has lagged for `MAX_LAG`.
     fn keep_unless_behind(&mut self, rank: usize, now: Time, random: f64) {
         let since = self.behind_since.or(self.newer_elsewhere.map(|(_, since)| since));
         if since.is_some_and(|since| now >= since + MAX_LAG) && self.order.len() > 1 {
@@ -223,7 +227,7 @@
         (self.behind_since, self.newer_elsewhere) = (None, None);
     }
 
-    /// The others come first, and then this one.
+    /// Starts a round in which all other relays are queried first, and this one last.
     fn leave(&mut self, rank: usize, now: Time, random: f64) {
         self.remaining = (0..self.order.len()).filter(|&other| other != rank).chain([rank]).collect();
         (self.least_behind, self.accept_behind, self.rounds) = (None, false, 0);
@@ -236,8 +240,8 @@
             (self.state, self.due_at) = (State::Idle(self.remaining.remove(0)), now);
             return;
         }
-        // Guards against a follower without a relay where each is a little behind the one that was lost: what
-        // it holds stays until the relay has caught up.
+        // All relays may be slightly behind the lost one. Follow the least behind one rather than none: the held
+        // version stays until the relay has caught up.
         if let Some((_, best)) = self.least_behind.take().filter(|_| !self.accept_behind) {
             (self.state, self.due_at, self.accept_behind) = (State::Idle(best), now, true);
             return;
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -1,6 +1,6 @@
-//! The list in force at many followers: versions that never go back (`versions`), the list in partitions with
-//! what changed lately (`store`), and which relay a follower uses (`choice`). No I/O, no clock, no chance of
-//! its own.
+//! Distributes the endpoint list to many followers: versions that never go back (`versions`), content hashes
+//! (`content`), the partitioned list with its recent changes (`store`), and each follower's choice of a relay
+//! (`choice`). Pure logic: no I/O, no clock, no random numbers of its own.
 #![forbid(unsafe_code)]
 
 pub mod choice;
@@ -8,6 +8,6 @@
 pub mod store;
 pub mod versions;
 
-/// Tenths of a millisecond, counted from a moment that the caller chose.
+/// Ticks of 0.1 ms on the caller's clock.
 pub type Time = u64;
 pub const SECOND: Time = 10_000;
--- a/crates/catalog/src/store.rs
+++ b/crates/catalog/src/store.rs
@@ -1,6 +1,6 @@
-//! The list in partitions, each with its own version and content hash; each entry's text is held once. What
-//! changed lately is kept in a bounded window, so that whoever is behind is given the difference, folded, or
-//! the whole.
+//! The list in partitions, each with its own version and content hash. The text of each entry is held once. Recent
+//! changes are kept in a bounded window: a follower that is behind is sent one merged delta, or the snapshot if it
+//! is too far behind.
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::sync::Arc;
@@ -11,34 +11,34 @@
 use crate::content::entry_hash;
 use crate::versions::{self, EntrySummary, Fault, Offer, Verdict, Version, Versions};
 
-/// A destination's partition, the same in each process and release.
+/// The partition of a destination; must be the same in each process and release.
 pub fn partition(destination: u64, partitions: u32) -> u32 {
     (xxh3_64(&destination.to_le_bytes()) % u64::from(partitions.max(1))) as u32
 }
 
 pub const MAX_PARTITIONS: u32 = 4096;
 
-/// Differences that are kept for who asks next, of one version. Guards against one for each version that was
-/// ever held.
+/// Maximum number of deltas that are cached for the held version; otherwise there could be one from each earlier
+/// step.
 const MAX_DELTAS: usize = 16;
 
-/// What a store may hold at most.
+/// Capacity of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     pub entries: usize,
-    /// Bytes of entries' texts.
+    /// Total size of the entries' texts in bytes.
     pub bytes: usize,
-    /// Changes that are remembered: who is further behind is given the whole.
+    /// Number of changes kept; followers that are further behind are sent the snapshot.
     pub window: usize,
 }
 
-/// An entry, its text as it goes to followers.
+/// An entry, with its text as sent to followers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListEntry {
     pub name: String,
     pub destination: u64,
     pub text: Bytes,
-    /// It is listed no more.
+    /// The entry has been removed from the list.
     pub removed: bool,
 }
 
@@ -48,15 +48,15 @@
     text: Bytes,
 }
 
-/// One partition.
+/// The entries of the destinations that hash to one partition.
 #[derive(Clone, Debug, Default)]
 pub struct Partition {
-    /// That of the list at which it last changed, as far as is known: no earlier one than it is.
+    /// Version of the list at which this partition last changed, or a later one if that is not known.
     pub version: Version,
-    /// Of names and texts, in whatever order.
+    /// Content hash of its entries.
     pub hash: u64,
     entries: BTreeMap<String, StoredEntry>,
-    /// All its texts, a comma before each.
+    /// The texts of all entries, each preceded by a comma.
     text: Bytes,
 }
 
@@ -86,7 +86,7 @@
         true
     }
 
-    /// Puts its texts together, and has each entry's be a piece of the whole: so it is held once.
+    /// Concatenates the texts, and makes each entry's text a slice of the result, so that it is held once.
     fn rebuild_text(&mut self) {
         let length = self.entries.values().map(|stored| stored.text.len() + 1).sum();
         let mut all = BytesMut::with_capacity(length);
@@ -109,7 +109,7 @@
     }
 }
 
-/// One entry that changed; the text of one that is gone, of the others the partition's counts.
+/// A changed entry. `tombstone` is set if it was removed; otherwise its text is in the partition.
 #[derive(Clone, Debug)]
 struct Change {
     step: u64,
@@ -118,26 +118,26 @@
     tombstone: Option<Bytes>,
 }
 
-/// What someone who is behind is given: `entries` texts, commas between them.
+/// The merged changes for a follower that is behind: the texts of `entries` entries, separated by commas.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Delta {
     pub entries: usize,
     pub text: Bytes,
 }
 
-/// The whole list of one version, in pieces that are shared with the store and with other versions.
+/// The complete list of one version, in pieces shared with the store and with other snapshots.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
     pub version: Version,
     pub texts: Arc<[Bytes]>,
 }
 
-/// What was held after one step.
+/// The state after one step.
 #[derive(Clone, Copy, Debug)]
 struct Step {
     step: u64,
     index: u64,
-    /// Of all content.
+    /// Content hash of the whole list.
     hash: u64,
 }
 
@@ -145,22 +145,23 @@
     bounds: Bounds,
     versions: Versions,
     partitions: Vec<Partition>,
-    /// Where each name is.
+    /// The partition of each entry, by name.
     partition_by_name: HashMap<String, u32>,
     bytes: usize,
-    /// Counts what was taken: two pieces of one version are two steps.
+    /// Number of offers applied: two pieces of one version are two steps.
     step: u64,
     changes: VecDeque<Change>,
-    /// The steps of this epoch, as far back as changes are known; one index has several where it came in pieces.
+    /// The steps of this epoch for which all later changes are known. An index has several if it came in pieces.
     steps: VecDeque<Step>,
-    /// Indexes up to this were held under an older epoch too: whoever names one may mean another list.
+    /// Indexes up to this one were also held in an older epoch, so a follower that names one may hold other
+    /// content.
     ambiguous_up_to: u64,
     snapshot: Option<Snapshot>,
     deltas: HashMap<u64, Delta>,
 }
 
 impl Store {
-    /// `partitions` is 1 to `MAX_PARTITIONS`, and stays as it is.
+    /// `partitions` must be 1 to `MAX_PARTITIONS`.
     pub fn new(partitions: u32, bounds: Bounds) -> Store {
         debug_assert!((1..=MAX_PARTITIONS).contains(&partitions));
         Store {
@@ -202,7 +203,7 @@
         &self.partitions
     }
 
-    /// A hash of all that is held.
+    /// Content hash of the whole list.
     pub fn hash(&self) -> u64 {
         self.partitions.iter().fold(0, |sum, partition| sum.wrapping_add(partition.hash))
     }
@@ -212,20 +213,22 @@
         let length = |item: &ListEntry| if item.removed { 0 } else { item.text.len() };
         let summaries = items.iter().map(|item| EntrySummary { name: &item.name, length: length(item) });
         let mut faults = versions::validate(offer, summaries, entries, bytes);
-        // With changes it is what is held and what comes that must find room.
+        // Changes must fit together with the entries held.
         if offer.after.is_some() {
             let new = |item: &&ListEntry| !item.removed && !self.partition_by_name.contains_key(&item.name);
             let (count, length) =
                 items.iter().filter(new).fold((0, 0), |(n, l), i| (n + 1, l + i.text.len()));
             if self.entries() + count > entries || self.bytes + length > bytes {
-                faults
-                    .push(Fault { path: "endpoints".to_string(), problem: "find no room with what is held" });
+                faults.push(Fault {
+                    path: "endpoints".to_string(),
+                    problem: "exceed the limits together with those held",
+                });
             }
         }
         faults
     }
 
-    /// Takes an offer up whole, or nothing of it.
+    /// Applies an offer completely or not at all.
     pub fn apply(&mut self, offer: &Offer, items: Vec<ListEntry>) -> Verdict {
         let before = self.version();
         let faults = self.validate(offer, &items);
@@ -248,7 +251,7 @@
             self.change_entry(&name, item, &mut touched);
         }
         if touched.is_empty() && before == Some(offer.version) {
-            // The same once more: nobody is to be told.
+            // The same again: followers have nothing to receive.
             self.step -= 1;
             return Verdict::Apply;
         }
@@ -262,7 +265,7 @@
             self.ambiguous_up_to = self.ambiguous_up_to.max(before.index);
         }
         if is_new_epoch {
-            // Nobody under an older epoch, and nobody from before the first list, can be given a difference.
+            // No delta can be based on an older epoch, or on the time before the first list.
             self.changes.clear();
             self.steps.clear();
         }
@@ -276,13 +279,13 @@
         Verdict::Apply
     }
 
-    /// One entry; `None`: a whole list does not name it any more.
+    /// Applies one entry; `None`: it is missing from a snapshot and thus removed.
     fn change_entry(&mut self, name: &str, item: Option<ListEntry>, touched: &mut HashSet<u32>) {
         let count = self.partitions.len() as u32;
         let old = self.partition_by_name.get(name).copied();
         let new = item.as_ref().filter(|item| !item.removed).map(|item| partition(item.destination, count));
         let removal = item.as_ref().filter(|item| item.removed).map(|item| item.text.clone());
-        // An entry that has moved to another destination is taken out where it was.
+        // An entry that has moved to another destination is removed from its old partition.
         if let Some(old) = old.filter(|&old| new != Some(old)) {
             let partition = &mut self.partitions[old as usize];
             if let Some(stored) = partition.entries.remove(name) {
@@ -307,11 +310,11 @@
         }
     }
 
-    /// Keeps the window within its bound.
+    /// Drops the oldest changes and steps beyond the window.
     fn trim_history(&mut self) {
         while self.changes.len() > self.bounds.window {
             let Some(oldest) = self.changes.pop_front() else { return };
-            // Positions before it have lost a change.
+            // The steps before it lack a change now.
             while self.steps.front().is_some_and(|held| held.step < oldest.step) {
                 self.steps.pop_front();
             }
@@ -321,25 +324,25 @@
         }
     }
 
-    /// The step from which one who holds this index is to be told what changed; `None`: the whole, since that
-    /// is too long ago, or never was here.
+    /// The step on which to base a delta for a follower that holds this index. `None`: it needs the snapshot, as
+    /// the index is too old or was never held here.
     pub fn step_at_index(&self, index: u64) -> Option<u64> {
         let held = self.version()?;
         if index > held.index || index <= self.ambiguous_up_to {
             return None;
         }
-        // This very one: guards against a difference from another version, in which what had changed and is
-        // as it was would be missing.
+        // Exactly this index: a delta from a neighbouring one could lack entries that changed and changed back.
         self.steps.iter().find(|held| held.index == index).map(|held| held.step)
     }
 
-    /// The same for one who says which content it holds under this index: the step after which just that was held
-    /// here. `None`: the whole, since a difference from other content would leave something out.
+    /// Like `step_at_index` for a follower that also names the content hash it holds: the step after which exactly
+    /// that content was held here. `None`: it needs the snapshot, as a delta from other content would be incomplete.
     pub fn step_at_content(&self, index: u64, hash: u64) -> Option<u64> {
         self.steps.iter().rev().find(|held| held.index == index && held.hash == hash).map(|held| held.step)
     }
 
-    /// What changed after a step, each entry once as it is now, of these partitions (`None`: all).
+    /// The changes after a step in these partitions (`None`: all), each entry once in its current state. `None` if
+    /// changes since the step have been dropped.
     pub fn changes_since(&mut self, step: u64, of: Option<&HashSet<u32>>) -> Option<Delta> {
         let first = self.steps.front()?.step;
         if step < first {
@@ -353,7 +356,7 @@
         let (mut seen, mut text, mut entries) = (HashSet::new(), BytesMut::new(), 0);
         for change in self.changes.iter().rev().take_while(|change| change.step > step) {
             let asked = of.is_none_or(|of| of.contains(&change.partition));
-            // With partitions, one that left an asked one for another is told as gone from there.
+            // An entry that moved from a requested partition to another one is sent as removed.
             if !asked || !seen.insert(change.name.as_str()) {
                 continue;
             }
@@ -372,7 +375,7 @@
         Some(delta)
     }
 
-    /// The whole list, put together once a version.
+    /// The complete list; built once per step.
     pub fn snapshot(&mut self) -> Option<Snapshot> {
         let version = self.version()?;
         let partitions = &self.partitions;
@@ -394,7 +397,7 @@
     }
 }
 
-/// Tells that an entry is listed no more; a name is text of JSON here.
+/// The JSON text of a removed entry; escapes the name.
 fn tombstone_text(name: &str) -> Bytes {
     let mut text = String::with_capacity(name.len() + 48);
     text.push_str("{\"name\":\"");
--- a/crates/catalog/src/versions.rs
+++ b/crates/catalog/src/versions.rs
@@ -1,40 +1,40 @@
-//! What is held of the list, and what becomes of what is offered. Never back: no version older than one that
-//! was held is taken. A source that counts anew says so by a newer epoch, under which any index is newer.
+//! Versions of the list, and the decision whether an offered version is applied. Versions never go back: none
+//! older than the held one is applied. A source that restarts its numbering announces a newer epoch, in which any
+//! index is newer.
 
 use std::collections::HashSet;
 use std::fmt;
 
-/// Older epochs are older whatever their index.
+/// Ordered by epoch first, then by index.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Version {
     pub epoch: u64,
     pub index: u64,
 }
 
-/// Another state of the list, whole, or what changed since one.
+/// An offered state of the list: a snapshot, or the changes since an earlier index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Offer {
     pub version: Version,
-    /// `None`: it is whole. Else the index of the same epoch from which on it brings who holds that to
-    /// `version`.
+    /// `None`: a snapshot. Otherwise the index, in the same epoch, on which the changes are based.
     pub after: Option<u64>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     Apply,
-    /// It is from before what is held.
+    /// It is older than the held version, or brings nothing new.
     Ignore,
-    /// What came between is not known.
+    /// Changes are missing in between: a snapshot is needed.
     RequestSnapshot,
-    /// It cannot be a list; nothing of it is taken.
+    /// It is invalid, and nothing of it is applied.
     Reject(Vec<Fault>),
 }
 
-/// One thing wrong with what was offered, with its place.
+/// One fault of an offer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// Such as `endpoints[3].name`.
+    /// Path in the offer, such as `endpoints[3].name`.
     pub path: String,
     pub problem: &'static str,
 }
@@ -45,20 +45,20 @@
     }
 }
 
-/// What is looked at of an entry that is offered.
+/// The properties of an offered entry that are validated.
 #[derive(Clone, Copy, Debug)]
 pub struct EntrySummary<'a> {
     pub name: &'a str,
-    /// Bytes of its text.
+    /// Length of its text in bytes.
     pub length: usize,
 }
 
-/// Guards against a list of nothing but faults.
+/// Maximum number of reported faults, for lists that consist of faults only.
 pub const MAX_FAULTS: usize = 32;
 pub const MAX_NAME_LENGTH: usize = 1024;
 
-/// Every fault of an offer, up to `MAX_FAULTS`. `entries` and `bytes` are the most that may be held. A name
-/// that comes twice is one only in a whole list: among changes the later one counts.
+/// Returns the faults of an offer, up to `MAX_FAULTS`. A duplicate name is a fault only in a snapshot: among changes
+/// the later entry counts.
 pub fn validate<'a>(
     offer: &Offer,
     entries_offered: impl IntoIterator<Item = EntrySummary<'a>>,
@@ -67,11 +67,13 @@
 ) -> Vec<Fault> {
     let (mut faults, mut names, mut count, mut total) = (Vec::new(), HashSet::new(), 0_usize, 0_usize);
     if offer.version.index == 0 {
-        faults.push(Fault { path: "index".to_string(), problem: "is 0, which is no version" });
+        faults.push(Fault { path: "index".to_string(), problem: "must not be 0" });
     }
     if offer.after.is_some_and(|after| after > offer.version.index) {
-        faults
-            .push(Fault { path: "index".to_string(), problem: "is lower than what the changes come after" });
+        faults.push(Fault {
+            path: "index".to_string(),
+            problem: "is lower than the index on which the changes are based",
+        });
     }
     for (i, entry) in entries_offered.into_iter().enumerate() {
         (count, total) = (count + 1, total + entry.length);
@@ -80,7 +82,7 @@
         } else if entry.name.len() > MAX_NAME_LENGTH {
             "is too long"
         } else if !names.insert(entry.name) && offer.after.is_none() {
-            "is there twice"
+            "is a duplicate"
         } else {
             continue;
         };
@@ -92,13 +94,13 @@
         faults.insert(0, Fault { path: "endpoints".to_string(), problem: "are too many" });
     }
     if total > max_bytes {
-        faults.insert(0, Fault { path: "endpoints".to_string(), problem: "are too long" });
+        faults.insert(0, Fault { path: "endpoints".to_string(), problem: "are too large in total" });
     }
     faults.truncate(MAX_FAULTS);
     faults
 }
 
-/// The version that is held.
+/// The held version, and the rules by which it changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Versions {
     held: Option<Version>,
@@ -113,34 +115,33 @@
         self.held
     }
 
-    /// What becomes of an offer in which no fault was found, or some.
+    /// Decides on an offer with these faults.
     pub fn judge(&self, offer: &Offer, faults: Vec<Fault>) -> Verdict {
         if !faults.is_empty() {
             return Verdict::Reject(faults);
         }
         let Version { epoch, index } = offer.version;
-        // The table: held, whole or after which, verdict.
+        // Verdicts by held version and kind of offer.
         match (self.held, offer.after) {
             (None, None) => Verdict::Apply,
             (None, Some(_)) => Verdict::RequestSnapshot,
             (Some(held), _) if offer.version < held => Verdict::Ignore,
-            // The same version once more too: a source may tell one in several pieces, and mend it by the
-            // whole.
+            // Also the same version again: a source may send one in several pieces, and correct it by a snapshot.
             (Some(_), None) => Verdict::Apply,
             (Some(held), Some(_)) if epoch > held.epoch => Verdict::RequestSnapshot,
             (Some(held), Some(after)) if after == held.index => {
                 debug_assert!(epoch == held.epoch && index >= held.index);
                 Verdict::Apply
             }
-            // Who tells has come to what is held.
+            // The changes lead to the version that is already held.
             (Some(held), Some(_)) if index == held.index => Verdict::Ignore,
-            // Guards against changes from an earlier version on, of one that never saw what is held: what had
-            // changed between and is as it was is not among them.
+            // The changes may be based on an earlier version by a sender that never had the held one: they would
+            // lack what changed up to the held version and then changed back.
             (Some(_), Some(_)) => Verdict::RequestSnapshot,
         }
     }
 
-    /// Judges, and holds what is taken.
+    /// Decides on an offer, and records its version if it is to be applied.
     pub fn apply(&mut self, offer: &Offer, faults: Vec<Fault>) -> Verdict {
         let verdict = self.judge(offer, faults);
         if verdict == Verdict::Apply {
--- a/crates/catalog/tests/choice.rs
+++ b/crates/catalog/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Which relay a follower uses: the table, the spread of those who lose one, and seeded storms over many
+//! Tests of the relay choice: transitions, the spread of followers over relays, and seeded simulations of many
 //! followers.
 
 use std::collections::HashMap;
@@ -35,7 +35,7 @@
             (false, _) => others += 1,
         }
     }
-    // A sixth of 1,300 is 217; six deviations.
+    // Expected: a sixth of 1,300 = 217, within six standard deviations.
     assert!(others == 0 && (136..=298).contains(&moved), "{moved} {others}");
 }
 
@@ -51,7 +51,7 @@
     }
     for first in 0..5 {
         let seconds: Vec<i32> = (0..5).filter_map(|second| counts.get(&(first, second)).copied()).collect();
-        // 260 to each, of whom 65 go to each other one: six deviations.
+        // Expected: 260 for each relay, 65 of them with each other relay as second; within six standard deviations.
         let all: i32 = seconds.iter().sum();
         assert!((174..=346).contains(&all) && seconds.len() == 4, "{seconds:?}");
         assert!(seconds.iter().all(|count| (20..=112).contains(count)), "{seconds:?}");
@@ -59,11 +59,11 @@
     five[2].1 = 3.0;
     let thirds =
         (0..1300).filter(|follower| rank_relays(&format!("courier-{follower}"), &five)[0] == 2).count();
-    // Three of seven: 557.
+    // Expected: 3/7 of 1,300 = 557.
     assert!((450..=664).contains(&thirds), "{thirds}");
 }
 
-/// One follower and its table, an input at a time.
+/// Drives the choice of one follower, an input at a time.
 struct TestFollower {
     choice: Choice,
     now: Time,
@@ -91,7 +91,7 @@
     assert_eq!(one.due(), Effect::Query(0));
     assert_eq!(one.handle(Input::Answered(at(10))), Effect::Follow(0));
     one.held = Some(at(10));
-    // Asked again and again, and silent in the end: the next one is asked, after a pause by chance.
+    // The relay is checked regularly and finally times out: the next one is queried after a random delay.
     assert_eq!(one.due(), Effect::Query(0));
     assert_eq!(one.handle(Input::Answered(at(11))), Effect::Nothing);
     assert_eq!(one.choice.state(), State::Following(0));
@@ -101,7 +101,7 @@
     assert_eq!((one.choice.state(), one.now), (State::Idle(1), asked + ANSWER_TIMEOUT));
     assert_eq!(one.due(), Effect::Query(1));
     assert_eq!(one.now, asked + ANSWER_TIMEOUT + FAILOVER_JITTER / 2);
-    // It is behind: another first, and the least behind of all where none is as far.
+    // A relay that is behind is passed over; if all are behind, the least behind one is followed.
     assert_eq!(one.handle(Input::Answered(at(8))), Effect::Nothing);
     assert_eq!(one.due(), Effect::Query(2));
     assert_eq!(one.handle(Input::Answered(at(9))), Effect::Nothing);
@@ -110,7 +110,7 @@
     assert_eq!(one.due(), Effect::Query(2));
     assert_eq!(one.handle(Input::Answered(at(9))), Effect::Follow(2));
     assert_eq!(one.choice.followed(), Some(2));
-    // It stays behind: left after seconds, unless it catches up.
+    // It is left after `MAX_LAG` if it does not catch up.
     assert_eq!(one.due(), Effect::Query(2));
     assert_eq!(one.handle(Input::Answered(at(10))), Effect::Nothing);
     for _ in 0..3 {
@@ -122,7 +122,7 @@
     assert_eq!(one.choice.handle(one.now, Input::Due, one.held, 0.5), Effect::Query(2));
     assert_eq!(one.handle(Input::Answered(at(9))), Effect::Nothing);
     assert_eq!(one.choice.state(), State::Idle(0));
-    // Nobody there at all: rounds further and further apart, and nothing is followed.
+    // If no relay answers, rounds repeat with growing pauses, and none is followed.
     let mut asks = Vec::new();
     for _ in 0..40 {
         if let Effect::Query(_) = one.due() {
@@ -132,7 +132,7 @@
         assert_eq!(one.choice.followed(), None);
     }
     assert!(asks.windows(2).all(|pair| pair[1] - pair[0] <= 2 * SECOND));
-    // An older epoch is behind, whatever its index.
+    // A relay with an older epoch is behind, whatever its index.
     let mut other = TestFollower::new(2);
     other.held = Some(Version { epoch: 2, index: 3 });
     assert_eq!(other.due(), Effect::Query(0));
@@ -153,7 +153,7 @@
         let effect = one.due();
         let input = match effect {
             Effect::Query(1) => Input::Answered(AT),
-            // The first try in vain: still followed meanwhile, and a new delay.
+            // The first query fails: the current relay stays followed, and a new delay begins.
             Effect::Query(0) if tries == 0 => Input::Failed,
             Effect::Query(0) => Input::Answered(AT),
             _ => continue,
@@ -178,7 +178,7 @@
             Effect::Query(0) => {
                 one.handle(Input::Answered(at(10)));
             }
-            // The others have news from half a minute on.
+            // The others have a newer version after 30 s.
             Effect::Query(relay) => {
                 looked.push((one.now, relay));
                 one.handle(Input::Answered(at(if one.now > 30 * SECOND { 11 } else { 10 })));
@@ -187,12 +187,12 @@
         }
         left = (one.choice.followed() != Some(0)).then_some(one.now);
     }
-    let left = left.expect("it is left");
+    let left = left.expect("the relay is left");
     assert!(looked.iter().any(|(_, relay)| *relay == 1) && looked.iter().any(|(_, relay)| *relay == 2));
     assert!(left < 30 * SECOND + RETURN_DELAY.0 + RETURN_DELAY.1 + 5 * SECOND, "{left}");
     assert_eq!(one.due(), Effect::Query(1));
     assert_eq!(one.handle(Input::Answered(Version { index: 11, ..AT })), Effect::Follow(1));
-    // A relay that is only a moment later than the others is kept.
+    // A relay that is only slightly later than the others is kept.
     let mut other = TestFollower::new(2);
     assert_eq!(other.due(), Effect::Query(0));
     assert_eq!(other.handle(Input::Answered(at(10))), Effect::Follow(0));
@@ -213,10 +213,10 @@
     }
 }
 
-/// Its choice, what it holds, and the relay that it has asked, with when that answers.
+/// A follower's choice, its held version, and the time and relay of the next answer.
 type Follower = (Choice, Option<Version>, Option<(Time, usize)>);
 
-/// Followers and relays in simulated time: which relay answers when, and how far each is.
+/// Followers and relays in simulated time.
 struct Simulation {
     followers: Vec<Follower>,
     rng: fastrand::Rng,
@@ -229,7 +229,8 @@
         Simulation { followers, rng: fastrand::Rng::with_seed(seed) }
     }
 
-    /// Runs for so long; `answer_of` is what a relay answers at a time, `None`: nothing, within patience.
+    /// Runs from `from` to `to`. `answer_of` gives the answer of a relay at a time; `None`: it does not answer.
+    /// Returns when which relay was followed.
     fn run(
         &mut self,
         from: Time,
@@ -275,7 +276,7 @@
         let first = simulation.run(0, 60 * SECOND, |_, _| Some(AT));
         assert_eq!(first.len(), 1300);
         let mine = first.iter().filter(|(_, relay)| *relay == 3).count();
-        // Relay 3 says nothing for a minute.
+        // Relay 3 is silent for a minute.
         let moves = simulation.run(60 * SECOND, 120 * SECOND, |relay, _| (relay != 3).then_some(AT));
         assert_eq!(moves.len(), mine, "seed {seed}");
         let latest = moves.iter().map(|(at, _)| at - 60 * SECOND).max().unwrap();
@@ -284,7 +285,7 @@
             let come = moves.iter().filter(|(_, to)| *to == relay).count();
             assert!(come * 2 < mine, "seed {seed}: {come} of {mine} to one");
         }
-        // It is back: all its own return, spread.
+        // It is back: all its followers return, spread over time.
         let back = simulation.run(120 * SECOND, 200 * SECOND, |_, _| Some(AT));
         assert!(back.iter().all(|(_, relay)| *relay == 3) && back.len() == mine, "seed {seed}");
         let in_a_second =
@@ -294,7 +295,7 @@
     }
 }
 
-/// The same cases in each run; `PROPTEST_CASES` asks for more of them.
+/// The same cases in each run; set `PROPTEST_CASES` for more.
 fn seeded() -> ProptestConfig {
     ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() }
 }
@@ -302,8 +303,8 @@
 proptest! {
     #![proptest_config(seeded())]
 
-    /// Whatever is answered: it is due again before long, asks for what is there, and a relay that is behind
-    /// is followed only after a whole round found none that is not.
+    /// Whatever the answers: the next due time is bounded, only existing relays are queried, and a relay that is
+    /// behind is followed only after a round found no better one.
     #[test]
     fn invariants_hold_for_any_answers(
         count in 1_usize..6,
@@ -331,7 +332,7 @@
                 (Input::Answered(version), Effect::Follow(relay)) => {
                     prop_assert!(out && asked == Some(relay));
                     if Some(version) < held {
-                        prop_assert!(behind_in_row > 0, "one that is behind was followed at once");
+                        prop_assert!(behind_in_row > 0, "a relay that is behind was followed at once");
                     }
                     behind_in_row = 0;
                     held = held.max(Some(version));
@@ -339,7 +340,7 @@
                 (Input::Answered(version), _) if matches!(state, State::Querying(_)) => {
                     behind_in_row += usize::from(Some(version) < held);
                 }
-                (_, Effect::Follow(_)) => prop_assert!(false, "followed without a word"),
+                (_, Effect::Follow(_)) => prop_assert!(false, "followed without an answer"),
                 _ => {}
             }
         }
--- a/crates/catalog/tests/versions.rs
+++ b/crates/catalog/tests/versions.rs
@@ -1,5 +1,5 @@
-//! Versions and the store against a model: a source's history, relays of it that lag, stand still, count anew
-//! or are restored from an old file. Never back, and each version whole or not there.
+//! Tests versions and the store against a model: the history of a source, and relays that lag, stall, begin a new
+//! epoch or are restored from an old file. Versions must never go back, and each must be complete.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -28,7 +28,7 @@
     ListEntry { name: name.to_string(), destination: 0, text, removed: true }
 }
 
-/// What a source's versions held, one after another, over several countings.
+/// The versions of a source in order, with their content, over several epochs.
 #[derive(Clone, Debug)]
 struct History {
     versions: Vec<(Version, Content)>,
@@ -38,7 +38,7 @@
 enum Edit {
     Set(u8, u64, u8),
     Drop(u8),
-    /// The source counts anew, from this index on.
+    /// The source begins a new epoch at this index.
     Anew(u64),
 }
 
@@ -67,12 +67,13 @@
     })
 }
 
-/// A relay says: the version at this place of the history, whole or as changes after one some places before.
+/// An offer of a relay: the version at this place of the history, as a snapshot or as changes since `back` places
+/// before.
 #[derive(Clone, Debug)]
 struct OfferSpec {
     place: usize,
     back: Option<usize>,
-    /// Changes are what differs between the two: it never saw what was between.
+    /// The changes are the difference of both versions: the relay never had those in between.
     ends_alone: bool,
 }
 
@@ -85,17 +86,17 @@
     })
 }
 
-/// An offer as a sound relay would make it, and its entries.
+/// The offer of a correct relay, and its entries.
 fn offer(history: &History, spec: &OfferSpec) -> (Offer, Vec<ListEntry>) {
     let place = spec.place % history.versions.len();
     let (version, content) = &history.versions[place];
     let all = content.iter().map(|(name, (destination, words))| item(name, *destination, words));
-    // Changes are those of one counting.
+    // Changes are within one epoch.
     let base = spec.back.and_then(|back| history.versions.get(place.checked_sub(back)?));
     let Some((base, before)) = base.filter(|(base, _)| base.epoch == version.epoch) else {
         return (Offer { version: *version, after: None }, all.collect());
     };
-    // Also what changed meanwhile and is as it was, by one that saw it.
+    // A relay that had the versions in between also sends what changed and changed back.
     let steps = history.versions[..=place].windows(2).rev();
     let changed: HashSet<&String> = steps
         .take(spec.back.unwrap_or_default())
@@ -110,7 +111,7 @@
     (Offer { version: *version, after: Some(base.index) }, items)
 }
 
-/// All that a store holds, as its texts say.
+/// The texts of all entries in a store, sorted.
 fn held(store: &mut Store) -> Vec<String> {
     let whole = store.snapshot().unwrap();
     let all: String = whole.texts.iter().map(|text| std::str::from_utf8(text).unwrap()).collect();
@@ -120,7 +121,7 @@
     texts
 }
 
-/// Texts of entries, which hold no braces within.
+/// Splits concatenated entries, whose texts have no nested braces.
 fn split(text: &str) -> Vec<String> {
     text.split_inclusive('}').map(|one| one.trim_start_matches(',').to_string()).collect()
 }
@@ -135,8 +136,8 @@
     Bounds { entries: 1000, bytes: 100_000, window }
 }
 
-/// The model: which version is held after each verdict must be one of the history, no older than before, and
-/// after a change only where nothing between is missing. `judge` is what is tried.
+/// Runs the offers through `judge`, the function under test. Checks that the held version never goes back and that
+/// the content after each applied offer is that of the version in the history.
 fn model(
     history: &History,
     specs: &[OfferSpec],
@@ -165,7 +166,7 @@
         version = Some(offer.version);
         let truth = history.versions.iter().rev().find(|(v, _)| *v == offer.version).unwrap();
         if truth.1 != content {
-            return Err(format!("{:?} is held in part", offer.version));
+            return Err(format!("{:?} is incomplete", offer.version));
         }
     }
     Ok(())
@@ -175,7 +176,7 @@
     Versions::new(held).judge(offer, Vec::new())
 }
 
-/// The same cases in each run; `PROPTEST_CASES` asks for more of them.
+/// The same cases in each run; set `PROPTEST_CASES` for more.
 fn seeded() -> ProptestConfig {
     ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() }
 }
@@ -200,8 +201,7 @@
     ) {
         let mut store = Store::new(PARTITIONS, bounds(window));
         let mut versions = Versions::default();
-        // Followers that stayed at an earlier version, by the index alone that a watch names: under the epoch
-        // held.
+        // Followers that stayed at an earlier version of the held epoch: step, index and content.
         let mut followers: Vec<(u64, u64, BTreeMap<String, String>)> = Vec::new();
         for spec in &specs {
             let (offer, items) = offer(&history, spec);
@@ -209,7 +209,7 @@
             let expected = versions.apply(&offer, Vec::new());
             let verdict = store.apply(&offer, items);
             prop_assert_eq!(&verdict, &expected);
-            prop_assert!(store.version() >= before, "never back");
+            prop_assert!(store.version() >= before, "went back");
             let Some(version) = store.version() else { continue };
             let truth = &history.versions.iter().find(|(v, _)| *v == version).unwrap().1;
             prop_assert_eq!(held(&mut store), texts(truth));
@@ -217,14 +217,14 @@
                 continue;
             }
             if before.is_some_and(|before| before.epoch != version.epoch) {
-                // Under another epoch all are given the whole, whatever index they name.
+                // In a new epoch all need the snapshot, whatever index they name.
                 for (_, index, _) in &followers {
                     prop_assert_eq!(store.step_at_index(*index), None);
                 }
                 followers.clear();
             }
             for (step, index, content) in &mut followers {
-                // On an open watch, by its step; and one that comes anew, by its index, or by its content too.
+                // An open watch is known by its step; a new request by its index, or by its content too.
                 let by_content = store.step_at_content(*index, hash_of(content));
                 for from in [Some(*step), store.step_at_index(*index), by_content] {
                     let mut now = content.clone();
@@ -236,7 +236,7 @@
                                 now.insert(name, one);
                             }
                         },
-                        // Too far behind: the whole.
+                        // Too far behind: the snapshot.
                         None => {
                             now = truth.iter().map(|(n, (d, w))| (n.clone(), text(n, *d, w))).collect();
                         }
@@ -248,13 +248,13 @@
             }
             let content = truth.iter().map(|(n, (d, w))| (n.clone(), text(n, *d, w))).collect();
             followers.push((store.step(), version.index, content));
-            // One that comes from another relay, with a version that was never here, is given the whole.
+            // A follower from another relay, with a version that was never held here, needs the snapshot.
             for (other, _) in history.versions.iter().filter(|(other, _)| other.epoch == version.epoch) {
                 let was_here = followers.iter().any(|(_, index, _)| *index == other.index);
                 prop_assert!(was_here || store.step_at_index(other.index).is_none());
             }
         }
-        // A part is those entries whose destinations it holds, and its hash that of the same by another way.
+        // A partition holds the entries of its destinations, and its hash does not depend on its history.
         if let Some(version) = store.version() {
             let truth = &history.versions.iter().find(|(v, _)| *v == version).unwrap().1;
             let mut again = Store::new(PARTITIONS, bounds(100));
@@ -278,27 +278,27 @@
     }
 }
 
-/// The model must be able to fail: variants of the table, each with one row broken, and a seeded search that
-/// finds it.
+/// Shows that the model can fail: for each variant of the verdicts with one rule broken, a seeded search finds a
+/// violation.
 #[test]
 fn the_model_detects_faulty_verdicts() {
     type Broken = fn(&Offer, Option<Version>) -> Verdict;
     let broken: [(&str, Broken); 5] = [
-        ("takes an older whole list", |offer, held| match (offer.after, held) {
+        ("applies an older snapshot", |offer, held| match (offer.after, held) {
             (None, Some(held)) if offer.version < held => Verdict::Apply,
             _ => correct(offer, held),
         }),
-        ("goes by the index alone", |offer, held| {
+        ("compares the index only", |offer, held| {
             let at = |version: Version| Version { epoch: 0, ..version };
             correct(&Offer { version: at(offer.version), ..*offer }, held.map(at))
         }),
-        ("takes changes over a gap", |offer, held| match (offer.after, held) {
+        ("applies changes over a gap", |offer, held| match (offer.after, held) {
             (Some(_), Some(held)) if offer.version > held && offer.version.epoch == held.epoch => {
                 Verdict::Apply
             }
             _ => correct(offer, held),
         }),
-        ("takes changes from before what is held", |offer, held| match (offer.after, held) {
+        ("applies changes based on an earlier version", |offer, held| match (offer.after, held) {
             (Some(after), Some(held)) if after < held.index && offer.version > held => {
                 match correct(offer, None) {
                     Verdict::RequestSnapshot if offer.version.epoch == held.epoch => Verdict::Apply,
@@ -307,7 +307,7 @@
             }
             _ => correct(offer, held),
         }),
-        ("takes changes of a newer epoch", |offer, held| match (offer.after, held) {
+        ("applies changes of a newer epoch", |offer, held| match (offer.after, held) {
             (Some(_), Some(held)) if offer.version.epoch > held.epoch => Verdict::Apply,
             _ => correct(offer, held),
         }),
@@ -325,7 +325,7 @@
     for (name, judge) in broken {
         assert!(
             cases.iter().any(|(history, specs)| model(history, specs, judge).is_err()),
-            "not caught: {name}"
+            "not detected: {name}"
         );
     }
     assert!(cases.iter().all(|(history, specs)| model(history, specs, correct).is_ok()));
@@ -370,11 +370,11 @@
     let found = validate(&offer, summaries, 4, 49);
     let told: Vec<String> = found.iter().map(ToString::to_string).collect();
     let expected = [
-        "endpoints are too long",
+        "endpoints are too large in total",
         "endpoints are too many",
-        "index is 0, which is no version",
+        "index must not be 0",
         "endpoints[1].name is empty",
-        "endpoints[2].name is there twice",
+        "endpoints[2].name is a duplicate",
         "endpoints[3].name is too long",
     ];
     assert_eq!(told, expected);
@@ -393,13 +393,13 @@
 
 #[test]
 fn partitions_are_stable_across_releases_and_spread_evenly() {
-    // Written down once: another hash would have followers of parts look in the wrong ones.
+    // Fixed values: with another hash, followers of some partitions would look in the wrong ones.
     let first: Vec<u32> = (0..6).map(|destination| partition(destination, 1024)).collect();
     assert_eq!(first, FIRST);
     let mut counts = vec![0_u32; 1024];
     (0..300_000_u64).for_each(|destination| counts[partition(destination, 1024) as usize] += 1);
     let (least, most) = (counts.iter().min().unwrap(), counts.iter().max().unwrap());
-    // 293 each; six deviations of chance.
+    // Expected: 293 each, within six standard deviations.
     assert!(*least > 293 - 103 && *most < 293 + 103, "{least} to {most}");
 }
 
@@ -416,7 +416,7 @@
     store.apply(&next, vec![item("e3", 3, "y")]);
     let (one, other) = (store.changes_since(step, None).unwrap(), store.changes_since(step, None).unwrap());
     assert_eq!(one.text.as_ptr(), other.text.as_ptr());
-    // Of two versions the pieces that did not change are the same.
+    // Two versions share the pieces that did not change.
     let after = store.snapshot().unwrap();
     let same = before.texts.iter().zip(&*after.texts).filter(|(a, b)| a.as_ptr() == b.as_ptr()).count();
     assert_eq!(same, PARTITIONS as usize - 1);
