--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -4,8 +4,8 @@
 use std::collections::HashMap;
 
 use meadowhold::control::Control;
-use meadowhold::door::Door;
-use meadowhold::interface::{Action, Ended, Input, Listed, Taken, Time};
+use meadowhold::interface::{AcceptedMail, Action, ConnectResult, Input, ListEntry, Time};
+use meadowhold::interner::Interner;
 use meadowhold_settings::{decode, time_from_us, Decoded};
 
 use crate::wire::{self, Address, Event, Frame, Malformed, Reply};
@@ -15,12 +15,12 @@
     report: [Option<usize>; 2],
     /// By queue class: whether its mails are delivered in order by key. The keys of other mails are ignored.
     in_turn: Vec<bool>,
-    mails: Door<u32>,
-    endpoints: Door<Address>,
+    mails: Interner<u32>,
+    endpoints: Interner<Address>,
     /// Endpoint addresses by the short names used in notes.
     by_short_name: HashMap<u32, Address>,
-    destinations: Door<u16>,
-    keys: Door<u64>,
+    destinations: Interner<u16>,
+    keys: Interner<u64>,
     /// The earliest timer that has been set and has not fired.
     timer: Option<Time>,
     inputs: Vec<Input>,
@@ -104,14 +104,14 @@
 impl Courier {
     fn new(decoded: Decoded) -> Courier {
         Courier {
-            in_turn: decoded.settings.classes.iter().map(|c| c.in_turn).collect(),
+            in_turn: decoded.settings.classes.iter().map(|c| c.ordered).collect(),
             control: Control::new(decoded.settings),
             report: decoded.report_positions,
-            mails: Door::default(),
-            endpoints: Door::default(),
+            mails: Interner::default(),
+            endpoints: Interner::default(),
             by_short_name: HashMap::new(),
-            destinations: Door::default(),
-            keys: Door::default(),
+            destinations: Interner::default(),
+            keys: Interner::default(),
             timer: None,
             inputs: Vec::new(),
         }
@@ -124,53 +124,60 @@
                 let list = lists
                     .get(list as usize)
                     .ok_or("a list update names an endpoint list that was not sent")?;
-                self.inputs.push(Input::ListBegin { whole: scope != 0 });
+                self.inputs.push(Input::ListBegin { complete: scope != 0 });
                 for e in list {
-                    let endpoint = self.endpoints.enter(e.endpoint);
+                    let endpoint = self.endpoints.intern(e.endpoint);
                     self.by_short_name.insert(wire::short_name(e.endpoint), e.endpoint);
-                    let dest = self.destinations.enter(e.destination);
+                    let dest = self.destinations.intern(e.destination);
                     let (zone, kind, life, rate) = (e.zone, e.kind, e.life, e.rate);
-                    self.inputs.push(Input::Listed(Listed { endpoint, dest, zone, kind, life, rate }));
+                    self.inputs.push(Input::ListEntry(ListEntry {
+                        endpoint,
+                        destination: dest,
+                        zone,
+                        kind,
+                        status: life,
+                        rate,
+                    }));
                 }
                 Input::ListEnd
             }
-            Event::Arrival { handle, destination, class, item, due } => Input::Taken(Taken {
-                mail: self.mails.enter(handle),
-                dest: self.destinations.enter(destination),
+            Event::Arrival { handle, destination, class, item, due } => Input::AcceptedMail(AcceptedMail {
+                mail: self.mails.intern(handle),
+                destination: self.destinations.intern(destination),
                 class,
-                key: (item != 0 && self.in_turn.get(class) == Some(&true)).then(|| self.keys.enter(item)),
-                since: now,
-                due,
-                ..Taken::default()
+                key: (item != 0 && self.in_turn.get(class) == Some(&true)).then(|| self.keys.intern(item)),
+                submitted_at: now,
+                deadline: due,
+                ..AcceptedMail::default()
             }),
-            Event::Hangup { handle } => match self.mails.find(&handle) {
-                Some(mail) => Input::Hangup { mail },
+            Event::Hangup { handle } => match self.mails.get(&handle) {
+                Some(mail) => Input::ClientGone { mail },
                 None => return Ok(()),
             },
             Event::TimerFired => {
                 self.timer = self.timer.filter(|&at| at > now);
-                Input::Woken
+                Input::Wakeup
             }
-            Event::ConnectEnded(s) => match self.mails.find(&s.handle) {
-                Some(mail) => Input::Ended(Ended {
+            Event::ConnectEnded(s) => match self.mails.get(&s.handle) {
+                Some(mail) => Input::ConnectResult(ConnectResult {
                     mail,
                     outcome: s.outcome,
-                    over: s.is_final,
-                    wait: s.wait,
-                    took: s.took,
-                    kept: false,
-                    report: wire::load_report(s.report, self.report[0], self.report[1]),
+                    finished: s.is_final,
+                    retry_after: s.wait,
+                    duration: s.took,
+                    reused_connection: false,
+                    limit_report: wire::load_report(s.report, self.report[0], self.report[1]),
                 }),
                 None => return Ok(()),
             },
             Event::Note { body } => {
                 let note = wire::decode_note(body);
                 let Some((endpoint, news)) = note.and_then(|(name, news)| {
-                    Some((self.endpoints.find(self.by_short_name.get(&name)?)?, news))
+                    Some((self.endpoints.get(self.by_short_name.get(&name)?)?, news))
                 }) else {
                     return Ok(());
                 };
-                Input::Heard { endpoint, news }
+                Input::PeerNote { endpoint, note: news }
             }
             _ => return Ok(()),
         };
@@ -179,7 +186,7 @@
     }
 
     fn decide(&mut self, instance: u32, now: Time, actions: &mut Vec<Action>, reply: &mut Reply) {
-        let wake = self.control.round(now, &self.inputs, actions);
+        let wake = self.control.step(now, &self.inputs, actions);
         self.inputs.clear();
         for action in actions.drain(..) {
             self.write_action(instance, action, reply);
@@ -193,34 +200,34 @@
     fn write_action(&mut self, instance: u32, action: Action, reply: &mut Reply) {
         match action {
             Action::Connect { mail, endpoint, timeout, .. } => {
-                if let (Some(&m), Some(&e)) = (self.mails.outside(mail), self.endpoints.outside(endpoint)) {
+                if let (Some(&m), Some(&e)) = (self.mails.id(mail), self.endpoints.id(endpoint)) {
                     reply.connect(instance, m, e, timeout);
                 }
             }
-            Action::Defer { mail, pause } => {
-                if let Some(&m) = self.mails.outside(mail) {
+            Action::Defer { mail, retry_after: pause } => {
+                if let Some(&m) = self.mails.id(mail) {
                     reply.defer(instance, m, pause);
                 }
             }
             Action::Bounce { mail } => {
-                if let Some(&m) = self.mails.outside(mail) {
+                if let Some(&m) = self.mails.id(mail) {
                     reply.bounce(instance, m);
                 }
             }
-            Action::LetGo(endpoint) => {
-                if let Some(&e) = self.endpoints.outside(endpoint) {
+            Action::CloseIdle(endpoint) => {
+                if let Some(&e) = self.endpoints.id(endpoint) {
                     reply.close_idle(instance, e);
                 }
             }
-            Action::Tell { endpoint, news } => {
-                if let Some(&e) = self.endpoints.outside(endpoint) {
+            Action::SendNote { endpoint, note: news } => {
+                if let Some(&e) = self.endpoints.id(endpoint) {
                     reply.send_note(instance, &wire::encode_note(e, news));
                 }
             }
-            Action::WatchList => reply.watch_list(instance),
-            Action::FreeMail(mail) => self.mails.leave(mail),
-            Action::FreeKey(key) => self.keys.leave(key),
-            Action::FreeEndpoint(endpoint) => self.endpoints.leave(endpoint),
+            Action::RequestList => reply.watch_list(instance),
+            Action::FreeMail(mail) => self.mails.release(mail),
+            Action::FreeKey(key) => self.keys.release(key),
+            Action::FreeEndpoint(endpoint) => self.endpoints.release(endpoint),
         }
     }
 }
--- a/crates/adapter/src/tests.rs
+++ b/crates/adapter/src/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the codec and the host: frames in both directions, unknown events, malformed input.
 
 use super::*;
-use meadowhold::interface::{Life, News, Outcome, Report};
+use meadowhold::interface::{EndpointStatus, LimitReport, Outcome, PeerNote};
 use wire::{Event, Reply};
 
 const SETTINGS: &str = "NInstances=2\nFamilyInfo.Slots=4\nLimits.MaxOpen=20\nLimits.MaxAttempts=3\n\
@@ -85,7 +85,10 @@
                 (s.handle, s.is_final, s.outcome, s.wait, s.took),
                 (0x5d3a91c4, true, Outcome::Refused, 120, 185)
             );
-            assert_eq!(wire::load_report(s.report, Some(0), Some(1)), Some(Report { left: 0.5, limit: 2.0 }));
+            assert_eq!(
+                wire::load_report(s.report, Some(0), Some(1)),
+                Some(LimitReport { remaining: 0.5, limit: 2.0 })
+            );
             assert_eq!(wire::load_report(s.report, Some(0), Some(2)), None);
         }
         other => panic!("{other:?}"),
@@ -98,7 +101,7 @@
         wire::decode_entries(&hex("0a9011f2 1b84 01 02 0039 02 3fc00000 00000000005d1420")).next().unwrap();
     assert_eq!(
         (entry.zone, entry.kind, entry.destination, entry.life, entry.rate),
-        (1, 2, 57, Life::Draining, 1.5)
+        (1, 2, 57, EndpointStatus::Draining, 1.5)
     );
 }
 
@@ -173,12 +176,12 @@
     let endpoint = [10, 18, 74, 7, 27, 91];
     // Waits are encoded in tenths of a second, rounded up, up to 6.3 s.
     let cases = [
-        (News::Out, News::Out),
-        (News::Back, News::Back),
-        (News::Full(0), News::Full(0)),
-        (News::Full(1), News::Full(1000)),
-        (News::Full(3000), News::Full(3000)),
-        (News::Full(900_000), News::Full(63_000)),
+        (PeerNote::Down, PeerNote::Down),
+        (PeerNote::Recovered, PeerNote::Recovered),
+        (PeerNote::Refusing(0), PeerNote::Refusing(0)),
+        (PeerNote::Refusing(1), PeerNote::Refusing(1000)),
+        (PeerNote::Refusing(3000), PeerNote::Refusing(3000)),
+        (PeerNote::Refusing(900_000), PeerNote::Refusing(63_000)),
     ];
     for (told, heard) in cases {
         let note = wire::encode_note(endpoint, told);
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,7 +1,7 @@
 //! Codec of the bench protocol. A frame holds fixed-size records followed by a tail with data of variable
 //! length, to which records refer by offset. Every offset is checked before use.
 
-use meadowhold::interface::{Life, News, Outcome, Report, Time};
+use meadowhold::interface::{EndpointStatus, LimitReport, Outcome, PeerNote, Time};
 use meadowhold_settings::time_from_us;
 
 pub const EVENT_SIZE: usize = 48;
@@ -30,7 +30,7 @@
     pub zone: usize,
     pub kind: usize,
     pub destination: u16,
-    pub life: Life,
+    pub life: EndpointStatus,
     pub rate: f64,
 }
 
@@ -150,22 +150,22 @@
 
 /// Encodes a note: the short name of the endpoint, two bits for the kind of news and six for its wait in tenths
 /// of a second, rounded up.
-pub fn encode_note(endpoint: Address, news: News) -> [u8; 4] {
+pub fn encode_note(endpoint: Address, news: PeerNote) -> [u8; 4] {
     let news = match news {
-        News::Full(wait) => wait.div_ceil(1000).min(MAX_NOTE_WAIT) as u32,
-        News::Out => 1 << 6,
-        News::Back => 2 << 6,
+        PeerNote::Refusing(wait) => wait.div_ceil(1000).min(MAX_NOTE_WAIT) as u32,
+        PeerNote::Down => 1 << 6,
+        PeerNote::Recovered => 2 << 6,
     };
     (short_name(endpoint) << 8 | news).to_be_bytes()
 }
 
 /// Decodes a note; `None` if the length or the kind of news is unknown.
-pub fn decode_note(body: &[u8]) -> Option<(u32, News)> {
+pub fn decode_note(body: &[u8]) -> Option<(u32, PeerNote)> {
     let note = u32::from_be_bytes(body.try_into().ok()?);
     let news = match note >> 6 & 3 {
-        0 => News::Full(Time::from(note & 63) * 1000),
-        1 => News::Out,
-        2 => News::Back,
+        0 => PeerNote::Refusing(Time::from(note & 63) * 1000),
+        1 => PeerNote::Down,
+        2 => PeerNote::Recovered,
         _ => return None,
     };
     Some((note >> 8, news))
@@ -178,9 +178,9 @@
         kind: e[7].into(),
         destination: be16(e, 8),
         life: match e[10] {
-            1 => Life::Ready,
-            2 => Life::Draining,
-            _ => Life::Gone,
+            1 => EndpointStatus::Ready,
+            2 => EndpointStatus::Draining,
+            _ => EndpointStatus::Removed,
         },
         rate: f32::from_bits(be32(e, 11)).into(),
     })
@@ -201,10 +201,14 @@
 }
 
 /// The load report, with its two values at the positions that the settings name.
-pub fn load_report(values: (usize, [f32; 4]), left: Option<usize>, limit: Option<usize>) -> Option<Report> {
+pub fn load_report(
+    values: (usize, [f32; 4]),
+    left: Option<usize>,
+    limit: Option<usize>,
+) -> Option<LimitReport> {
     let value = |at: Option<usize>| at.filter(|&i| i < values.0).map(|i| f64::from(values.1[i]));
-    let known = Report { left: value(left)?, limit: value(limit)? };
-    (known.left.is_finite() && known.limit.is_finite()).then_some(known)
+    let known = LimitReport { remaining: value(left)?, limit: value(limit)? };
+    (known.remaining.is_finite() && known.limit.is_finite()).then_some(known)
 }
 
 /// A reply being built: action records, and the tail that they refer to.
--- a/crates/courier/src/relay/hub.rs
+++ b/crates/courier/src/relay/hub.rs
@@ -7,7 +7,7 @@
 use std::net::IpAddr;
 
 use bytes::{Bytes, BytesMut};
-use meadowhold::interface::{Life, Time, SECOND};
+use meadowhold::interface::{EndpointStatus, Time, SECOND};
 use meadowhold_catalog::content::Content;
 use meadowhold_catalog::store::{ListEntry, Snapshot, Store};
 use meadowhold_catalog::versions::{Offer, Verdict, Version};
@@ -84,7 +84,7 @@
 
 fn item(entry: Listing) -> ListEntry {
     let text = Kept::from(&entry).text();
-    let gone = entry.life() == Life::Gone;
+    let gone = entry.life() == EndpointStatus::Removed;
     ListEntry { name: entry.name.to_string(), destination: entry.group, text: text.into(), removed: gone }
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -226,34 +226,34 @@
     let settings = Settings {
         seed,
         couriers: p.required::<usize>("NInstances").max(1),
-        me: p.optional("Me", 0),
+        courier_index: p.optional("Me", 0),
         slots: p.required("FamilyInfo.Slots"),
-        room: p.required("Limits.MaxOpen"),
+        max_mails: p.required("Limits.MaxOpen"),
         max_connects: p.required("Limits.MaxAttempts"),
-        resolution: p.required_time("ResolutionUs").max(1),
-        connect_timeout: p.required_time("Limits.ConnectTimeoutUs"),
-        keep_idle: p.optional_time("Limits.KeepaliveUs", 10_000_000),
-        max_pause: if p.optional("Limits.RetryAfter", false) {
+        timer_resolution: p.required_time("ResolutionUs").max(1),
+        connection_timeout: p.required_time("Limits.ConnectTimeoutUs"),
+        idle_timeout: p.optional_time("Limits.KeepaliveUs", 10_000_000),
+        max_retry_after: if p.optional("Limits.RetryAfter", false) {
             p.required_time("Limits.MaxRetryAfterUs")
         } else {
             0
         },
-        handshake_price: p.finite_number("Penalties.Handshake", 0.0),
-        may_tell: p.optional("Limits.MayTell", false),
-        ask_list: p.required_text("MembershipMode") == "ask",
-        ask_within: p.optional_time("Rules.AskWithinUs", 10_000_000),
-        cold_from: p.finite_number("Rules.ColdFrom", 1.0),
-        cold: p.optional_time("Rules.ColdUs", 0),
-        tip_multiple: p.finite_number("Rules.TipMultiple", 1.0),
-        overload_for: p.optional_time("Rules.OverloadForUs", 0),
-        turn_gap: p.optional_time("Rules.TurnGapUs", 0),
-        by_half: p.value("FamilyInfo.Late") == Some("by_half"),
-        rates_listed: matches!(p.value("Weights"), Some("nominal" | "rough")),
-        fees: p.list("FamilyInfo.Carriage"),
+        handshake_cost: p.finite_number("Penalties.Handshake", 0.0),
+        peer_notes: p.optional("Limits.MayTell", false),
+        poll_list: p.required_text("MembershipMode") == "ask",
+        max_poll_delay: p.optional_time("Rules.AskWithinUs", 10_000_000),
+        cold_capacity: p.finite_number("Rules.ColdFrom", 1.0),
+        warm_up: p.optional_time("Rules.ColdUs", 0),
+        overload_multiple: p.finite_number("Rules.TipMultiple", 1.0),
+        overload_duration: p.optional_time("Rules.OverloadForUs", 0),
+        ordering_gap: p.optional_time("Rules.TurnGapUs", 0),
+        half_life_decay: p.value("FamilyInfo.Late") == Some("by_half"),
+        list_has_rates: matches!(p.value("Weights"), Some("nominal" | "rough")),
+        zone_fees: p.list("FamilyInfo.Carriage"),
         kinds: (0..kinds.len().max(1))
             .map(|i| Kind {
-                batch: batches.get(i).or(batches.last()).copied().unwrap_or(1).max(1),
-                apart: apart.get(i).or(apart.last()).copied().unwrap_or(false),
+                max_batch: batches.get(i).or(batches.last()).copied().unwrap_or(1).max(1),
+                per_endpoint_limits: apart.get(i).or(apart.last()).copied().unwrap_or(false),
             })
             .collect(),
         classes: p.objects("Profiles", |at| queue_class(p, at)),
@@ -291,13 +291,13 @@
                 Effect::OnceOnly
             }
         },
-        by_zone: p.value(&key("Group")).is_some_and(|group| group != "all"),
-        window: p.optional_time(&key("DedupWindowUs"), 0),
-        target: p.required_time(&key("PromiseUs")),
+        dedup_by_zone: p.value(&key("Group")).is_some_and(|group| group != "all"),
+        dedup_window: p.optional_time(&key("DedupWindowUs"), 0),
+        target_delay: p.required_time(&key("PromiseUs")),
         lifetime: p.required_time(&key("HardLimitUs")),
         importance: p.finite_number(&key("Worth"), 1.0),
-        late_worth: p.finite_number(&key("LateWorth"), 0.0),
-        in_turn: p.optional(&key("InTurn"), false),
+        expiry_importance: p.finite_number(&key("LateWorth"), 0.0),
+        ordered: p.optional(&key("InTurn"), false),
     }
 }
 
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -21,7 +21,7 @@
     let (lines, json) = (decode(9, LINES.as_bytes()).unwrap(), decode_json(9, &json).unwrap());
     assert_eq!(format!("{lines:?}"), format!("{json:?}"));
     assert_eq!(
-        (json.report_positions, &json.kinds[0][..], json.settings.keep_idle),
+        (json.report_positions, &json.kinds[0][..], json.settings.idle_timeout),
         ([Some(1), Some(0)], "a_b", 50_000)
     );
 }
