--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -14,7 +14,7 @@
     control: Control,
     report: [Option<usize>; 2],
     /// By queue class: whether its mails are delivered in order by key. The keys of other mails are ignored.
-    in_turn: Vec<bool>,
+    ordered: Vec<bool>,
     mails: Interner<u32>,
     endpoints: Interner<Address>,
     /// Endpoint addresses by the short names used in notes.
@@ -82,8 +82,8 @@
             Event::Start { seed, info } => {
                 self.couriers[index] = match decode(seed, info) {
                     Ok(decoded) => Some(Courier::new(decoded)),
-                    Err(words) => {
-                        self.reply.reject_settings(index as u32, &words);
+                    Err(problem) => {
+                        self.reply.reject_settings(index as u32, &problem);
                         None
                     }
                 }
@@ -104,7 +104,7 @@
 impl Courier {
     fn new(decoded: Decoded) -> Courier {
         Courier {
-            in_turn: decoded.settings.classes.iter().map(|c| c.ordered).collect(),
+            ordered: decoded.settings.classes.iter().map(|c| c.ordered).collect(),
             control: Control::new(decoded.settings),
             report: decoded.report_positions,
             mails: Interner::default(),
@@ -128,28 +128,30 @@
                 for e in list {
                     let endpoint = self.endpoints.intern(e.endpoint);
                     self.by_short_name.insert(wire::short_name(e.endpoint), e.endpoint);
-                    let dest = self.destinations.intern(e.destination);
-                    let (zone, kind, life, rate) = (e.zone, e.kind, e.life, e.rate);
+                    let destination = self.destinations.intern(e.destination);
+                    let (zone, kind, status, rate) = (e.zone, e.kind, e.status, e.rate);
                     self.inputs.push(Input::ListEntry(ListEntry {
                         endpoint,
-                        destination: dest,
+                        destination,
                         zone,
                         kind,
-                        status: life,
+                        status,
                         rate,
                     }));
                 }
                 Input::ListEnd
             }
-            Event::Arrival { handle, destination, class, item, due } => Input::AcceptedMail(AcceptedMail {
-                mail: self.mails.intern(handle),
-                destination: self.destinations.intern(destination),
-                class,
-                key: (item != 0 && self.in_turn.get(class) == Some(&true)).then(|| self.keys.intern(item)),
-                submitted_at: now,
-                deadline: due,
-                ..AcceptedMail::default()
-            }),
+            Event::Arrival { handle, destination, class, key, deadline } => {
+                Input::AcceptedMail(AcceptedMail {
+                    mail: self.mails.intern(handle),
+                    destination: self.destinations.intern(destination),
+                    class,
+                    key: (key != 0 && self.ordered.get(class) == Some(&true)).then(|| self.keys.intern(key)),
+                    submitted_at: now,
+                    deadline,
+                    ..AcceptedMail::default()
+                })
+            }
             Event::Hangup { handle } => match self.mails.get(&handle) {
                 Some(mail) => Input::ClientGone { mail },
                 None => return Ok(()),
@@ -163,21 +165,21 @@
                     mail,
                     outcome: s.outcome,
                     finished: s.is_final,
-                    retry_after: s.wait,
-                    duration: s.took,
+                    retry_after: s.retry_after,
+                    duration: s.duration,
                     reused_connection: false,
-                    limit_report: wire::load_report(s.report, self.report[0], self.report[1]),
+                    limit_report: wire::limit_report(s.report, self.report[0], self.report[1]),
                 }),
                 None => return Ok(()),
             },
             Event::Note { body } => {
-                let note = wire::decode_note(body);
-                let Some((endpoint, news)) = note.and_then(|(name, news)| {
-                    Some((self.endpoints.get(self.by_short_name.get(&name)?)?, news))
+                let decoded = wire::decode_note(body);
+                let Some((endpoint, note)) = decoded.and_then(|(name, note)| {
+                    Some((self.endpoints.get(self.by_short_name.get(&name)?)?, note))
                 }) else {
                     return Ok(());
                 };
-                Input::PeerNote { endpoint, note: news }
+                Input::PeerNote { endpoint, note }
             }
             _ => return Ok(()),
         };
@@ -204,9 +206,9 @@
                     reply.connect(instance, m, e, timeout);
                 }
             }
-            Action::Defer { mail, retry_after: pause } => {
+            Action::Defer { mail, retry_after } => {
                 if let Some(&m) = self.mails.id(mail) {
-                    reply.defer(instance, m, pause);
+                    reply.defer(instance, m, retry_after);
                 }
             }
             Action::Bounce { mail } => {
@@ -219,9 +221,9 @@
                     reply.close_idle(instance, e);
                 }
             }
-            Action::SendNote { endpoint, note: news } => {
+            Action::SendNote { endpoint, note } => {
                 if let Some(&e) = self.endpoints.id(endpoint) {
-                    reply.send_note(instance, &wire::encode_note(e, news));
+                    reply.send_note(instance, &wire::encode_note(e, note));
                 }
             }
             Action::RequestList => reply.watch_list(instance),
--- a/crates/adapter/src/tests.rs
+++ b/crates/adapter/src/tests.rs
@@ -58,8 +58,8 @@
                 handle: 0x5d3a91c4,
                 destination: 57,
                 class: 0,
-                item: 0x91f03b7c55d20a64,
-                due: 0x8405da / 100,
+                key: 0x91f03b7c55d20a64,
+                deadline: 0x8405da / 100,
             },
         ),
         ("1e 00000005 0e6f2b19", Event::Hangup { handle: 0x0e6f2b19 }),
@@ -82,14 +82,14 @@
     match first {
         Event::ConnectEnded(s) => {
             assert_eq!(
-                (s.handle, s.is_final, s.outcome, s.wait, s.took),
+                (s.handle, s.is_final, s.outcome, s.retry_after, s.duration),
                 (0x5d3a91c4, true, Outcome::Refused, 120, 185)
             );
             assert_eq!(
-                wire::load_report(s.report, Some(0), Some(1)),
+                wire::limit_report(s.report, Some(0), Some(1)),
                 Some(LimitReport { remaining: 0.5, limit: 2.0 })
             );
-            assert_eq!(wire::load_report(s.report, Some(0), Some(2)), None);
+            assert_eq!(wire::limit_report(s.report, Some(0), Some(2)), None);
         }
         other => panic!("{other:?}"),
     }
@@ -100,7 +100,7 @@
     let entry =
         wire::decode_entries(&hex("0a9011f2 1b84 01 02 0039 02 3fc00000 00000000005d1420")).next().unwrap();
     assert_eq!(
-        (entry.zone, entry.kind, entry.destination, entry.life, entry.rate),
+        (entry.zone, entry.kind, entry.destination, entry.status, entry.rate),
         (1, 2, 57, EndpointStatus::Draining, 1.5)
     );
 }
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -30,7 +30,7 @@
     pub zone: usize,
     pub kind: usize,
     pub destination: u16,
-    pub life: EndpointStatus,
+    pub status: EndpointStatus,
     pub rate: f64,
 }
 
@@ -39,8 +39,8 @@
     pub handle: u32,
     pub is_final: bool,
     pub outcome: Outcome,
-    pub wait: Time,
-    pub took: Time,
+    pub retry_after: Time,
+    pub duration: Time,
     /// The number of values in the load report, and the values.
     pub report: (usize, [f32; 4]),
 }
@@ -50,7 +50,7 @@
     Start { seed: u64, info: &'a [u8] },
     EndpointList { number: u32, entries: &'a [u8] },
     ListUpdate { scope: u8, list: u32 },
-    Arrival { handle: u32, destination: u16, class: usize, item: u64, due: Time },
+    Arrival { handle: u32, destination: u16, class: usize, key: u64, deadline: Time },
     Hangup { handle: u32 },
     TimerFired,
     Crash,
@@ -103,8 +103,8 @@
                     handle: be32(r, 5),
                     destination: destination as u16,
                     class: r[14].into(),
-                    item: be64(r, 21),
-                    due: time_from_us(be64(r, 29)),
+                    key: be64(r, 21),
+                    deadline: time_from_us(be64(r, 29)),
                 }
             }
             80 => Event::Crash,
@@ -118,8 +118,8 @@
                     handle: be32(r, 5),
                     is_final: r[9] != 0,
                     outcome,
-                    wait: if refused { Time::from(be32(r, 19)) * 10 } else { 0 },
-                    took: time_from_us(be32(r, 23).into()),
+                    retry_after: if refused { Time::from(be32(r, 19)) * 10 } else { 0 },
+                    duration: time_from_us(be32(r, 23).into()),
                     report: (count, [28, 32, 36, 40].map(|at| f32::from_bits(be32(r, at)))),
                 })
             }
@@ -150,8 +150,8 @@
 
 /// Encodes a note: the short name of the endpoint, two bits for the kind of news and six for its wait in tenths
 /// of a second, rounded up.
-pub fn encode_note(endpoint: Address, news: PeerNote) -> [u8; 4] {
-    let news = match news {
+pub fn encode_note(endpoint: Address, note: PeerNote) -> [u8; 4] {
+    let news = match note {
         PeerNote::Refusing(wait) => wait.div_ceil(1000).min(MAX_NOTE_WAIT) as u32,
         PeerNote::Down => 1 << 6,
         PeerNote::Recovered => 2 << 6,
@@ -177,7 +177,7 @@
         zone: e[6].into(),
         kind: e[7].into(),
         destination: be16(e, 8),
-        life: match e[10] {
+        status: match e[10] {
             1 => EndpointStatus::Ready,
             2 => EndpointStatus::Draining,
             _ => EndpointStatus::Removed,
@@ -201,14 +201,14 @@
 }
 
 /// The load report, with its two values at the positions that the settings name.
-pub fn load_report(
+pub fn limit_report(
     values: (usize, [f32; 4]),
     left: Option<usize>,
     limit: Option<usize>,
 ) -> Option<LimitReport> {
     let value = |at: Option<usize>| at.filter(|&i| i < values.0).map(|i| f64::from(values.1[i]));
-    let known = LimitReport { remaining: value(left)?, limit: value(limit)? };
-    (known.remaining.is_finite() && known.limit.is_finite()).then_some(known)
+    let report = LimitReport { remaining: value(left)?, limit: value(limit)? };
+    (report.remaining.is_finite() && report.limit.is_finite()).then_some(report)
 }
 
 /// A reply being built: action records, and the tail that they refer to.
@@ -232,8 +232,8 @@
         self.record(40, instance, &[&handle.to_be_bytes(), &endpoint, &us.to_be_bytes()]);
     }
 
-    pub fn defer(&mut self, instance: u32, handle: u32, pause: Time) {
-        let us = u32::try_from(pause * US_PER_TICK).unwrap_or(u32::MAX);
+    pub fn defer(&mut self, instance: u32, handle: u32, retry_after: Time) {
+        let us = u32::try_from(retry_after * US_PER_TICK).unwrap_or(u32::MAX);
         self.record(120, instance, &[&handle.to_be_bytes(), &us.to_be_bytes()]);
     }
 
@@ -261,9 +261,9 @@
         self.record(70, instance, &[&(at * US_PER_TICK).to_be_bytes()]);
     }
 
-    pub fn reject_settings(&mut self, instance: u32, words: &str) {
-        let (offset, length) = (self.tail.len() as u32, words.len() as u32);
-        self.tail.extend_from_slice(words.as_bytes());
+    pub fn reject_settings(&mut self, instance: u32, problem: &str) {
+        let (offset, length) = (self.tail.len() as u32, problem.len() as u32);
+        self.tail.extend_from_slice(problem.as_bytes());
         self.record(30, instance, &[&offset.to_be_bytes(), &length.to_be_bytes()]);
     }
 
--- a/crates/catalog/src/store.rs
+++ b/crates/catalog/src/store.rs
@@ -34,7 +34,7 @@
 
 /// An entry, with its text as sent to followers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ListEntry {
+pub struct CatalogEntry {
     pub name: String,
     pub destination: u64,
     pub text: Bytes,
@@ -69,7 +69,7 @@
         self.entries.len()
     }
 
-    fn put(&mut self, item: &ListEntry) -> bool {
+    fn put(&mut self, item: &CatalogEntry) -> bool {
         let hash = entry_hash(&item.name, &item.text);
         match self.entries.get(&item.name) {
             None if item.removed => return false,
@@ -208,14 +208,15 @@
         self.partitions.iter().fold(0, |sum, partition| sum.wrapping_add(partition.hash))
     }
 
-    fn validate(&self, offer: &Offer, items: &[ListEntry]) -> Vec<Fault> {
+    fn validate(&self, offer: &Offer, items: &[CatalogEntry]) -> Vec<Fault> {
         let Bounds { entries, bytes, .. } = self.bounds;
-        let length = |item: &ListEntry| if item.removed { 0 } else { item.text.len() };
+        let length = |item: &CatalogEntry| if item.removed { 0 } else { item.text.len() };
         let summaries = items.iter().map(|item| EntrySummary { name: &item.name, length: length(item) });
         let mut faults = versions::validate(offer, summaries, entries, bytes);
         // Changes must fit together with the entries held.
         if offer.after.is_some() {
-            let new = |item: &&ListEntry| !item.removed && !self.partition_by_name.contains_key(&item.name);
+            let new =
+                |item: &&CatalogEntry| !item.removed && !self.partition_by_name.contains_key(&item.name);
             let (count, length) =
                 items.iter().filter(new).fold((0, 0), |(n, l), i| (n + 1, l + i.text.len()));
             if self.entries() + count > entries || self.bytes + length > bytes {
@@ -229,7 +230,7 @@
     }
 
     /// Applies an offer completely or not at all.
-    pub fn apply(&mut self, offer: &Offer, items: Vec<ListEntry>) -> Verdict {
+    pub fn apply(&mut self, offer: &Offer, items: Vec<CatalogEntry>) -> Verdict {
         let before = self.version();
         let faults = self.validate(offer, &items);
         let verdict = self.versions.apply(offer, faults);
@@ -280,7 +281,7 @@
     }
 
     /// Applies one entry; `None`: it is missing from a snapshot and thus removed.
-    fn change_entry(&mut self, name: &str, item: Option<ListEntry>, touched: &mut HashSet<u32>) {
+    fn change_entry(&mut self, name: &str, item: Option<CatalogEntry>, touched: &mut HashSet<u32>) {
         let count = self.partitions.len() as u32;
         let old = self.partition_by_name.get(name).copied();
         let new = item.as_ref().filter(|item| !item.removed).map(|item| partition(item.destination, count));
--- a/crates/catalog/tests/versions.rs
+++ b/crates/catalog/tests/versions.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use meadowhold_catalog::content::ContentHash;
-use meadowhold_catalog::store::{partition, Bounds, ListEntry, Store};
+use meadowhold_catalog::store::{partition, Bounds, CatalogEntry, Store};
 use meadowhold_catalog::versions::{validate, EntrySummary, Offer, Verdict, Version, Versions, MAX_FAULTS};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -18,14 +18,14 @@
     format!("{{\"name\":\"{name}\",\"group\":{destination},\"words\":\"{words}\"}}")
 }
 
-fn item(name: &str, destination: u64, words: &str) -> ListEntry {
+fn item(name: &str, destination: u64, words: &str) -> CatalogEntry {
     let text = Bytes::from(text(name, destination, words));
-    ListEntry { name: name.to_string(), destination, text, removed: false }
+    CatalogEntry { name: name.to_string(), destination, text, removed: false }
 }
 
-fn removed(name: &str) -> ListEntry {
+fn removed(name: &str) -> CatalogEntry {
     let text = Bytes::from(format!("{{\"name\":\"{name}\",\"group\":0,\"status\":\"DELETED\"}}"));
-    ListEntry { name: name.to_string(), destination: 0, text, removed: true }
+    CatalogEntry { name: name.to_string(), destination: 0, text, removed: true }
 }
 
 /// The versions of a source in order, with their content, over several epochs.
@@ -87,7 +87,7 @@
 }
 
 /// The offer of a correct relay, and its entries.
-fn offer(history: &History, spec: &OfferSpec) -> (Offer, Vec<ListEntry>) {
+fn offer(history: &History, spec: &OfferSpec) -> (Offer, Vec<CatalogEntry>) {
     let place = spec.place % history.versions.len();
     let (version, content) = &history.versions[place];
     let all = content.iter().map(|(name, (destination, words))| item(name, *destination, words));
@@ -106,7 +106,7 @@
         })
         .filter(|name| !spec.ends_alone || before.get(*name) != content.get(*name))
         .collect();
-    let mut items: Vec<ListEntry> = all.filter(|item| changed.contains(&item.name)).collect();
+    let mut items: Vec<CatalogEntry> = all.filter(|item| changed.contains(&item.name)).collect();
     items.extend(changed.iter().filter(|name| !content.contains_key(**name)).map(|name| removed(name)));
     (Offer { version: *version, after: Some(base.index) }, items)
 }
--- a/crates/courier/src/exchange.rs
+++ b/crates/courier/src/exchange.rs
@@ -472,7 +472,7 @@
                     let next = keys.len() as u64;
                     let key = self.is_ordered(&owed).then(|| *keys.entry(owed.item.clone()).or_insert(next));
                     let importance = self.classes.classes[usize::from(owed.class)].importance;
-                    mails.push(backlog::Mail { serial, importance, due: owed.due, key });
+                    mails.push(backlog::Mail { serial, importance, deadline: owed.due, key });
                 }
             }
             self.owed.insert(serial, owed);
--- a/crates/courier/src/relay/hub.rs
+++ b/crates/courier/src/relay/hub.rs
@@ -9,7 +9,7 @@
 use bytes::{Bytes, BytesMut};
 use meadowhold::interface::{EndpointStatus, Time, SECOND};
 use meadowhold_catalog::content::Content;
-use meadowhold_catalog::store::{ListEntry, Snapshot, Store};
+use meadowhold_catalog::store::{CatalogEntry, Snapshot, Store};
 use meadowhold_catalog::versions::{Offer, Verdict, Version};
 use tokio::sync::watch;
 
@@ -82,10 +82,10 @@
     refused: bool,
 }
 
-fn item(entry: Listing) -> ListEntry {
+fn item(entry: Listing) -> CatalogEntry {
     let text = Kept::from(&entry).text();
     let gone = entry.life() == EndpointStatus::Removed;
-    ListEntry { name: entry.name.to_string(), destination: entry.group, text: text.into(), removed: gone }
+    CatalogEntry { name: entry.name.to_string(), destination: entry.group, text: text.into(), removed: gone }
 }
 
 impl Hub {
@@ -123,7 +123,7 @@
         }
     }
 
-    fn put(&mut self, offer: Offer, items: Vec<ListEntry>) {
+    fn put(&mut self, offer: Offer, items: Vec<CatalogEntry>) {
         let before = self.store.version();
         match self.store.apply(&offer, items) {
             Verdict::Apply => {
--- a/crates/start/src/backlog.rs
+++ b/crates/start/src/backlog.rs
@@ -15,7 +15,7 @@
     pub serial: u64,
     pub importance: f64,
     /// Deadline: the end of its lifetime.
-    pub due: Time,
+    pub deadline: Time,
     /// Mails of the same key keep the order of their serial numbers.
     pub key: Option<u64>,
 }
@@ -43,15 +43,15 @@
     /// answer. The others are offered as late as possible until a pace is set.
     pub fn new(now: Time, mut mails: Vec<Mail>) -> Backlog {
         mails.sort_by(|a, b| {
-            let is_live = |mail: &Mail| mail.due > now;
+            let is_live = |mail: &Mail| mail.deadline > now;
             let ordering = is_live(a).cmp(&is_live(b)).then(b.importance.total_cmp(&a.importance));
-            ordering.then(a.due.cmp(&b.due)).then(a.serial.cmp(&b.serial))
+            ordering.then(a.deadline.cmp(&b.deadline)).then(a.serial.cmp(&b.serial))
         });
         restore_key_order(now, &mut mails);
         // From the last to the first: none is offered later than a more urgent one behind it.
         let mut latest = Time::MAX;
         let queue = mails.iter().rev().map(|mail| {
-            latest = latest.min(now + mail.due.saturating_sub(now) / WAIT_DIVISOR);
+            latest = latest.min(now + mail.deadline.saturating_sub(now) / WAIT_DIVISOR);
             (latest, mail.serial)
         });
         Backlog { queue: queue.collect() }
@@ -100,7 +100,7 @@
 /// they are: they are not delivered any more.
 fn restore_key_order(now: Time, mails: &mut [Mail]) {
     let mut places: HashMap<u64, Vec<usize>> = HashMap::new();
-    for (i, mail) in mails.iter().enumerate().filter(|(_, mail)| mail.due > now) {
+    for (i, mail) in mails.iter().enumerate().filter(|(_, mail)| mail.deadline > now) {
         if let Some(key) = mail.key {
             places.entry(key).or_default().push(i);
         }
@@ -120,8 +120,8 @@
 
     const PACE: Pace = Pace { mails_per_second: 0.0, max_duration: 2500, batch: 1 };
 
-    fn mail(serial: u64, importance: f64, due: Time, key: Option<u64>) -> Mail {
-        Mail { serial, importance, due, key }
+    fn mail(serial: u64, importance: f64, deadline: Time, key: Option<u64>) -> Mail {
+        Mail { serial, importance, deadline, key }
     }
 
     /// The serial number and offer time of each mail, polled at the times of `wake`.
@@ -200,9 +200,10 @@
             let now = 1_000_000;
             let mails: Vec<Mail> = (0..r.usize(0..120))
                 .map(|serial| {
-                    let due = if r.bool() { now + r.u64(1..600) } else { r.u64(now - 9000..now + 90_000) };
+                    let deadline =
+                        if r.bool() { now + r.u64(1..600) } else { r.u64(now - 9000..now + 90_000) };
                     let key = r.bool().then(|| r.u64(0..6));
-                    mail(serial as u64, f64::from(r.u8(0..4)), due, key)
+                    mail(serial as u64, f64::from(r.u8(0..4)), deadline, key)
                 })
                 .collect();
             let batch = r.usize(0..8);
@@ -223,22 +224,31 @@
             for pair in seen.windows(2) {
                 let (a, b) = (of(pair[0].0), of(pair[1].0));
                 assert!(pair[0].1 <= pair[1].1);
-                if a.due > now && b.due > now && a.key.is_none() && b.key.is_none() {
-                    assert!((b.importance, a.due) <= (a.importance, b.due) || b.importance < a.importance);
+                if a.deadline > now && b.deadline > now && a.key.is_none() && b.key.is_none() {
+                    assert!(
+                        (b.importance, a.deadline) <= (a.importance, b.deadline)
+                            || b.importance < a.importance
+                    );
                 }
             }
             for (i, a) in seen.iter().enumerate() {
                 let mail = of(a.0);
                 assert!(a.1 <= paced_at + pace.max_duration, "seed {seed}: within the duration");
-                if mail.due > now {
-                    assert!(a.1 < mail.due && a.1 <= now + (mail.due - now) / 4, "seed {seed}: in time");
+                if mail.deadline > now {
+                    assert!(
+                        a.1 < mail.deadline && a.1 <= now + (mail.deadline - now) / 4,
+                        "seed {seed}: in time"
+                    );
                 } else {
                     assert_eq!(a.1, now, "seed {seed}: at once");
                 }
                 for b in &seen[i + 1..] {
                     let later = of(b.0);
                     let keyed = mail.key.is_some() && mail.key == later.key;
-                    assert!(!keyed || mail.due <= now || mail.serial < later.serial, "seed {seed}: by key");
+                    assert!(
+                        !keyed || mail.deadline <= now || mail.serial < later.serial,
+                        "seed {seed}: by key"
+                    );
                 }
             }
             all.sort_unstable();
--- a/crates/start/src/endpoint_state.rs
+++ b/crates/start/src/endpoint_state.rs
@@ -34,7 +34,7 @@
     Healthy,
     /// One call whose mails may run twice goes first, as a probe.
     Suspect,
-    Out,
+    Down,
 }
 
 /// The state with which a new process begins.
@@ -52,7 +52,7 @@
 }
 
 /// An endpoint that was out is considered out up to the first age, suspect up to the second, and healthy after.
-const OUT_FOR: Time = 10 * SECOND;
+const DOWN_FOR: Time = 10 * SECOND;
 const SUSPECT_FOR: Time = 60 * SECOND;
 /// A tail latency is doubled over the first of these ages and dropped after the second. A pace approaches the
 /// even share until the third, and is dropped then.
@@ -66,8 +66,8 @@
     let age = now.checked_sub(observation.at).unwrap_or(Time::MAX);
     let health = match (observation.out, age) {
         (false, _) => Health::Healthy,
-        (true, 0..OUT_FOR) => Health::Out,
-        (true, OUT_FOR..SUSPECT_FOR) => Health::Suspect,
+        (true, 0..DOWN_FOR) => Health::Down,
+        (true, DOWN_FOR..SUSPECT_FOR) => Health::Suspect,
         (true, _) => Health::Healthy,
     };
     let since_back = now.checked_sub(observation.back_at).unwrap_or(Time::MAX);
@@ -110,9 +110,9 @@
         };
         // (age, health, tail, pace with an even share of 30)
         let rows = [
-            (0, Health::Out, Some(1000), Some(10.0)),
-            (OUT_FOR - 1, Health::Out, Some(1166), None),
-            (OUT_FOR, Health::Suspect, Some(1166), Some(20.0)),
+            (0, Health::Down, Some(1000), Some(10.0)),
+            (DOWN_FOR - 1, Health::Down, Some(1166), None),
+            (DOWN_FOR, Health::Suspect, Some(1166), Some(20.0)),
             (30 * SECOND, Health::Suspect, Some(1500), None),
             (SUSPECT_FOR, Health::Healthy, Some(2000), None),
             (TAIL_VALID_FOR, Health::Healthy, None, None),
--- a/crates/start/src/start.rs
+++ b/crates/start/src/start.rs
@@ -295,7 +295,7 @@
     }
 
     fn mails(many: u64) -> Vec<Mail> {
-        (0..many).map(|serial| Mail { serial, due: 90 * SECOND, ..Mail::default() }).collect()
+        (0..many).map(|serial| Mail { serial, deadline: 90 * SECOND, ..Mail::default() }).collect()
     }
 
     /// Polls at each `wake` until the time `to`; collects the actions except requests.
--- a/crates/start/tests/herd.rs
+++ b/crates/start/tests/herd.rs
@@ -66,7 +66,7 @@
         let mail = |serial| Mail {
             serial,
             importance: f64::from(r.u8(0..5)),
-            due: (read + r.u64(0..12 * SECOND)).saturating_sub(SECOND),
+            deadline: (read + r.u64(0..12 * SECOND)).saturating_sub(SECOND),
             key: None,
         };
         mails.push((0..many as u64).map(mail).collect());
@@ -107,7 +107,7 @@
                     let mail = &mails[i][serial as usize];
                     seen.twice += usize::from(offered[i][serial as usize]);
                     offered[i][serial as usize] = true;
-                    seen.late += usize::from(mail.due > read_at[i] && now >= mail.due);
+                    seen.late += usize::from(mail.deadline > read_at[i] && now >= mail.deadline);
                 }
                 Action::AnswerPing => {
                     assert_eq!(starts[i].state(), State::Serving);
