--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -12,6 +12,7 @@
 
 struct Courier {
     control: Control,
+    /// Positions of the limit report's two values, as in the settings.
     report: [Option<usize>; 2],
     /// By queue class: whether its mails are delivered in order by key. The keys of other mails are ignored.
     ordered: Vec<bool>,
@@ -29,6 +30,7 @@
 #[derive(Default)]
 pub struct Host {
     couriers: Vec<Option<Courier>>,
+    /// Endpoint lists by the numbers that list updates name.
     lists: Vec<Vec<wire::Entry>>,
     actions: Vec<Action>,
     reply: Reply,
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -41,21 +41,41 @@
     pub outcome: Outcome,
     pub retry_after: Time,
     pub duration: Time,
-    /// The number of values in the load report, and the values.
+    /// The number of values that the endpoint reported, and the values.
     pub report: (usize, [f32; 4]),
 }
 
 #[derive(Debug, PartialEq)]
 pub enum Event<'a> {
-    Start { seed: u64, info: &'a [u8] },
-    EndpointList { number: u32, entries: &'a [u8] },
-    ListUpdate { scope: u8, list: u32 },
-    Arrival { handle: u32, destination: u16, class: usize, key: u64, deadline: Time },
-    Hangup { handle: u32 },
+    Start {
+        seed: u64,
+        info: &'a [u8],
+    },
+    EndpointList {
+        number: u32,
+        entries: &'a [u8],
+    },
+    /// `scope` 0: the list has changes only, 3: there is no list as the request failed, otherwise: it is complete.
+    ListUpdate {
+        scope: u8,
+        list: u32,
+    },
+    Arrival {
+        handle: u32,
+        destination: u16,
+        class: usize,
+        key: u64,
+        deadline: Time,
+    },
+    Hangup {
+        handle: u32,
+    },
     TimerFired,
     Crash,
     ConnectEnded(ConnectEnded),
-    Note { body: &'a [u8] },
+    Note {
+        body: &'a [u8],
+    },
     Unknown,
 }
 
@@ -200,7 +220,8 @@
     })
 }
 
-/// The load report, with its two values at the positions that the settings name.
+/// The limit report in the values that an endpoint reported, with its two fields at these positions; `None` if one
+/// is missing or not finite.
 pub fn limit_report(
     values: (usize, [f32; 4]),
     left: Option<usize>,
--- a/crates/catalog/src/store.rs
+++ b/crates/catalog/src/store.rs
@@ -69,6 +69,7 @@
         self.entries.len()
     }
 
+    /// Adds, replaces or removes an entry; returns whether anything changed.
     fn put(&mut self, item: &CatalogEntry) -> bool {
         let hash = entry_hash(&item.name, &item.text);
         match self.entries.get(&item.name) {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -21,9 +21,9 @@
 #[derive(Debug)]
 pub struct Decoded {
     pub settings: Settings,
-    /// Positions of `x0` (what is left of the limit) and `x1` (the limit) among the values of a load report.
+    /// Positions of `x0` (what remains of the limit) and `x1` (the limit) in `report_fields`; `None`: not reported.
     pub report_positions: [Option<usize>; 2],
-    /// Names of the values of a load report.
+    /// Names of the values that endpoints report with an answer, in order.
     pub report_fields: Vec<String>,
     /// Names of the queue classes, zones and kinds, each indexed by its number.
     pub classes: Vec<String>,
--- a/crates/start/src/start.rs
+++ b/crates/start/src/start.rs
@@ -24,7 +24,7 @@
     ReadingJournalWithList,
     /// The journal has been read; the list has not been received.
     AwaitingList,
-    /// The mails owed from the journal are being offered to the decisions.
+    /// The mails owed (taken on by an earlier process and not finished) are being offered to the decisions.
     Offering,
     Serving,
 }
