--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -13,7 +13,7 @@
 struct Courier {
     control: Control,
     /// Positions of the limit report's two values, as in the settings.
-    report: [Option<usize>; 2],
+    report_positions: [Option<usize>; 2],
     /// By queue class: whether its mails are delivered in order by key. The keys of other mails are ignored.
     ordered: Vec<bool>,
     mails: Interner<u32>,
@@ -108,7 +108,7 @@
         Courier {
             ordered: decoded.settings.classes.iter().map(|c| c.ordered).collect(),
             control: Control::new(decoded.settings),
-            report: decoded.report_positions,
+            report_positions: decoded.report_positions,
             mails: Interner::default(),
             endpoints: Interner::default(),
             by_short_name: HashMap::new(),
@@ -170,7 +170,11 @@
                     retry_after: s.retry_after,
                     duration: s.duration,
                     reused_connection: false,
-                    limit_report: wire::limit_report(s.report, self.report[0], self.report[1]),
+                    limit_report: wire::limit_report(
+                        s.report,
+                        self.report_positions[0],
+                        self.report_positions[1],
+                    ),
                 }),
                 None => return Ok(()),
             },
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -221,7 +221,7 @@
     let inline = p.value("Telemetry.How") == Some("inline");
     let position = |name: &str| report_fields.iter().position(|f| inline && f == name);
     let batches: Vec<usize> = p.list("FamilyInfo.KindBatch");
-    let apart: Vec<bool> = p.list("FamilyInfo.OwnLimits");
+    let own_limits: Vec<bool> = p.list("FamilyInfo.OwnLimits");
     let kinds: Vec<String> = p.list("Kinds");
     let settings = Settings {
         seed,
@@ -253,7 +253,7 @@
         kinds: (0..kinds.len().max(1))
             .map(|i| Kind {
                 max_batch: batches.get(i).or(batches.last()).copied().unwrap_or(1).max(1),
-                per_endpoint_limits: apart.get(i).or(apart.last()).copied().unwrap_or(false),
+                per_endpoint_limits: own_limits.get(i).or(own_limits.last()).copied().unwrap_or(false),
             })
             .collect(),
         classes: p.objects("Profiles", |at| queue_class(p, at)),
