--- a/crates/catalog/src/choice.rs
+++ b/crates/catalog/src/choice.rs
@@ -1,33 +1,36 @@
-//! Which relay a follower uses, when it leaves one that has fallen silent, and when it goes back. The order
-//! is that of a weighted rendezvous, so who loses a relay goes to a second choice of its own, and a relay
-//! more or less moves its own followers alone. Time and chance are handed in; one ask is out at a time.
+//! Chooses the relay that a follower uses: when to leave one that has become silent, and when to return. Relays
+//! are ranked by weighted rendezvous hashing, so the followers of a lost relay spread over all others, and adding
+//! or removing a relay moves only its own followers. Time and random numbers are passed in; at most one query is
+//! in flight.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::versions::Version;
 use crate::{Time, SECOND};
 
-/// A relay that is followed is asked so often what it holds, less up to a quarter by chance.
-pub const EVERY: Time = SECOND;
-/// An ask that is not answered by then has failed.
-pub const PATIENCE: Time = 8 * SECOND / 10;
-/// Who has lost its relay asks the next within this, by chance. Guards against all of them at one moment.
-pub const SPREAD: Time = 4 * SECOND / 10;
-/// Where all have failed: the pause before the next round, which doubles, and the most of it.
-const ROUND: (Time, Time) = (SECOND / 5, 2 * SECOND);
-/// A better choice is tried after the first of these and up to the sum of both, by chance.
-pub const BACK: (Time, Time) = (5 * SECOND, 25 * SECOND);
-/// A relay that stays behind what is held for so long is left for one that does not.
-const BEHIND: Time = 3 * SECOND;
+/// Interval at which the followed relay is asked which version it holds; up to a quarter shorter at random.
+pub const CHECK_INTERVAL: Time = SECOND;
+/// A query that is not answered within this time has failed.
+pub const ANSWER_TIMEOUT: Time = 8 * SECOND / 10;
+/// Maximum random delay before a follower that has lost its relay queries the next one, so that not all its
+/// followers do so at once.
+pub const FAILOVER_JITTER: Time = 4 * SECOND / 10;
+/// Pause after a round in which all relays have failed: the initial one, which doubles with each round, and the
+/// maximum.
+const ROUND_PAUSE: (Time, Time) = (SECOND / 5, 2 * SECOND);
+/// Time until another relay is queried for comparison: the fixed part, and the maximum random addition.
+pub const RETURN_DELAY: (Time, Time) = (5 * SECOND, 25 * SECOND);
+/// A relay that lags for this long behind the version held here or known from another relay is left.
+const MAX_LAG: Time = 3 * SECOND;
 
-/// The relays in the order in which this follower prefers them, as indexes. `relays`: address and weight; one
-/// of no weight comes last.
-pub fn order(follower: &str, relays: &[(String, f64)]) -> Vec<usize> {
+/// Ranks the relays for this follower by weighted rendezvous hashing; returns their indexes, the preferred one
+/// first. `relays` holds addresses and weights; a relay of weight 0 comes last.
+pub fn rank_relays(follower: &str, relays: &[(String, f64)]) -> Vec<usize> {
     let seed = xxh3_64_with_seed(follower.as_bytes(), 0);
     let score = |(address, weight): &(String, f64)| {
-        // Evenly spread over (0, 1].
-        let even = ((xxh3_64_with_seed(address.as_bytes(), seed) >> 11) + 1) as f64 / (1_u64 << 53) as f64;
-        -even.ln() / weight.max(f64::MIN_POSITIVE)
+        // Uniform in (0, 1].
+        let uniform = ((xxh3_64_with_seed(address.as_bytes(), seed) >> 11) + 1) as f64 / (1_u64 << 53) as f64;
+        -uniform.ln() / weight.max(f64::MIN_POSITIVE)
     };
     let mut scored: Vec<(f64, &str, usize)> =
         relays.iter().enumerate().map(|(i, relay)| (score(relay), relay.0.as_str(), i)).collect();
@@ -35,222 +38,225 @@
     scored.into_iter().map(|(_, _, i)| i).collect()
 }
 
-/// Ranks count in this follower's order, from 0.
+/// Relays are given by their rank for this follower, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// None is followed; this one is asked next.
-    Rest(usize),
-    /// None is followed, this one has been asked.
-    Asked(usize),
-    /// This one is followed.
+    /// No relay is followed; this one is queried next.
+    Idle(usize),
+    /// No relay is followed; this one has been queried.
+    Querying(usize),
+    /// This relay is followed.
     Following(usize),
-    /// It is followed, and has been asked.
-    Checked(usize),
-    /// The first is followed, the second has been asked: it would be better, or holds what the first does
-    /// not.
-    Trying(usize, usize),
+    /// This relay is followed and has been queried.
+    Checking(usize),
+    /// The first relay is followed and the second has been queried: it may rank higher, or hold a newer version.
+    Comparing(usize, usize),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// The time that `due` named has come.
+    /// The time given by `due` has come.
     Due,
-    /// The one that was asked holds this.
-    Said(Version),
-    /// It was refused, broke off, or holds nothing.
+    /// The queried relay holds this version.
+    Answered(Version),
+    /// The query was refused or broke off, or the relay holds no list.
     Failed,
-    /// `Due` or `Failed` of the relay that is followed, while its list or watch is heard: it lives.
-    Unanswered,
+    /// Instead of `Due` or `Failed`: the followed relay did not answer the query, but data of its list still
+    /// arrives, so it is alive.
+    FailedButAlive,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Nothing,
-    /// Ask this relay what it holds; an ask that is out is given up.
-    Ask(usize),
-    /// Follow this relay's list from here on, by its index among those given.
+    /// Ask this relay which version it holds, and drop any query in flight. The relay is given by its index.
+    Query(usize),
+    /// Follow the list of the relay with this index from now on.
     Follow(usize),
 }
 
 pub struct Choice {
     order: Vec<usize>,
     state: State,
-    at: Time,
-    /// Ranks that are left of this round.
-    round: Vec<usize>,
+    due_at: Time,
+    /// Ranks still to be queried in this round.
+    remaining: Vec<usize>,
     rounds: u32,
-    /// Of those asked in this round and behind what is held, the one that is least so.
-    best: Option<(Version, usize)>,
-    /// It is taken though it is behind: none is better.
-    lenient: bool,
-    /// When a better choice is tried, and which.
-    back: Time,
-    better: usize,
+    /// Of the relays found behind the held version in this round, the least behind one, with its version.
+    least_behind: Option<(Version, usize)>,
+    /// The relay queried next is followed even if it is behind, since the round found no better one.
+    accept_behind: bool,
+    /// When another relay is queried for comparison.
+    compare_at: Time,
+    /// Counter that selects the next relay for comparison.
+    candidate: usize,
     behind_since: Option<Time>,
-    /// The newest version that another relay said it holds, and since when. Guards against one that answers
-    /// on and has no news any more.
-    elsewhere: Option<(Version, Time)>,
+    /// A version newer than the held one that another relay holds, and since when it is known. Detects a followed
+    /// relay that still answers but gets no changes any more.
+    newer_elsewhere: Option<(Version, Time)>,
 }
 
 impl Choice {
-    /// `order`: as `order` gives it, not empty.
+    /// `order` is the result of `rank_relays`; it must not be empty.
     pub fn new(order: Vec<usize>, now: Time) -> Choice {
         debug_assert!(!order.is_empty());
-        let round = (1..order.len()).collect();
+        let remaining = (1..order.len()).collect();
         Choice {
             order,
-            state: State::Rest(0),
-            at: now,
-            round,
+            state: State::Idle(0),
+            due_at: now,
+            remaining,
             rounds: 0,
-            best: None,
-            lenient: false,
-            back: now,
-            better: 0,
+            least_behind: None,
+            accept_behind: false,
+            compare_at: now,
+            candidate: 0,
             behind_since: None,
-            elsewhere: None,
+            newer_elsewhere: None,
         }
     }
 
-    /// When `Input::Due` is to be given, unless something comes first.
+    /// When to call `handle` with `Input::Due`, unless another input comes first.
     pub fn due(&self) -> Time {
-        self.at
+        self.due_at
     }
 
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// The relay that is followed is the one that was asked.
-    pub fn is_checked(&self) -> bool {
-        matches!(self.state, State::Checked(_))
+    /// Whether the query in flight is to the followed relay.
+    pub fn is_checking(&self) -> bool {
+        matches!(self.state, State::Checking(_))
     }
 
-    /// The relay that is followed, by its index among those given.
+    /// The index of the followed relay.
     pub fn followed(&self) -> Option<usize> {
         match self.state {
-            State::Rest(_) | State::Asked(_) => None,
-            State::Following(r) | State::Checked(r) | State::Trying(r, _) => Some(self.order[r]),
+            State::Idle(_) | State::Querying(_) => None,
+            State::Following(r) | State::Checking(r) | State::Comparing(r, _) => Some(self.order[r]),
         }
     }
 
-    /// `held`: the version that the follower holds; `chance` is evenly spread from 0 to 1.
-    pub fn put(&mut self, now: Time, input: Input, held: Option<Version>, chance: f64) -> Effect {
-        use Input::{Due, Failed, Said, Unanswered};
-        use State::{Asked, Checked, Following, Rest, Trying};
-        if input == Due && now < self.at {
+    /// `held` is the version that the follower holds; `random` is uniform in 0..1.
+    pub fn handle(&mut self, now: Time, input: Input, held: Option<Version>, random: f64) -> Effect {
+        use Input::{Answered, Due, Failed, FailedButAlive};
+        use State::{Checking, Comparing, Following, Idle, Querying};
+        if input == Due && now < self.due_at {
             return Effect::Nothing;
         }
         let is_behind = |version: Version| held.is_some_and(|held| version < held);
-        // The table: state, input, next state, effect.
+        // Transitions by state and input.
         match (self.state, input) {
-            (Rest(r), Due) => {
-                (self.state, self.at) = (Asked(r), now + PATIENCE);
-                Effect::Ask(self.order[r])
+            (Idle(r), Due) => {
+                (self.state, self.due_at) = (Querying(r), now + ANSWER_TIMEOUT);
+                Effect::Query(self.order[r])
             }
-            (Asked(r), Said(version)) if !is_behind(version) || self.lenient => {
-                self.follow(r, now, chance);
+            (Querying(r), Answered(version)) if !is_behind(version) || self.accept_behind => {
+                self.follow(r, now, random);
                 self.behind_since = is_behind(version).then_some(now);
                 Effect::Follow(self.order[r])
             }
-            (Asked(r), Said(version)) => {
-                self.best = self.best.max(Some((version, r)));
-                self.next(now, chance);
+            (Querying(r), Answered(version)) => {
+                self.least_behind = self.least_behind.max(Some((version, r)));
+                self.try_next(now, random);
                 Effect::Nothing
             }
-            (Asked(_), Failed | Unanswered | Due) => {
-                self.lenient = false;
-                self.next(now, chance);
+            (Querying(_), Failed | FailedButAlive | Due) => {
+                self.accept_behind = false;
+                self.try_next(now, random);
                 Effect::Nothing
             }
-            (Following(r), Due) if self.order.len() > 1 && now >= self.back => {
-                // One that would be better; where none is, any other.
-                let better = if r > 0 { self.better % r } else { 1 + self.better % (self.order.len() - 1) };
-                self.better = self.better.wrapping_add(1);
-                (self.state, self.at) = (Trying(r, better), now + PATIENCE);
-                Effect::Ask(self.order[better])
+            (Following(r), Due) if self.order.len() > 1 && now >= self.compare_at => {
+                // A relay that ranks higher; if there is none, any other.
+                let other =
+                    if r > 0 { self.candidate % r } else { 1 + self.candidate % (self.order.len() - 1) };
+                self.candidate = self.candidate.wrapping_add(1);
+                (self.state, self.due_at) = (Comparing(r, other), now + ANSWER_TIMEOUT);
+                Effect::Query(self.order[other])
             }
             (Following(r), Due) => {
-                (self.state, self.at) = (Checked(r), now + PATIENCE);
-                Effect::Ask(self.order[r])
+                (self.state, self.due_at) = (Checking(r), now + ANSWER_TIMEOUT);
+                Effect::Query(self.order[r])
             }
-            (Checked(r), Said(version)) => {
-                self.elsewhere = self.elsewhere.filter(|&(newest, _)| version < newest);
+            (Checking(r), Answered(version)) => {
+                self.newer_elsewhere = self.newer_elsewhere.filter(|&(newest, _)| version < newest);
                 self.behind_since = is_behind(version).then(|| self.behind_since.unwrap_or(now));
-                self.keep_unless_behind(r, now, chance);
+                self.keep_unless_behind(r, now, random);
                 Effect::Nothing
             }
-            (Checked(r), Unanswered) => {
-                self.keep_unless_behind(r, now, chance);
+            (Checking(r), FailedButAlive) => {
+                self.keep_unless_behind(r, now, random);
                 Effect::Nothing
             }
-            (Checked(r), Failed | Due) => {
-                self.lose(r, now, chance);
+            (Checking(r), Failed | Due) => {
+                self.leave(r, now, random);
                 Effect::Nothing
             }
-            (Trying(r, better), Said(version)) if better < r && !is_behind(version) => {
-                self.follow(better, now, chance);
-                Effect::Follow(self.order[better])
+            (Comparing(r, other), Answered(version)) if other < r && !is_behind(version) => {
+                self.follow(other, now, random);
+                Effect::Follow(self.order[other])
             }
-            (Trying(r, _), Said(_) | Failed | Unanswered | Due) => {
-                if let Said(version) = input {
+            (Comparing(r, _), Answered(_) | Failed | FailedButAlive | Due) => {
+                if let Answered(version) = input {
                     let newer = held.is_none_or(|held| version > held);
-                    self.elsewhere = self.elsewhere.or(newer.then_some((version, now)));
+                    self.newer_elsewhere = self.newer_elsewhere.or(newer.then_some((version, now)));
                 }
-                (self.state, self.at, self.back) = (Following(r), now, later(now, chance));
+                (self.state, self.due_at, self.compare_at) = (Following(r), now, compare_time(now, random));
                 Effect::Nothing
             }
-            // Of an ask that was given up.
-            (Rest(_) | Following(_), Said(_) | Failed | Unanswered) => Effect::Nothing,
+            // The answer to a query that was dropped.
+            (Idle(_) | Following(_), Answered(_) | Failed | FailedButAlive) => Effect::Nothing,
         }
     }
 
-    /// The relay that is followed lives: it is kept, unless it has lacked for `BEHIND` what is known elsewhere.
-    fn keep_unless_behind(&mut self, rank: usize, now: Time, chance: f64) {
-        let since = self.behind_since.or(self.elsewhere.map(|(_, since)| since));
-        if since.is_some_and(|since| now >= since + BEHIND) && self.order.len() > 1 {
-            self.lose(rank, now, chance);
+    /// Keeps the followed relay, which is alive, unless it has lagged for `MAX_LAG`.
+    fn keep_unless_behind(&mut self, rank: usize, now: Time, random: f64) {
+        let since = self.behind_since.or(self.newer_elsewhere.map(|(_, since)| since));
+        if since.is_some_and(|since| now >= since + MAX_LAG) && self.order.len() > 1 {
+            self.leave(rank, now, random);
         } else {
-            (self.state, self.at) = (State::Following(rank), now + every(chance));
+            (self.state, self.due_at) = (State::Following(rank), now + check_pause(random));
         }
     }
 
-    fn follow(&mut self, rank: usize, now: Time, chance: f64) {
-        (self.state, self.at, self.back) = (State::Following(rank), now + every(chance), later(now, chance));
-        (self.rounds, self.better, self.best, self.lenient) = (0, 0, None, false);
-        (self.behind_since, self.elsewhere) = (None, None);
+    fn follow(&mut self, rank: usize, now: Time, random: f64) {
+        (self.state, self.due_at, self.compare_at) =
+            (State::Following(rank), now + check_pause(random), compare_time(now, random));
+        (self.rounds, self.candidate, self.least_behind, self.accept_behind) = (0, 0, None, false);
+        (self.behind_since, self.newer_elsewhere) = (None, None);
     }
 
-    /// The others come first, and then this one.
-    fn lose(&mut self, rank: usize, now: Time, chance: f64) {
-        self.round = (0..self.order.len()).filter(|&other| other != rank).chain([rank]).collect();
-        (self.best, self.lenient, self.rounds) = (None, false, 0);
-        let first = self.round.remove(0);
-        (self.state, self.at) = (State::Rest(first), now + (SPREAD as f64 * chance) as Time);
+    /// Starts a round in which all other relays are queried first, and this one last.
+    fn leave(&mut self, rank: usize, now: Time, random: f64) {
+        self.remaining = (0..self.order.len()).filter(|&other| other != rank).chain([rank]).collect();
+        (self.least_behind, self.accept_behind, self.rounds) = (None, false, 0);
+        let first = self.remaining.remove(0);
+        (self.state, self.due_at) = (State::Idle(first), now + (FAILOVER_JITTER as f64 * random) as Time);
     }
 
-    fn next(&mut self, now: Time, chance: f64) {
-        if !self.round.is_empty() {
-            (self.state, self.at) = (State::Rest(self.round.remove(0)), now);
+    fn try_next(&mut self, now: Time, random: f64) {
+        if !self.remaining.is_empty() {
+            (self.state, self.due_at) = (State::Idle(self.remaining.remove(0)), now);
             return;
         }
-        // Guards against a follower without a relay where each is a little behind the one that was lost: what
-        // it holds stays until the relay has caught up.
-        if let Some((_, best)) = self.best.take().filter(|_| !self.lenient) {
-            (self.state, self.at, self.lenient) = (State::Rest(best), now, true);
+        // All relays may be slightly behind the lost one. Follow the least behind one rather than none: the held
+        // version stays until the relay has caught up.
+        if let Some((_, best)) = self.least_behind.take().filter(|_| !self.accept_behind) {
+            (self.state, self.due_at, self.accept_behind) = (State::Idle(best), now, true);
             return;
         }
-        let step = (ROUND.0 << self.rounds.min(8)).min(ROUND.1);
-        (self.rounds, self.lenient) = (self.rounds.saturating_add(1), false);
-        self.round = (1..self.order.len()).collect();
-        (self.state, self.at) = (State::Rest(0), now + step / 2 + (step as f64 / 2.0 * chance) as Time);
+        let step = (ROUND_PAUSE.0 << self.rounds.min(8)).min(ROUND_PAUSE.1);
+        (self.rounds, self.accept_behind) = (self.rounds.saturating_add(1), false);
+        self.remaining = (1..self.order.len()).collect();
+        (self.state, self.due_at) = (State::Idle(0), now + step / 2 + (step as f64 / 2.0 * random) as Time);
     }
 }
 
-fn every(chance: f64) -> Time {
-    EVERY - (EVERY as f64 / 4.0 * chance) as Time
+fn check_pause(random: f64) -> Time {
+    CHECK_INTERVAL - (CHECK_INTERVAL as f64 / 4.0 * random) as Time
 }
 
-fn later(now: Time, chance: f64) -> Time {
-    now + BACK.0 + (BACK.1 as f64 * chance) as Time
+fn compare_time(now: Time, random: f64) -> Time {
+    now + RETURN_DELAY.0 + (RETURN_DELAY.1 as f64 * random) as Time
 }
--- a/crates/catalog/src/versions.rs
+++ b/crates/catalog/src/versions.rs
@@ -1,103 +1,106 @@
-//! What is held of the list, and what becomes of what is offered. Never back: no version older than one that
-//! was held is taken. A source that counts anew says so by a newer epoch, under which any index is newer.
+//! Versions of the list, and the decision whether an offered version is applied. Versions never go back: none
+//! older than the held one is applied. A source that restarts its numbering announces a newer epoch, in which any
+//! index is newer.
 
 use std::collections::HashSet;
 use std::fmt;
 
-/// Older epochs are older whatever their index.
+/// Ordered by epoch first, then by index.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Version {
     pub epoch: u64,
     pub index: u64,
 }
 
-/// Another state of the list, whole, or what changed since one.
+/// An offered state of the list: a snapshot, or the changes since an earlier index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Offer {
     pub version: Version,
-    /// `None`: it is whole. Else the index of the same epoch from which on it brings who holds that to
-    /// `version`.
+    /// `None`: a snapshot. Otherwise the index, in the same epoch, on which the changes are based.
     pub after: Option<u64>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    Take,
-    /// It is from before what is held.
-    Pass,
-    /// What came between is not known.
-    AskWhole,
-    /// It cannot be a list; nothing of it is taken.
-    TurnDown(Vec<Fault>),
+    Apply,
+    /// It is older than the held version, or brings nothing new.
+    Ignore,
+    /// Changes are missing in between: a snapshot is needed.
+    RequestSnapshot,
+    /// It is invalid, and nothing of it is applied.
+    Reject(Vec<Fault>),
 }
 
-/// One thing wrong with what was offered, with its place.
+/// One fault of an offer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// Such as `endpoints[3].name`.
-    pub place: String,
-    pub words: &'static str,
+    /// Path in the offer, such as `endpoints[3].name`.
+    pub path: String,
+    pub problem: &'static str,
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{} {}", self.place, self.words)
+        write!(f, "{} {}", self.path, self.problem)
     }
 }
 
-/// What is looked at of an entry that is offered.
+/// The properties of an offered entry that are validated.
 #[derive(Clone, Copy, Debug)]
-pub struct Glance<'a> {
+pub struct EntrySummary<'a> {
     pub name: &'a str,
-    /// Bytes of its text.
+    /// Length of its text in bytes.
     pub length: usize,
 }
 
-/// Guards against a list of nothing but faults.
-pub const MOST_FAULTS: usize = 32;
-pub const LONGEST_NAME: usize = 1024;
+/// Maximum number of reported faults, for lists that consist of faults only.
+pub const MAX_FAULTS: usize = 32;
+pub const MAX_NAME_LENGTH: usize = 1024;
 
-/// Every fault of an offer, up to `MOST_FAULTS`. `entries` and `bytes` are the most that may be held. A name
-/// that comes twice is one only in a whole list: among changes the later one counts.
-pub fn faults<'a>(
+/// Returns the faults of an offer, up to `MAX_FAULTS`. A duplicate name is a fault only in a snapshot: among changes
+/// the later entry counts.
+pub fn validate<'a>(
     offer: &Offer,
-    glances: impl IntoIterator<Item = Glance<'a>>,
-    entries: usize,
-    bytes: usize,
+    entries_offered: impl IntoIterator<Item = EntrySummary<'a>>,
+    max_entries: usize,
+    max_bytes: usize,
 ) -> Vec<Fault> {
     let (mut faults, mut names, mut count, mut total) = (Vec::new(), HashSet::new(), 0_usize, 0_usize);
     if offer.version.index == 0 {
-        faults.push(Fault { place: "index".to_string(), words: "is 0, which is no version" });
+        faults.push(Fault { path: "index".to_string(), problem: "must not be 0" });
     }
     if offer.after.is_some_and(|after| after > offer.version.index) {
-        faults.push(Fault { place: "index".to_string(), words: "is lower than what the changes come after" });
+        faults.push(Fault {
+            path: "index".to_string(),
+            problem: "is lower than the index on which the changes are based",
+        });
     }
-    for (i, glance) in glances.into_iter().enumerate() {
-        (count, total) = (count + 1, total + glance.length);
-        let words = if glance.name.is_empty() {
+    for (i, entry) in entries_offered.into_iter().enumerate() {
+        (count, total) = (count + 1, total + entry.length);
+        let problem = if entry.name.is_empty() {
             "is empty"
-        } else if glance.name.len() > LONGEST_NAME {
+        } else if entry.name.len() > MAX_NAME_LENGTH {
             "is too long"
-        } else if !names.insert(glance.name) && offer.after.is_none() {
-            "is there twice"
+        } else if !names.insert(entry.name) && offer.after.is_none() {
+            "is a duplicate"
         } else {
             continue;
         };
-        if faults.len() < MOST_FAULTS {
-            faults.push(Fault { place: format!("endpoints[{i}].name"), words });
+        if faults.len() < MAX_FAULTS {
+            faults.push(Fault { path: format!("endpoints[{i}].name"), problem });
         }
     }
-    if count > entries {
-        faults.insert(0, Fault { place: "endpoints".to_string(), words: "are too many" });
+    if count > max_entries {
+        faults.insert(0, Fault { path: "endpoints".to_string(), problem: "are too many" });
     }
-    if total > bytes {
-        faults.insert(0, Fault { place: "endpoints".to_string(), words: "are too long" });
+    if total > max_bytes {
+        faults.insert(0, Fault { path: "endpoints".to_string(), problem: "are too large in total" });
     }
-    faults.truncate(MOST_FAULTS);
+    faults.truncate(MAX_FAULTS);
     faults
 }
 
-/// The version that is held.
+/// The held version, and the rules by which it changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Versions {
     held: Option<Version>,
@@ -112,37 +115,36 @@
         self.held
     }
 
-    /// What becomes of an offer in which no fault was found, or some.
+    /// Decides on an offer with these faults.
     pub fn judge(&self, offer: &Offer, faults: Vec<Fault>) -> Verdict {
         if !faults.is_empty() {
-            return Verdict::TurnDown(faults);
+            return Verdict::Reject(faults);
         }
         let Version { epoch, index } = offer.version;
-        // The table: held, whole or after which, verdict.
+        // Verdicts by held version and kind of offer.
         match (self.held, offer.after) {
-            (None, None) => Verdict::Take,
-            (None, Some(_)) => Verdict::AskWhole,
-            (Some(held), _) if offer.version < held => Verdict::Pass,
-            // The same version once more too: a source may tell one in several pieces, and mend it by the
-            // whole.
-            (Some(_), None) => Verdict::Take,
-            (Some(held), Some(_)) if epoch > held.epoch => Verdict::AskWhole,
+            (None, None) => Verdict::Apply,
+            (None, Some(_)) => Verdict::RequestSnapshot,
+            (Some(held), _) if offer.version < held => Verdict::Ignore,
+            // Also the same version again: a source may send one in several pieces, and correct it by a snapshot.
+            (Some(_), None) => Verdict::Apply,
+            (Some(held), Some(_)) if epoch > held.epoch => Verdict::RequestSnapshot,
             (Some(held), Some(after)) if after == held.index => {
                 debug_assert!(epoch == held.epoch && index >= held.index);
-                Verdict::Take
+                Verdict::Apply
             }
-            // Who tells has come to what is held.
-            (Some(held), Some(_)) if index == held.index => Verdict::Pass,
-            // Guards against changes from an earlier version on, of one that never saw what is held: what had
-            // changed between and is as it was is not among them.
-            (Some(_), Some(_)) => Verdict::AskWhole,
+            // The changes lead to the version that is already held.
+            (Some(held), Some(_)) if index == held.index => Verdict::Ignore,
+            // The changes may be based on an earlier version by a sender that never had the held one: they would
+            // lack what changed up to the held version and then changed back.
+            (Some(_), Some(_)) => Verdict::RequestSnapshot,
         }
     }
 
-    /// Judges, and holds what is taken.
-    pub fn put(&mut self, offer: &Offer, faults: Vec<Fault>) -> Verdict {
+    /// Decides on an offer, and records its version if it is to be applied.
+    pub fn apply(&mut self, offer: &Offer, faults: Vec<Fault>) -> Verdict {
         let verdict = self.judge(offer, faults);
-        if verdict == Verdict::Take {
+        if verdict == Verdict::Apply {
             debug_assert!(self.held.is_none_or(|held| held <= offer.version), "a version went back");
             self.held = Some(offer.version);
         }
--- a/crates/courier/src/exchange.rs
+++ b/crates/courier/src/exchange.rs
@@ -14,7 +14,7 @@
     Outcome, PeerNote, Settings, Shutdown, Time, SECOND,
 };
 use meadowhold::interner::Interner;
-use meadowhold_settings::{name, Decoded};
+use meadowhold_settings::{normalized_name, Decoded};
 use meadowhold_start::backlog::{self, Backlog};
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::Notify;
@@ -331,7 +331,7 @@
     /// The module's number of a zone. Guards against two zones, neither of which the settings name, that would
     /// be held to be one: a key that is known in one of them is not known in the other.
     fn zone(&mut self, text: &str) -> usize {
-        let zone = name(text);
+        let zone = normalized_name(text);
         let at = self.zones.iter().position(|known| *known == zone).unwrap_or(self.zones.len());
         if at == self.zones.len() && at < usize::from(NO_ZONE) {
             self.zones.push(zone);
@@ -370,7 +370,15 @@
         news: Option<UnboundedSender<(Bytes, PeerNote)>>,
     ) -> Exchange {
         let deployment = deployment(&decoded);
-        let Decoded { mut settings, report, fields, classes, zones, mut kinds, .. } = decoded;
+        let Decoded {
+            mut settings,
+            report_positions: report,
+            report_fields: fields,
+            classes,
+            zones,
+            mut kinds,
+            ..
+        } = decoded;
         let current: Vec<Terms> =
             classes.iter().zip(&settings.classes).map(|(name, class)| Terms::new(name, class)).collect();
         let mut terms = current.clone();
@@ -470,7 +478,7 @@
                     let next = keys.len() as u64;
                     let key = self.is_ordered(&owed).then(|| *keys.entry(owed.item.clone()).or_insert(next));
                     let importance = self.classes.classes[usize::from(owed.class)].importance;
-                    mails.push(backlog::Mail { serial, importance, due: owed.due, key });
+                    mails.push(backlog::Mail { serial, importance, deadline: owed.due, key });
                 }
             }
             self.owed.insert(serial, owed);
@@ -495,7 +503,7 @@
 
     /// What an earlier process took on and is to be offered by now goes to the module.
     fn submit_backlog(&mut self, now: Time) {
-        while let Some(serial) = self.backlog.next(now) {
+        while let Some(serial) = self.backlog.pop_due(now) {
             // One that turned out to be over meanwhile is owed nothing.
             if let Some(owed) = self.owed.remove(&serial) {
                 self.submit(serial, &owed);
@@ -590,7 +598,7 @@
     /// These settings are in force from here on, between two turns; `classes` as `plan_classes` had them just now. The same
     /// kinds must be apart as before. What is out or taken on stays as it is.
     pub fn apply_settings(&mut self, decoded: Decoded, classes: Classes) {
-        let Decoded { settings, report, fields, zones, kinds, .. } = decoded;
+        let Decoded { settings, report_positions: report, report_fields: fields, zones, kinds, .. } = decoded;
         let names = &mut self.names;
         let mut fees = Vec::new();
         for (i, zone) in zones.iter().enumerate() {
@@ -756,7 +764,7 @@
         for entry in list.entries.iter() {
             // Most entries name the zone and the kind that the one before named.
             if places.is_none_or(|(zone, kind, ..)| (zone, kind) != (entry.zone, entry.kind)) {
-                let kind = self.names.kinds.iter().position(|kind| *kind == name(entry.kind));
+                let kind = self.names.kinds.iter().position(|kind| *kind == normalized_name(entry.kind));
                 let kind = kind.unwrap_or(self.names.other);
                 places = Some((entry.zone, entry.kind, self.names.zone(entry.zone), kind));
             }
@@ -929,7 +937,10 @@
         if self.last_turn == 0 {
             // The pace begins with the turns.
             let together = self.batch_limits.iter().copied().max().unwrap_or(1);
-            self.backlog.keep_pace(now, backlog::Pace { bears: 0.0, within: SUBMITTED_WITHIN, together });
+            self.backlog.set_pace(
+                now,
+                backlog::Pace { mails_per_second: 0.0, max_duration: SUBMITTED_WITHIN, batch: together },
+            );
         }
         self.last_turn = now;
         self.submit_backlog(now);
