--- a/src/control/inspect.rs
+++ b/src/control/inspect.rs
@@ -3,121 +3,150 @@
 
 use super::{Control, Health};
 use crate::interface::Time;
-use crate::state::Place;
+use crate::state::MailState;
 
 /// Says where what is kept is not what was counted.
-fn agree(faults: &mut Vec<String>, what: impl FnOnce() -> String, kept: usize, counted: usize) {
-    if kept != counted {
-        faults.push(format!("{}: {kept} kept, {counted} counted", what()));
+fn agree(faults: &mut Vec<String>, what: impl FnOnce() -> String, stored: usize, counted: usize) {
+    if stored != counted {
+        faults.push(format!("{}: {stored} kept, {counted} counted", what()));
     }
 }
 
 impl Control {
     /// What an endpoint is held to be.
     pub fn health(&self, endpoint: usize) -> Option<Health> {
-        self.endpoints.get(endpoint).filter(|e| e.known).map(|e| e.standing)
+        self.endpoints.get(endpoint).filter(|e| e.known).map(|e| e.health)
     }
 
     /// A destination's cap, calls out and parked mails.
-    pub fn destination_load(&self, dest: usize) -> Option<(usize, usize, usize)> {
-        self.dests.get(dest).map(|d| (self.cap(dest), d.out, d.waiting()))
+    pub fn destination_load(&self, destination: usize) -> Option<(usize, usize, usize)> {
+        self.destinations
+            .get(destination)
+            .map(|d| (self.call_cap(destination), d.calls_in_flight, d.queued()))
     }
 
     /// Slots taken, by calls that have a mail without an outcome.
     pub fn slots_taken(&self) -> usize {
-        self.out
+        self.calls_in_flight
     }
 
     /// Mails that are owed an end, parked or out.
     pub fn open_mails(&self) -> usize {
-        self.open
+        self.open_mails
     }
 
     /// Mails whose index is in use; those too that are over, with an outcome still to come.
     pub fn mail_indices_in_use(&self) -> usize {
-        self.mails.iter().filter(|m| m.place != Place::Free).count()
+        self.mails.iter().filter(|m| m.state != MailState::Unused).count()
     }
 
     /// Mails without an outcome, summed over the calls that they went with.
     pub fn mails_in_flight(&self) -> usize {
-        self.calls.iter().map(|call| call.left).sum()
+        self.calls.iter().map(|call| call.pending_mails).sum()
     }
 
     /// The slot and the endpoint of the call that a mail is out with.
     pub fn call_of(&self, mail: usize) -> Option<(usize, usize)> {
-        let m = self.mails.get(mail).filter(|m| matches!(m.place, Place::Out | Place::Over))?;
+        let m =
+            self.mails.get(mail).filter(|m| matches!(m.state, MailState::InFlight | MailState::Finished))?;
         Some((m.call, self.calls[m.call].endpoint))
     }
 
     /// Calls out to an endpoint.
     pub fn calls_in_flight(&self, endpoint: usize) -> usize {
-        self.endpoints.get(endpoint).map_or(0, |e| e.out)
+        self.endpoints.get(endpoint).map_or(0, |e| e.calls_in_flight)
     }
 
     /// Whether the unit of an endpoint is to be left alone.
     pub fn is_on_hold(&self, endpoint: usize, now: Time) -> bool {
-        self.endpoints.get(endpoint).is_some_and(|e| now < self.units[e.unit].hold_until)
+        self.endpoints.get(endpoint).is_some_and(|e| now < self.limit_scopes[e.limit_scope].hold_until)
     }
 
     /// Counts the books of the decisions another way than they are kept, and says in words where the two differ.
     pub fn audit(&self) -> Vec<String> {
         let mut faults = Vec::new();
-        let mut left = vec![0; self.calls.len()];
-        let (mut at, mut late) = (vec![0; self.endpoints.len()], vec![0; self.endpoints.len()]);
-        let mut to = vec![0; self.dests.len()];
-        for call in self.calls.iter().filter(|call| call.left > 0) {
-            at[call.endpoint] += 1;
-            late[call.endpoint] += usize::from(call.late);
-            to[self.endpoints[call.endpoint].dest] += 1;
+        let mut pending = vec![0; self.calls.len()];
+        let (mut by_endpoint, mut overdue) = (vec![0; self.endpoints.len()], vec![0; self.endpoints.len()]);
+        let mut by_destination = vec![0; self.destinations.len()];
+        for call in self.calls.iter().filter(|call| call.pending_mails > 0) {
+            by_endpoint[call.endpoint] += 1;
+            overdue[call.endpoint] += usize::from(call.overdue);
+            by_destination[self.endpoints[call.endpoint].destination] += 1;
         }
-        agree(&mut faults, || "slots taken".into(), self.out, at.iter().sum());
+        agree(&mut faults, || "slots taken".into(), self.calls_in_flight, by_endpoint.iter().sum());
         for (endpoint, e) in self.endpoints.iter().enumerate() {
-            agree(&mut faults, || format!("calls out to endpoint {endpoint}"), e.out, at[endpoint]);
-            agree(&mut faults, || format!("late calls to endpoint {endpoint}"), e.late, late[endpoint]);
+            agree(
+                &mut faults,
+                || format!("calls out to endpoint {endpoint}"),
+                e.calls_in_flight,
+                by_endpoint[endpoint],
+            );
+            agree(
+                &mut faults,
+                || format!("late calls to endpoint {endpoint}"),
+                e.overdue_calls,
+                overdue[endpoint],
+            );
         }
-        for (dest, d) in self.dests.iter().enumerate() {
-            agree(&mut faults, || format!("calls out to destination {dest}"), d.out, to[dest]);
+        for (destination, d) in self.destinations.iter().enumerate() {
+            agree(
+                &mut faults,
+                || format!("calls out to destination {destination}"),
+                d.calls_in_flight,
+                by_destination[destination],
+            );
         }
         // How often a mail stands in a line of its destination, and in that of its key.
-        let mut stands = vec![(0, 0); self.mails.len()];
-        for (dest, line) in
-            self.dests.iter().enumerate().flat_map(|(i, d)| d.lines.iter().map(move |l| (i, l)))
+        let mut entries = vec![(0, 0); self.mails.len()];
+        for (destination, queue) in
+            self.destinations.iter().enumerate().flat_map(|(i, d)| d.queues.iter().map(move |l| (i, l)))
         {
-            for &mail in line {
+            for &mail in queue {
                 match self.mails.get(mail) {
-                    Some(m) if m.place == Place::Parked && m.dest == dest => stands[mail].0 += 1,
-                    _ => faults
-                        .push(format!("a line of destination {dest} holds mail {mail}, not parked there")),
+                    Some(m) if m.state == MailState::Queued && m.destination == destination => {
+                        entries[mail].0 += 1
+                    }
+                    _ => faults.push(format!(
+                        "a line of destination {destination} holds mail {mail}, not parked there"
+                    )),
                 }
             }
         }
         for (key, k) in self.keys.iter().enumerate() {
-            for &mail in &k.line {
+            for &mail in &k.queue {
                 match self.mails.get(mail) {
-                    Some(m) if m.place != Place::Free && m.key == Some(key) => stands[mail].1 += 1,
+                    Some(m) if m.state != MailState::Unused && m.key == Some(key) => entries[mail].1 += 1,
                     _ => faults
                         .push(format!("the line of key {key} holds mail {mail}, which is none of its own")),
                 }
             }
         }
         let mut open = 0;
-        for (mail, m) in self.mails.iter().enumerate().filter(|(_, m)| m.place != Place::Free) {
-            let parked = usize::from(m.place == Place::Parked);
-            open += usize::from(m.place != Place::Over);
-            agree(&mut faults, || format!("places of mail {mail} in lines"), parked, stands[mail].0);
-            let keyed = usize::from(m.key.is_some());
-            agree(&mut faults, || format!("places of mail {mail} in lines of keys"), keyed, stands[mail].1);
-            if parked == 0 {
-                left[m.call] += 1;
-                let of = self.endpoints[self.calls[m.call].endpoint].dest;
-                if of != m.dest {
-                    faults.push(format!("mail {mail} of destination {} is out to destination {of}", m.dest));
+        for (mail, m) in self.mails.iter().enumerate().filter(|(_, m)| m.state != MailState::Unused) {
+            let queued = usize::from(m.state == MailState::Queued);
+            open += usize::from(m.state != MailState::Finished);
+            agree(&mut faults, || format!("places of mail {mail} in lines"), queued, entries[mail].0);
+            let has_key = usize::from(m.key.is_some());
+            agree(
+                &mut faults,
+                || format!("places of mail {mail} in lines of keys"),
+                has_key,
+                entries[mail].1,
+            );
+            if queued == 0 {
+                pending[m.call] += 1;
+                let call_destination = self.endpoints[self.calls[m.call].endpoint].destination;
+                if call_destination != m.destination {
+                    faults.push(format!(
+                        "mail {mail} of destination {} is out to destination {call_destination}",
+                        m.destination
+                    ));
                 }
             }
         }
-        agree(&mut faults, || "open mails".into(), self.open, open);
+        agree(&mut faults, || "open mails".into(), self.open_mails, open);
         for (i, call) in self.calls.iter().enumerate() {
-            agree(&mut faults, || format!("mails of the call in slot {i}"), call.left, left[i]);
+            agree(&mut faults, || format!("mails of the call in slot {i}"), call.pending_mails, pending[i]);
         }
         faults
     }
@@ -125,40 +154,45 @@
     /// Spoils one book, so that a test can show that the audit sees it; false where there is nothing to spoil.
     #[cfg(any(debug_assertions, feature = "spoil"))]
     pub fn corrupt(&mut self, what: &str) -> bool {
-        let parked = self.mails.iter().position(|m| m.place == Place::Parked);
-        let call = self.calls.iter().position(|c| c.left > 0);
-        let line = |c: &mut Control, mail: usize| {
-            let dest = c.mails[mail].dest;
-            c.dests[dest].lines.iter().position(|line| line.contains(&mail)).map(|line| (dest, line))
+        let queued = self.mails.iter().position(|m| m.state == MailState::Queued);
+        let call = self.calls.iter().position(|c| c.pending_mails > 0);
+        let queue = |c: &mut Control, mail: usize| {
+            let destination = c.mails[mail].destination;
+            c.destinations[destination]
+                .queues
+                .iter()
+                .position(|queue| queue.contains(&mail))
+                .map(|queue| (destination, queue))
         };
-        match (what, parked, call) {
-            ("slots", ..) => self.out += 1,
-            ("open", ..) => self.open += 1,
+        match (what, queued, call) {
+            ("slots", ..) => self.calls_in_flight += 1,
+            ("open", ..) => self.open_mails += 1,
             ("calls to a destination", _, Some(call)) => {
-                let dest = self.endpoints[self.calls[call].endpoint].dest;
-                self.dests[dest].out += 1;
+                let destination = self.endpoints[self.calls[call].endpoint].destination;
+                self.destinations[destination].calls_in_flight += 1;
             }
             ("calls to an endpoint", _, Some(call)) => {
                 let endpoint = self.calls[call].endpoint;
-                self.endpoints[endpoint].out += 1;
+                self.endpoints[endpoint].calls_in_flight += 1;
             }
-            ("mails of a call", _, Some(call)) => self.calls[call].left += 1,
+            ("mails of a call", _, Some(call)) => self.calls[call].pending_mails += 1,
             ("a line that lost a mail" | "a line with a mail twice", Some(mail), _) => {
-                let Some((dest, line)) = line(self, mail) else { return false };
-                let line = &mut self.dests[dest].lines[line];
+                let Some((destination, queue)) = queue(self, mail) else { return false };
+                let queue = &mut self.destinations[destination].queues[queue];
                 match what {
-                    "a line that lost a mail" => line.retain(|&other| other != mail),
-                    _ => line.push(mail),
+                    "a line that lost a mail" => queue.retain(|&other| other != mail),
+                    _ => queue.push(mail),
                 }
             }
             ("the line of a key", ..) => {
-                let Some(key) = self.keys.iter_mut().find(|k| !k.line.is_empty()) else { return false };
-                key.line.pop();
+                let Some(key) = self.keys.iter_mut().find(|k| !k.queue.is_empty()) else { return false };
+                key.queue.pop();
             }
             ("a mail's destination", _, Some(call)) => {
-                let out = |m: &&mut crate::state::Mail| m.place == Place::Out && m.call == call;
-                let Some(mail) = self.mails.iter_mut().find(out) else { return false };
-                mail.dest = if mail.dest == 0 { 1 } else { 0 };
+                let in_flight =
+                    |m: &&mut crate::state::Mail| m.state == MailState::InFlight && m.call == call;
+                let Some(mail) = self.mails.iter_mut().find(in_flight) else { return false };
+                mail.destination = if mail.destination == 0 { 1 } else { 0 };
             }
             _ => return false,
         }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -34,12 +34,13 @@
         let second = SECOND as f64;
         if half_life_decay {
             let target = self.target_delay.max(1) as f64;
-            let left = self.importance * 0.5f64.powf(overdue as f64 / target).max(self.expiry_importance);
-            (left, left * std::f64::consts::LN_2 / target * second)
+            let remaining =
+                self.importance * 0.5f64.powf(overdue as f64 / target).max(self.expiry_importance);
+            (remaining, remaining * std::f64::consts::LN_2 / target * second)
         } else {
-            let over = self.lifetime.saturating_sub(self.target_delay).max(1) as f64;
-            let slope = self.importance * (1.0 - self.expiry_importance) / over * second;
-            (self.importance - slope * overdue as f64 / second, slope)
+            let span = self.lifetime.saturating_sub(self.target_delay).max(1) as f64;
+            let loss = self.importance * (1.0 - self.expiry_importance) / span * second;
+            (self.importance - loss * overdue as f64 / second, loss)
         }
     }
 }
@@ -92,10 +93,11 @@
 
 impl Settings {
     /// The highest importance, the shortest lifetime, `least` at least, and the shortest target delay of the classes.
-    pub fn extremes(&self, least: Time) -> (f64, Time, Time) {
-        let top = self.classes.iter().map(|c| c.importance).fold(0.0, f64::max);
-        let lifetime = self.classes.iter().map(|c| c.lifetime).min().unwrap_or(least).max(least);
-        (top, lifetime, self.classes.iter().map(|c| c.target_delay).min().unwrap_or(SECOND))
+    pub fn extremes(&self, min_lifetime: Time) -> (f64, Time, Time) {
+        let max_importance = self.classes.iter().map(|c| c.importance).fold(0.0, f64::max);
+        let lifetime =
+            self.classes.iter().map(|c| c.lifetime).min().unwrap_or(min_lifetime).max(min_lifetime);
+        (max_importance, lifetime, self.classes.iter().map(|c| c.target_delay).min().unwrap_or(SECOND))
     }
 
     /// These, with the classes and kinds behind them that only the settings held so far have numbers for.
--- a/src/interner.rs
+++ b/src/interner.rs
@@ -9,20 +9,15 @@
 #[derive(Debug)]
 pub struct Interner<K> {
     /// Indices, by the hash of their ids.
-    inside: HashTable<u32>,
+    indices: HashTable<u32>,
     hasher: RandomState,
-    outside: Vec<Option<K>>,
+    ids: Vec<Option<K>>,
     free: Vec<u32>,
 }
 
 impl<K> Default for Interner<K> {
     fn default() -> Self {
-        Interner {
-            inside: HashTable::new(),
-            hasher: RandomState::new(),
-            outside: Vec::new(),
-            free: Vec::new(),
-        }
+        Interner { indices: HashTable::new(), hasher: RandomState::new(), ids: Vec::new(), free: Vec::new() }
     }
 }
 
@@ -33,15 +28,15 @@
             return index;
         }
         let index = self.free.pop().unwrap_or_else(|| {
-            self.outside.push(None);
+            self.ids.push(None);
             // More would not fit into any memory.
-            (self.outside.len() - 1) as u32
+            (self.ids.len() - 1) as u32
         });
-        let (hasher, outside) = (&self.hasher, &mut self.outside);
+        let (hasher, ids) = (&self.hasher, &mut self.ids);
         let hash = hasher.hash_one(&id);
-        outside[index as usize] = Some(id);
-        let hash_of = |&other: &u32| outside[other as usize].as_ref().map_or(0, |id| hasher.hash_one(id));
-        self.inside.insert_unique(hash, index, hash_of);
+        ids[index as usize] = Some(id);
+        let hash_of = |&other: &u32| ids[other as usize].as_ref().map_or(0, |id| hasher.hash_one(id));
+        self.indices.insert_unique(hash, index, hash_of);
         index as usize
     }
 
@@ -50,27 +45,28 @@
     where
         K: Borrow<Q>,
     {
-        let is_it = |&index: &u32| self.outside[index as usize].as_ref().map(K::borrow) == Some(id);
-        self.inside.find(self.hasher.hash_one(id), is_it).map(|&index| index as usize)
+        let matches = |&index: &u32| self.ids[index as usize].as_ref().map(K::borrow) == Some(id);
+        self.indices.find(self.hasher.hash_one(id), matches).map(|&index| index as usize)
     }
 
     pub fn id(&self, index: usize) -> Option<&K> {
-        self.outside.get(index)?.as_ref()
+        self.ids.get(index)?.as_ref()
     }
 
     /// Ids that have an index now.
     pub fn len(&self) -> usize {
-        self.inside.len()
+        self.indices.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.inside.is_empty()
+        self.indices.is_empty()
     }
 
     /// The index may be given to another id from now on.
     pub fn release(&mut self, index: usize) {
-        let Some(id) = self.outside.get_mut(index).and_then(Option::take) else { return };
-        if let Ok(entry) = self.inside.find_entry(self.hasher.hash_one(&id), |&other| other as usize == index)
+        let Some(id) = self.ids.get_mut(index).and_then(Option::take) else { return };
+        if let Ok(entry) =
+            self.indices.find_entry(self.hasher.hash_one(&id), |&other| other as usize == index)
         {
             entry.remove();
         }
@@ -84,36 +80,40 @@
 
     #[test]
     fn indices_are_small_stable_and_reused() {
-        let mut door = Interner::default();
-        assert_eq!([door.intern(70), door.intern(9), door.intern(70)], [0, 1, 0]);
-        door.release(0);
-        door.release(0);
-        assert_eq!((door.get(&70), door.id(0)), (None, None));
-        assert_eq!([door.intern(5), door.intern(6)], [0, 2]);
-        assert_eq!((door.id(0), door.id(9)), (Some(&5), None));
-        assert_eq!((door.len(), door.is_empty()), (3, false));
+        let mut interner = Interner::default();
+        assert_eq!([interner.intern(70), interner.intern(9), interner.intern(70)], [0, 1, 0]);
+        interner.release(0);
+        interner.release(0);
+        assert_eq!((interner.get(&70), interner.id(0)), (None, None));
+        assert_eq!([interner.intern(5), interner.intern(6)], [0, 2]);
+        assert_eq!((interner.id(0), interner.id(9)), (Some(&5), None));
+        assert_eq!((interner.len(), interner.is_empty()), (3, false));
     }
 
     #[test]
     fn it_holds_what_a_map_holds_over_many_comings_and_goings() {
-        let (mut door, mut known) = (Interner::<Box<[u8]>>::default(), std::collections::BTreeMap::new());
-        let mut chance = fastrand::Rng::with_seed(7);
+        let (mut interner, mut expected) =
+            (Interner::<Box<[u8]>>::default(), std::collections::BTreeMap::new());
+        let mut rng = fastrand::Rng::with_seed(7);
         for _ in 0..40_000 {
-            let name = chance.u64(..3000).to_string().into_bytes();
-            assert_eq!(door.get(&name[..]), known.get(&name).copied());
-            if chance.bool() {
-                let index = door.intern(name.clone().into());
-                assert_eq!((door.get(&name[..]), &door.id(index).unwrap()[..]), (Some(index), &name[..]));
-                known.insert(name, index);
-            } else if let Some(index) = known.remove(&name) {
-                door.release(index);
-                assert_eq!((door.get(&name[..]), door.id(index)), (None, None));
+            let name = rng.u64(..3000).to_string().into_bytes();
+            assert_eq!(interner.get(&name[..]), expected.get(&name).copied());
+            if rng.bool() {
+                let index = interner.intern(name.clone().into());
+                assert_eq!(
+                    (interner.get(&name[..]), &interner.id(index).unwrap()[..]),
+                    (Some(index), &name[..])
+                );
+                expected.insert(name, index);
+            } else if let Some(index) = expected.remove(&name) {
+                interner.release(index);
+                assert_eq!((interner.get(&name[..]), interner.id(index)), (None, None));
             }
-            assert_eq!(door.len(), known.len());
+            assert_eq!(interner.len(), expected.len());
         }
-        let mut indices: Vec<usize> = known.into_values().collect();
+        let mut indices: Vec<usize> = expected.into_values().collect();
         indices.sort_unstable();
         indices.dedup();
-        assert!(indices.len() == door.len() && indices.last() < Some(&3000));
+        assert!(indices.len() == interner.len() && indices.last() < Some(&3000));
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -10,25 +10,25 @@
 
 /// A count that fades over the window, so that what has gone quiet ages.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Fading {
+pub struct DecayingCount {
     pub count: f64,
-    pub at: Time,
+    pub updated_at: Time,
 }
 
-impl Fading {
-    const NONE: Fading = Fading { count: 0.0, at: 0 };
+impl DecayingCount {
+    const ZERO: DecayingCount = DecayingCount { count: 0.0, updated_at: 0 };
 
-    pub fn count(&mut self, now: Time, window: Time) {
+    pub fn increment(&mut self, now: Time, window: Time) {
         self.add(now, window, 1.0);
     }
 
-    pub fn add(&mut self, now: Time, window: Time, much: f64) {
-        (self.count, self.at) = (self.rate(now, window) * seconds(window) + much, now);
+    pub fn add(&mut self, now: Time, window: Time, amount: f64) {
+        (self.count, self.updated_at) = (self.rate(now, window) * to_seconds(window) + amount, now);
     }
 
     pub fn rate(&self, now: Time, window: Time) -> f64 {
-        let age = (now - self.at) as f64 / window as f64;
-        self.count * (-age).exp() / seconds(window)
+        let age = (now - self.updated_at) as f64 / window as f64;
+        self.count * (-age).exp() / to_seconds(window)
     }
 }
 
@@ -37,19 +37,19 @@
 pub struct Latency {
     pub mean: f64,
     pub deviation: f64,
-    pub seen: bool,
+    pub measured: bool,
 }
 
 impl Latency {
-    const NONE: Latency = Latency { mean: 0.0, deviation: 0.0, seen: false };
+    const UNMEASURED: Latency = Latency { mean: 0.0, deviation: 0.0, measured: false };
 
     /// `newest`: weight of this call.
-    pub fn learn(&mut self, took: f64, newest: f64) {
-        if !self.seen {
-            *self = Latency { mean: took, deviation: took / 2.0, seen: true };
+    pub fn update(&mut self, duration: f64, weight: f64) {
+        if !self.measured {
+            *self = Latency { mean: duration, deviation: duration / 2.0, measured: true };
         }
-        self.deviation += newest * ((took - self.mean).abs() - self.deviation);
-        self.mean += newest * (took - self.mean);
+        self.deviation += weight * ((duration - self.mean).abs() - self.deviation);
+        self.mean += weight * (duration - self.mean);
     }
 
     pub fn tail(&self, deviations: f64) -> f64 {
@@ -58,276 +58,286 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Place {
+pub enum MailState {
     #[default]
-    Free,
-    Parked,
-    Out,
+    Unused,
+    Queued,
+    InFlight,
     /// Answered, with a connect whose outcome is still to come.
-    Over,
+    Finished,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Mail {
-    pub place: Place,
-    pub dest: usize,
+    pub state: MailState,
+    pub destination: usize,
     pub class: usize,
     pub key: Option<usize>,
-    pub target: Time,
-    pub due: Time,
-    pub connects: usize,
+    pub target_time: Time,
+    pub deadline: Time,
+    pub connects_used: usize,
     pub call: usize,
     /// Send of the first connect that may have run, and the zone that it went to.
-    pub ran: Option<(Time, usize)>,
+    pub first_run: Option<(Time, usize)>,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Call {
     pub endpoint: usize,
-    pub started: Time,
+    pub started_at: Time,
     /// Mails without an outcome; 0: the place is free.
-    pub left: usize,
-    pub late: bool,
+    pub pending_mails: usize,
+    pub overdue: bool,
 }
 
 /// What is limited and waits on its own: a destination, or an endpoint that is a route apart. What only calls teach is
 /// made when it is first written to, here and below: a courier never calls most of a long list.
 #[derive(Clone, Debug, Default)]
-pub struct Unit {
+pub struct LimitScope {
     /// This courier's even share, in calls a second, of the limit that is listed or told; 0: not known.
-    pub even: f64,
+    pub fair_share: f64,
     /// Calls a second that this courier allows itself; 0: no pace is kept.
-    pub pace: f64,
+    pub paced_rate: f64,
     /// What is left of this courier's even share of the limit.
-    pub share: Saved,
-    called: Option<Box<CalledUnit>>,
+    pub share_tokens: TokenBucket,
+    call_state: Option<Box<LimitScopeCallState>>,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct CalledUnit {
+pub struct LimitScopeCallState {
     /// Nothing is sent before this time: a told wait, or a back-off of our own.
     pub hold_until: Time,
     /// Until then only what is worth most goes, after a refusal.
-    pub ease_until: Time,
+    pub priority_only_until: Time,
     /// Refusals since the last served call, and when they began.
-    pub refused: u32,
-    pub refused_since: Time,
+    pub refusals: u32,
+    pub refusing_since: Time,
     /// When the last of them came: a call that began before says nothing new.
-    pub refused_at: Time,
+    pub last_refused_at: Time,
     /// Notes that it is full, fading.
-    pub full: Fading,
+    pub refusal_notes: DecayingCount,
     /// What was saved up at the pace.
-    pub saved: Saved,
-    pub sent: Fading,
+    pub pace_tokens: TokenBucket,
+    pub sent_calls: DecayingCount,
 }
 
-/// Reads as `$fresh` until it is written to.
-macro_rules! made_when_written {
-    ($whole:ty, $called:ty, $fresh:expr) => {
-        impl Deref for $whole {
-            type Target = $called;
+/// Reads as `$initial` until it is written to.
+macro_rules! lazily_allocated {
+    ($owner:ty, $call_state:ty, $initial:expr) => {
+        impl Deref for $owner {
+            type Target = $call_state;
 
-            fn deref(&self) -> &$called {
-                static FRESH: $called = $fresh;
-                self.called.as_deref().unwrap_or(&FRESH)
+            fn deref(&self) -> &$call_state {
+                static INITIAL: $call_state = $initial;
+                self.call_state.as_deref().unwrap_or(&INITIAL)
             }
         }
 
-        impl DerefMut for $whole {
-            fn deref_mut(&mut self) -> &mut $called {
-                self.called.get_or_insert_default()
+        impl DerefMut for $owner {
+            fn deref_mut(&mut self) -> &mut $call_state {
+                self.call_state.get_or_insert_default()
             }
         }
     };
 }
 
-made_when_written!(
-    Unit,
-    CalledUnit,
-    CalledUnit {
+lazily_allocated!(
+    LimitScope,
+    LimitScopeCallState,
+    LimitScopeCallState {
         hold_until: 0,
-        ease_until: 0,
-        refused: 0,
-        refused_since: 0,
-        refused_at: 0,
-        full: Fading::NONE,
-        saved: Saved::NONE,
-        sent: Fading::NONE,
+        priority_only_until: 0,
+        refusals: 0,
+        refusing_since: 0,
+        last_refused_at: 0,
+        refusal_notes: DecayingCount::ZERO,
+        pace_tokens: TokenBucket::EMPTY,
+        sent_calls: DecayingCount::ZERO,
     }
 );
 
-/// Units by number: the even ones are destinations', the odd ones routes'. A list of their own for each: most couriers
+/// LimitScopes by number: the even ones are destinations', the odd ones routes'. A list of their own for each: most couriers
 /// have one sort, and the other's numbers would take room for nothing.
 #[derive(Clone, Debug, Default)]
-pub struct Units([Vec<Unit>; 2]);
+pub struct LimitScopes([Vec<LimitScope>; 2]);
 
-impl Units {
+impl LimitScopes {
     /// The number of a destination's unit, or of that of a route apart.
-    pub fn number(dest: usize, route: Option<usize>) -> usize {
-        route.map_or(2 * dest, |endpoint| 2 * endpoint + 1)
+    pub fn index_of(destination: usize, own_limits_of: Option<usize>) -> usize {
+        own_limits_of.map_or(2 * destination, |endpoint| 2 * endpoint + 1)
     }
 
-    pub fn is_route(unit: usize) -> bool {
-        unit % 2 == 1
+    pub fn is_endpoint_scope(scope: usize) -> bool {
+        scope % 2 == 1
     }
 
-    pub fn grow(&mut self, unit: usize) {
-        grow(&mut self.0[unit % 2], unit / 2);
+    pub fn ensure(&mut self, scope: usize) {
+        ensure_index(&mut self.0[scope % 2], scope / 2);
     }
 
-    pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Unit> {
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut LimitScope> {
         self.0.iter_mut().flatten()
     }
 }
 
 /// One that was never made reads as new.
-impl Index<usize> for Units {
-    type Output = Unit;
-
-    fn index(&self, unit: usize) -> &Unit {
-        static NEW: Unit = Unit { even: 0.0, pace: 0.0, share: Saved::NONE, called: None };
-        self.0[unit % 2].get(unit / 2).unwrap_or(&NEW)
+impl Index<usize> for LimitScopes {
+    type Output = LimitScope;
+
+    fn index(&self, scope: usize) -> &LimitScope {
+        static NEW: LimitScope = LimitScope {
+            fair_share: 0.0,
+            paced_rate: 0.0,
+            share_tokens: TokenBucket::EMPTY,
+            call_state: None,
+        };
+        self.0[scope % 2].get(scope / 2).unwrap_or(&NEW)
     }
 }
 
-impl IndexMut<usize> for Units {
-    fn index_mut(&mut self, unit: usize) -> &mut Unit {
-        self.grow(unit);
-        &mut self.0[unit % 2][unit / 2]
+impl IndexMut<usize> for LimitScopes {
+    fn index_mut(&mut self, scope: usize) -> &mut LimitScope {
+        self.ensure(scope);
+        &mut self.0[scope % 2][scope / 2]
     }
 }
 
 /// Calls saved up at a pace.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Saved {
-    pub calls: f64,
-    pub at: Time,
+pub struct TokenBucket {
+    pub tokens: f64,
+    pub updated_at: Time,
 }
 
-impl Saved {
-    const NONE: Saved = Saved { calls: 0.0, at: 0 };
+impl TokenBucket {
+    const EMPTY: TokenBucket = TokenBucket { tokens: 0.0, updated_at: 0 };
 
     /// Saves up to `depth` calls, one at least; whether a call may go.
-    pub fn refill(&mut self, now: Time, pace: f64, depth: f64) -> bool {
-        self.add(now, pace * (now - self.at) as f64 / SECOND as f64, depth)
+    pub fn refill(&mut self, now: Time, rate: f64, burst: f64) -> bool {
+        self.add(now, rate * (now - self.updated_at) as f64 / SECOND as f64, burst)
     }
 
     /// The same with what was gained since the last time.
     pub fn add(&mut self, now: Time, gained: f64, depth: f64) -> bool {
-        (self.calls, self.at) = ((self.calls + gained).min(depth.max(1.0)), now);
-        self.calls >= 1.0
+        (self.tokens, self.updated_at) = ((self.tokens + gained).min(depth.max(1.0)), now);
+        self.tokens >= 1.0
     }
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Endpoint {
     pub known: bool,
-    pub dest: usize,
-    pub unit: usize,
+    pub destination: usize,
+    pub limit_scope: usize,
     pub zone: usize,
     pub kind: usize,
-    pub life: EndpointStatus,
-    pub named: bool,
+    pub status: EndpointStatus,
+    pub in_current_list: bool,
     /// When it left the list.
-    pub gone_at: Time,
-    pub standing: Health,
-    pub since: Time,
-    pub last_good: Time,
-    pub ramp: Saved,
-    pub called: Option<Box<CalledEndpoint>>,
+    pub removed_at: Time,
+    pub health: Health,
+    pub health_since: Time,
+    pub last_success: Time,
+    pub ramp_tokens: TokenBucket,
+    pub call_state: Option<Box<EndpointCallState>>,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct CalledEndpoint {
+pub struct EndpointCallState {
     /// When it was last held to be well.
-    pub ill_since: Time,
-    pub bad_since_good: bool,
+    pub unhealthy_since: Time,
+    pub failed_since_success: bool,
     /// The other couriers know that it is down.
-    pub told: bool,
+    pub peers_know_down: bool,
     /// Share of errors among its latest answers.
-    pub errs: f64,
-    pub trial_at: Time,
-    pub trials: u32,
-    pub out: usize,
-    pub late: usize,
+    pub error_rate: f64,
+    pub next_trial_at: Time,
+    pub trial_count: u32,
+    pub calls_in_flight: usize,
+    pub overdue_calls: usize,
     pub latency: Latency,
 }
 
-made_when_written!(
+lazily_allocated!(
     Endpoint,
-    CalledEndpoint,
-    CalledEndpoint {
-        ill_since: 0,
-        bad_since_good: false,
-        told: false,
-        errs: 0.0,
-        trial_at: 0,
-        trials: 0,
-        out: 0,
-        late: 0,
-        latency: Latency::NONE,
+    EndpointCallState,
+    EndpointCallState {
+        unhealthy_since: 0,
+        failed_since_success: false,
+        peers_know_down: false,
+        error_rate: 0.0,
+        next_trial_at: 0,
+        trial_count: 0,
+        calls_in_flight: 0,
+        overdue_calls: 0,
+        latency: Latency::UNMEASURED,
     }
 );
 
 #[derive(Clone, Debug, Default)]
-pub struct Dest {
+pub struct Destination {
     /// Two of them take no room of their own.
     pub endpoints: SmallVec<[usize; 2]>,
     /// This courier's even share, in calls a second, of the limits of its ready endpoints.
-    pub even: f64,
-    called: Option<Box<CalledDest>>,
+    pub fair_share: f64,
+    call_state: Option<Box<DestinationCallState>>,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct CalledDest {
+pub struct DestinationCallState {
     /// Parked mails: first connects, and further ones in a line of their own.
-    pub lines: [Vec<usize>; 2],
-    pub out: usize,
-    pub arrivals: Fading,
+    pub queues: [Vec<usize>; 2],
+    pub calls_in_flight: usize,
+    pub arrivals: DecayingCount,
     /// Arrivals over the time that a destination takes to warm up.
-    pub steady: Fading,
-    pub grown: usize,
+    pub warm_up_arrivals: DecayingCount,
+    pub cap_growth: usize,
     pub latency: Latency,
 }
 
 impl Endpoint {
     /// The same as one that is known since now.
-    pub fn from(self, now: Time) -> Endpoint {
-        Endpoint { last_good: now, since: now, ramp: Saved { calls: 0.0, at: now }, ..self }
+    pub fn known_since(self, now: Time) -> Endpoint {
+        Endpoint {
+            last_success: now,
+            health_since: now,
+            ramp_tokens: TokenBucket { tokens: 0.0, updated_at: now },
+            ..self
+        }
     }
 }
 
-made_when_written!(
-    Dest,
-    CalledDest,
-    CalledDest {
-        lines: [Vec::new(), Vec::new()],
-        out: 0,
-        arrivals: Fading::NONE,
-        steady: Fading::NONE,
-        grown: 0,
-        latency: Latency::NONE,
+lazily_allocated!(
+    Destination,
+    DestinationCallState,
+    DestinationCallState {
+        queues: [Vec::new(), Vec::new()],
+        calls_in_flight: 0,
+        arrivals: DecayingCount::ZERO,
+        warm_up_arrivals: DecayingCount::ZERO,
+        cap_growth: 0,
+        latency: Latency::UNMEASURED,
     }
 );
 
-impl CalledDest {
+impl DestinationCallState {
     /// Parked mails of both lines.
-    pub fn waiting(&self) -> usize {
-        self.lines[0].len() + self.lines[1].len()
+    pub fn queued(&self) -> usize {
+        self.queues[0].len() + self.queues[1].len()
     }
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Key {
-    pub line: Vec<usize>,
-    pub rest_until: Time,
+    pub queue: Vec<usize>,
+    pub quiet_until: Time,
 }
 
-pub fn seconds(time: Time) -> f64 {
+pub fn to_seconds(time: Time) -> f64 {
     time as f64 / SECOND as f64
 }
 
-pub fn grow<T: Default>(list: &mut Vec<T>, index: usize) -> &mut T {
+pub fn ensure_index<T: Default>(list: &mut Vec<T>, index: usize) -> &mut T {
     if index >= list.len() {
         list.resize_with(index + 1, T::default);
     }
@@ -335,20 +345,21 @@
 }
 
 /// Whether a mail is in one of these places.
-pub fn is_at(mails: &[Mail], mail: usize, places: [Place; 2]) -> bool {
-    mails.get(mail).is_some_and(|m| places.contains(&m.place))
+pub fn is_in_state(mails: &[Mail], mail: usize, states: [MailState; 2]) -> bool {
+    mails.get(mail).is_some_and(|m| states.contains(&m.state))
 }
 
 /// The indices of parked mails.
-pub fn parked(mails: &[Mail]) -> impl Iterator<Item = usize> + '_ {
-    (0..mails.len()).filter(|&i| mails[i].place == Place::Parked)
+pub fn queued_mails(mails: &[Mail]) -> impl Iterator<Item = usize> + '_ {
+    (0..mails.len()).filter(|&i| mails[i].state == MailState::Queued)
 }
 
 /// Sums this courier's even share of each destination's limits: its own, or those of its routes apart.
-pub fn sum_shares(dests: &mut [Dest], endpoints: &[Endpoint], units: &Units) {
-    dests.iter_mut().for_each(|d| d.even = 0.0);
-    for e in endpoints.iter().filter(|e| e.known && e.life == EndpointStatus::Ready) {
-        let (d, even) = (&mut dests[e.dest], units[e.unit].even);
-        d.even = if Units::is_route(e.unit) { d.even + even } else { even };
+pub fn sum_fair_shares(destinations: &mut [Destination], endpoints: &[Endpoint], scopes: &LimitScopes) {
+    destinations.iter_mut().for_each(|d| d.fair_share = 0.0);
+    for e in endpoints.iter().filter(|e| e.known && e.status == EndpointStatus::Ready) {
+        let (d, share) = (&mut destinations[e.destination], scopes[e.limit_scope].fair_share);
+        d.fair_share =
+            if LimitScopes::is_endpoint_scope(e.limit_scope) { d.fair_share + share } else { share };
     }
 }
