--- a/src/control.rs
+++ b/src/control.rs
@@ -1,6 +1,8 @@
-//! All decisions of a courier: build one `Control`, call `step` once a turn with the clock, its inputs and
-//! a buffer for the actions (`interface.rs`); it returns when to call again.
-//! The ordinary path is the design's: a cap on each destination's calls in flight, what is over it is parked.
+//! All decisions of a courier. Build one `Control` and call `step` once a turn with the current time, the
+//! inputs since the last turn and a buffer for the actions (see `interface`); it returns when to call again.
+//!
+//! In the ordinary case each destination has a cap on its calls in flight, and mails above the cap are
+//! queued.
 
 use crate::interface::{AcceptedMail, Settings, Time, SECOND};
 use crate::interface::{
@@ -11,71 +13,92 @@
 
 mod inspect;
 
-/// Headroom of Little's law; the design's figure for arrivals in batches.
+/// Headroom over Little's law in the cap on calls in flight, for mails that arrive in batches.
 const HEADROOM: f64 = 1.0 / 3.0;
-/// Deviations above the mean at which the tail of served calls is put.
+/// Mean deviations above the mean latency of relayed calls at which the tail latency is put.
 const TAIL_DEVIATIONS: f64 = 4.0;
-/// Weight of the newest served call in a latency estimate.
+/// Weight of the newest relayed call in a latency estimate, and of the newest answer in an error rate.
 const NEWEST_WEIGHT: f64 = 0.1;
-/// The clamp's share of the slots, that of a sick destination, and of one whose endpoints are all sick.
+/// Largest share of the slots for one destination: with healthy endpoints, with an unhealthy one, and with
+/// unhealthy ones only.
 const SLOT_SHARES: [(usize, usize); 3] = [(3, 4), (1, 2), (1, 4)];
-/// Time-out in tails: redeliverable, tagged; once-only calls may run to their end.
+/// Timeout in tail latencies for redeliverable and for tagged mails. Calls of once-only mails may run until
+/// the deadline.
 const TIMEOUT_TAILS: [f64; 2] = [3.0, 4.0];
-/// What is kept of a count of bad outcomes at each served call.
+/// Factor on a count of connection failures at each relayed call.
 const COUNT_DECAY: f64 = 0.95;
 /// Window over which rates are counted.
 const RATE_WINDOW: Time = 2 * SECOND;
-/// A pace after a refusal, and what a served call adds to it while mails wait, as part of the even share.
+/// Factor on the paced rate after a refusal, and what a relayed call adds to it while mails are queued, as
+/// part of the fair share.
 const PACE_DECREASE: f64 = 0.85;
 const PACE_INCREASE: f64 = 0.05;
-/// Calls a target delay in an even share, under which no pace is kept: it would starve a courier's few mails.
+/// Fair share in calls per target delay below which no rate is enforced: it would starve a courier that has
+/// few mails.
 const MIN_PACED_CALLS: f64 = 0.5;
-/// The same, under which the share itself is kept to, by turns: refusals would teach a pace too late.
+/// Fair share in calls per target delay below which calls are sent by turns at the fair share itself: so few
+/// calls meet a refusal too late to learn a rate from it.
 const MAX_TURN_CALLS: f64 = 2.0;
-/// Part of a mail's time within which its turn must come, by the turns of those ahead, for it to be taken on.
+/// Part of a mail's remaining time within which its turn must come, behind the mails queued ahead, for it to
+/// be accepted.
 const MAX_QUEUE_SHARE: f64 = 0.6;
-/// Turns at a limit that a courier saves up.
+/// Turns at a limit that a courier may save up.
 const MAX_SAVED_TURNS: f64 = 2.0;
-/// Target delays that a fee of a whole mail's worth weighs in the pick.
+/// Target delays that a fee of one mail's whole importance adds to the expected time at an endpoint.
 const FEE_TARGET_DELAYS: f64 = 8.0;
-/// Calls while a connection is kept idle, and those times its price, under which it is closed.
+/// Expected uses of a connection within the idle timeout, and those uses times the cost of a handshake, below
+/// both of which it is closed.
 const RARE_USE: (f64, f64) = (0.25, 0.005);
-/// Part of a limit that is left, up to which it counts as used up.
+/// Remaining part of a limit up to which the limit counts as exhausted.
 const EXHAUSTED_SHARE: f64 = 0.02;
-/// Seconds over which mails for a full unit spread, for refusals of a second of its limit told of late.
+/// Seconds over which queued mails are spread for each second's worth of a limit in reported refusals.
 const REFUSAL_SPREAD: f64 = 4.0;
-/// Couriers that hear what one saw, in the mean: with more of them one sight in several is told of.
+/// Mean number of couriers that one observation is sent to. In a larger fleet each observation is sent only
+/// with the matching probability.
 const MEAN_NOTE_RECIPIENTS: f64 = 256.0;
-/// Part of its paced share that a returning endpoint is sent.
+/// Factor on the paced share of a recovering endpoint.
 const RECOVERY_SHARE: f64 = 1.1;
 
-/// What an endpoint is held to be.
+/// Health of an endpoint as this courier sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Health {
     #[default]
     Healthy,
-    Suspect,    // one sign of trouble: trials only, nothing that must not run twice
-    Down,       // held to be out: a trial call now and then
-    Recovering, // back and cold: a paced share that grows
+    /// One sign of trouble: only trial calls, and no mails that must not run twice.
+    Suspect,
+    /// Taken to be out of service: a trial call now and then.
+    Down,
+    /// Back and cold: a paced share that grows.
+    Recovering,
 }
 
-/// What keeps the calls to an endpoint within its limit, by how much of it is this courier's.
+/// How the calls to an endpoint are kept within its limit; depends on the size of this courier's fair share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LimitControl {
-    Paced,   // a pace that refusals teach
-    Turns,   // too little for that: the share itself, by turns
-    BackOff, // too little to wait for: it stays away for a while after a refusal
+    /// At a rate that is learnt from refusals.
+    Paced,
+    /// At the fair share itself, by turns: too few calls to learn a rate.
+    Turns,
+    /// Too few calls even to wait for a turn: stays away for a while after a refusal.
+    BackOff,
 }
 
-/// What was seen of an endpoint.
+/// What was observed of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Signal {
-    Success,         // a call was served
-    SuccessAfterGap, // a call was served after a gap in which an outage may have come and gone
-    Failure,         // a call failed, found nobody, got no answer, or was refused when no limit explains it
-    Overdue, // a call outlasts its usual latency with nothing served since it was sent, or a trial was refused
-    WarmedUp, // the time for warming up is over
-    FalseAlarm, // another courier's call was served, too soon for an outage that leaves it cold
+    /// A call was relayed.
+    Success,
+    /// A call was relayed after a gap in which an outage may have begun and ended.
+    SuccessAfterGap,
+    /// A call failed, could not connect, got no answer, or was refused when no limit explains it.
+    Failure,
+    /// A call exceeds its usual latency with nothing relayed since it was sent, or a trial was refused.
+    Overdue,
+    /// The warm-up time is over.
+    WarmedUp,
+    /// Another courier's call was relayed, too soon after the failure for an outage that leaves the endpoint
+    /// cold.
+    FalseAlarm,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -85,7 +108,7 @@
     StartRamp,
 }
 
-/// (state, input, next state, effect); a pair that is not listed changes nothing.
+/// (health, signal, next health, effect). A pair that is not listed changes nothing.
 const HEALTH_TRANSITIONS: [(Health, Signal, Health, HealthEffect); 12] = [
     (Health::Healthy, Signal::Failure, Health::Suspect, HealthEffect::ScheduleTrial),
     (Health::Healthy, Signal::Overdue, Health::Suspect, HealthEffect::ScheduleTrial),
@@ -109,7 +132,7 @@
     /// The shortest target delay of all queue classes, and the highest importance.
     min_target_delay: Time,
     max_importance: f64,
-    /// The shortest lifetime: what is learnt over it is learnt in time for what waits.
+    /// The shortest lifetime. What is learnt within it is learnt in time for the mails that are queued.
     min_lifetime: Time,
     mail_limit: usize,
     mails: Vec<Mail>,
@@ -122,14 +145,15 @@
     calls_in_flight: usize,
     list_request_at: Option<Time>,
     failed_list_requests: u32,
-    /// Kept connections that broke of late; fading with each served call.
+    /// Reused connections that broke, decaying with each relayed call.
     broken_reused: f64,
-    /// Connects that found nobody, by kind, fading with each served call; endpoints whose connections close.
+    /// By kind: connects that found nobody listening, decaying with each relayed call.
     unreached_by_kind: Vec<f64>,
+    /// Endpoints whose idle connections are to be closed.
     idle_to_close: Vec<usize>,
-    /// What the other couriers are to be told.
+    /// Notes for the other couriers.
     outgoing_notes: Vec<(usize, PeerNote)>,
-    /// Endpoints that left the list and are still kept in mind.
+    /// Endpoints that left the list and whose index is not released yet.
     removed_endpoints: Vec<usize>,
     shutdown: Option<Shutdown>,
     dispatch_order: Vec<(f64, usize)>,
@@ -145,9 +169,11 @@
         control
     }
 
-    /// From here on decisions go by these settings. What is out or taken on stays, also beyond them.
+    /// Makes decisions follow these settings from now on. Calls in flight and accepted mails stay, also
+    /// beyond the new limits.
     fn apply_settings(&mut self, settings: Settings) {
-        // Guards against what a raised limit would let go at once: the old one saved it up and grew it.
+        // Settle token buckets and cap growth under the old limits first. Otherwise a raised limit would
+        // release at once what was saved up and grown before it.
         let _ =
             (0..self.endpoints.len()).filter(|&e| self.endpoints[e].known && self.check_available(e)).count();
         for destination in (0..self.destinations.len()).filter(|_| settings.slots > self.settings.slots) {
@@ -167,14 +193,16 @@
         sum_fair_shares(&mut self.destinations, &self.endpoints, &self.limit_scopes);
     }
 
-    /// Whether a call may still begin: its endpoint was neither told of as leaving nor held since.
+    /// Whether a call that was decided on may still begin: since then its endpoint was neither listed as
+    /// leaving nor put on hold.
     pub fn may_call(&self, endpoint: usize, now: Time) -> bool {
         let e = &self.endpoints[endpoint];
         e.status == EndpointStatus::Ready && now >= self.limit_scopes[e.limit_scope].hold_until
     }
 
-    /// Whether a mail that is not taken on yet would be the next to make way in a full room, or its turn come
-    /// too late. Guards against mails that are taken and handed back unsent: at the door that costs nothing.
+    /// Whether a mail that is not accepted yet would be the next one to be evicted by the limit on mails,
+    /// would get its turn too late, or would not be sent before a shutdown that it cannot outlast. Rejecting
+    /// it at once costs nothing; accepted, it would be handed back unsent.
     pub fn would_reject(&self, destination: usize, class: usize, deadline: Time) -> bool {
         let Some((c, d)) = self.settings.classes.get(class).zip(self.destinations.get(destination)) else {
             return false;
@@ -198,7 +226,8 @@
             || full && queued_mails(&self.mails).all(|m| self.value_rate(&self.mails[m]) >= value)
     }
 
-    /// Whether one more mail is likely to be sent by then: an endpoint is there, and those ahead are through.
+    /// Whether one more mail is likely to be sent by then: an endpoint is up, and the mails ahead are
+    /// through.
     fn is_likely_sent(&self, destination: usize, until: Time) -> bool {
         let unhealthy = |e: usize| matches!(self.endpoints[e].health, Health::Suspect | Health::Down);
         let reachable = self.destinations[destination]
@@ -211,7 +240,7 @@
         reachable && self.now + (wait as Time) < until
     }
 
-    /// One turn: read all inputs, then decide. Returns when the next turn is wanted at the latest.
+    /// Runs one turn: reads all inputs, then decides. Returns the latest time for the next turn.
     pub fn step(&mut self, now: Time, inputs: &[Input], actions: &mut Vec<Action>) -> Option<Time> {
         self.now = self.now.max(now);
         inputs.iter().for_each(|input| self.handle_input(input, actions));
@@ -230,7 +259,8 @@
         busy.then_some(now + self.check_interval()).into_iter().chain(self.list_request_at).min()
     }
 
-    /// How often parked mails and calls out are looked at; answers in time need a margin above it.
+    /// How often queued mails and calls in flight are checked. Answers that must come in time need a larger
+    /// margin.
     fn check_interval(&self) -> Time {
         2 * self.settings.timer_resolution.max(SECOND / 1000)
     }
@@ -278,7 +308,7 @@
         }
     }
 
-    /// What another courier saw. Nothing of it is passed on.
+    /// Applies what another courier observed. None of it is passed on.
     fn handle_note(&mut self, endpoint: usize, note: PeerNote) {
         let Some(e) = self.endpoints.get(endpoint).filter(|e| e.known) else { return };
         let short_outage = self.now < e.unhealthy_since + self.settings.overload_duration;
@@ -295,7 +325,7 @@
                 [Signal::Failure; 2].into_iter().for_each(|signal| self.apply_signal(endpoint, signal))
             }
             PeerNote::Recovered if !short_outage => self.apply_signal(endpoint, Signal::Success),
-            // After a false alarm too they come back spread, not all at once.
+            // Couriers return spread over time after a false alarm too, not all at once.
             PeerNote::Refusing(_) | PeerNote::Recovered => {
                 let until = self.now + retry_after + self.refusal_spread(scope, retry_after, 0.0) as Time;
                 self.limit_scopes[scope].hold_until = self.limit_scopes[scope].hold_until.max(until);
@@ -306,8 +336,9 @@
         }
     }
 
-    /// A random part of the time over which couriers spread that a unit refused: a call of each if shut,
-    /// refusals told of late over its limit, or a few target delays if some of that was left.
+    /// A random part of the interval over which couriers spread their calls after a refusal: one call of each
+    /// courier after a long wait; the time the limit needs for the refusals reported of late; or a few target
+    /// delays if part of the limit remained.
     fn refusal_spread(&mut self, scope: usize, retry_after: Time, remaining: f64) -> f64 {
         let (scope, couriers) = (&mut self.limit_scopes[scope], self.settings.couriers as f64);
         let limit = (scope.fair_share * couriers).max(0.5);
@@ -334,7 +365,7 @@
         ensure_index(&mut self.destinations, destination);
         let (now, kind) = (self.now, kind.min(self.settings.kinds.len() - 1));
         if !self.endpoints[endpoint].known {
-            // A newcomer shares its destination's waits, unless routes are apart.
+            // A new endpoint shares the holds of its destination, unless it has limits of its own.
             let own_limits = self.settings.kinds[kind].per_endpoint_limits;
             let scope = LimitScopes::index_of(destination, own_limits.then_some(endpoint));
             self.limit_scopes.ensure(scope);
@@ -343,10 +374,12 @@
             } else {
                 std::mem::take(&mut self.limit_scopes[scope])
             };
-            // Couriers start at different points of their share, not all with the cheapest route.
+            // Couriers start at random points of their share, so that they do not all begin with the cheapest
+            // endpoint.
             self.limit_scopes[scope].share_tokens =
                 TokenBucket { tokens: 2.0 * self.rng.f64(), updated_at: now };
-            // Guards against a cold replacement that all couriers fill at once: it warms up like one back.
+            // A replacement is cold, and all couriers would fill it at once: while a sibling is unhealthy it
+            // warms up like a recovering endpoint.
             let siblings = self.destinations[destination].endpoints.iter().map(|&s| &self.endpoints[s]);
             let all_healthy =
                 siblings.filter(|s| s.status == EndpointStatus::Ready).all(|s| s.health == Health::Healthy);
@@ -361,7 +394,8 @@
                 ..Endpoint::default()
             };
             self.endpoints[endpoint] = added.known_since(now);
-            // Guards against couriers that all favour the first endpoint of the list while none is measured.
+            // A random position, so that couriers do not all prefer the first endpoint of the list while none
+            // is measured.
             let position = self.rng.usize(..=self.destinations[destination].endpoints.len());
             self.destinations[destination].endpoints.insert(position, endpoint);
         }
@@ -380,11 +414,12 @@
         }
     }
 
-    /// What keeps an endpoint's calls within its limit.
+    /// How the calls to an endpoint are kept within its limit.
     fn limit_control(&self, e: &Endpoint) -> LimitControl {
         let fair_share = self.limit_scopes[e.limit_scope].fair_share;
         let turn_within_lifetime =
-            self.destinations[e.destination].fair_share * to_seconds(self.min_lifetime) >= 1.0; // a call a lifetime
+            // At least one call per lifetime.
+            self.destinations[e.destination].fair_share * to_seconds(self.min_lifetime) >= 1.0;
         match fair_share * to_seconds(self.min_target_delay) {
             calls if fair_share > 0.0 && calls < MAX_TURN_CALLS && turn_within_lifetime => {
                 LimitControl::Turns
@@ -394,7 +429,8 @@
         }
     }
 
-    /// Calls a second that this courier allows itself at a unit, and how many it saves up; 0: no pace.
+    /// The rate that this courier keeps to at an endpoint in calls per second, and the calls it may save up;
+    /// rate 0: none.
     fn pace_and_burst(&self, e: &Endpoint) -> (f64, f64) {
         let scope = &self.limit_scopes[e.limit_scope];
         match self.limit_control(e) {
@@ -404,14 +440,15 @@
         }
     }
 
-    /// A limit is listed or told. Where calls carry several mails a pace from the start fills them.
+    /// Takes a limit from the list or from an answer. Where calls carry several mails, a rate from the start
+    /// lets batches fill.
     fn set_limit(&mut self, endpoint: usize, limit: f64) {
         let e = &self.endpoints[endpoint];
         let scope = &mut self.limit_scopes[e.limit_scope];
         let previous =
             std::mem::replace(&mut scope.fair_share, limit.max(0.0) / self.settings.couriers as f64);
         if scope.fair_share > 0.0 && previous > 0.0 {
-            // Guards against a limit that sinks: the pace goes with it, before refusals teach it.
+            // A lowered limit lowers the rate at once, before refusals do.
             scope.paced_rate *= scope.fair_share / previous;
         } else if self.settings.kinds[e.kind].max_batch > 1
             && scope.fair_share * to_seconds(self.min_target_delay) >= MAX_TURN_CALLS
@@ -438,14 +475,15 @@
         self.open_mails += 1;
     }
 
-    /// Whether a mail may be connected once more, and whether it may be deferred. Nothing else decides it.
+    /// Whether a mail may be connected again, and whether it may be deferred. Nothing else decides either.
     fn allowed_next(&self, m: &Mail) -> (bool, bool) {
         let c = &self.settings.classes[m.class];
         let connects_left = m.connects_used < self.settings.max_connects && self.now < m.deadline;
         match (m.first_run, c.effect) {
             (None, _) | (_, Effect::Redeliverable) => (connects_left, true),
             (Some((sent, _)), Effect::Tagged) => {
-                // Guards against a repeat still on its way, or its connection made, as the window ends.
+                // The repeat must reach the endpoint within the window, even if its connection has to be made
+                // first.
                 let within_window = self.now + self.settings.connection_timeout < sent + c.dedup_window;
                 (connects_left && within_window, !c.dedup_by_zone)
             }
@@ -453,7 +491,7 @@
         }
     }
 
-    /// The final answer of a mail that is given up, at once.
+    /// Gives a mail up at once, with its final answer.
     fn give_up(&mut self, mail: usize, actions: &mut Vec<Action>) {
         let (_, deferrable) = self.allowed_next(&self.mails[mail]);
         let retry_after =
@@ -462,7 +500,7 @@
         self.finish(mail, actions);
     }
 
-    /// A mail is over: it leaves the lines, and its place when no connect of it is out.
+    /// Ends a mail: it leaves its queues, and its index is freed once no connect of it is in flight.
     fn finish(&mut self, mail: usize, actions: &mut Vec<Action>) {
         let m = &mut self.mails[mail];
         self.open_mails -= usize::from(m.state != MailState::Finished);
@@ -484,7 +522,8 @@
         actions.push(Action::FreeMail(mail));
     }
 
-    /// A connect has its outcome: the slot returns, the endpoint is judged, the mail goes on or ends.
+    /// Takes the outcome of a connect: frees the slot, updates the endpoint, and sends the mail on or ends
+    /// it.
     fn record_result(&mut self, result: &ConnectResult, actions: &mut Vec<Action>) {
         let ConnectResult { mail, outcome, finished, retry_after, .. } = *result;
         let now = self.now;
@@ -493,7 +532,7 @@
         let call = &mut self.calls[m.call];
         let (endpoint, started_at) = (call.endpoint, call.started_at);
         let e = &mut self.endpoints[endpoint];
-        // Any mail of a call may be the one that was told to wait.
+        // The wait may have come with any mail of the call.
         let scope = &mut self.limit_scopes[e.limit_scope];
         scope.hold_until = scope.hold_until.max(now + retry_after);
         call.pending_mails -= 1;
@@ -524,7 +563,7 @@
         }
     }
 
-    /// What one call's outcome says of its endpoint, and of the unit that limits it.
+    /// Updates an endpoint, and the scope that limits it, from the outcome of a call.
     fn learn_from_result(&mut self, endpoint: usize, started_at: Time, result: &ConnectResult) {
         let ConnectResult { outcome, retry_after, duration, reused_connection, limit_report, .. } = *result;
         let now = self.now;
@@ -536,7 +575,7 @@
             outcome == Outcome::Refused && started_at >= self.limit_scopes[scope_index].last_refused_at;
         let spread = if refused { self.refusal_spread(scope_index, retry_after, remaining) } else { 0.0 };
         let (e, scope) = (&mut self.endpoints[endpoint], &mut self.limit_scopes[scope_index]);
-        // Guards against tables full of many couriers' idle connections; few couriers hardly fill one.
+        // Idle connections of many couriers can fill an endpoint's connection table; those of few hardly can.
         if matches!(outcome, Outcome::Relayed | Outcome::Refused | Outcome::Error) {
             let table_full =
                 self.unreached_by_kind[e.kind] * self.settings.couriers as f64 >= self.settings.slots as f64;
@@ -557,7 +596,7 @@
                 } else {
                     Signal::Success
                 };
-                // Guards against a call from before an outage that is taken for its end.
+                // A call from before an outage does not show that the outage is over.
                 let predates_outage = e.health == Health::Down && started_at < e.health_since;
                 (e.last_success, e.failed_since_success, scope.refusals) = (now, false, 0);
                 e.error_rate -= NEWEST_WEIGHT * e.error_rate;
@@ -565,7 +604,7 @@
                 let d = &mut self.destinations[e.destination];
                 d.latency.update(duration as f64, NEWEST_WEIGHT);
                 d.cap_growth = if d.queued() > 0 { d.cap_growth + 1 } else { 0 };
-                // More for a courier that carries more than an even share.
+                // The increase is larger for a courier that carries more than its fair share.
                 let increase = scope.paced_rate > 0.0 && d.queued() > 0;
                 scope.paced_rate +=
                     if increase { PACE_INCREASE * scope.fair_share.max(scope.paced_rate) } else { 0.0 };
@@ -577,13 +616,14 @@
                     .into_iter()
                     .for_each(|signal| self.apply_signal(endpoint, signal));
             }
-            // Guards against calls refused together that would count as refused one after the other.
+            // Calls that are refused together count as one refusal.
             Outcome::Refused if started_at < scope.last_refused_at => e.failed_since_success = true,
             Outcome::Refused => {
                 self.outgoing_notes.push((endpoint, PeerNote::Refusing(retry_after)));
                 (e.failed_since_success, scope.last_refused_at) = (true, now);
                 scope.refusing_since = if scope.refusals == 0 { now } else { scope.refusing_since };
-                // One that never served is refused within a round trip, and would be asked again in each.
+                // An endpoint that has relayed nothing refuses within a round trip, and would be called again
+                // in each.
                 let typical = if e.latency.measured {
                     e.latency.mean
                 } else {
@@ -591,13 +631,13 @@
                 };
                 let back_off =
                     if retry_after > 0 { 0.0 } else { typical * f64::from(1 << scope.refusals.min(4)) };
-                // Guards against couriers back in step after a wait; what is worth most goes first.
+                // Keeps couriers from returning in step after a wait; the most important mails go first.
                 let (first, rest) =
                     if control == LimitControl::BackOff { (spread / 4.0, spread) } else { (back_off, 0.0) };
                 scope.hold_until = scope.hold_until.max(now + retry_after + first as Time);
                 (scope.priority_only_until, scope.refusals) =
                     (now + retry_after + rest as Time, scope.refusals + 1);
-                // Guards against refused calls that use up the limit, whoever else shares it.
+                // Refused calls may use up the limit too, whoever else shares it, so the rate falls.
                 let previous_rate = if scope.paced_rate > 0.0 {
                     scope.paced_rate
                 } else {
@@ -612,12 +652,14 @@
                 let (tokens, updated_at) =
                     if control == LimitControl::Turns { (0.0, now) } else { (1.0, scope.hold_until) };
                 scope.pace_tokens = TokenBucket { tokens, updated_at };
-                // A trial that was turned away is one more sign: others fill what is cold.
+                // A refused trial is one more sign of trouble: other couriers already fill an endpoint that
+                // is cold.
                 let persistent = now > scope.refusing_since + self.settings.overload_duration;
                 if persistent || matches!(e.health, Health::Suspect | Health::Down) {
                     self.apply_signal(endpoint, if persistent { Signal::Failure } else { Signal::Overdue });
                 }
-                // Guards against one that was shut, opens cold, and gets at once what has waited for it.
+                // An endpoint that was closed for long reopens cold, and must not get all queued mails at
+                // once.
                 if retry_after > self.settings.overload_duration {
                     for sibling in self.destinations[destination].endpoints.clone() {
                         if self.endpoints[sibling].limit_scope == scope_index {
@@ -627,15 +669,18 @@
                     }
                 }
             }
-            Outcome::Silent if (duration as f64) < e.latency.tail(TAIL_DEVIATIONS) => {} // cut short by its mail
-            Outcome::Broken if reused_connection => self.broken_reused += 1.0, // closed by the far side meanwhile, most likely
+            // The mail's deadline ended the call early, which says nothing about the endpoint.
+            Outcome::Silent if (duration as f64) < e.latency.tail(TAIL_DEVIATIONS) => {}
+            // Most likely the endpoint closed an idle connection meanwhile.
+            Outcome::Broken if reused_connection => self.broken_reused += 1.0,
             Outcome::Error | Outcome::Silent | Outcome::Unreached | Outcome::Broken => {
                 e.failed_since_success = true;
                 e.error_rate +=
                     NEWEST_WEIGHT * (f64::from(u8::from(outcome == Outcome::Error)) - e.error_rate);
                 let newly_unreached = outcome == Outcome::Unreached && e.health != Health::Down;
                 self.unreached_by_kind[e.kind] += f64::from(u8::from(newly_unreached));
-                // Full tables would raise the alarm, and so would slow calls of one that is cold.
+                // Connects that found nobody raise no alarm, since a full connection table looks the same.
+                // Nor does trouble of a recovering endpoint, where slow calls are to be expected.
                 let notify =
                     outcome != Outcome::Unreached && e.health == Health::Suspect && !e.peers_know_down;
                 self.outgoing_notes.extend(notify.then_some((endpoint, PeerNote::Down)));
@@ -646,7 +691,7 @@
         }
     }
 
-    /// The loop that reads the table of standings.
+    /// Looks up and applies a transition of the health table.
     fn apply_signal(&mut self, endpoint: usize, signal: Signal) {
         let now = self.now;
         let e = &mut self.endpoints[endpoint];
@@ -658,26 +703,28 @@
         match effect {
             HealthEffect::ResetTrials => e.trial_count = 0,
             HealthEffect::ScheduleTrial => {
-                // Doubling from a quarter of the time to make a connection, up to a share of the warm-up.
+                // Doubles from a quarter of the connection timeout, up to a part of the warm-up time.
                 let delay = ((self.settings.connection_timeout / 4) << e.trial_count.min(5))
                     .min(self.settings.warm_up / 6);
                 e.trial_count += 1;
-                // Guards against the trials of many couriers that push a returning destination over together.
-                let min_part = if self.settings.peer_notes { 0.0 } else { 0.5 }; // told at once, some try at once
+                // Keeps the trials of many couriers together from overloading a destination that comes back.
+                // Couriers that get notes hear of a recovery at once, so some of them may try at once.
+                let min_part = if self.settings.peer_notes { 0.0 } else { 0.5 };
                 let part = min_part + self.rng.f64() * (1.5 - min_part);
                 let part = if next == Health::Down && signal == Signal::Failure { part } else { 0.0 };
                 let share_delay = (SECOND as f64 / self.recovery_rate(endpoint, 0.0) * part) as Time;
                 self.endpoints[endpoint].next_trial_at = now + delay.max(share_delay);
             }
             HealthEffect::StartRamp => {
-                // A trial was its courier's first call. Those told begin at once, with little together.
+                // The trial was this courier's first call. Couriers that learn from notes start at once, with
+                // a random part of a call each, so that few send together.
                 let tokens = if self.settings.peer_notes { self.rng.f64() } else { 0.0 };
                 (e.ramp_tokens, e.trial_count) = (TokenBucket { tokens, updated_at: now }, 0);
             }
         }
     }
 
-    /// Calls that outlast their usual latency.
+    /// Marks calls that exceed their usual latency.
     fn mark_overdue_calls(&mut self) {
         for i in 0..self.calls.len() {
             let Call { endpoint, started_at, pending_mails, overdue } = self.calls[i];
@@ -685,7 +732,8 @@
                 self.calls[i].overdue = true;
                 let e = &mut self.endpoints[endpoint];
                 e.overdue_calls += 1;
-                // One long call among served ones is no sign: silence since it was sent is.
+                // One long call among relayed ones is no sign of trouble; nothing relayed since it was sent
+                // is one.
                 if e.last_success <= started_at {
                     self.apply_signal(endpoint, Signal::Overdue);
                 }
@@ -693,7 +741,8 @@
         }
     }
 
-    /// Tail latency at an endpoint, or what is nearest to it while it is unmeasured.
+    /// Tail latency at an endpoint; while it is not measured, that of its destination, or the shortest target
+    /// delay.
     fn tail_latency(&self, endpoint: usize) -> f64 {
         let e = &self.endpoints[endpoint];
         let measured = [&e.latency, &self.destinations[e.destination].latency]
@@ -702,7 +751,7 @@
         measured.map_or(self.min_target_delay as f64, |latency| latency.tail(TAIL_DEVIATIONS))
     }
 
-    /// The design's cap on a destination's calls in flight; arriving mails include held ones.
+    /// The cap on a destination's calls in flight, by Little's law. Queued mails count as arrivals.
     fn call_cap(&self, destination: usize) -> usize {
         let d = &self.destinations[destination];
         let (unhealthy, total) = self.count_unhealthy(destination);
@@ -717,7 +766,7 @@
         cap.min(share)
     }
 
-    /// Endpoints that err or are slow, and endpoints in all.
+    /// Ready endpoints that are unhealthy or have overdue calls, and ready endpoints in all.
     fn count_unhealthy(&self, destination: usize) -> (usize, usize) {
         let ready = |e: &&Endpoint| e.status == EndpointStatus::Ready;
         let endpoints =
@@ -726,10 +775,12 @@
         endpoints.fold((0, 0), |(unhealthy, total), e| (unhealthy + is_unhealthy(e), total + 1))
     }
 
-    /// Mails whose time is nearly up are answered while the answer still counts.
+    /// Gives up mails early enough before the deadline that the answer still counts, and evicts mails over
+    /// the limit.
     fn give_up_hopeless(&mut self, actions: &mut Vec<Action>) {
         let margin = self.check_interval() + self.settings.timer_resolution;
-        // What ends before the next process begins its calls is not held for it.
+        // From the last call of a shutdown on, mails that expire before the next process begins its calls are
+        // not held.
         let successor_from =
             self.shutdown.filter(|end| self.now >= end.calls_until).map_or(0, |end| end.successor_from);
         for mail in 0..self.mails.len() {
@@ -740,8 +791,9 @@
                 self.give_up(mail, actions);
             }
         }
-        // A full room would turn mails away unseen: what is worth least makes way.
-        self.mail_limit = self.mail_limit.min(self.open_mails * 20 / 19 + 1).max(self.settings.max_mails); // sinks as what it held ends
+        // A full courier would reject new mails unseen, so the least valuable mail is evicted. After the
+        // limit is lowered, the old one goes down as the mails that it allowed end.
+        self.mail_limit = self.mail_limit.min(self.open_mails * 20 / 19 + 1).max(self.settings.max_mails);
         while self.open_mails * 20 > self.mail_limit * 19 {
             let value = |mail: usize| self.value_rate(&self.mails[mail]);
             let Some(least) = queued_mails(&self.mails).min_by(|&a, &b| value(a).total_cmp(&value(b))) else {
@@ -751,7 +803,8 @@
         }
     }
 
-    /// What waiting costs: the importance lost a second, felt as the target delay or the end comes near.
+    /// The cost of waiting: the importance lost per second, which weighs more as the target time or the
+    /// deadline comes near.
     fn urgency(&self, mail: usize) -> f64 {
         let (m, class) = (&self.mails[mail], &self.settings.classes[self.mails[mail].class]);
         let (remaining, loss) =
@@ -761,7 +814,8 @@
         loss * proximity(m.target_time) + remaining / target_delay * proximity(m.deadline)
     }
 
-    /// What giving a mail up loses: its worth a target delay after its destination takes it, over that time.
+    /// What giving a mail up would lose: its importance one target delay after its destination is expected to
+    /// accept it, divided by that time.
     fn value_rate(&self, m: &Mail) -> f64 {
         let class = &self.settings.classes[m.class];
         let absence = self.destinations[m.destination]
@@ -776,14 +830,15 @@
         f64::from(u8::from(at < m.deadline)) * remaining / to_seconds(self.min_target_delay + absence)
     }
 
-    /// How long an endpoint may take no mail yet: a wait, or an outage that has lasted as long as it goes on.
+    /// How long an endpoint may still accept no mail: its hold, or for an outage as long again as it has
+    /// lasted.
     fn expected_absence(&self, endpoint: usize) -> Time {
         let e = &self.endpoints[endpoint];
         let outage = if e.health == Health::Down { self.now.saturating_sub(e.health_since) } else { 0 };
         outage.max(self.limit_scopes[e.limit_scope].hold_until.saturating_sub(self.now))
     }
 
-    /// Offers parked mails to their destinations, most urgent destination first.
+    /// Offers queued mails to their destinations, the most urgent destination first.
     fn dispatch(&mut self, actions: &mut Vec<Action>) {
         let calls_allowed = self.shutdown.is_none_or(|end| self.now < end.calls_until);
         let mut order = std::mem::take(&mut self.dispatch_order);
@@ -791,7 +846,7 @@
         for (destination, d) in
             self.destinations.iter().enumerate().filter(|(_, d)| calls_allowed && d.queued() > 0)
         {
-            // What a call would save, over the slot time that it takes: slots are what is short.
+            // What a call saves per slot time, since slots are the scarce resource.
             let max_urgency = d.queues.iter().flatten().map(|&m| self.urgency(m)).fold(0.0, f64::max);
             let kind = d.endpoints.first().map_or(0, |&e| self.endpoints[e].kind);
             let batch = self.settings.kinds[kind].max_batch.min(d.queued()) as f64;
@@ -808,7 +863,7 @@
         self.dispatch_order = order;
     }
 
-    /// Sends one call to one endpoint of the destination, if one is free for it.
+    /// Sends one call to one endpoint of the destination, if one is available.
     fn send_call(&mut self, destination: usize, actions: &mut Vec<Action>) -> bool {
         let Some(endpoint) = self.select_endpoint(destination) else { return false };
         let e = &self.endpoints[endpoint];
@@ -834,16 +889,18 @@
         let e = &mut self.endpoints[endpoint];
         (e.calls_in_flight, e.ramp_tokens.tokens) = (e.calls_in_flight + 1, e.ramp_tokens.tokens - 1.0);
         let scope = &mut self.limit_scopes[e.limit_scope];
-        scope.pace_tokens.tokens = (scope.pace_tokens.tokens - 1.0).max(0.0); // no debt from before a pace was kept
+        // Calls from before a rate was kept leave no debt.
+        scope.pace_tokens.tokens = (scope.pace_tokens.tokens - 1.0).max(0.0);
         scope.sent_calls.increment(self.now, RATE_WINDOW);
         scope.share_tokens.tokens = (scope.share_tokens.tokens - 1.0).max(-1.0);
         true
     }
 
-    /// The most urgent mail that this endpoint may get; further connects only when no first one waits.
+    /// The most urgent mail that this endpoint may get. Repeated connects go only when no first connect can.
     fn select_mail(&self, destination: usize, endpoint: usize) -> Option<(usize, usize)> {
         let e = &self.endpoints[endpoint];
-        // Guards against what none would try again: where only these wait and none is well, one is a trial.
+        // Once-only mails are not risked in trials. But where only they are queued and no endpoint is
+        // healthy, one of them is the trial, since otherwise the endpoint would never be tried again.
         let is_once_only =
             |&mail: &usize| self.settings.classes[self.mails[mail].class].effect == Effect::OnceOnly;
         let (unhealthy, total) = self.count_unhealthy(destination);
@@ -882,12 +939,14 @@
         timeout.max(4 * self.settings.timer_resolution).min(remaining)
     }
 
-    /// Two of the free endpoints at random, the one that our own counts favour; a trial comes first.
+    /// Picks two available endpoints at random and takes the one with the lower expected time. A due trial of
+    /// an endpoint that is down comes first.
     fn select_endpoint(&mut self, destination: usize) -> Option<usize> {
         let (mut candidates, mut seen) = ([None, None], 0);
         for i in 0..self.destinations[destination].endpoints.len() {
             let endpoint = self.destinations[destination].endpoints[i];
-            // Guards against mails that wait behind an endpoint to which none may go, by a trial or zone.
+            // Skips endpoints that may get none of the queued mails, because of a trial or a zone: mails
+            // would wait behind them.
             if !self.check_available(endpoint) || self.select_mail(destination, endpoint).is_none() {
                 continue;
             }
@@ -895,7 +954,7 @@
                 return Some(endpoint);
             }
             seen += 1;
-            // Keeps two of those seen so far, each pair as likely as any other.
+            // Reservoir sampling: each pair of those seen so far is equally likely.
             let position = if seen <= 2 { seen - 1 } else { self.rng.usize(..seen) };
             candidates.get_mut(position).into_iter().for_each(|candidate| *candidate = Some(endpoint));
         }
@@ -905,7 +964,7 @@
             .min_by(|&a, &b| self.expected_time(a).total_cmp(&self.expected_time(b)))
     }
 
-    /// Expected time at an endpoint by this courier's own counts.
+    /// Expected time at an endpoint, by this courier's own measurements.
     fn expected_time(&self, endpoint: usize) -> f64 {
         let e = &self.endpoints[endpoint];
         let suspect_penalty = if e.health == Health::Suspect { self.tail_latency(endpoint) } else { 0.0 };
@@ -917,7 +976,7 @@
             .get(e.zone)
             .filter(|_| self.settings.kinds[e.kind].per_endpoint_limits)
             .unwrap_or(&0.0);
-        // Were all couriers to do as this one does, so long would the queue be at a route with this rate.
+        // The queueing time at an endpoint of this limit if all couriers did as this one does.
         let scope = &self.limit_scopes[e.limit_scope];
         let share_wait = if scope.fair_share > 0.0 {
             (1.0 - scope.share_tokens.tokens).max(0.0) / scope.fair_share
@@ -932,17 +991,19 @@
             + fee * FEE_TARGET_DELAYS * self.min_target_delay as f64
     }
 
-    /// Turns at a limit up to a time, by one clock. Guards against couriers that send together, and in vain.
+    /// Turns at a rate up to a time. All couriers count them by the same clock, each with an offset of its
+    /// own, so that they do not send together and get refused.
     fn turns_until(&self, rate: f64, at: Time) -> f64 {
         (rate * to_seconds(at) - self.settings.courier_index as f64 / self.settings.couriers as f64).floor()
     }
 
-    /// Whether an endpoint may be sent a call now. Refills the paced share of one that returns.
+    /// Whether an endpoint may be sent a call now. Refills its token buckets.
     fn check_available(&mut self, endpoint: usize) -> bool {
         let e = &self.endpoints[endpoint];
         let (rate, burst) = self.pace_and_burst(e);
         let by_turns = self.limit_control(e) == LimitControl::Turns;
-        // Nothing is saved up from before the start: hundreds that start at once would all send.
+        // No turns are saved up from before the start, or hundreds of couriers that start together would all
+        // send at once.
         let since = Some(self.limit_scopes[e.limit_scope].pace_tokens.updated_at)
             .filter(|&at| at > 0)
             .unwrap_or(self.now);
@@ -950,7 +1011,7 @@
             if by_turns { self.turns_until(rate, self.now) - self.turns_until(rate, since) } else { 0.0 };
         let scope = &mut self.limit_scopes[e.limit_scope];
         scope.share_tokens.refill(self.now, scope.fair_share, 2.0);
-        // Nothing is saved up before a pace is kept.
+        // Nothing is saved up before a rate is kept.
         scope.pace_tokens =
             if rate == 0.0 { TokenBucket { tokens: 0.0, updated_at: self.now } } else { scope.pace_tokens };
         let (on_hold, bucket) =
@@ -967,7 +1028,8 @@
         }
         match e.health {
             Health::Healthy => true,
-            // Trials further and further apart, so that a hang gathers no slot with each late call.
+            // Trials grow further apart, and an endpoint that hangs does not take up a slot with each overdue
+            // call.
             Health::Suspect | Health::Down => {
                 e.calls_in_flight <= e.overdue_calls && self.now >= e.next_trial_at
             }
@@ -983,7 +1045,8 @@
         }
     }
 
-    /// Calls a second for a returning endpoint: this courier's even part of what it takes at its coldest.
+    /// Calls per second to a recovering endpoint: this courier's fair share of the capacity that it has so
+    /// far.
     fn recovery_rate(&self, endpoint: usize, warm_up_part: f64) -> f64 {
         let e = &self.endpoints[endpoint];
         let endpoints = self.count_unhealthy(e.destination).1.max(1) as f64;
@@ -993,7 +1056,7 @@
             .warm_up_arrivals
             .rate(self.now, self.settings.warm_up.max(RATE_WINDOW))
             / endpoints;
-        // No least where the whole is known: couriers' parts would add up to more than it takes.
+        // No minimum where the limit is known: the minimums of all couriers would add up to more than it.
         let full_rate = if fair_share > 0.0 {
             fair_share
         } else {
@@ -1004,7 +1067,8 @@
         full_rate * capacity * RECOVERY_SHARE * self.settings.overload_multiple.min(2.0) / 2.0
     }
 
-    /// Endpoints that left the list a warm-up ago and have no call out: no input means their index any more.
+    /// Releases endpoints that left the list one warm-up ago and have no call in flight. No input refers to
+    /// their index any more.
     fn release_removed_endpoints(&mut self, actions: &mut Vec<Action>) {
         let mut removed = std::mem::take(&mut self.removed_endpoints);
         removed.retain(|&endpoint| {
@@ -1024,7 +1088,7 @@
         self.removed_endpoints = removed;
     }
 
-    /// Keys whose mails are all over are given back when their rest is over.
+    /// Releases keys whose mails have all ended, once their quiet period is over.
     fn release_quiet_keys(&mut self, actions: &mut Vec<Action>) {
         let (keys, now) = (&mut self.keys, self.now);
         self.quiet_keys.retain(|&key| {
--- a/src/control/inspect.rs
+++ b/src/control/inspect.rs
@@ -1,11 +1,11 @@
-//! What can be seen of the decisions from outside: by plots, audits, and whoever carries the calls. Nothing is decided
-//! here.
+//! Read access to the decisions, for plots, audits and the process that carries out the calls. No decision is
+//! made here.
 
 use super::{Control, Health};
 use crate::interface::Time;
 use crate::state::MailState;
 
-/// Says where what is kept is not what was counted.
+/// Reports a stored count that differs from a recount.
 fn agree(faults: &mut Vec<String>, what: impl FnOnce() -> String, stored: usize, counted: usize) {
     if stored != counted {
         faults.push(format!("{}: {stored} kept, {counted} counted", what()));
@@ -13,56 +13,56 @@
 }
 
 impl Control {
-    /// What an endpoint is held to be.
+    /// The health of an endpoint, if it is known.
     pub fn health(&self, endpoint: usize) -> Option<Health> {
         self.endpoints.get(endpoint).filter(|e| e.known).map(|e| e.health)
     }
 
-    /// A destination's cap, calls out and parked mails.
+    /// A destination's cap on calls in flight, its calls in flight and its queued mails.
     pub fn destination_load(&self, destination: usize) -> Option<(usize, usize, usize)> {
         self.destinations
             .get(destination)
             .map(|d| (self.call_cap(destination), d.calls_in_flight, d.queued()))
     }
 
-    /// Slots taken, by calls that have a mail without an outcome.
+    /// Slots taken by calls with a mail without an outcome.
     pub fn slots_taken(&self) -> usize {
         self.calls_in_flight
     }
 
-    /// Mails that are owed an end, parked or out.
+    /// Mails without a final answer, queued or in flight.
     pub fn open_mails(&self) -> usize {
         self.open_mails
     }
 
-    /// Mails whose index is in use; those too that are over, with an outcome still to come.
+    /// Mails whose index is in use, including those that have ended and wait for an outcome.
     pub fn mail_indices_in_use(&self) -> usize {
         self.mails.iter().filter(|m| m.state != MailState::Unused).count()
     }
 
-    /// Mails without an outcome, summed over the calls that they went with.
+    /// Mails without an outcome, summed over the calls that carry them.
     pub fn mails_in_flight(&self) -> usize {
         self.calls.iter().map(|call| call.pending_mails).sum()
     }
 
-    /// The slot and the endpoint of the call that a mail is out with.
+    /// The slot and the endpoint of the call that carries a mail.
     pub fn call_of(&self, mail: usize) -> Option<(usize, usize)> {
         let m =
             self.mails.get(mail).filter(|m| matches!(m.state, MailState::InFlight | MailState::Finished))?;
         Some((m.call, self.calls[m.call].endpoint))
     }
 
-    /// Calls out to an endpoint.
+    /// Calls in flight to an endpoint.
     pub fn calls_in_flight(&self, endpoint: usize) -> usize {
         self.endpoints.get(endpoint).map_or(0, |e| e.calls_in_flight)
     }
 
-    /// Whether the unit of an endpoint is to be left alone.
+    /// Whether the scope of an endpoint is on hold.
     pub fn is_on_hold(&self, endpoint: usize, now: Time) -> bool {
         self.endpoints.get(endpoint).is_some_and(|e| now < self.limit_scopes[e.limit_scope].hold_until)
     }
 
-    /// Counts the books of the decisions another way than they are kept, and says in words where the two differ.
+    /// Recounts the state of the decisions from other parts of it, and describes each difference.
     pub fn audit(&self) -> Vec<String> {
         let mut faults = Vec::new();
         let mut pending = vec![0; self.calls.len()];
@@ -83,7 +83,7 @@
             );
             agree(
                 &mut faults,
-                || format!("late calls to endpoint {endpoint}"),
+                || format!("overdue calls to endpoint {endpoint}"),
                 e.overdue_calls,
                 overdue[endpoint],
             );
@@ -96,7 +96,7 @@
                 by_destination[destination],
             );
         }
-        // How often a mail stands in a line of its destination, and in that of its key.
+        // How often a mail is in a queue of its destination, and in that of its key.
         let mut entries = vec![(0, 0); self.mails.len()];
         for (destination, queue) in
             self.destinations.iter().enumerate().flat_map(|(i, d)| d.queues.iter().map(move |l| (i, l)))
@@ -107,7 +107,7 @@
                         entries[mail].0 += 1
                     }
                     _ => faults.push(format!(
-                        "a line of destination {destination} holds mail {mail}, not parked there"
+                        "a queue of destination {destination} holds mail {mail}, which is not queued there"
                     )),
                 }
             }
@@ -116,8 +116,9 @@
             for &mail in &k.queue {
                 match self.mails.get(mail) {
                     Some(m) if m.state != MailState::Unused && m.key == Some(key) => entries[mail].1 += 1,
-                    _ => faults
-                        .push(format!("the line of key {key} holds mail {mail}, which is none of its own")),
+                    _ => faults.push(format!(
+                        "the queue of key {key} holds mail {mail}, which does not belong to it"
+                    )),
                 }
             }
         }
@@ -125,11 +126,11 @@
         for (mail, m) in self.mails.iter().enumerate().filter(|(_, m)| m.state != MailState::Unused) {
             let queued = usize::from(m.state == MailState::Queued);
             open += usize::from(m.state != MailState::Finished);
-            agree(&mut faults, || format!("places of mail {mail} in lines"), queued, entries[mail].0);
+            agree(&mut faults, || format!("entries of mail {mail} in lines"), queued, entries[mail].0);
             let has_key = usize::from(m.key.is_some());
             agree(
                 &mut faults,
-                || format!("places of mail {mail} in lines of keys"),
+                || format!("entries of mail {mail} in lines of keys"),
                 has_key,
                 entries[mail].1,
             );
@@ -151,7 +152,8 @@
         faults
     }
 
-    /// Spoils one book, so that a test can show that the audit sees it; false where there is nothing to spoil.
+    /// Corrupts one count or queue, so that a test can show that the audit finds it. Returns false if there
+    /// is nothing to corrupt.
     #[cfg(any(debug_assertions, feature = "spoil"))]
     pub fn corrupt(&mut self, what: &str) -> bool {
         let queued = self.mails.iter().position(|m| m.state == MailState::Queued);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,15 +1,19 @@
-//! What goes into the decisions and what comes out: plain types, nothing of any protocol.
-//! Times are whole tenths of a millisecond on the caller's clock; indices come from `interner`.
+//! Inputs and outputs of the decisions: plain types, independent of any protocol.
+//!
+//! Times are whole tenths of a millisecond on the caller's clock. Indices come from `interner`.
 
 pub type Time = u64;
 /// Tenths of a millisecond in a second.
 pub const SECOND: Time = 10_000;
 
-/// What a repeat of a mail would do.
+/// The effect of delivering a mail more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
+    /// None: it may be delivered again at any time.
     Redeliverable,
+    /// Endpoints drop a repeat by its key, within a window.
     Tagged,
+    /// It must not be delivered again once it may have run.
     OnceOnly,
 }
 
@@ -18,18 +22,21 @@
     pub effect: Effect,
     /// Tagged: only endpoints in the zone of the first connect drop a repeat.
     pub dedup_by_zone: bool,
-    /// Tagged: for how long a repeat is dropped, from the send of the first connect that may have run.
+    /// Tagged: how long a repeat is dropped, counted from the send of the first connect that may have run.
     pub dedup_window: Time,
+    /// Delay up to which a mail keeps its whole importance.
     pub target_delay: Time,
     pub lifetime: Time,
     pub importance: f64,
     /// Share of the importance that is left at the end of the lifetime.
     pub expiry_importance: f64,
+    /// Mails of the same key go one after the other.
     pub ordered: bool,
 }
 
 impl QueueClass {
-    /// Importance that a mail earns when relayed so long past its target delay, and what it then loses a second.
+    /// Importance of a mail that is relayed so long past its target delay, and the importance that it loses
+    /// per second from then on.
     pub fn decayed_importance(&self, half_life_decay: bool, overdue: Time) -> (f64, f64) {
         let second = SECOND as f64;
         if half_life_decay {
@@ -47,13 +54,13 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Kind {
-    /// Mails in one call at most.
+    /// Most mails in one call.
     pub max_batch: usize,
-    /// Its endpoints are routes apart: each with its own limit, waits and outages.
+    /// Each endpoint has limits, waits and outages of its own, rather than sharing those of its destination.
     pub per_endpoint_limits: bool,
 }
 
-/// Read at the start of a courier, and whenever others are in force (`Input::Settings`).
+/// Read when a courier starts, and whenever new settings come into force (`Input::Settings`).
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     pub seed: u64,
@@ -61,38 +68,46 @@
     /// This courier's number among them, from 0.
     pub courier_index: usize,
     pub slots: usize,
+    /// Most mails in hand.
     pub max_mails: usize,
+    /// Most connects per mail.
     pub max_connects: usize,
     pub timer_resolution: Time,
     pub connection_timeout: Time,
-    /// The far side closes a connection left idle for so long.
+    /// How long an endpoint keeps an idle connection open.
     pub idle_timeout: Time,
-    /// Price of a new connection, as part of a mail's worth.
+    /// Cost of a new connection, as a part of a mail's importance.
     pub handshake_cost: f64,
-    /// Longest time to come back that a client heeds; 0 where none can be named.
+    /// Longest time to come back that a client heeds; 0 if none can be named.
     pub max_retry_after: Time,
-    /// Couriers may send each other notes.
+    /// Whether couriers may send each other notes.
     pub peer_notes: bool,
-    /// The list must be asked for.
+    /// Whether the list has to be requested, rather than being pushed.
     pub poll_list: bool,
+    /// A failed request for the list is repeated within half of this time.
     pub max_poll_delay: Time,
+    /// Share of its capacity that an endpoint has when cold, and the time until it is warm.
     pub cold_capacity: f64,
     pub warm_up: Time,
+    /// An endpoint breaks down when it gets this multiple of its capacity for this long.
     pub overload_multiple: f64,
     pub overload_duration: Time,
+    /// Time to leave between mails of one key after a connect that may still be running.
     pub ordering_gap: Time,
-    /// Late importance halves with each further target delay; else it falls evenly.
+    /// Importance halves with each target delay that a mail is late; otherwise it falls linearly.
     pub half_life_decay: bool,
+    /// Whether the entries of the list carry rate limits.
     pub list_has_rates: bool,
-    /// Fee of a connect by the zone of a route apart.
+    /// Fee of a connect by zone, for kinds whose endpoints have limits of their own.
     pub zone_fees: Vec<f64>,
-    /// At least one of each: whoever decodes the settings refuses fewer.
+    /// At least one of each; the decoder of the settings refuses fewer.
     pub kinds: Vec<Kind>,
     pub classes: Vec<QueueClass>,
 }
 
 impl Settings {
-    /// The highest importance, the shortest lifetime, `least` at least, and the shortest target delay of the classes.
+    /// The highest importance, the shortest lifetime (at least `min_lifetime`) and the shortest target delay
+    /// of all classes.
     pub fn extremes(&self, min_lifetime: Time) -> (f64, Time, Time) {
         let max_importance = self.classes.iter().map(|c| c.importance).fold(0.0, f64::max);
         let lifetime =
@@ -100,7 +115,8 @@
         (max_importance, lifetime, self.classes.iter().map(|c| c.target_delay).min().unwrap_or(SECOND))
     }
 
-    /// These, with the classes and kinds behind them that only the settings held so far have numbers for.
+    /// Appends the classes and kinds of the previous settings that these have none for, so that their numbers
+    /// stay valid.
     pub fn extended_from(mut self, mut previous: Settings) -> Settings {
         self.classes.extend(previous.classes.drain(self.classes.len().min(previous.classes.len())..));
         self.kinds.extend(previous.kinds.drain(self.kinds.len().min(previous.kinds.len())..));
@@ -119,7 +135,7 @@
 /// What couriers tell each other of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerNote {
-    /// It refused a call, and told to wait so long.
+    /// It refused a call, with this time to wait.
     Refusing(Time),
     Down,
     Recovered,
@@ -130,36 +146,42 @@
 pub enum Outcome {
     Relayed,
     Error,
+    /// The endpoint turned the call down.
     Refused,
+    /// No answer came in time.
     Silent,
+    /// No connection could be made.
     Unreached,
+    /// The connection broke before the answer.
     Broken,
-    /// An answer came, and cannot be read.
+    /// An answer came that cannot be read.
     Spoilt,
+    /// The call was cancelled after it was sent.
     CalledOff,
+    /// It certainly did not run, and says nothing of the endpoint.
     Unsent,
 }
 
 impl Outcome {
-    /// It proves that the connect never ran.
+    /// Whether the connect certainly never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Refused | Outcome::Unreached | Outcome::Unsent)
     }
 
-    /// The connect may be running still.
+    /// Whether the connect may still be running.
     pub fn may_still_run(self) -> bool {
         matches!(self, Outcome::Silent | Outcome::Broken | Outcome::CalledOff)
     }
 }
 
-/// What a destination told of its limit.
+/// What an answer reported of a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitReport {
     pub remaining: f64,
     pub limit: f64,
 }
 
-/// An entry of the list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListEntry {
     pub endpoint: usize,
@@ -170,17 +192,17 @@
     pub rate: f64,
 }
 
-/// A mail that is taken on, or that an earlier process of this courier took on and still owes its end.
+/// A mail that was accepted, by this process or by an earlier one of this courier that did not finish it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AcceptedMail {
     pub mail: usize,
     pub destination: usize,
     pub class: usize,
     pub key: Option<usize>,
-    /// When it was handed in; its time may be shorter than its queue class has it.
+    /// The time from here to the deadline may be shorter than the lifetime of the queue class.
     pub submitted_at: Time,
     pub deadline: Time,
-    /// Connects used by earlier processes, and the send and zone of the first that may have run.
+    /// Connects used by earlier processes, and the time and zone of the first one that may have run.
     pub connects_used: usize,
     pub first_run: Option<(Time, usize)>,
 }
@@ -190,12 +212,12 @@
 pub struct ConnectResult {
     pub mail: usize,
     pub outcome: Outcome,
-    /// The mail has its final answer.
+    /// The mail has got its final answer.
     pub finished: bool,
-    /// How long the destination wants to be left alone, if it refused.
+    /// How long the destination asked not to be called, if it refused.
     pub retry_after: Time,
     pub duration: Time,
-    /// It went out on a connection that was kept from an earlier call.
+    /// Whether it went out on a connection kept from an earlier call.
     pub reused_connection: bool,
     pub limit_report: Option<LimitReport>,
 }
@@ -203,15 +225,15 @@
 /// A planned end of this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shutdown {
-    /// Calls begin until then.
+    /// No call begins from this time on.
     pub calls_until: Time,
-    /// The next process begins its own no sooner.
+    /// The next process begins its calls no sooner.
     pub successor_from: Time,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// Entries follow; `complete`: what they don't name until `ListEnd` is gone.
+    /// Entries follow. If `complete`, endpoints that are not named until `ListEnd` are removed.
     ListBegin {
         complete: bool,
     },
@@ -219,24 +241,25 @@
     ListEnd,
     ListFailed,
     AcceptedMail(AcceptedMail),
-    /// A connect of a mail of this key may have been running at this time: it was out when the courier's
-    /// last process ended, or ended without an answer shortly before.
+    /// A connect of a mail of this key may have been running at this time: it was in flight when the
+    /// courier's last process ended, or ended without an answer shortly before.
     KeyInFlight {
         key: usize,
         at: Time,
     },
-    /// The client is gone: nothing more is owed.
+    /// The client has disconnected: its mail needs no answer.
     ClientGone {
         mail: usize,
     },
     ConnectResult(ConnectResult),
-    /// A note from another courier; it may be late, and others may be lost.
+    /// A note from another courier. It may be late, and notes may be lost.
     PeerNote {
         endpoint: usize,
         note: PeerNote,
     },
-    /// From here on all decisions go by these. Classes, kinds and zones keep their numbers and new ones follow; numbers
-    /// beyond the new lists mean what they meant. The same kinds are apart, and the list is told in the same way.
+    /// All decisions follow these from now on. Classes, kinds and zones keep their numbers and new ones are
+    /// appended; numbers beyond the new lists keep their old meaning. Neither `per_endpoint_limits` of a kind
+    /// nor the way the list is obtained changes.
     Settings(Box<Settings>),
     /// The process was asked to end.
     Shutdown(Shutdown),
@@ -245,32 +268,32 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// Connects of one round to one endpoint travel as one call, up to the kind's batch.
+    /// Connects of one turn to one endpoint go out as one call, up to the batch size of its kind.
     Connect {
         mail: usize,
         endpoint: usize,
         timeout: Time,
-        /// Its call must not go out on a connection that was kept.
+        /// The call must not use a kept connection.
         new_connection: bool,
     },
-    /// Final: handed back, with a time to come back (0: none named).
+    /// Final: hands the mail back, with a time to come back (0: none named).
     Defer {
         mail: usize,
         retry_after: Time,
     },
-    /// Final: given up, with no promise.
+    /// Final: gives the mail up, with no promise.
     Bounce {
         mail: usize,
     },
     RequestList,
-    /// A note to all other couriers.
+    /// Sends a note to all other couriers.
     SendNote {
         endpoint: usize,
         note: PeerNote,
     },
-    /// Close the idle connections to this endpoint.
+    /// Closes the idle connections to this endpoint.
     CloseIdle(usize),
-    /// Nothing more will be said of this index: it may be reused.
+    /// The index is not mentioned again and may be reused.
     FreeMail(usize),
     FreeKey(usize),
     FreeEndpoint(usize),
--- a/src/interner.rs
+++ b/src/interner.rs
@@ -1,14 +1,14 @@
-//! Outside ids become small indices that are reused, and turn back into outside ids on the way out.
+//! Maps external ids to small indices that are reused, and back.
 
 use std::borrow::Borrow;
 use std::hash::{BuildHasher, Hash, RandomState};
 
 use hashbrown::HashTable;
 
-/// Outside ids on one side, small indices on the other; each id is held once. Looked up only, never iterated over.
+/// Each id has one index. Only looked up, never iterated over.
 #[derive(Debug)]
 pub struct Interner<K> {
-    /// Indices, by the hash of their ids.
+    /// Indices, hashed by their ids.
     indices: HashTable<u32>,
     hasher: RandomState,
     ids: Vec<Option<K>>,
@@ -22,14 +22,14 @@
 }
 
 impl<K: Eq + Hash> Interner<K> {
-    /// The index of an id, a free one if it is new here.
+    /// The index of an id; a new id gets a free index.
     pub fn intern(&mut self, id: K) -> usize {
         if let Some(index) = self.get(&id) {
             return index;
         }
         let index = self.free.pop().unwrap_or_else(|| {
             self.ids.push(None);
-            // More would not fit into any memory.
+            // More than `u32::MAX` ids would not fit into memory.
             (self.ids.len() - 1) as u32
         });
         let (hasher, ids) = (&self.hasher, &mut self.ids);
@@ -40,7 +40,7 @@
         index as usize
     }
 
-    /// By the id, or by what it can be lent as.
+    /// Looks up an id, also in a borrowed form.
     pub fn get<Q: Eq + Hash + ?Sized>(&self, id: &Q) -> Option<usize>
     where
         K: Borrow<Q>,
@@ -53,7 +53,7 @@
         self.ids.get(index)?.as_ref()
     }
 
-    /// Ids that have an index now.
+    /// Number of ids that have an index.
     pub fn len(&self) -> usize {
         self.indices.len()
     }
@@ -62,7 +62,7 @@
         self.indices.is_empty()
     }
 
-    /// The index may be given to another id from now on.
+    /// Releases the index, which may then be given to another id.
     pub fn release(&mut self, index: usize) {
         let Some(id) = self.ids.get_mut(index).and_then(Option::take) else { return };
         if let Ok(entry) =
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! meadowhold decides when and where a courier delivers its mails. No I/O, no clock, no protocol.
+//! Decides when and where a courier delivers its mails. Does no I/O, reads no clock and knows no protocol.
 #![forbid(unsafe_code)]
 
 pub mod control;
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,5 +1,5 @@
-//! What a courier keeps in mind, as plain types, and the arithmetic of what fades or is saved up. Nothing is
-//! decided here.
+//! The state that the decisions are based on, as plain types, and the arithmetic of decaying counts and token
+//! buckets. No decision is made here.
 
 use std::ops::{Deref, DerefMut, Index, IndexMut};
 
@@ -8,7 +8,7 @@
 use crate::control::Health;
 use crate::interface::{EndpointStatus, Time, SECOND};
 
-/// A count that fades over the window, so that what has gone quiet ages.
+/// A count that decays exponentially over a window.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayingCount {
     pub count: f64,
@@ -32,7 +32,7 @@
     }
 }
 
-/// Latency of served calls: mean and mean deviation.
+/// Latency of relayed calls: mean and mean deviation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Latency {
     pub mean: f64,
@@ -43,7 +43,7 @@
 impl Latency {
     const UNMEASURED: Latency = Latency { mean: 0.0, deviation: 0.0, measured: false };
 
-    /// `newest`: weight of this call.
+    /// `weight`: weight of this call.
     pub fn update(&mut self, duration: f64, weight: f64) {
         if !self.measured {
             *self = Latency { mean: duration, deviation: duration / 2.0, measured: true };
@@ -63,7 +63,7 @@
     Unused,
     Queued,
     InFlight,
-    /// Answered, with a connect whose outcome is still to come.
+    /// Has its final answer, while the outcome of a connect is outstanding.
     Finished,
 }
 
@@ -77,7 +77,7 @@
     pub deadline: Time,
     pub connects_used: usize,
     pub call: usize,
-    /// Send of the first connect that may have run, and the zone that it went to.
+    /// Time and zone of the first connect that may have run.
     pub first_run: Option<(Time, usize)>,
 }
 
@@ -85,38 +85,40 @@
 pub struct Call {
     pub endpoint: usize,
     pub started_at: Time,
-    /// Mails without an outcome; 0: the place is free.
+    /// Mails without an outcome; 0: the slot is free.
     pub pending_mails: usize,
     pub overdue: bool,
 }
 
-/// What is limited and waits on its own: a destination, or an endpoint that is a route apart. What only calls teach is
-/// made when it is first written to, here and below: a courier never calls most of a long list.
+/// What a limit applies to: a destination, or an endpoint that has limits of its own.
+///
+/// Here and below, state that only calls produce is allocated on the first write, since a courier never calls
+/// most entries of a long list.
 #[derive(Clone, Debug, Default)]
 pub struct LimitScope {
-    /// This courier's even share, in calls a second, of the limit that is listed or told; 0: not known.
+    /// This courier's fair share of the limit from the list or an answer, in calls per second; 0: not known.
     pub fair_share: f64,
-    /// Calls a second that this courier allows itself; 0: no pace is kept.
+    /// The rate that this courier keeps to, in calls per second; 0: none.
     pub paced_rate: f64,
-    /// What is left of this courier's even share of the limit.
+    /// What remains of this courier's fair share of the limit.
     pub share_tokens: TokenBucket,
     call_state: Option<Box<LimitScopeCallState>>,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct LimitScopeCallState {
-    /// Nothing is sent before this time: a told wait, or a back-off of our own.
+    /// Nothing is sent before this time: a wait that an answer asked for, or a back-off of this courier.
     pub hold_until: Time,
-    /// Until then only what is worth most goes, after a refusal.
+    /// After a refusal only mails of the highest importance are sent until this time.
     pub priority_only_until: Time,
-    /// Refusals since the last served call, and when they began.
+    /// Refusals since the last relayed call, and when they began.
     pub refusals: u32,
     pub refusing_since: Time,
-    /// When the last of them came: a call that began before says nothing new.
+    /// Time of the last refusal. One of a call that began before it adds no information.
     pub last_refused_at: Time,
-    /// Notes that it is full, fading.
+    /// Refusals that were observed or reported, decaying.
     pub refusal_notes: DecayingCount,
-    /// What was saved up at the pace.
+    /// Calls saved up at the rate.
     pub pace_tokens: TokenBucket,
     pub sent_calls: DecayingCount,
 }
@@ -156,13 +158,14 @@
     }
 );
 
-/// LimitScopes by number: the even ones are destinations', the odd ones routes'. A list of their own for each: most couriers
-/// have one sort, and the other's numbers would take room for nothing.
+/// Limit scopes by number: even ones are destinations, odd ones endpoints with limits of their own. They are
+/// kept in separate lists, because most couriers have only one sort and the numbers of the other would take
+/// up memory.
 #[derive(Clone, Debug, Default)]
 pub struct LimitScopes([Vec<LimitScope>; 2]);
 
 impl LimitScopes {
-    /// The number of a destination's unit, or of that of a route apart.
+    /// The number of a destination's scope, or of the scope of an endpoint with limits of its own.
     pub fn index_of(destination: usize, own_limits_of: Option<usize>) -> usize {
         own_limits_of.map_or(2 * destination, |endpoint| 2 * endpoint + 1)
     }
@@ -180,7 +183,7 @@
     }
 }
 
-/// One that was never made reads as new.
+/// A scope that was never written to reads as a new one.
 impl Index<usize> for LimitScopes {
     type Output = LimitScope;
 
@@ -202,7 +205,7 @@
     }
 }
 
-/// Calls saved up at a pace.
+/// A token bucket; one token is one call.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TokenBucket {
     pub tokens: f64,
@@ -212,12 +215,12 @@
 impl TokenBucket {
     const EMPTY: TokenBucket = TokenBucket { tokens: 0.0, updated_at: 0 };
 
-    /// Saves up to `depth` calls, one at least; whether a call may go.
+    /// Refills at a rate, up to `burst` tokens (at least one). Returns whether a call may be sent.
     pub fn refill(&mut self, now: Time, rate: f64, burst: f64) -> bool {
         self.add(now, rate * (now - self.updated_at) as f64 / SECOND as f64, burst)
     }
 
-    /// The same with what was gained since the last time.
+    /// The same with the tokens gained since the last update.
     pub fn add(&mut self, now: Time, gained: f64, depth: f64) -> bool {
         (self.tokens, self.updated_at) = ((self.tokens + gained).min(depth.max(1.0)), now);
         self.tokens >= 1.0
@@ -244,10 +247,10 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct EndpointCallState {
-    /// When it was last held to be well.
+    /// When it was last held to be healthy.
     pub unhealthy_since: Time,
     pub failed_since_success: bool,
-    /// The other couriers know that it is down.
+    /// Whether the other couriers know that it is down.
     pub peers_know_down: bool,
     /// Share of errors among its latest answers.
     pub error_rate: f64,
@@ -276,27 +279,27 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Destination {
-    /// Two of them take no room of their own.
+    /// Up to two endpoints are stored inline.
     pub endpoints: SmallVec<[usize; 2]>,
-    /// This courier's even share, in calls a second, of the limits of its ready endpoints.
+    /// This courier's fair share of the limits of its ready endpoints, in calls per second.
     pub fair_share: f64,
     call_state: Option<Box<DestinationCallState>>,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct DestinationCallState {
-    /// Parked mails: first connects, and further ones in a line of their own.
+    /// Queued mails: first connects, and repeated connects in a queue of their own.
     pub queues: [Vec<usize>; 2],
     pub calls_in_flight: usize,
     pub arrivals: DecayingCount,
-    /// Arrivals over the time that a destination takes to warm up.
+    /// Arrivals counted over the warm-up time of an endpoint.
     pub warm_up_arrivals: DecayingCount,
     pub cap_growth: usize,
     pub latency: Latency,
 }
 
 impl Endpoint {
-    /// The same as one that is known since now.
+    /// The same endpoint with its times set to `now`.
     pub fn known_since(self, now: Time) -> Endpoint {
         Endpoint {
             last_success: now,
@@ -321,7 +324,7 @@
 );
 
 impl DestinationCallState {
-    /// Parked mails of both lines.
+    /// Mails in both queues.
     pub fn queued(&self) -> usize {
         self.queues[0].len() + self.queues[1].len()
     }
@@ -344,17 +347,18 @@
     &mut list[index]
 }
 
-/// Whether a mail is in one of these places.
+/// Whether a mail is in one of these states.
 pub fn is_in_state(mails: &[Mail], mail: usize, states: [MailState; 2]) -> bool {
     mails.get(mail).is_some_and(|m| states.contains(&m.state))
 }
 
-/// The indices of parked mails.
+/// Indices of the queued mails.
 pub fn queued_mails(mails: &[Mail]) -> impl Iterator<Item = usize> + '_ {
     (0..mails.len()).filter(|&i| mails[i].state == MailState::Queued)
 }
 
-/// Sums this courier's even share of each destination's limits: its own, or those of its routes apart.
+/// Sums this courier's fair share for each destination: its own, or those of its endpoints with limits of
+/// their own.
 pub fn sum_fair_shares(destinations: &mut [Destination], endpoints: &[Endpoint], scopes: &LimitScopes) {
     destinations.iter_mut().for_each(|d| d.fair_share = 0.0);
     for e in endpoints.iter().filter(|e| e.known && e.status == EndpointStatus::Ready) {
