--- a/src/interner.rs
+++ b/src/interner.rs
@@ -91,7 +91,7 @@
     }
 
     #[test]
-    fn it_holds_what_a_map_holds_over_many_comings_and_goings() {
+    fn it_matches_a_map_over_many_inserts_and_removals() {
         let (mut interner, mut expected) =
             (Interner::<Box<[u8]>>::default(), std::collections::BTreeMap::new());
         let mut rng = fastrand::Rng::with_seed(7);
