--- a/tests/control.rs
+++ b/tests/control.rs
@@ -1,4 +1,4 @@
-//! The decisions, case by case: each rule in its awkward case, the cap, the hold, waits, outages and returns.
+//! The decisions, case by case: caps, holds, waits, outages, recoveries and limits, each in its edge cases.
 
 use meadowhold::control::{Control, Health};
 use meadowhold::interface::{
@@ -57,19 +57,19 @@
     }
 }
 
-/// One courier; what it does in a turn is what `at` returns.
+/// One courier. `step` returns the actions of a turn.
 struct TestCourier {
     control: Control,
     next: usize,
 }
 
 impl TestCourier {
-    /// Destination 0 has `ends` endpoints of a kind.
+    /// Destination 0 has `ends` endpoints of one kind.
     fn new(set: Settings, kind: usize, ends: usize, rate: f64) -> TestCourier {
         TestCourier::started_at(0, set, kind, ends, rate)
     }
 
-    /// The same of a process that starts later.
+    /// The same for a process that starts later.
     fn started_at(ms: Time, set: Settings, kind: usize, ends: usize, rate: f64) -> TestCourier {
         let mut courier = TestCourier { control: Control::new(set), next: 0 };
         let mut list = vec![Input::ListBegin { complete: true }];
@@ -102,7 +102,8 @@
         self.step(ms, &inputs)
     }
 
-    /// Gives every connect of a turn, and those that follow at once, this outcome; tells them turn by turn.
+    /// Gives every connect of a turn this outcome, and those that follow at once; returns the connects turn
+    /// by turn.
     fn answer_all(&mut self, ms: Time, actions: &[Action], outcome: Outcome) -> Vec<Vec<(usize, usize)>> {
         let (mut turns, mut sent) = (Vec::new(), connects(actions));
         while !sent.is_empty() {
@@ -113,7 +114,8 @@
         turns
     }
 
-    /// Everything sent is relayed after `took` ms, again and again, so that the destination is known.
+    /// Relays each call after `took` ms, one after the other, so that the latency of the destination is
+    /// known.
     fn relay_calls(&mut self, from: Time, took: Time, rounds: usize) -> Time {
         let mut ms = from;
         for _ in 0..rounds {
@@ -145,7 +147,7 @@
             ms += 10;
             sent = connects(&courier.step(ms, &[result(sent[0].0, outcome, 10)]));
         }
-        // It is back, or well: its last answer was good.
+        // The endpoint is recovering or healthy: its last answer was good.
         let once = courier.submit(ms, ONCE_ONLY, 1);
         let later: Vec<Action> = (1..30).flat_map(|i| courier.step(ms + 50 * i, &[])).collect();
         let sent = connects(&once).len() + connects(&later).len();
@@ -170,7 +172,8 @@
             reused_connection: reused,
             limit_report: None,
         };
-        // At once if it says nothing of the endpoint; else a quarter of the time to make a connection later.
+        // At once if the break says nothing about the endpoint; otherwise a quarter of the connection timeout
+        // later.
         let again = connects(&courier.step(ms + 5, &[Input::ConnectResult(broken)]));
         assert_eq!(again.len(), usize::from(reused), "{reused}");
         assert!(connects(&courier.step(ms + 250, &[])).is_empty());
@@ -202,7 +205,7 @@
         let refused: Vec<Input> =
             sent.iter().map(|c| result_with_wait(c.0, Outcome::Refused, 20, wait)).collect();
         assert_eq!((refused.len(), connects(&courier.step(ms + 20, &refused)).len()), (2, 0));
-        // One usual latency, not two, where no wait was told; else as long as was told.
+        // One usual latency, not two, where no wait was given; otherwise the given wait.
         let back = ms + 20 + wait.max(110);
         assert!(connects(&courier.step(back - 30, &[])).is_empty(), "{wait}");
         assert_eq!(connects(&courier.step(back + 5, &[])).len(), 1, "{wait}");
@@ -233,7 +236,7 @@
     assert_eq!(next.len(), 1, "an answer was not overdue: no sign of trouble");
 }
 
-/// The whole list names only this one.
+/// A complete list of this endpoint only.
 fn complete_list(endpoint: usize, kind: usize) -> [Input; 3] {
     [Input::ListBegin { complete: true }, entry(endpoint, kind, EndpointStatus::Ready, 40.0), Input::ListEnd]
 }
@@ -254,7 +257,8 @@
         if out {
             assert!(free(&courier.step(10_200, &[result(sent[0].0, Outcome::Error, 10_200)])));
         }
-        // Another endpoint under the old index: a destination's wait holds for it too, a route's own does not.
+        // Another endpoint gets the old index: a hold of the destination applies to it too, one of the old
+        // endpoint does not.
         courier.step(10_300, &complete_list(0, kind));
         let mut sent = connects(&courier.submit(10_310, REDELIVERABLE, 1));
         (0..100).for_each(|i| sent.extend(connects(&courier.step(10_320 + 20 * i, &[]))));
@@ -264,7 +268,7 @@
 
 #[test]
 fn after_a_long_wait_an_endpoint_is_treated_as_cold() {
-    // (wait told, most calls in the second after it): a span's end is no outage, a shut door is one.
+    // (wait in ms, fewest and most calls in the second after it): a short wait is no outage, a long one is.
     for (wait, least, most) in [(1_500, 8, 100), (6_000, 1, 6)] {
         let mut courier = TestCourier::new(settings(), SINGLE, 2, 20.0);
         let mut ms = courier.relay_calls(0, 100, 6);
@@ -339,11 +343,11 @@
 fn the_cap_follows_littles_law_and_grows_by_one_for_each_relayed_call() {
     let mut courier = TestCourier::new(settings(), SINGLE, 1, 0.0);
     let ms = courier.relay_calls(0, 100, 40) + 60_000;
-    // Long quiet: the rate has faded, and the tail is a tenth of a second. Ten at once count as five a second:
-    // 5 x 0.1 x 4/3, twice over as arriving and as held, rounded up.
+    // After a long quiet period the rate has decayed, and the tail latency is 0.1 s. Ten mails at once count
+    // as 5 per second: 5 x 0.1 x 4/3, twice, as arrivals and as queued mails, rounded up.
     let sent = connects(&courier.submit(ms, REDELIVERABLE, 10));
     assert!((1..=3).contains(&sent.len()), "{}", sent.len());
-    // One served: its slot, and one more.
+    // One call was relayed: its slot is free, and the cap grows by one.
     let more = connects(&courier.step(ms + 100, &[result(sent[0].0, Outcome::Relayed, 100)]));
     assert_eq!(more.len(), 2);
 }
@@ -419,12 +423,12 @@
 
 #[test]
 fn a_tagged_mail_is_sent_again_only_within_its_window() {
-    // The window of 4 s less the second that its connect may take.
+    // The window of 4 s less the second that the connection may take.
     for (silent_at, again) in [(2650, true), (2760, false), (3000, false), (3900, false)] {
         let mut courier = TestCourier::new(settings(), SINGLE, 1, 0.0);
         let sent = connects(&courier.submit(0, TAGGED, 1));
         let actions = courier.step(silent_at, &[result(sent[0].0, Outcome::Silent, silent_at)]);
-        // After a failure the endpoint rests for a quarter of that second.
+        // After a failure the endpoint is left alone for a quarter of that second.
         let mut later = courier.step(silent_at + 260, &[]);
         later.extend(actions.iter().copied());
         assert_eq!(!connects(&later).is_empty(), again, "{silent_at}");
@@ -475,7 +479,7 @@
         let mut courier = TestCourier::new(settings(), kind, 2, 100.0);
         let (mail, endpoint) = connects(&courier.submit(0, ONCE_ONLY, 1))[0];
         let mut used = connects(&courier.step(10, &[result_with_wait(mail, Outcome::Refused, 10, 500)]));
-        // A newcomer shares the wait too, unless routes are apart.
+        // A new endpoint shares the wait, unless endpoints have limits of their own.
         let grown = [
             Input::ListBegin { complete: false },
             entry(1 - endpoint, kind, EndpointStatus::Ready, 100.0),
@@ -543,7 +547,7 @@
     let ms = courier.relay_calls(0, 100, 30);
     courier.submit(ms, REDELIVERABLE, 1);
     assert_eq!(connects(&courier.submit(ms + 600, ONCE_ONLY, 1)), []);
-    // A mail that may be repeated tries it, with pauses in between.
+    // A redeliverable mail is sent as a trial, with pauses in between.
     let tried: usize =
         (0..8).map(|i| connects(&courier.submit(ms + 1000 + i * 10, REDELIVERABLE, 1)).len()).sum();
     assert_eq!(tried, 1);
@@ -567,14 +571,14 @@
         let actions = courier.submit(ms, REDELIVERABLE, 1);
         courier.answer_all(ms + 5, &actions, Outcome::Unreached);
     }
-    // Down now. It comes back, and every call is served at once.
+    // The endpoint is down now. It comes back and relays every call at once.
     let mut per_second = [0; 12];
     for step in 0..2400u64 {
         let actions = courier.submit(ms + 3000 + step * 5, TAGGED, usize::from(step % 4 == 0));
         let turns = courier.answer_all(ms + 3002 + step * 5, &actions, Outcome::Relayed);
         per_second[(step / 200) as usize] += turns.concat().len();
     }
-    // Twice the capacity may come, from two couriers: at most the even part of 20 x 2 x 0.2 at first.
+    // It bears twice its capacity, from two couriers: at first at most the fair share of 20 x 2 x 0.2.
     assert!((1..=5).contains(&per_second[0]), "{per_second:?}");
     assert!(per_second[4] > per_second[0] && per_second[4] <= 12, "{per_second:?}");
     assert!(per_second[11] > 20, "{per_second:?}");
@@ -591,7 +595,7 @@
     assert_eq!(connects(&courier.step(0, &three)).iter().map(|c| c.0).collect::<Vec<_>>(), [0]);
     let second = connects(&courier.step(50, &[result(0, Outcome::Relayed, 50)]));
     assert_eq!(second.iter().map(|c| c.0).collect::<Vec<_>>(), [1]);
-    // The client of the second leaves; its connect ends in silence, and the key rests.
+    // The client of the second mail leaves. Its connect gets no answer, and the key pauses.
     assert_eq!(connects(&courier.step(60, &[Input::ClientGone { mail: 1 }])), []);
     assert_eq!(connects(&courier.step(100, &[result(1, Outcome::Silent, 50)])), []);
     assert_eq!(connects(&courier.step(1000, &[])), []);
@@ -609,13 +613,14 @@
         let turns = courier.answer_all(step * 5 + 2, &actions, Outcome::Relayed);
         calls.extend(turns.iter().map(Vec::len));
     }
-    // Two seconds at the even share of two calls a second, a little more while mails wait: full calls.
+    // Two seconds at the fair share of two calls per second, a little more while mails are queued: full
+    // calls.
     assert!((3..=6).contains(&calls.len()) && calls[1..3] == [4, 4], "{calls:?}");
     let mut courier = TestCourier::new(settings(), SINGLE, 1, 0.0);
     let ms = courier.relay_calls(0, 5, 200);
     let (mail, _) = connects(&courier.submit(ms, REDELIVERABLE, 1))[0];
     courier.step(ms + 5, &[result(mail, Outcome::Refused, 5)]);
-    // What was sent before a pace was kept is no debt: a slower pace, not a stop.
+    // Calls from before a rate was kept leave no debt: calls become fewer, but do not stop.
     assert!((1..20).any(|i| !connects(&courier.step(ms + 50 + i * 5, &[])).is_empty()));
 }
 
@@ -656,7 +661,7 @@
 
 #[test]
 fn a_reported_limit_that_falls_lowers_the_rate() {
-    // (limit told from the fifth second on, calls in the five seconds after that at most)
+    // (limit reported from the fifth second on, fewest and most calls in the five seconds after that)
     for (limit, least, most) in [(8.0, 20, 60), (0.8, 1, 6)] {
         let mut courier = TestCourier::new(Settings { list_has_rates: false, ..settings() }, BATCHED, 1, 0.0);
         let mut calls = [0, 0];
@@ -702,13 +707,13 @@
 
 #[test]
 fn after_a_refusal_many_couriers_come_back_at_different_times_and_few_at_the_end_of_the_wait() {
-    // (couriers, queue class, all of them are back within a second after the wait)
+    // (couriers, queue class, whether all of them are back within a second after the wait)
     let cases = [(2, TAGGED, true), (2, ONCE_ONLY, true), (200, TAGGED, false), (200, ONCE_ONLY, false)];
     let mut soon = Vec::new();
     for (couriers, class, prompt) in cases {
         let mut back = Vec::new();
         for seed in 0..8 {
-            // Of many, each has under a call a lifetime.
+            // Where there are many couriers, each has less than one call per lifetime.
             let mut courier = TestCourier::new(Settings { couriers, seed, ..settings() }, BATCHED, 1, 19.0);
             let (mail, _) = connects(&courier.submit(0, class, 1))[0];
             courier.step(10, &[result_with_wait(mail, Outcome::Refused, 10, 500)]);
@@ -718,14 +723,15 @@
         assert_eq!(back.len() == 8 && back.iter().all(|&ms| ms < 1510), prompt, "{couriers}: {back:?}");
         soon.push(back.iter().filter(|&&ms| ms < 5510).count());
     }
-    // What is worth most comes back first.
+    // The most important mails are sent first.
     assert!(soon[3] > soon[2], "{soon:?}");
 }
 
 #[test]
 fn hundreds_of_couriers_keep_to_a_limit_by_turns_from_the_start() {
-    // Each has more mails than its share of two routes, 20 calls a second each, from the start or after a restart.
-    // (couriers that start anew in the middle, calls at a route in any half second at most)
+    // Each courier has more mails than its share of two endpoints with 20 calls per second each, from the
+    // start or after a restart.
+    // (couriers that restart in the middle, most calls at an endpoint in any half second)
     for (restarted, most) in [(0, 15), (100, 15)] {
         let set = |me| Settings {
             couriers: 100,
@@ -759,8 +765,9 @@
 
 #[test]
 fn a_mail_that_would_be_handed_back_unsent_is_rejected() {
-    // (limit, couriers, class and number of those that wait, class of the newcomer, turned away). At a turn in five
-    // seconds, six of a newcomer's ten seconds take one that waits; without a limit a room of 40 is full at 39.
+    // (limit, couriers, class and number of the queued mails, class of the new mail, rejected). At one turn
+    // in five seconds, one queued mail fits into six of the new mail's ten seconds. Without a limit, a
+    // courier for 40 mails is full at 39.
     let cases = [
         (20.0, 100, REDELIVERABLE, 1, REDELIVERABLE, false),
         (20.0, 100, REDELIVERABLE, 2, REDELIVERABLE, true),
@@ -781,9 +788,9 @@
 
 #[test]
 fn endpoints_with_a_listed_rate_are_filled_by_it_though_one_is_cheaper() {
-    // Without a rate all go by the cheap route; with one, the part that it can take.
+    // Without a rate all mails go to the cheap endpoint; with one, the part that it can take.
     for (rate, least, most) in [(0.0, 40, 40), (4.0, 15, 30)] {
-        // Under a call a lifetime for each, so that no turns are waited for.
+        // Less than one call per lifetime for each courier, so that none waits for a turn.
         let mut set = Settings { couriers: 40, zone_fees: vec![0.0, 0.06], ..settings() };
         set.classes.iter_mut().for_each(|class| class.lifetime = 4 * SECOND);
         let mut cheap = 0;
@@ -797,7 +804,7 @@
 
 #[test]
 fn trials_of_many_couriers_at_a_down_endpoint_are_spread_over_what_it_can_take_cold() {
-    // 20 calls a second, a fifth of it when cold: few couriers try often, each of many seldom.
+    // 20 calls per second, a fifth of that when cold: each of few couriers tries often, each of many seldom.
     for (couriers, least, most) in [(2, 3, 100), (200, 0, 1)] {
         let mut courier = TestCourier::new(Settings { couriers, ..settings() }, SINGLE, 1, 20.0);
         let mut tried = 0;
@@ -836,7 +843,7 @@
 #[test]
 fn a_mail_of_an_earlier_process_continues_where_it_was() {
     let now = SECOND + 50_000;
-    // (class, connects used, seconds since the send of the first that may have run, what becomes of it)
+    // (class, connects used, seconds since the first connect that may have run, what becomes of the mail)
     let rows = [
         (REDELIVERABLE, 1, Some(9), "sent"),
         (REDELIVERABLE, 4, None, "deferred"),
@@ -888,7 +895,7 @@
     assert_eq!(sent.iter().map(|c| c.0).collect::<Vec<_>>(), [0]);
     assert_eq!(connects(&courier.step(50, &[result(0, Outcome::Relayed, 50)])), []);
     assert_eq!(connects(&courier.step(1001, &[])).iter().map(|c| c.0).collect::<Vec<_>>(), [1]);
-    // A key that only rests is given back at its end.
+    // A key that is only paused is freed at the end of the pause.
     let mut courier = TestCourier::new(settings(), SINGLE, 2, 0.0);
     assert_eq!(courier.step(0, &[rested]), []);
     assert_eq!(courier.step(1000, &[]), [Action::FreeKey(0)]);
@@ -921,7 +928,7 @@
     Input::PeerNote { endpoint, note }
 }
 
-/// Turns of 5 ms from here, with nothing new, until something is sent; the time, or `None` after `most` ms.
+/// Runs turns every 5 ms with no input until something is sent. Returns the time, or `None` after `most` ms.
 fn first_sent(courier: &mut TestCourier, from: Time, most: Time) -> Option<Time> {
     (1..=most / 5).map(|i| from + 5 * i).find(|&ms| !connects(&courier.step(ms, &[])).is_empty())
 }
@@ -934,7 +941,8 @@
         for seed in 0..20 {
             let set = Settings { seed, peer_notes: true, ..settings() };
             let mut courier = TestCourier::new(set, SINGLE, 2, 40.0);
-            // Twenty refusals told at once over a limit of forty a second: half a second of it, spread fourfold.
+            // Twenty refusals reported at once over a limit of 40 per second: half a second's worth of it,
+            // spread fourfold.
             let notes = vec![note_of(0, PeerNote::Refusing(wait * 10)); 20];
             courier.step(10, &notes);
             let at_once = !connects(&courier.submit(10, REDELIVERABLE, 1)).is_empty();
@@ -947,14 +955,14 @@
 
 #[test]
 fn notes_of_outages_and_recoveries_change_the_health_and_unexpected_ones_change_nothing() {
-    // (notes with their times in ms, standing after them)
+    // (notes with their times in ms, health after them)
     let cases: [(&[(Time, PeerNote)], Health); 7] = [
         (&[(100, PeerNote::Down)], Health::Down),
         (&[(100, PeerNote::Down), (200, PeerNote::Down)], Health::Down),
-        // Back before an outage could leave it cold; and after that.
+        // A recovery before an outage could leave the endpoint cold; then one after that.
         (&[(100, PeerNote::Down), (1000, PeerNote::Recovered)], Health::Healthy),
         (&[(100, PeerNote::Down), (2500, PeerNote::Recovered)], Health::Recovering),
-        // Out again while it returns is no false alarm, however soon it is back.
+        // Down again while it recovers is no false alarm, however soon it is back.
         (
             &[
                 (100, PeerNote::Down),
@@ -979,11 +987,11 @@
 
 #[test]
 fn couriers_send_notes_of_refusals_and_lost_calls_only_where_notes_are_allowed() {
-    // What two calls in a row end as, and what is told.
+    // The outcome of two calls in a row, and the notes that are sent.
     let cases: [(Outcome, &[PeerNote]); 4] = [
         (Outcome::Error, &[PeerNote::Down]),
         (Outcome::Silent, &[PeerNote::Down]),
-        // Full tables look the same, and nothing is lost.
+        // A full connection table looks the same, and nothing is lost.
         (Outcome::Unreached, &[]),
         (Outcome::Refused, &[PeerNote::Refusing(0), PeerNote::Refusing(0)]),
     ];
@@ -1025,7 +1033,7 @@
         })
     };
     courier.step(0, &[Input::ListBegin { complete: false }, other(1, 1), Input::ListEnd]);
-    // Destination 0 finds nobody, again and again; the mails there earn more than those for the other.
+    // No call to destination 0 connects; its mails are more important than those for the other destination.
     let mut actions = courier.submit(0, TAGGED, 8);
     for ms in [5, 300, 600, 2000] {
         let ends: Vec<Input> =
@@ -1033,7 +1041,7 @@
         actions = courier.step(ms, &ends);
     }
     assert_eq!(courier.control.health(0), Some(Health::Down));
-    // As many for the other as bring the room to its mark and over it.
+    // Enough mails for the other destination to bring the courier up to its limit and over it.
     let (first, mut gone) = (courier.next, Vec::new());
     for n in 0..14 {
         courier.next += 1;
@@ -1056,13 +1064,14 @@
 
 #[test]
 fn the_rest_of_a_limit_decides_how_long_couriers_spread_after_a_refusal() {
-    // (left, told wait in ms, longest time until the next call in ms): a hundred couriers, a limit of ten.
+    // (part of the limit that remains, wait in ms, longest time until the next call in ms), for a hundred
+    // couriers and a limit of ten
     let cases = [(0.0, 0, 5000), (0.5, 0, 500), (0.5, 2500, 7600)];
     let longest = cases.map(|(left, wait, _)| {
         let times = (0..40).map(|seed| {
             let mut set = Settings { seed, couriers: 100, ..settings() };
             set.classes[REDELIVERABLE].importance = 4.0;
-            // Under a call a lifetime for each.
+            // Less than one call per lifetime for each courier.
             set.classes.iter_mut().for_each(|class| class.lifetime = 9 * SECOND);
             let mut courier = TestCourier::new(set, SINGLE, 1, 10.0);
             let sent = connects(&courier.submit(0, REDELIVERABLE, 1));
@@ -1082,7 +1091,7 @@
 
 #[test]
 fn connections_that_would_hardly_be_used_again_are_closed_after_any_answer() {
-    // (what a call ends as, mails in the ten seconds before, closed)
+    // (outcome of a call, mails in the ten seconds before, whether the connection is closed)
     let cases = [
         (Outcome::Relayed, 1, true),
         (Outcome::Refused, 1, true),
@@ -1102,8 +1111,8 @@
 
 #[test]
 fn a_rate_from_the_start_needs_several_calls_per_target_delay() {
-    // Two seconds of target delay, two couriers: a share of one call in it goes by turns, of half a call more than
-    // two at a pace; with under a call a lifetime there is neither.
+    // Target delay 2 s, two couriers: with one call of fair share in that time calls go by turns, with two
+    // and a half at a rate. With less than one call per lifetime there is neither.
     for (rate, goes) in [(0.15, 3), (1.0, 0), (2.5, 1)] {
         let mut courier = TestCourier::new(settings(), BATCHED, 1, rate);
         let mut sent = 0;
@@ -1120,7 +1129,8 @@
     for (price, to) in [(0.0, 1), (0.05, 0)] {
         let set = Settings { handshake_cost: price, ..settings() };
         let mut courier = TestCourier::new(set, SINGLE, 2, 40.0);
-        // Both are measured, the second quicker; long after, a call goes to the first while the second drains.
+        // Both endpoints are measured, the second one is faster. Long after, a call goes to the first while
+        // the second drains.
         let ends: Vec<Input> = connects(&courier.submit(0, REDELIVERABLE, 2))
             .iter()
             .map(|&(mail, end)| result(mail, Outcome::Relayed, 100 - 40 * end as Time))
@@ -1140,7 +1150,7 @@
 
 #[test]
 fn refusals_by_an_endpoint_that_never_relayed_are_backed_off_from_too() {
-    // The limit is not listed; nothing was served anywhere, or by a sister alone.
+    // The limit is not listed. Nothing was relayed by any endpoint, or only by the sibling.
     for served in [false, true] {
         let mut courier = TestCourier::new(settings(), SINGLE, 2, 0.0);
         let first = courier.submit(0, REDELIVERABLE, 2);
@@ -1159,7 +1169,7 @@
             ms += 5;
             sent = connects(&courier.step(ms, &ends));
         }
-        // A tenth of a second, or a quarter of the time to connect, doubling: not one in each round trip.
+        // 0.1 s, or a quarter of the connection timeout, doubling each time: not one call in each round trip.
         assert!((1..=6).contains(&refused), "{served}: {refused}, the last at {last} ms");
     }
 }
--- a/tests/control_cold.rs
+++ b/tests/control_cold.rs
@@ -1,6 +1,7 @@
-//! A returning endpoint before a whole fleet: many couriers' decisions side by side, no word between them but the
-//! list, each with messages waiting all the time. Calls at what is cold are counted from outside, in every span in
-//! which it may be pushed over, against what it bears then: N + 2 root of N + 2, however many couriers there are.
+//! An endpoint that comes back before a whole fleet. The decisions of many couriers run side by side; they
+//! share only the list, and each has mails queued at all times. Calls at the cold endpoint are counted over
+//! every span in which they could overload it. The bound for the N calls that it bears in a span is N + 2
+//! sqrt(N) + 2, however many couriers there are.
 
 use meadowhold::control::{Control, Health};
 use meadowhold::interface::{
@@ -11,7 +12,7 @@
 const OVERLOAD_SPAN: Time = 2 * SECOND;
 const COLD_CAPACITY: f64 = 0.25;
 const OVERLOAD_MULTIPLE: f64 = 2.0;
-/// Well until then.
+/// Healthy until then.
 const OUTAGE_START: Time = 4 * SECOND;
 
 fn settings(seed: u64, me: usize, day: &Day) -> Settings {
@@ -49,23 +50,24 @@
     }
 }
 
-/// What befalls a fleet and its one destination.
+/// A fleet with one destination, and what happens to it.
 #[derive(Clone, Copy, Debug)]
 struct Day {
     couriers: usize,
-    /// Calls a second that the unit which returns is good for once it is warm.
+    /// Calls per second that the recovering limit scope bears once it is warm.
     rate: f64,
-    /// Each endpoint has its own limit and the first goes out; else all share the limit and go out together.
+    /// Each endpoint has its own limit and only the first one fails; otherwise all share one limit and fail
+    /// together.
     own_limits: bool,
     endpoints: usize,
-    /// Calls to what is out hear nothing; else they find nobody.
+    /// Calls during the outage get no answer; otherwise they cannot connect.
     hangs: bool,
-    /// How long it is out, and until it is warm.
+    /// Length of the outage, and of the warm-up after it.
     outage: Time,
     warm_up: Time,
-    /// Couriers tell each other of what is out and back.
+    /// Couriers send each other notes of outages and recoveries.
     notes: bool,
-    /// Part of the couriers that start within a second round the return, with nothing in mind.
+    /// Part of the couriers that restart within a second around the recovery, without any state.
     restarted: f64,
 }
 
@@ -73,7 +75,7 @@
     control: Control,
     free: Vec<usize>,
     used: usize,
-    /// Calls out: when they begin and end, mail, outcome.
+    /// Calls in flight: begin, end, mail, outcome.
     in_flight: Vec<(Time, Time, usize, Outcome)>,
     inputs: Vec<Input>,
 }
@@ -96,7 +98,7 @@
         Courier { control, free: Vec::new(), used: 0, in_flight: Vec::new(), inputs }
     }
 
-    /// Hands in messages until four wait.
+    /// Submits mails until four are queued.
     fn submit(&mut self, now: Time) {
         let waiting = self.control.destination_load(0).map_or(0, |(_, _, waiting)| waiting);
         for i in waiting..4 {
@@ -114,7 +116,7 @@
     }
 }
 
-/// The worst span: calls, N, bound; and calls at what was cold altogether.
+/// The span with the most calls for its bound, and all calls at the cold endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 struct Worst {
     calls: usize,
@@ -137,20 +139,20 @@
 fn run(day: Day, seed: u64) -> Worst {
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x636f_6c64);
     let recovered_at = SECOND + OUTAGE_START + day.outage;
-    // Of many couriers no turn is worth much.
+    // With many couriers a single turn matters little, so turns may be longer.
     let step: Time = [100, 200, 500][usize::from(day.couriers > 5) + usize::from(day.couriers > 24)];
     let mut couriers: Vec<Courier> = (0..day.couriers).map(|me| Courier::start(seed, me, &day)).collect();
-    // Evenly drawn from those that start anew, each at its own moment round the return.
+    // Restarting couriers are drawn at random, each restarts at its own time around the recovery.
     let mut restarting: Vec<usize> = (0..day.couriers).collect();
     rng.shuffle(&mut restarting);
     restarting.truncate((day.restarted * day.couriers as f64).round() as usize);
     let mut starts = vec![None; day.couriers];
     restarting.iter().for_each(|&me| starts[me] = Some(recovered_at - SECOND / 2 + rng.u64(..SECOND)));
-    // Couriers are not in step: each has its turns at an offset of its own.
+    // Couriers do not run in step: each has its turns at an offset of its own.
     let offsets: Vec<Time> = (0..day.couriers).map(|_| rng.u64(..step)).collect();
     let (mut recent, mut worst) = (std::collections::VecDeque::new(), Worst::default());
     let mut base = SECOND;
-    // What is slow to warm up is coldest at first.
+    // An endpoint that warms up slowly is coldest at first.
     while base < recovered_at + day.warm_up.min(10 * SECOND) {
         let mut calls: Vec<Time> = Vec::new();
         let mut notes: Vec<(usize, Input)> = Vec::new();
@@ -239,7 +241,7 @@
     restarted: 0.0,
 };
 
-/// Plays a day with each number of couriers, limit and seed; the spans that pass their bound, in words.
+/// Runs a day with each limit, number of couriers and seed. Describes the spans that exceed their bound.
 fn exceeding(
     name: &str,
     day: Day,
@@ -284,7 +286,8 @@
     assert!(exceeded.is_empty(), "{exceeded:#?}");
 }
 
-/// Not among them: a courier with less than two turns at an endpoint in an outage, which it may not see at all.
+/// Does not cover a courier with less than two turns at an endpoint during an outage, which it may not notice
+/// at all.
 #[test]
 fn the_shares_of_hundreds_of_couriers_stay_within_what_a_cold_endpoint_bears() {
     let mut exceeded: Vec<String> =
@@ -293,13 +296,14 @@
         exceeded.extend(exceeding(name, *day, &[2.0], &[300], 1..=1));
     }
     exceeded.extend(exceeding("one of two", BASE, &[40.0, 200.0], &[300], 1..=1));
-    // Trials and what follows them at once, before it gets much warmer.
+    // Trials and the calls right after them, before the endpoint gets much warmer.
     let slow = Day { warm_up: 60 * SECOND, outage: 15 * SECOND, endpoints: 1, ..BASE };
     exceeded.extend(exceeding("slow to warm up", slow, &[100.0], &[300], 1..=2));
     assert!(exceeded.is_empty(), "{exceeded:#?}");
 }
 
-/// Those that just started know of no outage; turns hold them where their share is under two calls a target delay.
+/// Couriers that have just started know of no outage. Turns limit them where their share is below two calls
+/// per target delay.
 #[test]
 fn a_third_that_just_started_keeps_to_its_turns_at_a_cold_endpoint() {
     let mut exceeded = Vec::new();
@@ -311,8 +315,8 @@
     assert!(exceeded.is_empty(), "{exceeded:#?}");
 }
 
-/// Guards against couriers that just started and send what they have to an endpoint that is cold: their share is over two
-/// calls a target delay, so that no turns hold them.
+/// Guards against couriers that have just started and send all they have to a cold endpoint: their share is
+/// over two calls per target delay, so that no turns limit them.
 #[test]
 fn a_third_that_just_started_keeps_to_what_a_cold_endpoint_bears_where_shares_are_larger() {
     let day = Day { restarted: 1.0 / 3.0, ..BASE };
@@ -320,7 +324,7 @@
     assert!(exceeded.is_empty(), "{exceeded:#?}");
 }
 
-/// Guards against an outage that is over before a courier with less than two turns in it has seen it.
+/// Guards against an outage that ends before a courier with less than two turns in it has noticed it.
 #[test]
 fn an_outage_shorter_than_two_turns_of_a_courier_is_no_overload_at_its_end() {
     let day = Day { outage: 5 * SECOND / 2, ..BASE };
@@ -330,7 +334,7 @@
 
 #[test]
 fn a_call_from_before_an_outage_is_no_sign_of_its_end() {
-    // (served call sent before the two that failed, what the endpoint is held to be)
+    // (whether notes are sent, whether the relayed call was sent before the two that failed, health after it)
     for (notes, earlier_call, health) in
         [(false, true, Health::Down), (true, true, Health::Down), (false, false, Health::Recovering)]
     {
--- a/tests/control_ending.rs
+++ b/tests/control_ending.rs
@@ -1,4 +1,4 @@
-//! A planned end: what is taken on or kept can still be tried, by this process or by the next one.
+//! A planned shutdown: whatever is accepted or kept can still be tried, by this process or by the next one.
 
 use meadowhold::control::{Control, Health};
 use meadowhold::interface::{
@@ -6,7 +6,8 @@
     Settings, Shutdown, Time, SECOND,
 };
 
-/// The end is asked for, calls begin until, and the next process begins its own, in milliseconds.
+/// In milliseconds: when the shutdown is requested, when the last call may begin, and when the next process
+/// begins its calls.
 const SHUTDOWN_ASKED: Time = 2000;
 const CALLS_UNTIL: Time = 4500;
 const SUCCESSOR_FROM: Time = 6300;
@@ -47,7 +48,7 @@
     SECOND + ms * 10
 }
 
-/// Two destinations of one endpoint each, each with the number of its destination.
+/// Two destinations with one endpoint each, which has the number of its destination.
 struct Courier {
     control: Control,
     next: usize,
@@ -77,7 +78,7 @@
         out
     }
 
-    /// Hands in a mail that ends at a time; its number, and what came of that turn.
+    /// Submits a mail with a deadline. Returns its number and the actions of that turn.
     fn submit(&mut self, ms: Time, destination: usize, deadline: Time) -> (usize, Vec<Action>) {
         let mail = self.next;
         self.next += 1;
@@ -105,7 +106,7 @@
         self.step(ms, &[Input::ConnectResult(ended)])
     }
 
-    /// Its destination's endpoint fails until it is held to be out.
+    /// Lets the endpoint of a destination fail until it is held to be down.
     fn bring_down(&mut self, destination: usize) {
         let (mail, _) = self.submit(10, destination, 60_000);
         let mut ms = 10;
@@ -131,7 +132,7 @@
     }
 }
 
-/// Guards against messages that are answered `+OK` in a shutdown and end untried.
+/// Guards against mails that are answered `+OK` during a shutdown and end untried.
 #[test]
 fn a_process_shutting_down_accepts_what_it_or_its_successor_can_try() {
     let mut courier = Courier::new();
@@ -146,7 +147,7 @@
         |courier: &Courier| rows.map(|(destination, deadline)| courier.rejects(destination, deadline));
     assert_eq!(refused(&courier), [false; 4], "before the end is asked for");
     courier.shut_down();
-    // Nobody is there for the first destination; the second's takes it at once.
+    // Nobody answers at the first destination; the second one takes a mail at once.
     assert_eq!(refused(&courier), [true, false, false, false]);
     courier.step(CALLS_UNTIL, &[]);
     assert_eq!(refused(&courier), [true, false, true, false], "no call begins any more");
@@ -155,7 +156,7 @@
 #[test]
 fn a_process_shutting_down_accepts_no_more_than_gets_its_turn() {
     let mut courier = Courier::new();
-    // Calls take a second, and one courier has a few of them out at a time.
+    // Calls take a second, and a courier has only a few in flight at a time.
     let (first, _) = courier.submit(10, 1, 60_000);
     courier.end_connect(1010, first, Outcome::Relayed, 1000);
     let ahead: Vec<usize> = (0..40).map(|_| courier.submit(SHUTDOWN_ASKED - 100, 1, 60_000).0).collect();
@@ -170,7 +171,7 @@
     assert!(!courier.rejects(1, SUCCESSOR_FROM - 1), "nobody waits any more");
 }
 
-/// Guards against messages that were taken on before, and are held for nothing over the end of their process.
+/// Guards against mails that were accepted earlier and are held in vain until their process ends.
 #[test]
 fn mails_that_cannot_be_tried_any_more_are_handed_back_when_the_last_call_has_begun() {
     let mut courier = Courier::new();
@@ -182,7 +183,7 @@
     let mut actions = courier.shut_down();
     for ms in (SHUTDOWN_ASKED + 10..CALLS_UNTIL).step_by(10) {
         for mail in [short, long].into_iter().filter(|&mail| out(&courier, mail)).collect::<Vec<_>>() {
-            // A trial that finds nobody proves that it never ran.
+            // A trial that could not be sent certainly never ran.
             actions.extend(courier.end_connect(ms, mail, Outcome::Unsent, 0));
         }
         actions.extend(courier.step(ms, &[]));
--- a/tests/control_settings.rs
+++ b/tests/control_settings.rs
@@ -1,5 +1,5 @@
-//! Settings that change while a courier decides: what is out and taken on stays as it was, limits that sink are not
-//! exceeded by new calls, those that rise are not drawn at once; and random changes under random load.
+//! Settings that change while a courier runs: calls in flight and accepted mails stay as they were, new calls
+//! do not exceed lowered limits, and raised limits release no burst. Also random changes under random load.
 
 use std::collections::BTreeMap;
 
@@ -102,7 +102,7 @@
         self.step(ms, &[Input::Settings(Box::new(set.clone()))])
     }
 
-    /// Served calls of 100 ms, one after the other, so that the latency is known.
+    /// Relays calls of 100 ms, one after the other, so that the latency is known.
     fn relay_calls(&mut self, rounds: u64) -> Time {
         for i in 0..rounds {
             let sent = connects(&self.submit(i * 100, REDELIVERABLE, 1));
@@ -169,13 +169,14 @@
 
 #[test]
 fn with_more_slots_the_cap_continues_from_where_it_was() {
-    // (settings change, most calls at once in the turns after): growth beyond the old clamp was never granted.
+    // (whether settings change, most calls at once in the turns after): growth beyond the old cap was never
+    // granted
     for (changes, most) in [(false, 3), (true, 14)] {
         let small = Settings { slots: 4, max_mails: 4000, ..settings() };
         let mut courier = TestCourier::new(small.clone(), 0.0);
         let mut ms = courier.relay_calls(6);
         let mut out = connects(&courier.submit(ms, REDELIVERABLE, 600));
-        // Served while many wait: the growth goes far beyond the clamp of three.
+        // Calls are relayed while many mails are queued, so the growth goes far beyond the cap of three.
         for _ in 0..60 {
             ms += 10;
             let ends: Vec<Input> = out.iter().map(|&mail| result(mail, Outcome::Relayed, 10)).collect();
@@ -191,12 +192,12 @@
 
 #[test]
 fn a_raised_share_of_a_limit_does_not_count_for_the_time_before_it() {
-    // Two hundred calls a second, and a courier's part of it before and after.
+    // 200 calls per second, and the couriers that share them before and after.
     let (rate, before, after) = (200.0, 20, 4);
     let mut courier =
         TestCourier::new(Settings { couriers: before, slots: 400, max_mails: 4000, ..settings() }, rate);
     let mut ms = courier.relay_calls(6);
-    // A refusal has it keep a pace; then it saves up for a minute.
+    // A refusal makes the courier keep a rate. Then it saves up calls for a minute.
     let sent = connects(&courier.submit(ms, REDELIVERABLE, 1));
     courier.step(ms + 20, &[result(sent[0], Outcome::Refused, 20)]);
     for later in [1000, 2000, 3000] {
@@ -210,10 +211,10 @@
     courier.step(ms, &[]);
     courier.change(ms, &Settings { couriers: after, slots: 400, max_mails: 4000, ..settings() });
     let mut out = connects(&courier.submit(ms, REDELIVERABLE, 600));
-    // What it had saved up: half a second at the pace that the smaller share allowed, and no more of the larger.
+    // It saved up half a second at the rate of the smaller share, and nothing of the larger one.
     let old = rate / before as f64;
     assert!(out.len() as f64 <= old / 2.0 + 1.0, "{} at once", out.len());
-    // In the tenth of a second after it a tenth of the new share; what calls that are served add comes later.
+    // In the 0.1 s after it, a tenth of the new share at most; what relayed calls add comes later.
     let new = rate / after as f64;
     let mut first = out.len();
     for step in 1..=10 {
@@ -236,7 +237,7 @@
     let rate = 100.0;
     let mut courier =
         TestCourier::new(Settings { couriers: 50, slots: 400, max_mails: 4000, ..settings() }, rate);
-    // An even share of a fiftieth of a call each target delay is kept by turns.
+    // A fair share of 1/50 call per target delay is kept by turns.
     courier.change(1, &Settings { couriers: 200, slots: 400, max_mails: 4000, ..settings() });
     courier.submit(2, REDELIVERABLE, 200);
     let mut calls = 0;
@@ -246,7 +247,7 @@
         courier
             .step(15 + 10 * step, &out.iter().map(|&m| result(m, Outcome::Relayed, 5)).collect::<Vec<_>>());
     }
-    // Half a call a second over ten seconds, and two that may be saved up.
+    // Half a call per second over ten seconds, and two that may be saved up.
     assert!((3..=7).contains(&calls), "{calls}");
 }
 
@@ -263,7 +264,7 @@
         out = connects(&actions);
     }
     assert_eq!(courier.control.open_mails(), 0);
-    // From here on it is as small as it was said to be.
+    // From here on the lower limit holds.
     let actions = courier.submit(700, ONCE_ONLY, 8);
     assert_eq!(given_up(&actions).len(), 4);
 }
@@ -280,7 +281,7 @@
         (vec![], vec![(sent[0], false)]),
         "never a second time"
     );
-    // One that has not run yet goes on by the same number.
+    // A mail that has not run yet continues under the same class number.
     let mut calls = connects(&courier.submit(30, TAGGED, 1));
     (4..300).for_each(|i| calls.extend(connects(&courier.step(10 * i, &[]))));
     assert_eq!(calls.len(), 1);
@@ -295,7 +296,7 @@
     assert_eq!(given_up(&actions), [(sent[0], true)]);
 }
 
-/// Random settings in which all that has a number keeps it, as the exchange hands them over.
+/// Random settings in which all numbers keep their meaning, as the exchange passes them on.
 fn random_settings(rng: &mut fastrand::Rng, held: &Settings) -> Settings {
     let mut set = Settings {
         couriers: rng.usize(1..40),
@@ -337,11 +338,11 @@
     set
 }
 
-/// What was known of a message at its taking on, and what became of it.
+/// What was known of a mail when it was accepted, and what became of it.
 struct ExpectedMail {
     rules: QueueClass,
     deadline: Time,
-    /// When and to which zone it first went in a way that it may have run.
+    /// Time and zone of the first connect that may have run.
     ran: Option<(Time, usize)>,
     out: Option<(usize, Time)>,
 }
@@ -350,7 +351,8 @@
 fn random_changes_under_random_load_keep_the_counts_and_the_rules() {
     let (mut changes, mut mails, mut calls, mut repeats) = (0, 0, 0, 0);
     for seed in 1..=40 {
-        println!("seed {seed}"); // shown where it fails
+        // Printed only if the test fails.
+        println!("seed {seed}");
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut set = settings();
         let mut control = Control::new(set.clone());
@@ -430,7 +432,7 @@
                 inputs.push(Input::ListBegin { complete: false });
                 inputs.push(entry(e, e / 3, e / 3, status, 500.0));
             }
-            // Anywhere among what else a turn reads, behind the messages that name its classes.
+            // At any place among the inputs of a turn, but after the mails that name its classes.
             if rng.u8(..3) == 0 {
                 set = random_settings(&mut rng, &set);
                 inputs.push(Input::Settings(Box::new(set.clone())));
@@ -447,7 +449,7 @@
             for action in &actions {
                 match *action {
                     Action::Connect { mail, endpoint, .. } => {
-                        let k = known.get_mut(&mail).expect("a message in hand");
+                        let k = known.get_mut(&mail).expect("a mail in hand");
                         assert!(k.out.is_none() && now < k.deadline, "two at once, or late");
                         let c = &k.rules;
                         if let Some((ran, zone)) = k.ran {
@@ -473,7 +475,7 @@
                         over.push(mail);
                     }
                     Action::FreeMail(mail) => {
-                        assert!(over.contains(&mail), "given back and owed still");
+                        assert!(over.contains(&mail), "freed while it is still owed");
                         over.retain(|&other| other != mail);
                         free.push(mail);
                     }
