--- a/tests/control.rs
+++ b/tests/control.rs
@@ -728,7 +728,7 @@
 }
 
 #[test]
-fn hundreds_of_couriers_keep_to_a_limit_by_turns_from_the_start() {
+fn hundreds_of_couriers_keep_to_a_limit_by_turns_from_their_first_moment() {
     // Each courier has more mails than its share of two endpoints with 20 calls per second each, from the
     // start or after a restart.
     // (couriers that restart in the middle, most calls at an endpoint in any half second)
