--- a/crates/courier/src/clients.rs
+++ b/crates/courier/src/clients.rs
@@ -337,7 +337,7 @@
         for (end, serial, id) in answers.taken.drain(..) {
             // Guards against taking back what another client, with the same id, has heard to be taken on.
             if self.unacknowledged.borrow_mut().remove(&id) && end > written {
-                self.shared.borrow_mut().hangup(serial);
+                self.shared.borrow_mut().client_gone(serial);
             }
         }
         answers.bytes.clear();
--- a/crates/courier/src/endpoints.rs
+++ b/crates/courier/src/endpoints.rs
@@ -104,8 +104,8 @@
 }
 
 /// The table of answers: what a status says of every mail of the call. `kept`: its connection served before.
-pub fn result_by_status(head: &Head, is_batch: bool, kept: bool) -> ConnectReport {
-    let (outcome, over) = match head.status {
+pub fn report_by_status(head: &Head, is_batch: bool, kept: bool) -> ConnectReport {
+    let (outcome, finished) = match head.status {
         200 => (Outcome::Relayed, true),
         429 => (Outcome::Refused, false),
         503 if head.over_slots => (Outcome::Unsent, false),
@@ -119,27 +119,27 @@
         400 | 413 if is_batch => (Outcome::Unsent, false),
         _ => (Outcome::Error, false),
     };
-    result_with_head(outcome, over, head)
+    report_with_head(outcome, finished, head)
 }
 
 /// The table of a batch's answers, item by item; a mail that is not named may have run.
-pub fn result_by_item(state: Option<&str>, head: &Head) -> ConnectReport {
-    let (outcome, over) = match state {
+pub fn report_by_item(state: Option<&str>, head: &Head) -> ConnectReport {
+    let (outcome, finished) = match state {
         Some("ok") => (Outcome::Relayed, true),
         Some("later") => (Outcome::Refused, false),
         Some("gone") => (Outcome::Unsent, true),
         Some("exhausted") => (Outcome::Unsent, false),
         _ => (Outcome::Error, false),
     };
-    result_with_head(outcome, over, head)
+    report_with_head(outcome, finished, head)
 }
 
 /// What an answer's head tells goes with each of its mails.
-fn result_with_head(outcome: Outcome, over: bool, head: &Head) -> ConnectReport {
+fn report_with_head(outcome: Outcome, finished: bool, head: &Head) -> ConnectReport {
     ConnectReport {
-        wait: head.retry_after.unwrap_or_default(),
+        retry_after: head.retry_after.unwrap_or_default(),
         load: head.load.clone(),
-        over,
+        finished,
         ..ConnectReport::of(outcome)
     }
 }
@@ -249,7 +249,7 @@
         };
         let mut counted = match connection {
             Ok(counted) => counted,
-            Err(outcome) => return self.report_result(&mails, &ConnectReport::of(outcome)),
+            Err(outcome) => return self.report_outcome(&mails, &ConnectReport::of(outcome)),
         };
         let mut mails = self.shared.borrow_mut().begin(&call, mails);
         if mails.is_empty() {
@@ -262,7 +262,7 @@
         let ends = mails.iter().map(|mail| mail.due.min(mail.latest)).min().unwrap_or(last);
         let written_by = until.min(self.clock.instant(ends));
         if !matches!(timeout_at(written_by.into(), link.send(&request)).await, Ok(Ok(()))) {
-            return self.report_result(&mails, &ConnectReport::of(Outcome::Unreached));
+            return self.report_outcome(&mails, &ConnectReport::of(Outcome::Unreached));
         }
         let is_batch = mails.len() > 1;
         let Some(answer) = self.wait_for_answer(&mut mails, read_answer(link, is_batch)).await else {
@@ -273,10 +273,10 @@
         let spans_expiry = mails.iter().any(|mail| mail.due <= now);
         match answer {
             Answer::Read(head, _) if spans_expiry => {
-                self.report_result(&mails, &result_with_head(Outcome::Spoilt, false, &head))
+                self.report_outcome(&mails, &report_with_head(Outcome::Spoilt, false, &head))
             }
             Answer::Unread(Outcome::Relayed) if spans_expiry => {
-                self.report_result(&mails, &ConnectReport::of(Outcome::Spoilt))
+                self.report_outcome(&mails, &ConnectReport::of(Outcome::Spoilt))
             }
             Answer::Read(head, body) => {
                 self.report_answer(&mails, &head, body.as_deref(), counted.kept);
@@ -287,9 +287,9 @@
             }
             // Closed: what else has come, or will, belongs to no call.
             Answer::Unread(outcome) => {
-                self.report_result(
+                self.report_outcome(
                     &mails,
-                    &ConnectReport { kept: counted.kept, ..ConnectReport::of(outcome) },
+                    &ConnectReport { reused_connection: counted.kept, ..ConnectReport::of(outcome) },
                 );
             }
         }
@@ -325,7 +325,7 @@
             }
             let (over, left) = std::mem::take(mails).into_iter().partition(|mail| mail.due == next);
             *mails = left;
-            self.report_result(&over, &ConnectReport::of(Outcome::Unsent));
+            self.report_outcome(&over, &ConnectReport::of(Outcome::Unsent));
         }
     }
 
@@ -353,25 +353,25 @@
             .filter(|_| is_batch && head.status == 200)
             .map(|body| http::read_items(body).unwrap_or_default());
         for mail in mails {
-            let result = match &items {
+            let report = match &items {
                 Some(items) => {
                     let item = items.iter().find(|item| item.id.as_bytes() == mail.id);
-                    result_by_item(item.map(|item| item.state.as_str()), head)
+                    report_by_item(item.map(|item| item.state.as_str()), head)
                 }
-                None => result_by_status(head, is_batch, kept),
+                None => report_by_status(head, is_batch, kept),
             };
-            self.report_result(std::slice::from_ref(mail), &result);
+            self.report_outcome(std::slice::from_ref(mail), &report);
         }
     }
 
     /// Guards against a second outcome for a mail that was told of as silent: it may be out again, and only
     /// its end is news.
-    fn report_result(&self, mails: &[CallMail], result: &ConnectReport) {
+    fn report_outcome(&self, mails: &[CallMail], report: &ConnectReport) {
         let mut exchange = self.shared.borrow_mut();
         for mail in mails {
             if mail.until > 0 {
-                exchange.connect_ended(mail.serial, result.clone());
-            } else if result.over {
+                exchange.connect_ended(mail.serial, report.clone());
+            } else if report.finished {
                 exchange.relayed_late(mail.serial);
             }
         }
--- a/crates/courier/src/exchange.rs
+++ b/crates/courier/src/exchange.rs
@@ -158,11 +158,11 @@
 #[derive(Clone, Debug)]
 pub struct ConnectReport {
     pub outcome: Outcome,
-    pub over: bool,
-    pub wait: Duration,
+    pub finished: bool,
+    pub retry_after: Duration,
     pub load: Option<String>,
     /// The call went out on a connection that was kept.
-    pub kept: bool,
+    pub reused_connection: bool,
 }
 
 impl ConnectReport {
@@ -170,10 +170,10 @@
     pub fn of(outcome: Outcome) -> ConnectReport {
         ConnectReport {
             outcome,
-            over: outcome == Outcome::Relayed,
-            wait: Duration::ZERO,
+            finished: outcome == Outcome::Relayed,
+            retry_after: Duration::ZERO,
             load: None,
-            kept: false,
+            reused_connection: false,
         }
     }
 }
@@ -212,7 +212,7 @@
     /// As sends to it are put on file.
     zone: u16,
     kind: u32,
-    group: u64,
+    destination: u64,
     /// It was told of as ready last, whether the module has read so or not.
     ready: bool,
 }
@@ -241,14 +241,14 @@
 pub struct Exchange {
     control: Control,
     pub clock: Clock,
-    names: Names,
+    names: NameTable,
     max_open: usize,
     batch_limits: Vec<usize>,
     /// Kinds whose endpoints are limited each on its own.
     limited_alone: Vec<bool>,
     /// The module's classes: those of the settings, and what stands for such as an earlier process or version left.
     classes: Classes,
-    turn_gap: Time,
+    ordering_gap: Time,
     resolution: Time,
     mail_serials: Interner<u64>,
     endpoint_names: Interner<Box<[u8]>>,
@@ -265,7 +265,7 @@
     rests: Vec<(Bytes, Time)>,
     /// What an earlier process took on, until it goes to the module.
     backlog: Backlog,
-    open: usize,
+    open_mails: usize,
     next_serial: u64,
     next_incarnation: u64,
     journal: Journal,
@@ -283,7 +283,7 @@
     orders: UnboundedSender<Order>,
     notices: UnboundedSender<Notice>,
     /// What goes to the other couriers, where there are any.
-    news: Option<UnboundedSender<(Bytes, PeerNote)>>,
+    notes: Option<UnboundedSender<(Bytes, PeerNote)>>,
     /// Version of the list that was taken up last, and the last by which a turn was taken.
     index: u64,
     in_force: u64,
@@ -314,20 +314,20 @@
 }
 
 /// What names on the sockets stand for.
-struct Names {
+struct NameTable {
     /// Those of the settings, and then those that only a list or a later version has named.
     zones: Vec<String>,
     /// So many of them have a number that the journal knows.
-    on_file: usize,
+    zones_in_journal: usize,
     /// Those of all versions so far, by number.
     kinds: Vec<String>,
     /// The number of a kind that is none of them.
-    other: usize,
+    other_kind: usize,
     report: [Option<usize>; 2],
     fields: Vec<String>,
 }
 
-impl Names {
+impl NameTable {
     /// The module's number of a zone. Guards against two zones, neither of which the settings name, that would
     /// be held to be one: a key that is known in one of them is not known in the other.
     fn zone(&mut self, text: &str) -> usize {
@@ -355,9 +355,9 @@
         (journal, found): (Journal, Found),
         orders: UnboundedSender<Order>,
         notices: UnboundedSender<Notice>,
-        news: Option<UnboundedSender<(Bytes, PeerNote)>>,
+        notes: Option<UnboundedSender<(Bytes, PeerNote)>>,
     ) -> Exchange {
-        Exchange::with_clock(Clock::new(), decoded, (journal, found), orders, notices, news)
+        Exchange::with_clock(Clock::new(), decoded, (journal, found), orders, notices, notes)
     }
 
     /// The same, by a clock that a test may hold.
@@ -367,7 +367,7 @@
         (journal, mut found): (Journal, Found),
         orders: UnboundedSender<Order>,
         notices: UnboundedSender<Notice>,
-        news: Option<UnboundedSender<(Bytes, PeerNote)>>,
+        notes: Option<UnboundedSender<(Bytes, PeerNote)>>,
     ) -> Exchange {
         let deployment = deployment(&decoded);
         let Decoded { mut settings, report, fields, classes, zones, mut kinds, .. } = decoded;
@@ -386,12 +386,19 @@
         let (folder, allowance) = journal.place();
         let mut exchange = Exchange {
             keeper: Keeper::new(folder, allowance, deployment),
-            names: Names { zones, on_file: 0, other: kinds.len() - 1, kinds, report, fields },
+            names: NameTable {
+                zones,
+                zones_in_journal: 0,
+                other_kind: kinds.len() - 1,
+                kinds,
+                report,
+                fields,
+            },
             max_open: settings.max_mails,
             batch_limits: settings.kinds.iter().map(|kind| kind.max_batch).collect(),
             limited_alone: settings.kinds.iter().map(|kind| kind.per_endpoint_limits).collect(),
             classes: Classes { classes: settings.classes.clone(), terms, by_name },
-            turn_gap: settings.ordering_gap,
+            ordering_gap: settings.ordering_gap,
             resolution: settings.timer_resolution,
             control: Control::new(settings),
             clock,
@@ -406,7 +413,7 @@
             ids: HashMap::new(),
             rests: Vec::new(),
             backlog: Backlog::default(),
-            open: 0,
+            open_mails: 0,
             next_serial: found.owed.keys().next_back().map_or(1, |last| last + 1),
             next_incarnation: 1,
             journal,
@@ -421,7 +428,7 @@
             notify: Rc::default(),
             orders,
             notices,
-            news,
+            notes,
             index: 0,
             in_force: 0,
             tally: Tally { found: found.owed.len() as u64, ..Tally::default() },
@@ -443,7 +450,7 @@
         }
         // What cannot be put on file is not used: sends are then to no zone that a later process knows.
         if known || self.append_record(&Record::Zones { names: &zones }) {
-            self.names.on_file = self.names.zones.len();
+            self.names.zones_in_journal = self.names.zones.len();
         }
         let mut mails = Vec::with_capacity(found.owed.len());
         let mut keys: HashMap<Bytes, u64> = HashMap::new();
@@ -462,11 +469,11 @@
             match owed.verdict {
                 Some(verdict) => self.send_notice(Notice { serial, id: owed.id.clone(), verdict }),
                 None if !BY_IMPORTANCE => {
-                    self.open += 1;
+                    self.open_mails += 1;
                     self.submit(serial, &owed);
                 }
                 None => {
-                    self.open += 1;
+                    self.open_mails += 1;
                     let next = keys.len() as u64;
                     let key = self.is_ordered(&owed).then(|| *keys.entry(owed.item.clone()).or_insert(next));
                     let importance = self.classes.classes[usize::from(owed.class)].importance;
@@ -551,7 +558,7 @@
         };
         let serial = self.next_serial;
         log::debug!("mail {serial} for {} of class {class} has come", owed.dest);
-        if self.open >= self.max_open
+        if self.open_mails >= self.max_open
             || self.control.would_reject(dest, class, owed.due)
             || !self.journal.has_room(&owed)
             || !self.append_record(&Record::Taken { serial, owed: &owed })
@@ -569,7 +576,7 @@
         if self.is_ordered(&owed) && self.backlog.waiting().any(same) {
             self.submit_backlog(Time::MAX);
         }
-        self.open += 1;
+        self.open_mails += 1;
         self.submit(serial, &owed);
         self.owed.insert(serial, owed);
         Answer::Taken(serial)
@@ -609,7 +616,7 @@
                 self.limited_alone.push(kind.per_endpoint_limits);
             }
             self.batch_limits[at] = kind.max_batch;
-            names.other = at;
+            names.other_kind = at;
         }
         (names.report, names.fields) = (report, fields);
         let by_number = self.batch_limits.iter().zip(&self.limited_alone);
@@ -622,7 +629,7 @@
             ..settings
         };
         self.classes = classes;
-        (self.max_open, self.turn_gap, self.resolution) =
+        (self.max_open, self.ordering_gap, self.resolution) =
             (settings.max_mails, settings.ordering_gap, settings.timer_resolution);
         let timeouts = (duration(settings.connection_timeout), duration(settings.idle_timeout));
         let _ =
@@ -634,7 +641,7 @@
     /// Rests that are over need not be kept.
     fn drop_elapsed_rests(&mut self) {
         let now = self.clock.now();
-        self.rests.retain(|(_, since)| since + self.turn_gap > now);
+        self.rests.retain(|(_, since)| since + self.ordering_gap > now);
     }
 
     /// Puts a record on file; whether it is there.
@@ -675,12 +682,12 @@
             self.ids.remove(&owed.id);
             self.tally.ended += 1;
             self.journal.shrink(weight(&owed));
-            self.open -= usize::from(owed.verdict.is_none());
+            self.open_mails -= usize::from(owed.verdict.is_none());
         }
     }
 
     /// The client was gone before it heard that its mail was taken, or the mail turned out to be over.
-    pub fn hangup(&mut self, serial: u64) {
+    pub fn client_gone(&mut self, serial: u64) {
         if self.owed.get(&serial).is_some_and(|owed| owed.verdict.is_none()) {
             self.counts.hangups += 1;
             self.finish(serial);
@@ -699,7 +706,7 @@
     pub fn relayed_late(&mut self, serial: u64) {
         if self.owed.contains_key(&serial) {
             self.counts.late += 1;
-            self.hangup(serial);
+            self.client_gone(serial);
         }
     }
 
@@ -757,7 +764,7 @@
             // Most entries name the zone and the kind that the one before named.
             if places.is_none_or(|(zone, kind, ..)| (zone, kind) != (entry.zone, entry.kind)) {
                 let kind = self.names.kinds.iter().position(|kind| *kind == name(entry.kind));
-                let kind = kind.unwrap_or(self.names.other);
+                let kind = kind.unwrap_or(self.names.other_kind);
                 places = Some((entry.zone, entry.kind, self.names.zone(entry.zone), kind));
             }
             let (zone, kind) = places.map_or((0, 0), |(.., zone, kind)| (zone, kind));
@@ -770,14 +777,14 @@
                 Some(endpoint) => endpoint,
             };
             let incarnation = self.next_incarnation;
-            let on_file = if zone < self.names.on_file { zone as u16 } else { NO_ZONE };
+            let on_file = if zone < self.names.zones_in_journal { zone as u16 } else { NO_ZONE };
             let (zone_on_file, kind_of) = (on_file, kind as u32);
             let new = EndpointState {
                 incarnation,
                 address,
                 since,
                 zone: zone_on_file,
-                group,
+                destination: group,
                 kind: kind_of,
                 ready: false,
             };
@@ -785,7 +792,7 @@
                 None => self.endpoints.push(new),
                 Some(old) if old.incarnation == 0 => *old = new,
                 // Guards against a name that turns up at another destination: mails for the old one stay away.
-                Some(old) if old.group != group => life = EndpointStatus::Removed,
+                Some(old) if old.destination != group => life = EndpointStatus::Removed,
                 // Moved or started anew: what is open leads nowhere.
                 Some(old) if old.address != new.address || old.since != since => {
                     (old.address, old.since) = (new.address, since);
@@ -797,7 +804,7 @@
             self.next_incarnation += 1;
             let peer = &mut self.endpoints[endpoint];
             peer.ready = life == EndpointStatus::Ready;
-            let group = peer.group;
+            let group = peer.destination;
             self.inputs.push(Input::ListEntry(ListEntry {
                 endpoint,
                 destination: self.destinations.intern(group),
@@ -873,7 +880,7 @@
     }
 
     /// The outcome of one mail's connect.
-    pub fn connect_ended(&mut self, serial: u64, result: ConnectReport) {
+    pub fn connect_ended(&mut self, serial: u64, report: ConnectReport) {
         let now = self.clock.now();
         let mail = self.mail_serials.get(&serial);
         let started = mail.and_then(|mail| self.connects_out.get_mut(mail)?.take());
@@ -881,16 +888,16 @@
             must!(self.counts.broken, false, "an outcome came for a connect that is not out");
             return;
         };
-        let ConnectReport { outcome, over, wait, load, kept } = result;
+        let ConnectReport { outcome, finished, retry_after, load, reused_connection } = report;
         self.tally.landed += 1;
-        if wait > Duration::ZERO {
+        if retry_after > Duration::ZERO {
             let unit = self.unit(endpoint);
             self.paused_units.push(unit);
-            self.tally.hold(unit, now + to_time(wait));
+            self.tally.hold(unit, now + to_time(retry_after));
         }
         self.counts.relayed += u64::from(outcome == Outcome::Relayed);
         let (ran, rests) = (!outcome.never_ran(), outcome.may_still_run());
-        if over {
+        if finished {
             self.finish(serial);
         } else if let Some(owed) = self.owed.get_mut(&serial) {
             let sent = owed.out.take();
@@ -903,7 +910,7 @@
             }
         }
         log::debug!(
-            "mail {serial}: {outcome:?} after {} ms, wait {wait:?}",
+            "mail {serial}: {outcome:?} after {} ms, wait {retry_after:?}",
             now.saturating_sub(started) / 10
         );
         let report = load.and_then(|load| self.names.report(&load));
@@ -911,10 +918,10 @@
         self.inputs.push(Input::ConnectResult(ConnectResult {
             mail,
             outcome,
-            finished: over,
-            retry_after: to_time(wait),
+            finished,
+            retry_after: to_time(retry_after),
             duration: took,
-            reused_connection: kept,
+            reused_connection,
             limit_report: report,
         }));
         self.notify.notify_one();
@@ -959,9 +966,9 @@
                 // A watch is always kept open.
                 Action::RequestList => {}
                 Action::SendNote { endpoint, note } => {
-                    if let (Some(notes), Some(name)) = (&self.news, self.endpoint_names.id(endpoint)) {
+                    if let (Some(sender), Some(name)) = (&self.notes, self.endpoint_names.id(endpoint)) {
                         self.counts.told += 1;
-                        let _ = notes.send((Bytes::copy_from_slice(name), note));
+                        let _ = sender.send((Bytes::copy_from_slice(name), note));
                     }
                 }
                 Action::FreeMail(mail) => self.mail_serials.release(mail),
@@ -991,7 +998,7 @@
         let peer = &self.endpoints[endpoint];
         match self.limited_alone.get((peer.kind as usize).min(self.limited_alone.len() - 1)) {
             Some(true) => audit::Unit::Route(endpoint),
-            _ => audit::Unit::Dest(peer.group),
+            _ => audit::Unit::Dest(peer.destination),
         }
     }
 
@@ -1001,10 +1008,10 @@
             control: &self.control,
             owed: &self.owed,
             ids: &self.ids,
-            open: self.open,
+            open: self.open_mails,
             flying: &self.connects_out,
             mails: &self.mail_serials,
-            groups: &|endpoint| self.endpoints[endpoint].group,
+            groups: &|endpoint| self.endpoints[endpoint].destination,
             on_file: self.journal.live(),
             taken: self.counts.taken,
             index: self.index,
@@ -1021,7 +1028,7 @@
         match (what, flight, first) {
             ("taken", ..) => self.counts.taken += 1,
             ("ended", ..) => self.tally.ended += 1,
-            ("open mails", ..) => self.open += 1,
+            ("open mails", ..) => self.open_mails += 1,
             ("an id", _, Some(first)) => {
                 let id = self.owed[&first].id.clone();
                 self.ids.insert(id, first + 1);
@@ -1046,7 +1053,7 @@
             }
             ("a group", Some(mail), _) => {
                 let endpoint = self.connects_out[mail].map_or(0, |flight| flight.endpoint);
-                self.endpoints[endpoint].group += 1;
+                self.endpoints[endpoint].destination += 1;
             }
             ("a mail twice", Some(mail), _) => {
                 let copy = self.connects_out[mail];
@@ -1140,7 +1147,7 @@
         self.journal.shrink(owed.body.len() as u64);
         owed.body.clear();
         let (id, dest, left) = (owed.id.clone(), owed.dest, owed.due.saturating_sub(now));
-        self.open -= 1;
+        self.open_mails -= 1;
         self.counts.given_up += 1;
         // Guards against a mail that is handed back, handed in anew, and sent by the next process all the same:
         // what is not on file as given up is not told as harmless to hand in again.
--- a/crates/courier/tests/audit.rs
+++ b/crates/courier/tests/audit.rs
@@ -167,7 +167,7 @@
         if let Answer::Taken(serial) = self.exchange.hand_in(offer) {
             self.taken += 1;
             if self.chance.u8(..20) == 0 {
-                self.exchange.hangup(serial);
+                self.exchange.client_gone(serial);
             }
         }
     }
@@ -197,8 +197,15 @@
         let wait = if outcome == Outcome::Refused { self.chance.u64(..1500) } else { 0 };
         let over = outcome == Outcome::Relayed || outcome == Outcome::Unsent && self.chance.bool();
         let (wait, kept) = (Duration::from_millis(wait), self.chance.bool());
-        self.exchange
-            .connect_ended(mail.serial, ConnectReport { over, wait, kept, ..ConnectReport::of(outcome) });
+        self.exchange.connect_ended(
+            mail.serial,
+            ConnectReport {
+                finished: over,
+                retry_after: wait,
+                reused_connection: kept,
+                ..ConnectReport::of(outcome)
+            },
+        );
         if outcome == Outcome::Silent {
             self.silent.push(mail.serial);
         }
@@ -272,7 +279,7 @@
             }
             990..996 => {
                 let gone = self.out.first().map(|mail| mail.serial);
-                gone.into_iter().for_each(|serial| self.exchange.hangup(serial));
+                gone.into_iter().for_each(|serial| self.exchange.client_gone(serial));
             }
             996..998 => {
                 let found = Found::load(&self.folder.path).unwrap().0;
@@ -373,7 +380,7 @@
                 let wait = Duration::from_secs(1);
                 day.exchange.connect_ended(
                     first.mails[0].serial,
-                    ConnectReport { wait, ..ConnectReport::of(Outcome::Refused) },
+                    ConnectReport { retry_after: wait, ..ConnectReport::of(Outcome::Refused) },
                 );
             }
             "note" => day.exchange.note_received(b"e0", PeerNote::Refusing(SECOND)),
@@ -398,7 +405,7 @@
     let calls = handed_in(&mut day, "once", 1);
     let mail = day.exchange.begin(&calls[0], calls[0].mails.clone()).remove(0);
     day.exchange.connect_ended(mail.serial, ConnectReport::of(Outcome::Broken));
-    day.exchange.hangup(mail.serial);
+    day.exchange.client_gone(mail.serial);
     day.turn();
     assert_eq!((day.exchange.in_hand(), day.exchange.counts.broken, day.owed_notices.len()), (0, 0, 0));
 }
@@ -428,11 +435,11 @@
         for mail in begun.iter().flat_map(|call| &call.mails) {
             day.exchange.connect_ended(
                 mail.serial,
-                ConnectReport { over: true, ..ConnectReport::of(Outcome::Unsent) },
+                ConnectReport { finished: true, ..ConnectReport::of(Outcome::Unsent) },
             );
         }
         let left: Vec<u64> = Found::load(&day.folder.path).unwrap().0.owed.into_keys().collect();
-        left.into_iter().for_each(|serial| day.exchange.hangup(serial));
+        left.into_iter().for_each(|serial| day.exchange.client_gone(serial));
         day.turn();
         assert_eq!(day.exchange.in_hand(), 0);
     }
--- a/crates/courier/tests/crash_points.rs
+++ b/crates/courier/tests/crash_points.rs
@@ -149,14 +149,14 @@
     fill(folder);
     let mut gone = 0;
     while let Answer::Taken(serial) = process.put(&format!("gone-{gone}"), "once", 1) {
-        process.exchange.hangup(serial);
+        process.exchange.client_gone(serial);
         gone += 1;
     }
     assert!((100..2000).contains(&gone), "{gone}");
     // Smaller records fill what a message has left.
     for answer in spare {
         let Answer::Taken(serial) = answer else { panic!("{answer:?}") };
-        process.exchange.hangup(serial);
+        process.exchange.client_gone(serial);
     }
     process
 }
--- a/crates/courier/tests/exchange.rs
+++ b/crates/courier/tests/exchange.rs
@@ -75,7 +75,7 @@
 
 fn seen(outcome: Outcome) -> ConnectReport {
     let wait = Duration::from_secs(if outcome == Outcome::Refused { 2 } else { 0 });
-    ConnectReport { wait, ..ConnectReport::of(outcome) }
+    ConnectReport { retry_after: wait, ..ConnectReport::of(outcome) }
 }
 
 fn serial(answer: Answer) -> u64 {
@@ -145,7 +145,7 @@
         let mail = serial(world.put("01", "once", 1));
         let call = out.then(|| world.call());
         let begun = call.map(|call| world.exchange.begin(&call, call.mails.clone()));
-        world.exchange.hangup(mail);
+        world.exchange.client_gone(mail);
         assert_eq!((world.calls().len(), world.exchange.in_hand()), (0, 0));
         if begun.is_some_and(|mails| mails.len() == 1) {
             world.exchange.connect_ended(mail, seen(Outcome::Broken));
--- a/crates/courier/tests/renamed.rs
+++ b/crates/courier/tests/renamed.rs
@@ -454,7 +454,12 @@
             let load = report.map(|report| format!("x0={},x1={}", report.remaining, report.limit));
             self.exchange.connect_ended(
                 serial,
-                ConnectReport { wait: duration(wait), kept, load, ..ConnectReport::of(outcome) },
+                ConnectReport {
+                    retry_after: duration(wait),
+                    reused_connection: kept,
+                    load,
+                    ..ConnectReport::of(outcome)
+                },
             );
         }
     }
@@ -510,7 +515,7 @@
             play.hand_in(number, &message);
         }
         let gone = play.out.first().filter(|_| play.world.hangs_up()).map(|(_, serial, _)| *serial);
-        gone.into_iter().for_each(|serial| play.exchange.hangup(serial));
+        gone.into_iter().for_each(|serial| play.exchange.client_gone(serial));
         if let Some((at, news)) = play.world.news() {
             play.exchange.note_received(names.endpoint(at).as_bytes(), news);
         }
