--- a/crates/courier/tests/behind.rs
+++ b/crates/courier/tests/behind.rs
@@ -16,7 +16,7 @@
 
 const START: Time = 1_700_000_000 * SECOND;
 
-struct World {
+struct Fixture {
     exchange: Exchange,
     orders: UnboundedReceiver<Order>,
     notices: UnboundedReceiver<Notice>,
@@ -25,7 +25,7 @@
 }
 
 /// Two endpoints of one destination, one in each zone.
-fn world(seed: u64) -> World {
+fn setup(seed: u64) -> Fixture {
     let (folder, (orders_in, orders), (notices_in, notices)) =
         (Folder::new(), unbounded_channel(), unbounded_channel());
     let mut settings = settings();
@@ -40,10 +40,10 @@
     };
     let list = json!({"index": 2, "snapshot": true, "endpoints": [entry("e0", "a"), entry("e1", "b")]});
     exchange.listed(&serde_json::from_value::<List>(list).unwrap());
-    World { exchange, orders, notices, now: START, _folder: folder }
+    Fixture { exchange, orders, notices, now: START, _folder: folder }
 }
 
-impl World {
+impl Fixture {
     fn put(&mut self, id: usize, class: &str) {
         let text = |text: &str| Bytes::copy_from_slice(text.as_bytes());
         let answer = self.exchange.hand_in(Offer {
@@ -76,9 +76,9 @@
 }
 
 #[test]
-fn what_must_not_run_twice_does_not_wait_for_another_s_trial() {
+fn once_only_mails_do_not_wait_for_the_probe_of_a_failed_endpoint() {
     for seed in 0..10 {
-        let mut world = world(seed);
+        let mut world = setup(seed);
         let outcome = |endpoint| if endpoint == 0 { Outcome::Unreached } else { Outcome::Relayed };
         for i in 0..200 {
             if i % 2 == 0 {
@@ -104,7 +104,7 @@
 #[test]
 fn a_repeat_goes_to_the_zone_that_knows_its_key_though_another_endpoint_is_cheaper() {
     for seed in 0..20 {
-        let mut world = world(seed);
+        let mut world = setup(seed);
         world.put(1, "tagged");
         let mut called = Vec::new();
         for i in 0..300 {
--- a/crates/courier/tests/codecs.rs
+++ b/crates/courier/tests/codecs.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn lines_typed_by_hand_are_commands_too() {
+fn inline_commands_are_read() {
     let cases: [(&[u8], &[&[u8]]); 4] =
         [(b"PING\r\n", &[b"PING"]), (b" a  b\n", &[b"a", b"b"]), (b"\r\n", &[]), (b"*0\r\n", &[])];
     for (line, expected) in cases {
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn hostile_commands_end_with_plain_words() {
+fn malformed_commands_are_rejected_with_a_message() {
     let long = [b'x'; 2000];
     let cases: [(&[u8], &str); 9] = [
         (b"*17\r\n", "a command has too many words"),
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn hostile_answers_are_refused() {
+fn malformed_answers_are_rejected() {
     let long = format!("HTTP/1.1 200 OK\r\nA: {}", "x".repeat(20_000));
     let cases: [&[u8]; 7] = [
         b"SSH-2.0-x\r\n\r\n",
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn calls_are_written_as_the_protocol_has_them() {
+fn requests_follow_the_protocol() {
     let wait = Duration::from_millis(1500);
     let mails = [
         Mail { id: "9b1f", key: "", body: b"hello" },
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn batch_answers_are_read_or_not_at_all() {
+fn malformed_batch_answers_are_rejected_as_a_whole() {
     let items =
         http::read_items(br#"[{"id":"a","state":"ok","more":1},{"id":"b","state":"later"}]"#).unwrap();
     assert_eq!(
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn notes_are_read_as_they_were_written_and_odd_ones_not_at_all() {
+fn notes_round_trip_and_malformed_ones_are_rejected() {
     // A wait is told in milliseconds, rounded up, a minute at most.
     let cases = [
         (PeerNote::Down, PeerNote::Down),
--- a/crates/courier/tests/courier.rs
+++ b/crates/courier/tests/courier.rs
@@ -18,12 +18,12 @@
 fn unchanged(_: &mut Value) {}
 
 /// A courier with one endpoint of this kind that goes through a script.
-fn world(kind: &str, script: &[Reply]) -> (Platform, Endpoint, Courier) {
-    world_with(kind, script, unchanged)
+fn setup(kind: &str, script: &[Reply]) -> (Platform, Endpoint, Courier) {
+    setup_with(kind, script, unchanged)
 }
 
 /// The same, with another configuration.
-fn world_with(
+fn setup_with(
     kind: &str,
     script: &[Reply],
     change: impl FnOnce(&mut Value),
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn each_outcome_of_a_single_call_has_its_end() {
+fn each_outcome_of_a_single_mail_call_is_handled() {
     use Reply::{Break, Silence, Status};
     // (class, the endpoint's first reply, calls in all, notice, least time before the second call in ms)
     let rows: [(&str, Reply, usize, &str, u64); 15] = [
@@ -59,7 +59,7 @@
         for (class, reply, calls, notice, pause) in rows {
             scope.spawn(move || {
                 let name = format!("{class} {reply:?}");
-                let (platform, endpoint, courier) = world("single", &[reply]);
+                let (platform, endpoint, courier) = setup("single", &[reply]);
                 let answered = courier.client().put("9b1f", class, "d=4000,k=5c0f");
                 assert_eq!(answered, "+OK", "{name}");
                 until(&name, || courier.owes_nothing());
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_spoilt_answer_may_have_run_but_a_single_mail_is_relayed_by_its_first_line() {
+fn a_malformed_answer_may_have_run_but_a_single_mail_is_relayed_by_its_status_line() {
     // (class, the answer, calls in all, notice); each connection is closed after it
     let rows: [(&str, &str, usize, &str); 15] = [
         ("once", "HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\n", 1, ""),
@@ -109,8 +109,8 @@
             for &(class, answer, calls, notice) in few {
                 scope.spawn(move || {
                     let (platform, endpoint, courier) =
-                        world_with("single", &[Reply::Raw(answer)], |config| {
-                            unhurried(config);
+                        setup_with("single", &[Reply::Raw(answer)], |config| {
+                            with_long_timeouts(config);
                             // What is refused is asked again after a part of it.
                             config["settings"]["Limits"]["ConnectTimeoutUs"] = json!(2_000_000);
                         });
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn what_found_nobody_never_ran_and_is_refused_when_its_time_is_up() {
+fn a_mail_whose_endpoint_is_unreachable_is_bounced_when_it_expires() {
     let platform = Platform::new();
     platform.list("e1", own_address(), "single", 7, "SERVING");
     let courier = Courier::start(&platform, unchanged);
@@ -147,7 +147,7 @@
 
 /// Gives calls, and connections, a time that no machine is too slow for. Of an endpoint that answers late the module
 /// has doubts, and what may run once only is not sent to it any more: that is not what a test of answers looks for.
-fn unhurried(config: &mut Value) {
+fn with_long_timeouts(config: &mut Value) {
     config["settings"]["Limits"]["ConnectTimeoutUs"] = json!(30_000_000);
     for class in config["settings"]["Profiles"].as_array_mut().unwrap() {
         class["PromiseUs"] = json!(30_000_000);
@@ -178,7 +178,7 @@
                 let name = format!("{class} {reply:?}");
                 let (platform, endpoint) = (Platform::new(), Endpoint::new(&[reply]));
                 platform.list("e1", endpoint.address, "many", 7, "DRAINING");
-                let courier = Courier::start(&platform, unhurried);
+                let courier = Courier::start(&platform, with_long_timeouts);
                 let mut mails = Vec::new();
                 for id in ["a", "b", "c", "d", "e"] {
                     mails.extend(put("0", id, class, "d=60000", id.as_bytes()));
@@ -214,9 +214,9 @@
 /// Its time-out is no end: the call is waited for, and what it says of the others counts, and of this one too. An
 /// answer that crosses an end is another case: `crossing_endpoints`.
 #[test]
-fn one_mail_of_a_batch_may_time_out_and_still_turn_out_to_be_served() {
+fn one_mail_of_a_batch_may_time_out_and_still_be_relayed() {
     let reply = Reply::After(1000, Box::new(Reply::Items(&["ok", "ok"], "")));
-    let (platform, endpoint, courier) = world("many", &[reply, Reply::Silence]);
+    let (platform, endpoint, courier) = setup("many", &[reply, Reply::Silence]);
     let mut mails = put("0", "again", "again", "d=60000", b"x");
     mails.extend(put("0", "once", "once", "d=60000", b"x"));
     assert_eq!(courier.client().say(&mails), "+OK");
@@ -229,8 +229,8 @@
 }
 
 #[test]
-fn a_call_that_breaks_after_one_of_its_mails_timed_out_tells_only_of_the_others() {
-    let (platform, endpoint, courier) = world("many", &[Reply::After(1000, Box::new(Reply::Break))]);
+fn a_call_that_breaks_after_one_mail_timed_out_reports_only_the_others() {
+    let (platform, endpoint, courier) = setup("many", &[Reply::After(1000, Box::new(Reply::Break))]);
     let mut mails = put("0", "again", "again", "d=500", b"x");
     mails.extend(put("0", "once", "once", LATE, b"x"));
     assert_eq!(courier.client().say(&mails), "+OK");
@@ -242,10 +242,10 @@
 }
 
 #[test]
-fn a_killed_courier_still_owes_each_mail_its_end() {
+fn a_killed_courier_finishes_every_mail_after_its_restart() {
     // First calls are never answered; all that come after a restart are.
     let silence = vec![Reply::Silence; 3];
-    let (platform, endpoint, mut courier) = world("single", &silence);
+    let (platform, endpoint, mut courier) = setup("single", &silence);
     platform.told.lock().unwrap().refuse = 2;
     let mut client = courier.client();
     for (id, class) in [("01", "again"), ("02", "once"), ("03", "tagged")] {
@@ -270,8 +270,8 @@
 }
 
 #[test]
-fn mails_of_one_key_keep_their_order_and_rest_across_a_restart() {
-    let (platform, endpoint, mut courier) = world("single", &[Reply::Silence]);
+fn mails_of_one_key_keep_their_order_and_gap_across_a_restart() {
+    let (platform, endpoint, mut courier) = setup("single", &[Reply::Silence]);
     let mut client = courier.client();
     for id in ["01", "02", "03"] {
         assert_eq!(client.say(&put("beef", id, "turns", LATE, b"x")), "+OK");
@@ -290,10 +290,10 @@
 }
 
 #[test]
-fn killed_again_and_again_it_loses_nothing() {
+fn repeated_kills_lose_no_mail() {
     // Room for all of them: a loaded machine leaves some to each next process.
     let room = |config: &mut Value| config["settings"]["Limits"]["MaxOpen"] = json!(10_000);
-    let (platform, endpoint, mut courier) = world_with("single", &[], room);
+    let (platform, endpoint, mut courier) = setup_with("single", &[], room);
     let mut sent = Vec::new();
     for round in 0..6 {
         let mut client = courier.client();
@@ -317,8 +317,8 @@
 }
 
 #[test]
-fn asked_to_end_it_serves_on_for_a_moment_and_finishes_what_is_out() {
-    let (platform, endpoint, mut courier) = world("single", &[Reply::After(1200, Box::new(OK))]);
+fn a_graceful_shutdown_accepts_mails_for_a_moment_and_finishes_calls_in_flight() {
+    let (platform, endpoint, mut courier) = setup("single", &[Reply::After(1200, Box::new(OK))]);
     let (mut idle, mut client) = (courier.client(), courier.client());
     assert_eq!(idle.say(b"PING\r\n"), "+PONG");
     assert_eq!(client.put("01", "once", LATE), "+OK");
@@ -336,8 +336,8 @@
 }
 
 #[test]
-fn clients_of_all_sorts_get_a_plain_answer_or_the_end() {
-    let (_platform, _endpoint, courier) = world("single", &[]);
+fn odd_and_hostile_clients_get_an_error_or_are_disconnected() {
+    let (_platform, _endpoint, courier) = setup("single", &[]);
     let big = put("0", "01", "again", LATE, &[b'x'; 65_537]);
     let most = put("0", "02", "again", LATE, &[b'\n'; 65_536]);
     let rows: [(&[u8], &str); 14] = [
@@ -404,7 +404,7 @@
 }
 
 #[test]
-fn with_its_room_on_disk_nearly_gone_it_refuses() {
+fn a_courier_answers_busy_when_its_disk_allowance_is_nearly_used() {
     let platform = Platform::new();
     platform.list("e1", own_address(), "single", 7, "DRAINING");
     let courier = Courier::start(&platform, |config| {
@@ -424,8 +424,8 @@
 }
 
 #[test]
-fn the_list_is_followed_through_breaks_silence_and_moves() {
-    let (platform, first, courier) = world("single", &[]);
+fn the_list_is_followed_through_closed_and_silent_watches_and_moved_endpoints() {
+    let (platform, first, courier) = setup("single", &[]);
     let second = Endpoint::new(&[]);
     let mut client = courier.client();
     let mut next = 0;
@@ -455,9 +455,9 @@
 }
 
 #[test]
-fn a_new_configuration_moves_discovery_and_disturbs_nothing() {
+fn a_new_discovery_address_takes_effect_without_disturbing_calls() {
     let script = [Reply::After(900, Box::new(OK)), Reply::Status(500, "")];
-    let (old, first, courier) = world("single", &script);
+    let (old, first, courier) = setup("single", &script);
     let (new, second) = (Platform::new(), Endpoint::new(&[]));
     new.list("e2", second.address, "single", 7, "SERVING");
     old.told.lock().unwrap().refuse = usize::MAX;
@@ -492,7 +492,7 @@
 }
 
 #[test]
-fn a_mail_waits_for_an_endpoint_of_its_destination_and_one_that_is_not_listed_is_none() {
+fn a_mail_waits_for_an_endpoint_of_its_destination_and_unlisted_destinations_are_rejected() {
     let platform = Platform::new();
     platform.list("e0", own_address(), "single", 7, "DRAINING");
     let courier = Courier::start(&platform, unchanged);
@@ -506,8 +506,8 @@
 }
 
 #[test]
-fn connections_are_kept_and_closed_before_the_far_side_does() {
-    let (_platform, endpoint, courier) = world("single", &[]);
+fn connections_are_reused_and_closed_before_the_endpoint_closes_them() {
+    let (_platform, endpoint, courier) = setup("single", &[]);
     let mut client = courier.client();
     for i in 0..5 {
         assert_eq!(client.put(&i.to_string(), "again", LATE), "+OK");
@@ -527,7 +527,7 @@
 #[test]
 fn a_full_table_of_connections_is_told_from_a_limit_and_no_connection_is_kept() {
     for (fields, connections) in [("Connection: close\r\n", 5), ("", 1)] {
-        let (_platform, endpoint, courier) = world_with("single", &[Reply::Status(503, fields)], |config| {
+        let (_platform, endpoint, courier) = setup_with("single", &[Reply::Status(503, fields)], |config| {
             // Hundreds that share a table, and nothing that ends within the test.
             config["settings"]["NInstances"] = json!(300);
             config["settings"]["Limits"]["KeepaliveUs"] = json!(600_000_000);
@@ -542,7 +542,7 @@
 }
 
 #[test]
-fn with_no_descriptor_left_for_a_call_no_endpoint_is_blamed() {
+fn running_out_of_descriptors_is_not_blamed_on_an_endpoint() {
     let platform = Platform::new();
     let first = Endpoint::new(&vec![Reply::After(300, Box::new(OK)); 40]);
     platform.list("e1", first.address, "single", 7, "SERVING");
@@ -561,8 +561,8 @@
 }
 
 #[test]
-fn once_only_mails_go_on_new_connections_while_kept_ones_break() {
-    let (platform, endpoint, courier) = world("single", &[OK, Reply::Break]);
+fn once_only_mails_use_new_connections_while_reused_ones_break() {
+    let (platform, endpoint, courier) = setup("single", &[OK, Reply::Break]);
     let mut client = courier.client();
     // The second breaks on the connection of the first and comes again on another, which the third uses too.
     for (i, (class, connections)) in
@@ -684,7 +684,7 @@
 }
 
 #[test]
-fn a_bad_configuration_ends_with_one_plain_message() {
+fn a_bad_configuration_is_reported_in_one_line() {
     let platform = Platform::new();
     let good = common::config(&platform, "127.0.0.1:0".parse().unwrap());
     type Change = fn(&mut Value);
--- a/crates/courier/tests/crossing_clients.rs
+++ b/crates/courier/tests/crossing_clients.rs
@@ -28,29 +28,29 @@
 
 const LATE: &str = "d=8000";
 
-fn world(change: impl FnOnce(&mut Value)) -> (Platform, Endpoint, Courier) {
+fn setup(change: impl FnOnce(&mut Value)) -> (Platform, Endpoint, Courier) {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&[]));
     platform.list("e1", endpoint.address, "single", 7, "SERVING");
     let courier = Courier::start(&platform, change);
     (platform, endpoint, courier)
 }
 
-fn pass(since: Instant, ms: u64) {
+fn sleep_until(since: Instant, ms: u64) {
     thread::sleep((since + Duration::from_millis(ms)).saturating_duration_since(Instant::now()));
 }
 
 /// Clients served in this process, so that the system holds back next to nothing of what is written to them: a write
 /// is cut where its client stops reading.
-struct Served {
+struct InProcess {
     shared: Shared,
     address: SocketAddr,
     phase: watch::Sender<Phase>,
     _folder: Folder,
 }
 
-impl Served {
+impl InProcess {
     /// Within a `LocalSet`. No mail is called: nobody gives the module its turns.
-    fn new() -> Served {
+    fn new() -> InProcess {
         let (folder, decoded) = (Folder::new(), decode_json(1, &settings()).unwrap());
         let (orders, notices) = (unbounded_channel().0, unbounded_channel().0);
         let journal = Journal::open(&folder.path, 3_000_000).unwrap();
@@ -71,7 +71,7 @@
         let address = listener.local_addr().unwrap();
         let (phase, phase_in) = watch::channel(Phase::Serving);
         tokio::task::spawn_local(listen(shared.clone(), listener, 64, Rc::default(), phase_in));
-        Served { shared, address, phase, _folder: folder }
+        InProcess { shared, address, phase, _folder: folder }
     }
 
     fn client(&self) -> tokio::net::TcpStream {
@@ -87,7 +87,7 @@
     }
 
     /// Waits until the courier has ended its side: the client reads again only then.
-    async fn given_up(&self, client: &mut tokio::net::TcpStream) -> String {
+    async fn read_to_close(&self, client: &mut tokio::net::TcpStream) -> String {
         // Longer than an answer is waited to be read; what the system took is still there.
         tokio::time::sleep(Duration::from_millis(1500)).await;
         let mut rest = Vec::new();
@@ -105,28 +105,29 @@
 }
 
 /// Commands of two bytes, each of which is answered with 22.
-fn short(many: usize) -> Vec<u8> {
+fn unknown_commands(many: usize) -> Vec<u8> {
     b"x\n".repeat(many)
 }
 
-fn heard(answers: &str) -> usize {
+fn count_ok(answers: &str) -> usize {
     answers.matches("+OK\r\n").count()
 }
 
 #[test]
-fn what_a_client_can_have_heard_to_be_taken_on_is_owed_its_end_and_the_rest_is_not() {
+fn only_mails_whose_acceptance_may_have_reached_the_client_are_kept() {
     on_one_thread(async {
-        let served = Served::new();
+        let served = InProcess::new();
         let one = |name: &str| put("0", name, "again", LATE, b"x");
         // Where the answers are cut depends on what the system takes: before, in, between or after those that matter.
         let mut ways: Vec<Vec<u8>> = vec![
-            [one("first"), short(1800)].concat(),
-            [short(1800), one("last")].concat(),
-            [one("a"), short(500), one("b"), short(20)].concat(),
+            [one("first"), unknown_commands(1800)].concat(),
+            [unknown_commands(1800), one("last")].concat(),
+            [one("a"), unknown_commands(500), one("b"), unknown_commands(20)].concat(),
         ];
         for many in 0..12 {
-            let mails = (0..6).map(|i| [one(&format!("{many}-{i}")), short(20 * many + 7)].concat());
-            ways.push([mails.collect::<Vec<_>>().concat(), short(1000)].concat());
+            let mails =
+                (0..6).map(|i| [one(&format!("{many}-{i}")), unknown_commands(20 * many + 7)].concat());
+            ways.push([mails.collect::<Vec<_>>().concat(), unknown_commands(1000)].concat());
         }
         let mut clients = Vec::new();
         for way in &ways {
@@ -136,7 +137,7 @@
         }
         let mut told = 0;
         for client in &mut clients {
-            told += heard(&served.given_up(client).await);
+            told += count_ok(&served.read_to_close(client).await);
         }
         let counts = served.shared.borrow().counts;
         assert!(counts.taken as usize > told && told > 2, "some are cut off: {told} of {}", counts.taken);
@@ -146,27 +147,30 @@
 }
 
 #[test]
-fn who_reads_one_answer_and_no_further_is_owed_that_mail() {
+fn a_client_that_reads_only_one_answer_is_owed_that_mail() {
     on_one_thread(async {
-        let served = Served::new();
+        let served = InProcess::new();
         let mut client = served.client();
-        client.write_all(&[put("0", "01", "once", LATE, b"x"), short(1800)].concat()).await.unwrap();
+        client
+            .write_all(&[put("0", "01", "once", LATE, b"x"), unknown_commands(1800)].concat())
+            .await
+            .unwrap();
         let mut first = [0; 5];
         client.read_exact(&mut first).await.unwrap();
         assert_eq!(&first, b"+OK\r\n");
-        assert_eq!(heard(&served.given_up(&mut client).await), 0);
+        assert_eq!(count_ok(&served.read_to_close(&mut client).await), 0);
         assert_eq!(served.in_hand(), 1, "its client has heard that it is taken");
     });
 }
 
 #[test]
-fn what_another_client_has_heard_to_be_taken_on_is_not_taken_back() {
+fn a_mail_whose_acceptance_another_client_has_read_is_not_dropped() {
     on_one_thread(async {
-        let served = Served::new();
+        let served = InProcess::new();
         let mail = put("0", "01", "once", LATE, b"x");
         let (mut deaf, mut other) = (served.client(), served.client());
         // The first has been taken on and cannot be told so: its answers are not read.
-        deaf.write_all(&[short(600), mail.clone()].concat()).await.unwrap();
+        deaf.write_all(&[unknown_commands(600), mail.clone()].concat()).await.unwrap();
         while served.in_hand() == 0 {
             tokio::task::yield_now().await;
         }
@@ -174,14 +178,14 @@
         let mut answer = [0; 5];
         other.read_exact(&mut answer).await.unwrap();
         assert_eq!(&answer, b"+OK\r\n");
-        served.given_up(&mut deaf).await;
+        served.read_to_close(&mut deaf).await;
         assert_eq!(served.in_hand(), 1);
     });
 }
 
 #[test]
-fn a_request_that_is_read_late_is_answered_however_long_the_connection_was_quiet() {
-    let (_platform, endpoint, courier) = world(|_| {});
+fn a_request_that_is_read_late_is_answered_however_long_the_connection_was_idle() {
+    let (_platform, endpoint, courier) = setup(|_| {});
     let big = put("0", "big", "once", LATE, &[b'x'; 60_000]);
     let half = put("0", "half", "once", LATE, &[b'x'; 60_000]);
     let mut clients: Vec<Client> = (0..3).map(|_| courier.client()).collect();
@@ -192,7 +196,7 @@
     courier.signal("-STOP");
     let stopped = Instant::now();
     // Past the time of a quiet connection, and of a command that has begun, by more than a second.
-    pass(stopped, 3400);
+    sleep_until(stopped, 3400);
     let rest: [&[u8]; 3] = [&put("0", "small", "once", LATE, b"x"), &big, &half[100..]];
     for (client, rest) in clients.iter_mut().zip(rest) {
         client.stream.get_mut().write_all(rest).unwrap();
@@ -204,8 +208,8 @@
 }
 
 #[test]
-fn who_asks_is_served_while_idle_clients_that_never_go_leave_no_room() {
-    let (_platform, _endpoint, courier) = world(|config| config["limits"]["sockets"] = json!(900));
+fn new_clients_are_served_while_idle_ones_hold_every_connection() {
+    let (_platform, _endpoint, courier) = setup(|config| config["limits"]["sockets"] = json!(900));
     // A third is for clients. None of these asks, or closes what the courier ends.
     let idle: Vec<TcpStream> = (0..330).map(|_| TcpStream::connect(courier.listen).unwrap()).collect();
     until("no room", || courier.sockets() >= 300);
@@ -219,8 +223,8 @@
 }
 
 #[test]
-fn who_is_always_in_the_middle_of_a_command_is_told_the_end_before_the_exit() {
-    let (_platform, _endpoint, mut courier) = world(|_| {});
+fn a_client_that_always_has_half_a_command_sent_is_closed_before_the_exit() {
+    let (_platform, _endpoint, mut courier) = setup(|_| {});
     let mut steady = courier.client();
     steady.stream.get_mut().write_all(b"PI").unwrap();
     assert_eq!(steady.say(b"NG\r\nPI"), "+PONG");
@@ -247,14 +251,14 @@
 }
 
 /// Memory that a process holds, in bytes.
-fn resident(id: u32) -> usize {
+fn resident_bytes(id: u32) -> usize {
     let status = fs::read_to_string(format!("/proc/{id}/status")).unwrap();
     let line = status.lines().find(|line| line.starts_with("VmRSS:")).unwrap();
     line.split_whitespace().nth(1).unwrap().parse::<usize>().unwrap() * 1024
 }
 
 #[test]
-fn notices_that_nobody_hears_keep_no_bodies_in_memory() {
+fn undelivered_notices_keep_no_bodies_in_memory() {
     let platform = Platform::new();
     platform.told.lock().unwrap().refuse = usize::MAX;
     platform.list("e1", own_address(), "single", 7, "DRAINING");
@@ -271,10 +275,10 @@
             "-BUSY" => thread::sleep(Duration::from_millis(1)),
             other => panic!("{other}"),
         }
-        before = if taken == 100 { resident(child.id()) } else { before };
+        before = if taken == 100 { resident_bytes(child.id()) } else { before };
         assert!(start.elapsed() < Duration::from_secs(60), "{taken}");
     }
-    let grown = resident(child.id()).saturating_sub(before);
+    let grown = resident_bytes(child.id()).saturating_sub(before);
     child.kill().unwrap();
     child.wait().unwrap();
     // The bodies were 66 MB.
@@ -311,7 +315,7 @@
 }
 
 #[test]
-fn a_notice_that_the_platform_cannot_read_holds_up_no_other() {
+fn a_notice_that_the_platform_rejects_does_not_delay_the_others() {
     let platform = Platform::new();
     platform.list("e1", own_address(), "single", 7, "DRAINING");
     let (address, posts) = agent(|text| Some(if text.contains("\"odd-") { 400 } else { 204 }));
@@ -343,14 +347,14 @@
     // Those that cannot be read are asked for again, and rarely.
     let before = posts.lock().unwrap().len();
     until("another try", || posts.lock().unwrap().len() > before);
-    pass(Instant::now(), 1000);
+    sleep_until(Instant::now(), 1000);
     let more = posts.lock().unwrap().len() - before;
     assert!(more < 10, "{more}");
     assert!(courier.owed().starts_with("odd-0 ") && courier.owed().contains("3 mails owed"));
 }
 
 #[test]
-fn a_notice_on_its_way_at_the_end_of_a_process_is_told_again_by_the_next() {
+fn a_notice_in_flight_when_the_process_ends_is_sent_again_by_the_next() {
     let platform = Platform::new();
     for name in ["-TERM", "-KILL"] {
         let answers = Arc::new(AtomicBool::new(false));
--- a/crates/courier/tests/crossing_endpoints.rs
+++ b/crates/courier/tests/crossing_endpoints.rs
@@ -14,9 +14,9 @@
 use socket2::{Domain, Socket, Type};
 
 /// Longer than any test waits for.
-const LONG: &str = "d=60000";
+const LONG_LIFETIME: &str = "d=60000";
 /// Its end comes in a test, and not before its call has begun.
-const SHORT: &str = "d=2500";
+const SHORT_LIFETIME: &str = "d=2500";
 
 /// Looks again and again for as long as a loaded machine may take.
 fn until(what: &str, holds: impl FnMut() -> bool) {
@@ -27,25 +27,25 @@
 type Answer = Box<dyn Fn(&Request) -> String + Send>;
 
 /// Serves calls, the first once the gate has been opened with what it is to answer.
-struct Gated {
+struct GatedEndpoint {
     address: SocketAddr,
     calls: Arc<Mutex<Vec<Request>>>,
     connections: Arc<Mutex<(usize, usize)>>,
     gate: Sender<Answer>,
 }
 
-fn whole(status: &str, body: &str) -> String {
+fn response(status: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
 /// 200, with `ok` for each message of a call of several.
 fn ok(request: &Request) -> String {
     let items = request.ids().into_iter().map(|id| json!({"id": id, "state": "ok"})).collect::<Vec<_>>();
-    whole("200 OK", &Value::from(items).to_string())
+    response("200 OK", &Value::from(items).to_string())
 }
 
-impl Gated {
-    fn new() -> Gated {
+impl GatedEndpoint {
+    fn new() -> GatedEndpoint {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let calls: Arc<Mutex<Vec<Request>>> = Arc::default();
@@ -65,7 +65,7 @@
             };
             out.write_all(answer.as_bytes()).is_ok()
         });
-        Gated { address, calls, connections, gate }
+        GatedEndpoint { address, calls, connections, gate }
     }
 
     fn ids(&self) -> Vec<Vec<String>> {
@@ -96,7 +96,12 @@
 }
 
 /// Hands in several, and lets them go once all are in hand: one turn makes one call of them.
-fn hand_in(courier: &Courier, platform: &Platform, address: SocketAddr, messages: &[(&str, &str, &str)]) {
+fn submit_together(
+    courier: &Courier,
+    platform: &Platform,
+    address: SocketAddr,
+    messages: &[(&str, &str, &str)],
+) {
     let mut client = courier.client();
     let all =
         messages.iter().flat_map(|&(id, class, time)| put("0", id, class, time, b"x")).collect::<Vec<_>>();
@@ -111,12 +116,12 @@
     notices
 }
 
-fn named(notices: &[(&str, &str)]) -> Vec<(String, String)> {
+fn expected(notices: &[(&str, &str)]) -> Vec<(String, String)> {
     notices.iter().map(|&(id, end)| (id.to_string(), end.to_string())).collect()
 }
 
 /// A listener whose line is full: connections to it do not come up until somebody accepts. Returns those in the line.
-fn full_line() -> (TcpListener, Vec<TcpStream>) {
+fn full_backlog() -> (TcpListener, Vec<TcpStream>) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
     socket.listen(0).unwrap();
@@ -131,21 +136,22 @@
 }
 
 #[test]
-fn an_end_does_not_wait_for_the_connection_that_others_of_its_call_have_time_for() {
-    let (listener, line) = full_line();
+fn an_expired_mail_does_not_wait_for_the_connection_of_its_call() {
+    let (listener, line) = full_backlog();
     let address = listener.local_addr().unwrap();
     let (platform, courier) = courier_at(address, 60_000_000);
-    let messages = [("a", "again", SHORT), ("b", "once", SHORT), ("c", "once", LONG)];
-    hand_in(&courier, &platform, address, &messages);
+    let messages =
+        [("a", "again", SHORT_LIFETIME), ("b", "once", SHORT_LIFETIME), ("c", "once", LONG_LIFETIME)];
+    submit_together(&courier, &platform, address, &messages);
     // The connection has not come up, and cannot before the line is emptied below.
     until("the ends of the first two", || platform.notices().len() == 2);
-    assert_eq!(notices(&platform), named(&[("a", "bounced"), ("b", "bounced")]), "neither has run");
+    assert_eq!(notices(&platform), expected(&[("a", "bounced"), ("b", "bounced")]), "neither has run");
     let calls: Arc<Mutex<Vec<Request>>> = Arc::default();
     let seen = calls.clone();
     drop(line);
     serve(listener, move |request, out| {
         seen.lock().unwrap().push(request);
-        out.write_all(whole("200 OK", "").as_bytes()).is_ok()
+        out.write_all(response("200 OK", "").as_bytes()).is_ok()
     });
     until("the third is delivered", || courier.owes_nothing());
     let ids: Vec<String> = calls.lock().unwrap().iter().flat_map(Request::ids).collect();
@@ -155,17 +161,18 @@
 /// An answer to all of a call comes after the end of one of its messages. It may be to what was given up, so nothing
 /// that it says of the others is believed: what may run again does, what may not is told of as failed.
 #[test]
-fn an_answer_that_crosses_an_end_is_believed_of_nothing_in_its_call() {
-    let endpoint = Gated::new();
+fn an_answer_after_the_expiry_of_one_mail_counts_for_none_of_its_call() {
+    let endpoint = GatedEndpoint::new();
     let (platform, courier) = courier_at(endpoint.address, 2_000_000);
-    let messages = [("a", "again", SHORT), ("b", "once", LONG), ("c", "tagged", "d=60000,k=77")];
-    hand_in(&courier, &platform, endpoint.address, &messages);
+    let messages =
+        [("a", "again", SHORT_LIFETIME), ("b", "once", LONG_LIFETIME), ("c", "tagged", "d=60000,k=77")];
+    submit_together(&courier, &platform, endpoint.address, &messages);
     until("the call", || endpoint.ids().len() == 1);
     assert_eq!(endpoint.ids()[0], ["a", "b", "c"]);
     until("the end of the first", || platform.notices().len() == 1);
     endpoint.gate.send(Box::new(ok)).unwrap();
     until("all ends", || courier.owes_nothing());
-    assert_eq!(notices(&platform), named(&[("a", "bounced"), ("b", "dead")]));
+    assert_eq!(notices(&platform), expected(&[("a", "bounced"), ("b", "dead")]));
     assert_eq!(endpoint.ids()[1..].concat(), ["c"], "what may run again goes again, and nothing else");
     // What else comes on that connection belongs to no call.
     assert_eq!(endpoint.connections.lock().unwrap().0, 2);
@@ -174,9 +181,14 @@
 /// The same, and the answer tells to wait: that is heeded whatever the answer is worth.
 #[test]
 fn a_wait_in_an_answer_that_crosses_an_end_is_heeded() {
-    let endpoint = Gated::new();
+    let endpoint = GatedEndpoint::new();
     let (platform, courier) = courier_at(endpoint.address, 2_000_000);
-    hand_in(&courier, &platform, endpoint.address, &[("a", "again", SHORT), ("b", "again", LONG)]);
+    submit_together(
+        &courier,
+        &platform,
+        endpoint.address,
+        &[("a", "again", SHORT_LIFETIME), ("b", "again", LONG_LIFETIME)],
+    );
     until("the call", || endpoint.ids().len() == 1);
     until("the end of the first", || platform.notices().len() == 1);
     let told = Arc::new(Mutex::new(None));
--- a/crates/courier/tests/exchange.rs
+++ b/crates/courier/tests/exchange.rs
@@ -15,7 +15,7 @@
 use serde_json::json;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 
-struct World {
+struct Fixture {
     exchange: Exchange,
     orders: UnboundedReceiver<Order>,
     notices: UnboundedReceiver<Notice>,
@@ -28,11 +28,11 @@
     serde_json::from_value(json!({"index": 2, "snapshot": true, "endpoints": [entry]})).unwrap()
 }
 
-fn world(kind: &str) -> World {
-    world_with(kind, 3_000_000)
+fn setup(kind: &str) -> Fixture {
+    setup_with(kind, 3_000_000)
 }
 
-fn world_with(kind: &str, allowance: u64) -> World {
+fn setup_with(kind: &str, allowance: u64) -> Fixture {
     let folder = Folder::new();
     let (orders_in, orders) = unbounded_channel();
     let (notices_in, notices) = unbounded_channel();
@@ -40,10 +40,10 @@
     let journal = Journal::open(&folder.path, allowance).unwrap();
     let mut exchange = Exchange::new(decoded, journal, orders_in, notices_in, None);
     exchange.listed(&list("SERVING", kind));
-    World { exchange, orders, notices, folder }
+    Fixture { exchange, orders, notices, folder }
 }
 
-impl World {
+impl Fixture {
     fn put(&mut self, id: &str, class: &str, body: usize) -> Answer {
         let text = |text: &str| Bytes::copy_from_slice(text.as_bytes());
         self.exchange.hand_in(Offer {
@@ -73,7 +73,7 @@
     }
 }
 
-fn seen(outcome: Outcome) -> ConnectReport {
+fn report(outcome: Outcome) -> ConnectReport {
     let wait = Duration::from_secs(if outcome == Outcome::Refused { 2 } else { 0 });
     ConnectReport { retry_after: wait, ..ConnectReport::of(outcome) }
 }
@@ -86,9 +86,9 @@
 }
 
 #[test]
-fn a_call_does_not_begin_at_an_endpoint_that_drains_or_wants_to_be_left_alone() {
+fn a_call_does_not_begin_at_an_endpoint_that_is_draining_or_asked_to_wait() {
     for told in ["drain", "wait"] {
-        let mut world = world("single");
+        let mut world = setup("single");
         let first = serial(world.put("01", "once", 1));
         let call = world.call();
         serial(world.put("02", "once", 1));
@@ -99,7 +99,7 @@
         } else {
             let second = world.call();
             assert_eq!(world.exchange.begin(&second, second.mails.clone()).len(), 1);
-            world.exchange.connect_ended(second.mails[0].serial, seen(Outcome::Refused));
+            world.exchange.connect_ended(second.mails[0].serial, report(Outcome::Refused));
             world.exchange.turn();
         }
         assert!(world.exchange.begin(&call, call.mails.clone()).is_empty(), "{told}");
@@ -111,8 +111,8 @@
 }
 
 #[test]
-fn while_calls_are_held_mails_are_taken_and_what_is_learned_goes_before_what_was_known() {
-    let mut world = world("single");
+fn while_turns_are_held_mails_are_accepted_and_a_newer_list_applies_first() {
+    let mut world = setup("single");
     world.exchange.hold();
     assert!(matches!(world.put("01", "once", 1), Answer::Taken(1)));
     assert_eq!(world.put("01", "once", 1), Answer::Known);
@@ -125,8 +125,8 @@
 }
 
 #[test]
-fn a_mail_whose_time_passed_while_its_call_waited_for_a_connection_is_not_sent() {
-    let mut world = world("many");
+fn a_mail_that_expires_while_its_call_waits_for_a_connection_is_not_sent() {
+    let mut world = setup("many");
     for (id, class) in [("01", "again"), ("02", "once")] {
         serial(world.put(id, class, 1));
     }
@@ -139,16 +139,16 @@
 }
 
 #[test]
-fn a_client_that_is_gone_before_its_answer_is_owed_nothing() {
+fn a_client_that_leaves_before_its_answer_is_owed_nothing() {
     for out in [false, true] {
-        let mut world = world("single");
+        let mut world = setup("single");
         let mail = serial(world.put("01", "once", 1));
         let call = out.then(|| world.call());
         let begun = call.map(|call| world.exchange.begin(&call, call.mails.clone()));
         world.exchange.client_gone(mail);
         assert_eq!((world.calls().len(), world.exchange.in_hand()), (0, 0));
         if begun.is_some_and(|mails| mails.len() == 1) {
-            world.exchange.connect_ended(mail, seen(Outcome::Broken));
+            world.exchange.connect_ended(mail, report(Outcome::Broken));
             assert_eq!((world.calls().len(), world.exchange.in_flight()), (0, 0));
         }
         assert!(world.notices.try_recv().is_err());
@@ -157,8 +157,8 @@
 }
 
 #[test]
-fn an_index_is_given_back_when_its_endpoint_has_gone_and_a_call_knows_where_it_was_to_go() {
-    let mut world = world("single");
+fn the_index_of_a_removed_endpoint_is_reused_and_an_older_call_does_not_match_it() {
+    let mut world = setup("single");
     let mut list = list("SERVING", "single");
     let (mut most, mut incarnations) = (0, Vec::new());
     for i in 0..50 {
@@ -176,7 +176,7 @@
         most = most.max(again.endpoint);
         assert!(!world.exchange.is_current(&call) && again.incarnation != call.incarnation);
         assert_eq!(world.exchange.begin(&again, again.mails.clone()).len(), 1);
-        world.exchange.connect_ended(again.mails[0].serial, seen(Outcome::Relayed));
+        world.exchange.connect_ended(again.mails[0].serial, report(Outcome::Relayed));
         world.exchange.turn();
     }
     assert!(most < 4, "{most}");
@@ -186,8 +186,8 @@
 }
 
 #[test]
-fn a_mail_handed_in_twice_is_taken_once_and_a_full_room_refuses() {
-    let mut world = world("single");
+fn a_mail_handed_in_twice_is_accepted_once_and_a_full_courier_answers_busy() {
+    let mut world = setup("single");
     assert_eq!([world.put("01", "again", 1), world.put("01", "again", 1)], [Answer::Taken(1), Answer::Known]);
     assert_eq!(world.put("02", "what", 1), Answer::Failed("ERR unknown class"));
     let answers: Vec<Answer> = (10..80).map(|id| world.put(&id.to_string(), "again", 1)).collect();
@@ -195,12 +195,12 @@
 }
 
 #[test]
-fn a_timed_out_connect_that_was_served_after_all_ends_its_mail() {
-    let mut world = world("single");
+fn a_timed_out_connect_that_is_relayed_late_finishes_its_mail() {
+    let mut world = setup("single");
     let mail = serial(world.put("01", "again", 1));
     let call = world.call();
     assert_eq!(world.exchange.begin(&call, call.mails.clone()).len(), 1);
-    world.exchange.connect_ended(mail, seen(Outcome::Silent));
+    world.exchange.connect_ended(mail, report(Outcome::Silent));
     world.exchange.turn();
     world.exchange.relayed_late(mail);
     world.exchange.relayed_late(mail);
@@ -210,11 +210,11 @@
 
 #[test]
 fn a_once_only_mail_that_may_have_run_is_given_up_at_once_with_a_notice() {
-    let mut world = world("single");
+    let mut world = setup("single");
     let mail = serial(world.put("01", "once", 1));
     let call = world.call();
     world.exchange.begin(&call, call.mails.clone());
-    world.exchange.connect_ended(mail, seen(Outcome::Broken));
+    world.exchange.connect_ended(mail, report(Outcome::Broken));
     assert!(world.calls().is_empty());
     let notice = world.notices.try_recv().unwrap();
     assert_eq!((notice.serial, notice.verdict), (mail, Verdict::Dead));
@@ -224,14 +224,14 @@
 }
 
 #[test]
-fn the_journal_can_be_read_whole_whichever_record_has_it_written_anew() {
-    let mut world = world_with("single", 10_000);
+fn the_journal_is_complete_whichever_record_triggers_compaction() {
+    let mut world = setup_with("single", 10_000);
     // The clock is the test's: a call whose time is over before it begins is rightly not sent, and an endpoint that
     // has always answered at once is given 4 ms.
     let start = world.exchange.clock.now();
     let mut steps = 0;
     let mut anew: BTreeMap<&str, usize> = BTreeMap::new();
-    let mut look = |world: &World, what: &'static str| {
+    let mut look = |world: &Fixture, what: &'static str| {
         let now = world.exchange.counts.compactions;
         if std::mem::replace(&mut steps, now) < now {
             *anew.entry(what).or_default() += 1;
@@ -263,7 +263,7 @@
                 look(&world, "out");
                 let mail = call.mails[0].serial;
                 let outcome = to_come.get_mut(&mail).and_then(Vec::pop).unwrap();
-                world.exchange.connect_ended(mail, seen(outcome));
+                world.exchange.connect_ended(mail, report(outcome));
                 look(&world, if outcome == Outcome::Relayed { "over" } else { "back" });
             }
             if let Ok(notice) = world.notices.try_recv() {
@@ -278,8 +278,8 @@
 }
 
 #[test]
-fn a_batch_holds_no_more_than_a_body_may() {
-    let mut world = world("many");
+fn a_batch_is_no_larger_than_the_body_limit() {
+    let mut world = setup("many");
     (0..5).for_each(|id| assert_ne!(world.put(&id.to_string(), "again", 20_000), Answer::Busy));
     let calls = world.calls();
     let sizes: Vec<usize> = calls.iter().map(|call| call.mails.len()).collect();
@@ -288,10 +288,10 @@
 }
 
 #[test]
-fn what_may_run_once_only_does_not_wait_for_good_for_an_endpoint_in_doubt() {
+fn once_only_mails_do_not_wait_forever_for_a_suspected_endpoint() {
     // What became of the first call, and how late; nothing but once-only mails comes.
     for (outcome, after) in [(Outcome::Unsent, 250), (Outcome::Refused, 250), (Outcome::Broken, 10)] {
-        let mut world = world("single");
+        let mut world = setup("single");
         let start = world.exchange.clock.now();
         world.exchange.clock = Clock::still(start);
         serial(world.put("01", "once", 1));
@@ -299,7 +299,7 @@
         assert_eq!(world.exchange.begin(&call, call.mails.clone()).len(), 1);
         world.exchange.clock = Clock::still(start + after * 10);
         assert!(world.calls().is_empty());
-        world.exchange.connect_ended(call.mails[0].serial, seen(outcome));
+        world.exchange.connect_ended(call.mails[0].serial, report(outcome));
         let mut next = None;
         for ms in (after + 10..30_000).step_by(10) {
             world.exchange.clock = Clock::still(start + ms * 10);
@@ -309,7 +309,7 @@
             for call in world.calls() {
                 next = next.or(Some(ms));
                 assert_eq!(world.exchange.begin(&call, call.mails.clone()).len(), 1);
-                world.exchange.connect_ended(call.mails[0].serial, seen(Outcome::Relayed));
+                world.exchange.connect_ended(call.mails[0].serial, report(Outcome::Relayed));
             }
             while let Ok(notice) = world.notices.try_recv() {
                 world.exchange.notice_accepted(notice.serial);
--- a/crates/courier/tests/late.rs
+++ b/crates/courier/tests/late.rs
@@ -18,7 +18,7 @@
 /// give up a mail of which nothing is owed any more. Nothing is lost by it, but a debug build panics, and a release
 /// build counts and logs what must not be.
 #[test]
-fn a_time_out_and_the_late_answer_may_come_between_two_turns() {
+fn a_timeout_and_the_late_answer_may_both_come_between_two_turns() {
     let folder = Folder::new();
     let (orders_in, mut orders) = unbounded_channel();
     let (notices_in, mut notices) = unbounded_channel();
--- a/crates/courier/tests/other_folder.rs
+++ b/crates/courier/tests/other_folder.rs
@@ -24,7 +24,7 @@
         "PromiseUs": 200_000, "HardLimitUs": 4_000_000, "Worth": 1.0, "LateWorth": 0.0})
 }
 
-fn with(classes: &[Value], zones: &[&str]) -> Value {
+fn settings_with(classes: &[Value], zones: &[&str]) -> Value {
     let mut settings = settings();
     settings["Profiles"] = json!(classes);
     settings["Dcs"] = json!(zones);
@@ -32,11 +32,11 @@
 }
 
 /// One of every effect.
-fn ours() -> Vec<Value> {
+fn base_classes() -> Vec<Value> {
     vec![class("again", "read_like"), class("tagged", "idempotency_key"), class("once", "non_idempotent")]
 }
 
-struct World {
+struct Process {
     exchange: Exchange,
     orders: UnboundedReceiver<Order>,
     notices: UnboundedReceiver<Notice>,
@@ -44,7 +44,7 @@
 }
 
 /// A process on this folder, by these settings, with an endpoint of destination 7 in each of these zones.
-fn process(folder: &Folder, settings: &Value, at: &[&str], now: Time) -> World {
+fn start(folder: &Folder, settings: &Value, at: &[&str], now: Time) -> Process {
     let (orders_in, orders) = unbounded_channel();
     let (notices_in, notices) = unbounded_channel();
     // A process that another test has just begun to start holds all our descriptors for a moment, locks too.
@@ -57,7 +57,7 @@
     let decoded = decode_json(1, settings).unwrap();
     let mut exchange = Exchange::with_clock(Clock::still(now), decoded, journal, orders_in, notices_in, None);
     exchange.listed(&list(at));
-    World { exchange, orders, notices, now }
+    Process { exchange, orders, notices, now }
 }
 
 fn list(at: &[&str]) -> List {
@@ -69,7 +69,7 @@
     serde_json::from_value(json!({"index": 2, "snapshot": true, "endpoints": entries})).unwrap()
 }
 
-impl World {
+impl Process {
     fn put(&mut self, id: &str, class: &str) -> u64 {
         let text = |text: &str| Bytes::copy_from_slice(text.as_bytes());
         let answer = self.exchange.hand_in(Offer {
@@ -85,7 +85,7 @@
         serial
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         self.now += ms * 10;
         self.exchange.clock = Clock::still(self.now);
     }
@@ -101,7 +101,7 @@
             if !calls.is_empty() {
                 break;
             }
-            self.pass(5);
+            self.advance(5);
         }
         calls
     }
@@ -125,13 +125,14 @@
 }
 
 /// What the settings of the next process may have become.
-fn others() -> Vec<(&'static str, Vec<Value>)> {
-    let [again, tagged, once] = [ours()[0].clone(), ours()[1].clone(), ours()[2].clone()];
+fn changed_settings() -> Vec<(&'static str, Vec<Value>)> {
+    let [again, tagged, once] =
+        [base_classes()[0].clone(), base_classes()[1].clone(), base_classes()[2].clone()];
     let other = |name, effect| vec![class(name, effect)];
     vec![
-        ("the same", ours()),
+        ("the same", base_classes()),
         ("another order", vec![once.clone(), tagged.clone(), again.clone()]),
-        ("moved by one that is new", [other("new", "read_like"), ours()].concat()),
+        ("moved by one that is new", [other("new", "read_like"), base_classes()].concat()),
         ("renamed", vec![class("x", "read_like"), class("y", "read_like"), class("z", "read_like")]),
         ("removed", vec![again.clone()]),
         ("only keyed ones", vec![class("once", "idempotency_key"), tagged.clone()]),
@@ -140,17 +141,17 @@
 }
 
 #[test]
-fn what_must_not_run_twice_and_may_have_run_is_ended_and_never_sent_again() {
-    for (words, classes) in others() {
+fn a_once_only_mail_that_may_have_run_is_bounced_and_never_sent_again() {
+    for (words, classes) in changed_settings() {
         let folder = Folder::new();
-        let mut world = process(&folder, &with(&ours(), &["a", "b"]), &["a"], START);
-        world.put("01", "once");
-        assert_eq!(world.begun(0), Some(("01".to_string(), 0)));
-        let now = world.now + SECOND;
-        drop(world);
+        let mut process = start(&folder, &settings_with(&base_classes(), &["a", "b"]), &["a"], START);
+        process.put("01", "once");
+        assert_eq!(process.begun(0), Some(("01".to_string(), 0)));
+        let now = process.now + SECOND;
+        drop(process);
         // Twice, since the second process writes the file anew.
         for late in [0, SECOND] {
-            let mut next = process(&folder, &with(&classes, &["a", "b"]), &["a"], now + late);
+            let mut next = start(&folder, &settings_with(&classes, &["a", "b"]), &["a"], now + late);
             assert_eq!(next.exchange.in_hand(), 1, "{words}");
             assert!(next.calls(5000).is_empty(), "{words}: sent again");
             assert_eq!(next.ends(), BTreeMap::from([("01".to_string(), Verdict::Dead)]), "{words}");
@@ -159,13 +160,13 @@
 }
 
 #[test]
-fn what_must_not_run_twice_and_has_not_run_is_sent_once() {
-    for (words, classes) in others() {
+fn a_once_only_mail_that_has_not_run_is_sent_once() {
+    for (words, classes) in changed_settings() {
         let folder = Folder::new();
-        let mut world = process(&folder, &with(&ours(), &["a", "b"]), &["a"], START);
-        world.put("01", "once");
-        drop(world);
-        let mut next = process(&folder, &with(&classes, &["a", "b"]), &["a"], START + SECOND);
+        let mut process = start(&folder, &settings_with(&base_classes(), &["a", "b"]), &["a"], START);
+        process.put("01", "once");
+        drop(process);
+        let mut next = start(&folder, &settings_with(&classes, &["a", "b"]), &["a"], START + SECOND);
         assert_eq!(next.begun(0), Some(("01".to_string(), 0)), "{words}");
         next.exchange.connect_ended(1, ConnectReport::of(Outcome::Error));
         assert!(next.calls(5000).is_empty(), "{words}: sent again");
@@ -174,8 +175,9 @@
 }
 
 #[test]
-fn what_may_run_again_is_sent_again_unless_its_class_must_not_now() {
-    let [again, tagged, once] = [ours()[0].clone(), ours()[1].clone(), ours()[2].clone()];
+fn a_redeliverable_mail_is_sent_again_unless_its_class_is_once_only_now() {
+    let [again, tagged, once] =
+        [base_classes()[0].clone(), base_classes()[1].clone(), base_classes()[2].clone()];
     let rows = [
         ("another order", vec![once.clone(), tagged.clone(), again.clone()], true),
         ("renamed", vec![class("x", "non_idempotent"), class("y", "read_like")], true),
@@ -184,11 +186,11 @@
     ];
     for (words, classes, sent) in rows {
         let folder = Folder::new();
-        let mut world = process(&folder, &with(&ours(), &["a", "b"]), &["a"], START);
-        world.put("01", "again");
-        world.begun(0).unwrap();
-        drop(world);
-        let mut next = process(&folder, &with(&classes, &["a", "b"]), &["a"], START + SECOND);
+        let mut process = start(&folder, &settings_with(&base_classes(), &["a", "b"]), &["a"], START);
+        process.put("01", "again");
+        process.begun(0).unwrap();
+        drop(process);
+        let mut next = start(&folder, &settings_with(&classes, &["a", "b"]), &["a"], START + SECOND);
         let expected = sent.then(|| ("01".to_string(), 0));
         assert_eq!(next.begun(100), expected, "{words}");
         if !sent {
@@ -213,11 +215,11 @@
         (1_000_000, 1_000_000, 950, false),
     ] {
         let folder = Folder::new();
-        let mut world = process(&folder, &with(&[shorter(then)], &["a"]), &["a"], START);
-        world.put("01", "tagged");
-        world.begun(0).unwrap();
-        drop(world);
-        let next = &mut process(&folder, &with(&[shorter(now)], &["a"]), &["a"], START + away * 10);
+        let mut process = start(&folder, &settings_with(&[shorter(then)], &["a"]), &["a"], START);
+        process.put("01", "tagged");
+        process.begun(0).unwrap();
+        drop(process);
+        let next = &mut start(&folder, &settings_with(&[shorter(now)], &["a"]), &["a"], START + away * 10);
         assert_eq!(next.begun(5000).is_some(), goes, "{then} {now} {away}");
     }
 }
@@ -227,7 +229,7 @@
     (&'static [&'static str], &'static [&'static str], &'static str, &'static [&'static str], Option<usize>);
 
 #[test]
-fn a_repeat_goes_where_its_key_is_known_by_the_name_of_the_zone() {
+fn a_repeat_stays_in_the_zone_of_the_same_name() {
     let mut by_zone = class("tagged", "idempotency_key");
     by_zone["Group"] = json!("zone");
     let rows: [ZoneRow; 7] = [
@@ -242,11 +244,11 @@
     ];
     for (then, now, first, at, to) in rows {
         let folder = Folder::new();
-        let mut world = process(&folder, &with(&[by_zone.clone()], then), &[first], START);
-        world.put("01", "tagged");
-        world.begun(0).unwrap();
-        drop(world);
-        let mut next = process(&folder, &with(&[by_zone.clone()], now), at, START + SECOND / 10);
+        let mut process = start(&folder, &settings_with(&[by_zone.clone()], then), &[first], START);
+        process.put("01", "tagged");
+        process.begun(0).unwrap();
+        drop(process);
+        let mut next = start(&folder, &settings_with(&[by_zone.clone()], now), at, START + SECOND / 10);
         assert_eq!(next.begun(5000).map(|(_, at)| at), to, "{then:?} {now:?} {first} {at:?}");
         if to.is_none() {
             assert_eq!(next.ends(), BTreeMap::from([("01".to_string(), Verdict::Dead)]));
@@ -255,27 +257,27 @@
 }
 
 #[test]
-fn zones_that_the_settings_do_not_name_are_not_one_zone() {
+fn zones_that_the_settings_do_not_name_are_distinct() {
     let mut by_zone = class("tagged", "idempotency_key");
     by_zone["Group"] = json!("zone");
-    let mut world = process(&Folder::new(), &with(&[by_zone], &["a"]), &["x"], START);
-    let serial = world.put("01", "tagged");
-    world.begun(0).unwrap();
-    world.exchange.listed(&list(&["DRAINED", "y"]));
-    world.exchange.connect_ended(serial, ConnectReport::of(Outcome::Error));
-    let call = world.calls(1900);
+    let mut process = start(&Folder::new(), &settings_with(&[by_zone], &["a"]), &["x"], START);
+    let serial = process.put("01", "tagged");
+    process.begun(0).unwrap();
+    process.exchange.listed(&list(&["DRAINED", "y"]));
+    process.exchange.connect_ended(serial, ConnectReport::of(Outcome::Error));
+    let call = process.calls(1900);
     assert!(call.iter().all(|call| call.endpoint == 0), "{call:?}");
 }
 
 #[test]
-fn what_is_owed_at_a_destination_that_no_list_names_now_is_kept_and_ended_at_its_time() {
+fn mails_for_a_destination_that_is_no_longer_listed_are_kept_until_they_expire() {
     let folder = Folder::new();
-    let mut world = process(&folder, &with(&ours(), &["a", "b"]), &["a"], START);
+    let mut process = start(&folder, &settings_with(&base_classes(), &["a", "b"]), &["a"], START);
     for (i, class) in ["again", "tagged", "once"].iter().enumerate() {
-        world.put(&format!("0{i}"), class);
+        process.put(&format!("0{i}"), class);
     }
-    drop(world);
-    let mut next = process(&folder, &with(&ours(), &["a", "b"]), &[], START + SECOND);
+    drop(process);
+    let mut next = start(&folder, &settings_with(&base_classes(), &["a", "b"]), &[], START + SECOND);
     assert!(next.calls(2900).is_empty());
     assert_eq!((next.ends(), next.exchange.in_hand()), (BTreeMap::new(), 3), "their time is not over");
     assert!(next.calls(100).is_empty());
@@ -284,7 +286,7 @@
 }
 
 #[test]
-fn what_an_earlier_version_left_without_its_effect_never_runs_twice() {
+fn mails_of_a_journal_without_effects_never_run_twice() {
     for (class, out) in [(0u16, true), (0, false), (2, false), (9, false)] {
         let folder = Folder::new();
         // As version 0.3 wrote it.
@@ -308,7 +310,7 @@
         }
         fs::create_dir_all(&folder.path).unwrap();
         fs::write(folder.path.join("journal"), file).unwrap();
-        let mut next = process(&folder, &with(&ours(), &["a", "b"]), &["a"], START + SECOND);
+        let mut next = start(&folder, &settings_with(&base_classes(), &["a", "b"]), &["a"], START + SECOND);
         assert_eq!(next.begun(100).is_some(), !out, "{class}");
         if !out {
             next.exchange.connect_ended(9, ConnectReport::of(Outcome::Error));
@@ -320,7 +322,7 @@
 
 /// What is known of a message from outside: what it was taken on with, and what became of it.
 #[derive(Default)]
-struct Life {
+struct MailHistory {
     name: String,
     effect: String,
     window: Time,
@@ -332,14 +334,14 @@
 }
 
 /// Processes of one deployment after the other on one folder, by chance, each killed in the middle.
-struct Days {
+struct RandomRestarts {
     chance: fastrand::Rng,
-    lives: BTreeMap<String, Life>,
+    histories: BTreeMap<String, MailHistory>,
     repeats: usize,
 }
 
-impl Days {
-    fn any<'a>(&mut self, of: &[&'a str]) -> &'a str {
+impl RandomRestarts {
+    fn pick<'a>(&mut self, of: &[&'a str]) -> &'a str {
         of[self.chance.usize(..of.len())]
     }
 
@@ -349,9 +351,9 @@
         self.chance.shuffle(&mut names);
         names.truncate(self.chance.usize(1..=4));
         let classes = names.into_iter().map(|name| {
-            let effect = self.any(&["read_like", "idempotency_key", "idempotency_key", "non_idempotent"]);
+            let effect = self.pick(&["read_like", "idempotency_key", "idempotency_key", "non_idempotent"]);
             let mut class = class(name, effect);
-            class["Group"] = json!(self.any(&["all", "zone"]));
+            class["Group"] = json!(self.pick(&["all", "zone"]));
             class["DedupWindowUs"] = json!(self.chance.u64(5..40) * 100_000);
             class["InTurn"] = json!(self.chance.u8(..4) == 0);
             class
@@ -360,96 +362,103 @@
         let mut zones = vec!["a", "b", "c"];
         self.chance.shuffle(&mut zones);
         zones.truncate(self.chance.usize(1..=3));
-        (with(&classes, &zones), zones)
+        (settings_with(&classes, &zones), zones)
     }
 
-    fn begin(&mut self, world: &mut World, call: Call, at: &[&str], classes: &[Value]) -> Vec<(u64, String)> {
-        let (now, zone) = (world.now, at[call.endpoint]);
-        let begun = world.exchange.begin(&call, call.mails.clone());
+    fn begin(
+        &mut self,
+        process: &mut Process,
+        call: Call,
+        at: &[&str],
+        classes: &[Value],
+    ) -> Vec<(u64, String)> {
+        let (now, zone) = (process.now, at[call.endpoint]);
+        let begun = process.exchange.begin(&call, call.mails.clone());
         let mut out = Vec::new();
         for mail in begun {
             let id = String::from_utf8(mail.id.to_vec()).unwrap();
-            let life = self.lives.get_mut(&id).unwrap();
-            assert!(!life.over && life.told.is_none(), "{id} is over");
-            let strict = classes.iter().any(|c| c["Name"] == life.name && c["Effect"] == "non_idempotent");
-            if let Some((first, where_first)) = life.ran.first() {
+            let history = self.histories.get_mut(&id).unwrap();
+            assert!(!history.over && history.told.is_none(), "{id} is over");
+            let strict = classes.iter().any(|c| c["Name"] == history.name && c["Effect"] == "non_idempotent");
+            if let Some((first, where_first)) = history.ran.first() {
                 self.repeats += 1;
-                assert!(life.effect != "non_idempotent" && !strict, "{id} must not run twice");
-                if life.effect == "idempotency_key" {
-                    assert!(now < first + life.window, "{id}: its key may be forgotten");
-                    assert!(!life.by_zone || where_first == zone, "{id}: its key is not known there");
+                assert!(history.effect != "non_idempotent" && !strict, "{id} must not run twice");
+                if history.effect == "idempotency_key" {
+                    assert!(now < first + history.window, "{id}: its key may be forgotten");
+                    assert!(!history.by_zone || where_first == zone, "{id}: its key is not known there");
                 }
             }
-            life.ran.push((now, zone.to_string()));
+            history.ran.push((now, zone.to_string()));
             out.push((mail.serial, id));
         }
         out
     }
 
-    fn outcome(&mut self, world: &mut World, (serial, id): (u64, String)) {
-        let life = self.lives.get_mut(&id).unwrap();
+    fn outcome(&mut self, process: &mut Process, (serial, id): (u64, String)) {
+        let history = self.histories.get_mut(&id).unwrap();
         let outcomes =
             [Outcome::Relayed, Outcome::Error, Outcome::Refused, Outcome::Unreached, Outcome::Broken];
         let outcome = outcomes[self.chance.usize(..5)];
         if outcome.never_ran() {
-            life.ran.pop();
+            history.ran.pop();
         }
-        life.over = outcome == Outcome::Relayed;
-        world.exchange.connect_ended(serial, ConnectReport::of(outcome));
+        history.over = outcome == Outcome::Relayed;
+        process.exchange.connect_ended(serial, ConnectReport::of(outcome));
     }
 
-    fn heard(&mut self, world: &mut World) {
-        for (id, verdict) in world.ends() {
-            let life = self.lives.get_mut(&id).unwrap();
-            assert!(!life.over && life.told.is_none_or(|told| told == verdict), "{id} ends twice");
-            let harmless = life.ran.is_empty()
-                || life.effect == "read_like"
-                || (life.effect == "idempotency_key" && !life.by_zone);
+    fn read_notices(&mut self, process: &mut Process) {
+        for (id, verdict) in process.ends() {
+            let history = self.histories.get_mut(&id).unwrap();
+            assert!(!history.over && history.told.is_none_or(|told| told == verdict), "{id} ends twice");
+            let harmless = history.ran.is_empty()
+                || history.effect == "read_like"
+                || (history.effect == "idempotency_key" && !history.by_zone);
             assert!(verdict == Verdict::Dead || harmless, "{id}: handed back though it may have run");
-            life.told = Some(verdict);
+            history.told = Some(verdict);
         }
     }
 
     fn process(&mut self, folder: &Folder, number: u64, now: Time, last: bool) -> Time {
         let (settings, zones) = self.settings();
-        let at: Vec<&str> = (0..3).map(|_| self.any(&["a", "b", "c", "x", zones[0]])).collect();
+        let at: Vec<&str> = (0..3).map(|_| self.pick(&["a", "b", "c", "x", zones[0]])).collect();
         let classes = settings["Profiles"].as_array().unwrap().clone();
-        let mut world = process(folder, &settings, &at, now);
+        let mut process = start(folder, &settings, &at, now);
         let (mut waiting, mut out) = (Vec::new(), Vec::new());
         for step in 0..if last { 500 } else { self.chance.u64(20..200) } {
             if !last && self.chance.u8(..3) == 0 {
                 let class = &classes[self.chance.usize(..classes.len())];
                 let id = format!("{number}-{step}");
                 let name = class["Name"].as_str().unwrap().to_string();
-                world.put(&id, &name);
+                process.put(&id, &name);
                 let effect = class["Effect"].as_str().unwrap().to_string();
                 let window = class["DedupWindowUs"].as_u64().unwrap() / 100;
                 let by_zone = class["Group"] == "zone";
-                self.lives.insert(id, Life { name, effect, window, by_zone, ..Life::default() });
+                self.histories
+                    .insert(id, MailHistory { name, effect, window, by_zone, ..MailHistory::default() });
             }
-            world.exchange.turn();
-            while let Ok(order) = world.orders.try_recv() {
+            process.exchange.turn();
+            while let Ok(order) = process.orders.try_recv() {
                 waiting.extend(if let Order::Call(call) = order { Some(call) } else { None });
             }
             // A connection may take its time.
             if !waiting.is_empty() && (last || self.chance.bool()) {
                 let call = waiting.swap_remove(self.chance.usize(..waiting.len()));
-                out.extend(self.begin(&mut world, call, &at, &classes));
+                out.extend(self.begin(&mut process, call, &at, &classes));
             }
             if !out.is_empty() && (last || self.chance.bool()) {
                 let flight = out.swap_remove(self.chance.usize(..out.len()));
-                self.outcome(&mut world, flight);
+                self.outcome(&mut process, flight);
             }
-            self.heard(&mut world);
+            self.read_notices(&mut process);
             let pass = if last { 10 } else { self.chance.u64(..40) };
-            world.pass(pass);
+            process.advance(pass);
         }
-        world.exchange.turn();
-        self.heard(&mut world);
-        assert_eq!(world.exchange.counts.broken, 0);
-        assert_eq!(world.exchange.audit(), Vec::<String>::new());
-        let now = world.now;
-        drop(world);
+        process.exchange.turn();
+        self.read_notices(&mut process);
+        assert_eq!(process.exchange.counts.broken, 0);
+        assert_eq!(process.exchange.audit(), Vec::<String>::new());
+        let now = process.now;
+        drop(process);
         // The record that was being written.
         let path = folder.path.join("journal");
         let mut bytes = fs::read(&path).unwrap();
@@ -460,25 +469,29 @@
 }
 
 #[test]
-fn whatever_deployments_follow_each_other_each_message_keeps_its_end_and_its_effect() {
-    let (mut repeats, mut lives) = (0, 0);
+fn mails_keep_their_effect_and_are_finished_once_under_any_sequence_of_settings() {
+    let (mut repeats, mut histories) = (0, 0);
     for seed in 1..=24 {
-        let (chance, lives_of) = (fastrand::Rng::with_seed(seed), BTreeMap::new());
-        let mut days = Days { chance, lives: lives_of, repeats: 0 };
+        let (chance, histories_of) = (fastrand::Rng::with_seed(seed), BTreeMap::new());
+        let mut restarts = RandomRestarts { chance, histories: histories_of, repeats: 0 };
         let (folder, mut now) = (Folder::new(), START);
         for number in 0..6 {
-            now = days.process(&folder, number, now, number == 5) + days.chance.u64(..SECOND);
+            now = restarts.process(&folder, number, now, number == 5) + restarts.chance.u64(..SECOND);
         }
-        let open: Vec<_> = days.lives.iter().filter(|(_, life)| !life.over && life.told.is_none()).collect();
+        let open: Vec<_> = restarts
+            .histories
+            .iter()
+            .filter(|(_, history)| !history.over && history.told.is_none())
+            .collect();
         assert!(open.is_empty(), "seed {seed}: {:?}", open.iter().map(|(id, _)| id).collect::<Vec<_>>());
-        repeats += days.repeats;
-        lives += days.lives.len();
+        repeats += restarts.repeats;
+        histories += restarts.histories.len();
     }
-    assert!(lives > 1000 && repeats > 100, "{lives} {repeats}");
+    assert!(histories > 1000 && repeats > 100, "{histories} {repeats}");
 }
 
 #[test]
-fn a_list_that_another_deployment_kept_is_not_called_while_discovery_is_silent() {
+fn a_list_saved_by_another_deployment_is_not_used_while_discovery_is_silent() {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&[]));
     platform.list("e1", endpoint.address, "single", 7, "SERVING");
     let mut courier = Courier::start(&platform, |_| {});
--- a/crates/courier/tests/renamed.rs
+++ b/crates/courier/tests/renamed.rs
@@ -28,12 +28,12 @@
 const START: Time = 1_700_000_000 * SECOND;
 const TURNS: usize = 3000;
 /// Time between turns, at most; a second now and then.
-const STEP: Time = 250;
+const MAX_STEP: Time = 250;
 const SEEDS: [u64; 3] = [3, 58, 711];
 const ENDPOINTS: usize = 11;
 /// Where each endpoint belongs, and the kind of each destination.
-const HOME: [usize; ENDPOINTS] = [0, 0, 1, 2, 2, 3, 0, 1, 3, 2, 0];
-const KIND: [usize; 4] = [0, 1, 2, 1];
+const DESTINATION_OF: [usize; ENDPOINTS] = [0, 0, 1, 2, 2, 3, 0, 1, 3, 2, 0];
+const KIND_OF: [usize; 4] = [0, 1, 2, 1];
 
 /// All that has a name on the sockets or in the settings; what is meant goes by its place.
 struct Names {
@@ -125,7 +125,7 @@
 }
 
 /// What is handed in, by places.
-struct Message {
+struct MailSpec {
     class: usize,
     dest: usize,
     /// One of three keys; none: a zero.
@@ -134,7 +134,7 @@
 }
 
 /// How an attempt is to end.
-struct End {
+struct ConnectEnd {
     after: Time,
     outcome: Outcome,
     wait: Time,
@@ -144,21 +144,21 @@
 
 /// What goes on round a courier. It knows places alone, and its chance hangs on nothing but the seed and on
 /// what was decided so far: where two plays decide alike, they see the same.
-struct World {
+struct Environment {
     chance: fastrand::Rng,
     now: Time,
-    lives: [Option<EndpointStatus>; ENDPOINTS],
+    statuses: [Option<EndpointStatus>; ENDPOINTS],
     rates: [f64; ENDPOINTS],
     /// How often each of these befell.
     seen: BTreeMap<&'static str, usize>,
 }
 
-impl World {
-    fn new(seed: u64) -> World {
-        let mut lives = [Some(EndpointStatus::Ready); ENDPOINTS];
-        lives[8..].fill(None);
+impl Environment {
+    fn new(seed: u64) -> Environment {
+        let mut statuses = [Some(EndpointStatus::Ready); ENDPOINTS];
+        statuses[8..].fill(None);
         let chance = fastrand::Rng::with_seed(seed);
-        World { chance, now: START, lives, rates: [60.0; ENDPOINTS], seen: BTreeMap::new() }
+        Environment { chance, now: START, statuses, rates: [60.0; ENDPOINTS], seen: BTreeMap::new() }
     }
 
     fn count(&mut self, what: &'static str) {
@@ -166,21 +166,21 @@
     }
 
     /// Quiet and busy stretches take turns.
-    fn messages(&mut self) -> Vec<Message> {
+    fn new_mails(&mut self) -> Vec<MailSpec> {
         let busy = (self.now / (4 * SECOND)).is_multiple_of(3);
         let many = if busy { self.chance.usize(..4) } else { usize::from(self.chance.u8(..3) == 0) };
-        let messages = (0..many).map(|_| {
+        let mails = (0..many).map(|_| {
             let class = self.chance.usize(..4);
             let key = (class == 3).then(|| self.chance.usize(..3));
             let lifetime = [3000, 4000, 5000, 3500][class] * self.chance.u64(2..=6);
-            Message { class, dest: self.chance.usize(..4).min(self.chance.usize(..4)), key, lifetime }
+            MailSpec { class, dest: self.chance.usize(..4).min(self.chance.usize(..4)), key, lifetime }
         });
-        let messages: Vec<Message> = messages.collect();
-        messages.iter().for_each(|_| self.count("messages"));
-        messages
+        let mails: Vec<MailSpec> = mails.collect();
+        mails.iter().for_each(|_| self.count("messages"));
+        mails
     }
 
-    fn end(&mut self, timeout: Time) -> End {
+    fn end(&mut self, timeout: Time) -> ConnectEnd {
         use Outcome::{Broken, CalledOff, Error, Refused, Relayed, Silent, Spoilt, Unreached, Unsent};
         let outcomes =
             [Error, Refused, Refused, Refused, Silent, Silent, Unreached, Broken, Spoilt, CalledOff, Unsent];
@@ -202,7 +202,7 @@
             Silent => "silent",
             _ => "other ends",
         });
-        End { after, outcome, wait, kept: self.chance.u8(..3) == 0, report }
+        ConnectEnd { after, outcome, wait, kept: self.chance.u8(..3) == 0, report }
     }
 
     /// Whether it is a whole list, and the places that it names.
@@ -213,19 +213,19 @@
         self.count("changes");
         let some = self.chance.usize(..ENDPOINTS);
         let ready = Some(EndpointStatus::Ready);
-        self.lives[some] =
+        self.statuses[some] =
             [ready, ready, ready, Some(EndpointStatus::Draining), Some(EndpointStatus::Removed), None]
                 [self.chance.usize(..6)];
         self.rates[some] = [12.0, 60.0, 160.0][self.chance.usize(..3)];
-        let whole = self.chance.bool() || self.lives[some].is_none();
+        let whole = self.chance.bool() || self.statuses[some].is_none();
         Some((whole, self.listed().into_iter().filter(|&place| whole || place == some).collect()))
     }
 
     fn listed(&self) -> Vec<usize> {
-        (0..ENDPOINTS).filter(|&place| self.lives[place].is_some()).collect()
+        (0..ENDPOINTS).filter(|&place| self.statuses[place].is_some()).collect()
     }
 
-    fn news(&mut self) -> Option<(usize, PeerNote)> {
+    fn peer_note(&mut self) -> Option<(usize, PeerNote)> {
         let news = [PeerNote::Down, PeerNote::Recovered, PeerNote::Refusing(self.chance.u64(..4000))]
             [self.chance.usize(..3)];
         let heard = (self.chance.usize(..ENDPOINTS), news);
@@ -233,37 +233,38 @@
     }
 
     /// Whether a client goes now whose message is out.
-    fn hangs_up(&mut self) -> bool {
+    fn client_leaves(&mut self) -> bool {
         let goes = self.chance.u8(..50) == 0;
         (0..usize::from(goes)).for_each(|_| self.count("hangups"));
         goes
     }
 
-    fn pass(&mut self) {
-        let most = if self.chance.u8(..80) == 0 { SECOND } else { STEP };
+    fn advance(&mut self) {
+        let most = if self.chance.u8(..80) == 0 { SECOND } else { MAX_STEP };
         self.now += self.chance.u64(1..most);
     }
 }
 
 /// What each turn decided, in places and numbers alone, and how often what befell.
-type Played = (Vec<String>, BTreeMap<&'static str, usize>);
+type Trace = (Vec<String>, BTreeMap<&'static str, usize>);
 
 fn decode(names: &Names) -> Decoded {
     decode_json(9, &names.settings()).unwrap()
 }
 
 /// The decisions alone, with ids that go through doors as they do in service.
-fn by_the_decisions(names: &Names, seed: u64) -> Played {
+fn run_control(names: &Names, seed: u64) -> Trace {
     let Decoded { settings, classes, zones, kinds, .. } = decode(names);
     let place = |list: &[String], text: &str| {
         list.iter().position(|n| *n == meadowhold_settings::name(text)).unwrap()
     };
-    let (mut world, mut control, mut trace) = (World::new(seed), Control::new(settings), Vec::new());
+    let (mut environment, mut control, mut trace) =
+        (Environment::new(seed), Control::new(settings), Vec::new());
     let (mut mails, mut endpoints) = (Interner::<u64>::default(), Interner::<String>::default());
     let (mut dests, mut keys) = (Interner::<u64>::default(), Interner::<String>::default());
-    let mut out: Vec<(Time, usize, End)> = Vec::new();
+    let mut out: Vec<(Time, usize, ConnectEnd)> = Vec::new();
     let mut next = 0;
-    let mut told = Some((true, world.listed()));
+    let mut told = Some((true, environment.listed()));
     for turn in 0..TURNS {
         let mut inputs = Vec::new();
         if let Some((whole, some)) = told.take() {
@@ -271,21 +272,21 @@
             inputs.extend(some.into_iter().map(|at| {
                 Input::ListEntry(ListEntry {
                     endpoint: endpoints.intern(names.endpoint(at)),
-                    destination: dests.intern(names.destinations[HOME[at]]),
+                    destination: dests.intern(names.destinations[DESTINATION_OF[at]]),
                     zone: place(&zones, names.zones[at % 3]),
-                    kind: place(&kinds, names.kinds[KIND[HOME[at]]]),
-                    status: world.lives[at].unwrap_or(EndpointStatus::Removed),
-                    rate: world.rates[at],
+                    kind: place(&kinds, names.kinds[KIND_OF[DESTINATION_OF[at]]]),
+                    status: environment.statuses[at].unwrap_or(EndpointStatus::Removed),
+                    rate: environment.rates[at],
                 })
             }));
             inputs.push(Input::ListEnd);
         }
-        let (over, still) = out.into_iter().partition(|(at, ..)| *at <= world.now);
+        let (over, still) = out.into_iter().partition(|(at, ..)| *at <= environment.now);
         out = still;
-        let over: Vec<(Time, usize, End)> = over;
+        let over: Vec<(Time, usize, ConnectEnd)> = over;
         inputs.extend(over.into_iter().map(|(at, mail, end)| {
-            let End { after, outcome, wait, kept, report } = end;
-            let (over, took) = (outcome == Outcome::Relayed, world.now - at + after);
+            let ConnectEnd { after, outcome, wait, kept, report } = end;
+            let (over, took) = (outcome == Outcome::Relayed, environment.now - at + after);
             Input::ConnectResult(ConnectResult {
                 mail,
                 outcome,
@@ -296,63 +297,63 @@
                 limit_report: report,
             })
         }));
-        for message in world.messages() {
+        for message in environment.new_mails() {
             next += 1;
             inputs.push(Input::AcceptedMail(AcceptedMail {
                 mail: mails.intern(next),
                 destination: dests.intern(names.destinations[message.dest]),
                 class: classes.iter().position(|name| name == names.classes[message.class]).unwrap(),
                 key: message.key.map(|key| keys.intern(format!("{}{key}", names.item))),
-                submitted_at: world.now,
-                deadline: world.now + message.lifetime,
+                submitted_at: environment.now,
+                deadline: environment.now + message.lifetime,
                 ..AcceptedMail::default()
             }));
         }
-        let gone = out.first().filter(|_| world.hangs_up()).map(|&(_, mail, _)| mail);
+        let gone = out.first().filter(|_| environment.client_leaves()).map(|&(_, mail, _)| mail);
         inputs.extend(gone.map(|mail| Input::ClientGone { mail }));
-        let heard = world.news();
+        let heard = environment.peer_note();
         let heard = heard.and_then(|(at, news)| Some((endpoints.get(&names.endpoint(at))?, news)));
         inputs.extend(heard.map(|(endpoint, news)| Input::PeerNote { endpoint, note: news }));
         let mut actions = Vec::new();
-        let wake = control.step(world.now, &inputs, &mut actions);
+        let wake = control.step(environment.now, &inputs, &mut actions);
         trace.push(format!("turn {turn}: {actions:?}, {wake:?}"));
         for action in actions {
             match action {
                 Action::Connect { mail, timeout, .. } => {
-                    let end = world.end(timeout);
-                    out.push((world.now + end.after, mail, end));
+                    let end = environment.end(timeout);
+                    out.push((environment.now + end.after, mail, end));
                 }
                 Action::FreeMail(mail) => mails.release(mail),
                 Action::FreeEndpoint(endpoint) => endpoints.release(endpoint),
                 Action::FreeKey(key) => keys.release(key),
-                Action::Defer { .. } => world.count("rejected"),
-                Action::Bounce { .. } => world.count("failed"),
+                Action::Defer { .. } => environment.count("rejected"),
+                Action::Bounce { .. } => environment.count("failed"),
                 Action::SendNote { .. } | Action::CloseIdle(_) | Action::RequestList => {}
             }
         }
-        told = world.change();
-        world.pass();
+        told = environment.change();
+        environment.advance();
     }
-    (trace, world.seen)
+    (trace, environment.seen)
 }
 
 /// The same world round a courier's exchange, where names turn into places.
-struct Play<'a> {
+struct ExchangeRun<'a> {
     names: &'a Names,
-    world: World,
+    environment: Environment,
     exchange: Exchange,
-    around: Around,
+    channels: Channels,
     /// Messages of calls that have begun, and when and how each ends.
-    out: Vec<(Time, u64, End)>,
+    out: Vec<(Time, u64, ConnectEnd)>,
     /// Calls that wait for their connection.
     waiting: Vec<(Time, Call)>,
     trace: Vec<String>,
     folder: Folder,
 }
 
-type Around = (UnboundedReceiver<Order>, UnboundedReceiver<Notice>, UnboundedReceiver<(Bytes, PeerNote)>);
+type Channels = (UnboundedReceiver<Order>, UnboundedReceiver<Notice>, UnboundedReceiver<(Bytes, PeerNote)>);
 
-fn open(names: &Names, folder: &Folder, now: Time) -> (Exchange, Around) {
+fn open(names: &Names, folder: &Folder, now: Time) -> (Exchange, Channels) {
     let (orders_in, orders) = unbounded_channel();
     let (notices_in, notices) = unbounded_channel();
     let (news_in, news) = unbounded_channel();
@@ -366,15 +367,15 @@
     Bytes::copy_from_slice(text.as_bytes())
 }
 
-impl Play<'_> {
-    fn new(names: &Names, seed: u64) -> Play<'_> {
-        let (world, folder) = (World::new(seed), Folder::new());
-        let (exchange, around) = open(names, &folder, world.now);
-        Play {
+impl ExchangeRun<'_> {
+    fn new(names: &Names, seed: u64) -> ExchangeRun<'_> {
+        let (environment, folder) = (Environment::new(seed), Folder::new());
+        let (exchange, channels) = open(names, &folder, environment.now);
+        ExchangeRun {
             names,
-            world,
+            environment,
             exchange,
-            around,
+            channels,
             out: Vec::new(),
             waiting: Vec::new(),
             trace: Vec::new(),
@@ -388,23 +389,23 @@
         assert_eq!(self.exchange.counts.broken, 0);
         let next = Folder::new();
         fs::copy(self.folder.path.join("journal"), next.path.join("journal")).unwrap();
-        (self.exchange, self.around) = open(self.names, &next, self.world.now);
+        (self.exchange, self.channels) = open(self.names, &next, self.environment.now);
         (self.folder, self.out, self.waiting) = (next, Vec::new(), Vec::new());
         self.trace.push(format!("owed by another: {}", self.exchange.in_hand()));
-        (0..self.exchange.in_hand()).for_each(|_| self.world.count("owed at a restart"));
+        (0..self.exchange.in_hand()).for_each(|_| self.environment.count("owed at a restart"));
     }
 
     fn list(&mut self, whole: bool, some: &[usize], index: usize) {
         let entries = some.iter().map(|&at| {
             let address = SocketAddr::from(([127, 0, 0, 1], 9000 + at as u16));
-            let status = match self.world.lives[at] {
+            let status = match self.environment.statuses[at] {
                 Some(EndpointStatus::Ready) => "SERVING",
                 Some(EndpointStatus::Draining) => "DRAINING",
                 _ => "DELETED",
             };
             json!({"name": self.names.endpoint(at), "address": address, "zone": self.names.zones[at % 3],
-                "type": self.names.kinds[KIND[HOME[at]]], "group": self.names.destinations[HOME[at]],
-                "status": status, "weight": self.world.rates[at], "since_ms": 0})
+                "type": self.names.kinds[KIND_OF[DESTINATION_OF[at]]], "group": self.names.destinations[DESTINATION_OF[at]],
+                "status": status, "weight": self.environment.rates[at], "since_ms": 0})
         });
         let entries: Vec<Value> = entries.collect();
         let list: List =
@@ -413,7 +414,7 @@
         self.exchange.listed(&list);
     }
 
-    fn hand_in(&mut self, number: usize, message: &Message) {
+    fn hand_in(&mut self, number: usize, message: &MailSpec) {
         let answer = self.exchange.hand_in(Offer {
             id: text(&format!("{}{number}", self.names.endpoint)),
             key: text(&format!("{}{number}", self.names.item)),
@@ -423,7 +424,7 @@
             lifetime: duration(message.lifetime),
             body: Bytes::from_static(b"body"),
         });
-        self.world.count(match answer {
+        self.environment.count(match answer {
             Answer::Taken(_) => "taken",
             Answer::Busy => "busy",
             Answer::Known | Answer::Failed(_) => "not taken",
@@ -433,7 +434,7 @@
 
     /// Connections that have come up, and calls that end.
     fn endpoints(&mut self) {
-        let now = self.world.now;
+        let now = self.environment.now;
         let (up, waiting) = std::mem::take(&mut self.waiting).into_iter().partition(|(at, _)| *at <= now);
         self.waiting = waiting;
         let up: Vec<(Time, Call)> = up;
@@ -443,14 +444,14 @@
             let serials: Vec<u64> = going.iter().map(|mail| mail.serial).collect();
             self.trace.push(format!("begins: {serials:?}"));
             for mail in going {
-                let end = self.world.end(mail.until - now);
+                let end = self.environment.end(mail.until - now);
                 self.out.push((now + end.after, mail.serial, end));
             }
         }
         let (over, out) = std::mem::take(&mut self.out).into_iter().partition(|(at, ..)| *at <= now);
         self.out = out;
-        let over: Vec<(Time, u64, End)> = over;
-        for (_, serial, End { outcome, wait, kept, report, .. }) in over {
+        let over: Vec<(Time, u64, ConnectEnd)> = over;
+        for (_, serial, ConnectEnd { outcome, wait, kept, report, .. }) in over {
             let load = report.map(|report| format!("x0={},x1={}", report.remaining, report.limit));
             self.exchange.connect_ended(
                 serial,
@@ -467,7 +468,7 @@
     fn turn(&mut self, turn: usize) {
         self.exchange.turn();
         let mut decided = vec![format!("turn {turn}")];
-        while let Ok(order) = self.around.0.try_recv() {
+        while let Ok(order) = self.channels.0.try_recv() {
             match order {
                 Order::SetTimeouts { .. } => {}
                 Order::CloseIdle(incarnation) => decided.push(format!("close {incarnation}")),
@@ -479,18 +480,18 @@
                     decided.push(format!(
                         "call {endpoint} {slot} {incarnation} {address:?} {new_connection} {sent:?}"
                     ));
-                    let up = self.world.now + self.world.chance.u64(..900);
-                    self.world.count(if sent.len() > 1 { "calls of several" } else { "calls of one" });
+                    let up = self.environment.now + self.environment.chance.u64(..900);
+                    self.environment.count(if sent.len() > 1 { "calls of several" } else { "calls of one" });
                     self.waiting.push((up, call));
                 }
             }
         }
-        while let Ok(notice) = self.around.1.try_recv() {
+        while let Ok(notice) = self.channels.1.try_recv() {
             decided.push(format!("notice {} {:?}", notice.serial, notice.verdict));
-            self.world.count("notices");
+            self.environment.count("notices");
             self.exchange.notice_accepted(notice.serial);
         }
-        while let Ok((name, news)) = self.around.2.try_recv() {
+        while let Ok((name, news)) = self.channels.2.try_recv() {
             let at = (0..ENDPOINTS).find(|&at| self.names.endpoint(at).as_bytes() == name);
             decided.push(format!("note {at:?} {news:?}"));
         }
@@ -498,49 +499,49 @@
     }
 }
 
-fn by_the_exchange(names: &Names, seed: u64) -> Played {
-    let mut play = Play::new(names, seed);
-    let (mut number, mut told) = (0, Some((true, play.world.listed())));
+fn run_exchange(names: &Names, seed: u64) -> Trace {
+    let mut run = ExchangeRun::new(names, seed);
+    let (mut number, mut told) = (0, Some((true, run.environment.listed())));
     for turn in 0..TURNS {
         if turn % (TURNS / 3) == TURNS / 3 - 1 {
-            play.restart();
-            told = Some((true, play.world.listed()));
+            run.restart();
+            told = Some((true, run.environment.listed()));
         }
         if let Some((whole, some)) = told.take() {
-            play.list(whole, &some, turn + 1);
+            run.list(whole, &some, turn + 1);
         }
-        play.endpoints();
-        for message in play.world.messages() {
+        run.endpoints();
+        for message in run.environment.new_mails() {
             number += 1;
-            play.hand_in(number, &message);
+            run.hand_in(number, &message);
         }
-        let gone = play.out.first().filter(|_| play.world.hangs_up()).map(|(_, serial, _)| *serial);
-        gone.into_iter().for_each(|serial| play.exchange.client_gone(serial));
-        if let Some((at, news)) = play.world.news() {
-            play.exchange.note_received(names.endpoint(at).as_bytes(), news);
+        let gone = run.out.first().filter(|_| run.environment.client_leaves()).map(|(_, serial, _)| *serial);
+        gone.into_iter().for_each(|serial| run.exchange.client_gone(serial));
+        if let Some((at, news)) = run.environment.peer_note() {
+            run.exchange.note_received(names.endpoint(at).as_bytes(), news);
         }
-        play.turn(turn);
-        told = play.world.change();
-        play.world.pass();
-        play.exchange.clock = Clock::still(play.world.now);
+        run.turn(turn);
+        told = run.environment.change();
+        run.environment.advance();
+        run.exchange.clock = Clock::still(run.environment.now);
     }
-    play.trace.push(format!("{:?}", play.exchange.counts));
-    assert_eq!(play.exchange.counts.broken, 0);
-    (play.trace, play.world.seen)
+    run.trace.push(format!("{:?}", run.exchange.counts));
+    assert_eq!(run.exchange.counts.broken, 0);
+    (run.trace, run.environment.seen)
 }
 
-/// Plays each seed under each set of names. `least`: how often that befalls in each play, so that sameness
+/// Plays each seed under each set of names. `least`: how often that befalls in each run, so that sameness
 /// says something.
-fn compare(play: fn(&Names, u64) -> Played, least: &[(&str, usize)]) {
+fn compare(run: fn(&Names, u64) -> Trace, least: &[(&str, usize)]) {
     let mut seeds = Vec::new();
     for seed in SEEDS {
-        let (first, seen) = play(&SETS[0], seed);
+        let (first, seen) = run(&SETS[0], seed);
         println!("seed {seed}: {seen:?}");
         for &(what, least) in least {
             assert!(seen.get(what).is_some_and(|&often| often >= least), "{what}: {seen:?}");
         }
         for (set, names) in SETS.iter().enumerate().skip(1) {
-            let (other, _) = play(names, seed);
+            let (other, _) = run(names, seed);
             let same = first.iter().zip(&other).take_while(|(a, b)| a == b).count();
             let ahead = |trace: &[String]| trace.get(same).cloned().unwrap_or_default();
             assert!(
@@ -578,7 +579,7 @@
         ("failed", 20),
         ("hangups", 5),
     ];
-    compare(by_the_decisions, &least);
+    compare(run_control, &least);
 }
 
 #[test]
@@ -598,5 +599,5 @@
         ("hangups", 5),
         ("owed at a restart", 5),
     ];
-    compare(by_the_exchange, &least);
+    compare(run_exchange, &least);
 }
--- a/crates/courier/tests/replaced.rs
+++ b/crates/courier/tests/replaced.rs
@@ -12,16 +12,16 @@
 use process::{Process, START};
 use serde_json::json;
 
-const REPLACED: u64 = 3000;
+const REPLACEMENTS: u64 = 3000;
 
 /// Guards against memory that grows with each replacement.
 #[test]
-fn names_and_places_of_endpoints_that_left_are_given_back() {
+fn names_and_indices_of_removed_endpoints_are_released() {
     let folder = Folder::new();
     let mut process = Process::start(&folder, 3_000_000, START, None);
     let held = process.exchange.count_with(&Update::default());
     let mut largest = 0;
-    for i in 0..REPLACED {
+    for i in 0..REPLACEMENTS {
         let entry = |name: u64, status: &str| {
             json!({"name": format!("e{name}"), "address": "127.0.0.1:9", "zone": "a", "type": "single",
                 "group": name % 20 / 2, "status": status, "weight": 1000.0})
