--- a/crates/courier/tests/courier.rs
+++ b/crates/courier/tests/courier.rs
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_mail_whose_endpoint_is_unreachable_is_bounced_when_it_expires() {
+fn a_mail_whose_endpoint_is_unreachable_is_deferred_when_it_expires() {
     let platform = Platform::new();
     platform.list("e1", own_address(), "single", 7, "SERVING");
     let courier = Courier::start(&platform, unchanged);
