--- a/crates/courier/src/clients.rs
+++ b/crates/courier/src/clients.rs
@@ -1,4 +1,4 @@
-//! Listens, reads what clients hand in, and answers.
+//! Accepts client connections, reads their commands and answers them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashSet};
@@ -15,43 +15,44 @@
 use crate::exchange::{Answer, Offer, Shared};
 use crate::{http, link, resp};
 
-/// A connection on which nothing is asked is ended after so long: its client comes anew when it has to.
+/// A connection without commands for this long is closed; its client reconnects when it has to.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2200);
-/// For so long what a client still sends is read when it has been turned away.
+/// How long input is still read and discarded after a connection has been shut down on this side.
 const LINGER: Duration = Duration::from_secs(3);
-/// For so long one that makes way is waited for before another is asked to.
+/// How long to wait for an evicted connection to close before the next is evicted.
 const EVICTION_WAIT: Duration = Duration::from_millis(10);
-/// So many are asked at once, of those that were never answered.
+/// How many connections that were never answered are evicted at once.
 const EVICTED_AT_ONCE: usize = 4;
 const DISCARD_SIZE: usize = 1 << 16;
-/// A command that has begun must have come by then, and an answer must have been read: clients wait for less.
+/// Time limit for the rest of a command after its first byte, and for a client to read its answers. Clients
+/// give up sooner.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(1);
 const READ_SIZE: usize = 4096;
-/// Answers are written once there are so many bytes of them. Guards against a flood of short commands, each of which
-/// is answered with ten times its bytes.
+/// Answers are written once this many bytes are pending. Bounds the memory that a flood of short commands
+/// takes, whose answers are ten times their size.
 const MAX_PENDING_ANSWERS: usize = 1 << 14;
 const MAX_ID: usize = 128;
 const MAX_LIFETIME: Duration = Duration::from_secs(7 * 24 * 3600);
 
-/// How clients are served, in the order in which a courier that ends goes through it.
+/// How clients are served, in the order that a shutdown goes through.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     Serving,
     /// New connections are accepted, and each is closed once it has been answered.
     Draining,
-    /// None is accepted beyond those that wait in the system's line.
+    /// No connection is accepted beyond those already in the listen backlog.
     NotAccepting,
-    /// Only what has begun to come is still answered.
+    /// Only commands that have begun to arrive are still answered.
     Closing,
 }
 
-/// Whether a connection on which nothing is half read ends by itself.
+/// Whether a connection without a partly read command is closed.
 ///
 /// | phase | never answered | answered |
 /// | --- | --- | --- |
 /// | serving | no | no |
-/// | moving off, shut | no: its client tries only once more | unless bytes wait |
-/// | closing | unless bytes wait | yes: a client that never pauses would be reset at the exit |
+/// | draining, not accepting | no: its client retries only once | unless input is waiting |
+/// | closing | unless input is waiting | yes: a client that never pauses would be reset at the exit |
 fn ends_idle(phase: Phase, answered: bool, waits: impl FnOnce() -> bool) -> bool {
     match (phase, answered) {
         (Phase::Serving, _) | (Phase::Draining | Phase::NotAccepting, false) => false,
@@ -63,20 +64,21 @@
 struct Clients {
     shared: Shared,
     max_sockets: usize,
-    /// Open connections, in the order in which they make way.
+    /// Open connections, in the order in which they are evicted.
     open: RefCell<BTreeMap<EvictionKey, Rc<Notify>>>,
     touches: Cell<u64>,
-    /// All sockets of clients, those that make way and are not closed yet among them.
+    /// Number of client sockets, including evicted ones that are not closed yet.
     sockets: Rc<Cell<usize>>,
     ended: Notify,
-    /// Ids of mails that were taken on, and whose clients could not hear so yet.
+    /// Ids of accepted mails whose acceptance no client can have read yet.
     unacknowledged: RefCell<HashSet<Bytes>>,
-    /// Where what nobody wants is read to.
+    /// Buffer for input that is discarded.
     discard: RefCell<Vec<u8>>,
 }
 
-/// Who makes way first. Guards against idle clients that keep connections open which we have ended: were they last,
-/// everyone who is idle would be ended, one after another, before the first descriptor is free.
+/// Which connections are evicted first. Connections that were already shut down on this side come first: if
+/// idle clients keep theirs open and they came last, every idle client would be closed before the first
+/// descriptor is free.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionClass {
     TurnedAway,
@@ -84,30 +86,30 @@
     Answered,
 }
 
-/// A connection's class, and when it was last touched.
+/// A connection's class, and a counter of when it was last used.
 type EvictionKey = (EvictionClass, u64);
 
-/// Answers that are not written yet, and the mails that were taken on with them.
+/// Answers that are not written yet, and the mails whose acceptance they report.
 #[derive(Default)]
 struct Answers {
     bytes: BytesMut,
-    /// Where the answer to a mail that was taken on ends, its number and its id.
+    /// For each accepted mail: the end of its answer in `bytes`, its serial number and its id.
     taken: Vec<(usize, u64, Bytes)>,
 }
 
-/// Why no further command is answered.
+/// Why `answer_all` stopped.
 #[derive(PartialEq, Eq)]
 enum Stopped {
-    /// The rest has not come.
+    /// There is no further complete command.
     Nothing,
-    /// What there is must be written first.
+    /// The pending answers must be written first.
     More,
-    /// The connection cannot be read on.
+    /// The connection is to be closed.
     Closed,
 }
 
-/// Accepts until the phase is `NotAccepting`, and what then waits in the system's line. `sockets` counts the clients'
-/// connections from their accept to their close.
+/// Accepts connections until the phase is `NotAccepting`, and then those left in the listen backlog.
+/// `sockets` counts client connections from accept to close.
 pub async fn listen(
     shared: Shared,
     listener: TcpListener,
@@ -133,7 +135,7 @@
                 clients.accept(stream, &each);
             }
             Err(e) => {
-                // Out of descriptors, most likely: others are closing.
+                // Most likely out of descriptors: other connections are being closed.
                 if !std::mem::replace(&mut short, true) {
                     log::warn!("a client cannot be accepted: {e}");
                 }
@@ -141,17 +143,18 @@
             }
         }
     }
-    // Guards against a reset of those that wait in the system's line, with the request that they have sent.
-    // The system is asked itself, since the runtime may not have heard of the last ones.
+    // Connections left in the listen backlog would be reset when the listener closes, together with the
+    // requests that they have sent. The operating system is asked directly, since the runtime may not have
+    // seen the last ones yet.
     let Ok(line) = listener.into_std() else { return };
     loop {
         clients.wait_for_room().await;
         let stream = match line.accept() {
             Ok((stream, _)) => stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)),
-            // Gone while it waited; there may be others behind it.
+            // The client has left; there may be others behind it.
             Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => continue,
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-            // Out of descriptors, most likely: others are closing.
+            // Most likely out of descriptors: other connections are being closed.
             Err(_) => {
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 continue;
@@ -162,8 +165,8 @@
 }
 
 impl Clients {
-    /// Guards against a burst that takes all descriptors, those of the notices and the journal too, before
-    /// those that make way are closed: until then it waits in the system's line.
+    /// Waits until a further connection fits. A burst stays in the listen backlog until evicted connections
+    /// are closed, so that it does not take the descriptors of the notices and the journal.
     async fn wait_for_room(&self) {
         while self.sockets.get() >= self.max_sockets {
             self.evict();
@@ -192,8 +195,8 @@
         self.ended.notify_one();
     }
 
-    /// Guards against floods that leave no room: whoever has said nothing for longest makes way, and a client
-    /// whose connection is closed between requests comes again.
+    /// Evicts the connections that have been idle for longest, so that a flood does not keep others out. A
+    /// client whose connection is closed between requests connects again.
     fn evict(&self) {
         let mut open = self.open.borrow_mut();
         for first in 0..EVICTED_AT_ONCE {
@@ -207,7 +210,7 @@
         }
     }
 
-    /// The connection is the one touched last of its class.
+    /// Marks the connection as the most recently used one of its class.
     fn touch(&self, eviction_key: &mut EvictionKey, closed: &Rc<Notify>, class: EvictionClass) {
         let mut open = self.open.borrow_mut();
         open.remove(eviction_key);
@@ -216,8 +219,8 @@
         open.insert(*eviction_key, closed.clone());
     }
 
-    /// Ends our side, and reads on for a while. Guards against a reset over bytes that nobody read, by which a
-    /// client that still sends would lose the answer that tells it why.
+    /// Shuts down this side and discards input for a while. Closing with unread input would send a reset, by
+    /// which a client that is still sending would lose the answer that explains the close.
     async fn drain_and_close(&self, mut stream: TcpStream, closed: &Notify) {
         if stream.shutdown().await.is_err() {
             return;
@@ -229,7 +232,7 @@
                     Err(e) if e.kind() != io::ErrorKind::WouldBlock => return,
                     _ => {}
                 }
-                // Others are served in between, however fast this one sends.
+                // Lets other connections run, however fast this one sends.
                 tokio::task::yield_now().await;
             }
         };
@@ -239,7 +242,7 @@
         }
     }
 
-    /// Serves a connection; true if it is still open on the other side, as far as is known.
+    /// Serves a connection until it ends. Returns true if, as far as is known, the client still has it open.
     async fn serve_commands(
         &self,
         stream: &mut TcpStream,
@@ -249,16 +252,17 @@
     ) -> io::Result<bool> {
         stream.set_nodelay(true)?;
         let (mut buffer, mut answers) = (BytesMut::new(), Answers::default());
-        // When the connection had its last answer, and when the next command, or what looks like one, began.
+        // Times of the last answer, and of the first byte of the next command if one has begun.
         let (mut last_answer, mut command_begun) = (Instant::now(), None);
-        // Bytes that have come since the last answer, and answers since the closing began.
+        // Bytes received since the last answer, whether any answer was written, and answers written while
+        // closing.
         let (mut unanswered, mut answered, mut closing) = (0, false, 0);
         loop {
             let stopped = self.answer_all(&mut buffer, &mut answers);
             if !answers.bytes.is_empty() {
                 match self.write(stream, &mut answers).await {
                     Ok(true) => {}
-                    // It does not read, and may still: what was written is not taken from it by a reset.
+                    // The client is not reading, but may later: a reset must not discard what was written.
                     Ok(false) => return Ok(true),
                     Err(_) => return Ok(false),
                 }
@@ -271,20 +275,20 @@
                     continue;
                 }
             }
-            // Guards against a close over a request that the runtime has not heard of yet.
+            // The runtime may not have seen a waiting request yet.
             let waits = |stream: &TcpStream| matches!(link::peek(stream), Ok(1..));
             let phase_now = *phase.borrow_and_update();
-            // Guards against one that never pauses, of whose commands one is always half read: when the closing
-            // begins that one is still answered.
+            // A client that never pauses always has half a command sent. The command that is half read when
+            // the closing begins is still answered, and no further one.
             let ends = closing > 1 || (buffer.is_empty() && ends_idle(phase_now, answered, || waits(stream)));
             if stopped == Stopped::Closed || ends {
                 return Ok(true);
             }
-            // In the middle of a command the connection is not ended until nobody waits for its answer any
-            // more, however slowly the rest comes; nor for lines that ask for nothing.
+            // A partly received command keeps the connection open until its client has stopped waiting for
+            // the answer, however slowly the rest arrives. Empty lines do not keep it open.
             let end = command_begun
                 .map_or(last_answer + IDLE_TIMEOUT, |command_begun| command_begun + COMMAND_TIMEOUT);
-            // No one command: guards against lines that ask for nothing and come without a pause.
+            // More input than one command can have, without an answer: a stream of empty lines.
             let idle = unanswered > resp::MAX_COMMAND + READ_SIZE;
             if idle && Instant::now() >= end + COMMAND_TIMEOUT {
                 return Ok(true);
@@ -294,7 +298,7 @@
                 biased;
                 read = stream.read_buf(&mut buffer) => read?,
                 () = tokio::time::sleep_until(end) => {
-                    // The rest of a command that lies there is read, as a request is on a quiet connection.
+                    // Input that is already waiting is read, like a request on an idle connection.
                     if idle || !waits(stream) {
                         return Ok(true);
                     }
@@ -320,8 +324,9 @@
         }
     }
 
-    /// Writes the answers; false if they were not read in time. What its client cannot have heard to be taken on
-    /// counts for nothing and may come again; what it can have heard is owed its end, however the rest fares.
+    /// Writes the answers; false if the client did not read them in time. Mails whose acceptance it cannot
+    /// have read are dropped, and it may submit them again; those whose acceptance it may have read are kept,
+    /// whatever becomes of the connection.
     async fn write(&self, stream: &mut TcpStream, answers: &mut Answers) -> io::Result<bool> {
         let mut written = 0;
         let whole = async {
@@ -335,7 +340,7 @@
         };
         let whole = timeout(COMMAND_TIMEOUT, whole).await;
         for (end, serial, id) in answers.taken.drain(..) {
-            // Guards against taking back what another client, with the same id, has heard to be taken on.
+            // A mail with the same id whose acceptance another client has read must stay.
             if self.unacknowledged.borrow_mut().remove(&id) && end > written {
                 self.shared.borrow_mut().client_gone(serial);
             }
@@ -344,7 +349,7 @@
         whole.map_or(Ok(false), |whole| whole.map(|()| true))
     }
 
-    /// Answers every command that has come whole, up to a bound.
+    /// Answers every complete command, up to a bound on the pending answers.
     fn answer_all(&self, buffer: &mut BytesMut, answers: &mut Answers) -> Stopped {
         while answers.bytes.len() < MAX_PENDING_ANSWERS {
             match resp::read_command(buffer) {
@@ -378,7 +383,7 @@
                     self.unacknowledged.borrow_mut().insert(id.clone());
                     answers.taken.push((out.len(), serial, id));
                 }
-                // It is another client's, perhaps: neither one's going takes it back.
+                // The mail may be another client's: neither of them leaving drops it.
                 Answer::Known => {
                     resp::write_simple(out, "OK");
                     self.unacknowledged.borrow_mut().remove(&id);
@@ -398,7 +403,7 @@
     }
 }
 
-/// Whether a text can stand in a header and in JSON as it is.
+/// Whether a text can be used in an HTTP header and in JSON without escaping.
 fn is_plain(text: &[u8]) -> bool {
     text.len() <= MAX_ID && text.iter().all(|&b| b.is_ascii_graphic() && b != b'"' && b != b'\\')
 }
@@ -417,8 +422,8 @@
     let lifetime = http::pair_value(text, "d").and_then(|d| d.parse().ok()).map(Duration::from_millis);
     let dest = http::pair_value(text, "dest").and_then(|dest| dest.parse().ok());
     let class = http::pair_value(text, "c").ok_or("ERR no class")?;
-    // Copies. Guards against a small part, such as the id in a notice that nobody hears, by which all that was read
-    // with it is kept: bodies long over, and other clients' commands.
+    // Copied, since a slice such as the id in an undelivered notice would keep the whole read buffer alive,
+    // with the bodies of finished mails and other clients' commands.
     let names = Bytes::from([id, key, item.as_ref()].concat());
     Ok(Offer {
         id: names.slice(..id.len()),
--- a/crates/courier/src/endpoints.rs
+++ b/crates/courier/src/endpoints.rs
@@ -1,5 +1,5 @@
-//! Calls endpoints: one task a call, a pool of connections an endpoint. It decides nothing: a call goes
-//! where and for as long as the exchange says, and what was seen goes back.
+//! Makes the calls to endpoints: one task per call and one pool of idle connections per endpoint. It takes no
+//! decisions: the exchange says where a call goes and how long it may take, and gets back what was observed.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -19,17 +19,16 @@
 use crate::link::HttpConnection;
 
 const MAX_ANSWER: usize = 1 << 20;
-/// What the system says when descriptors or ports have run out here (ENFILE, EMFILE, EADDRNOTAVAIL).
+/// Errors of the operating system for exhausted local descriptors or ports: ENFILE, EMFILE and EADDRNOTAVAIL.
 const EXHAUSTED: [i32; 3] = [23, 24, 99];
 
-/// What the calls keep to.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     pub connect_timeout: Duration,
-    /// The far side closes a connection left idle for so long.
+    /// Endpoints close a connection that has been idle for this long.
     pub idle_timeout: Duration,
     pub max_connections: usize,
-    /// A mail may have two connects out at once.
+    /// Whether a mail may have two connects in flight at once.
     pub may_overlap: bool,
 }
 
@@ -42,11 +41,11 @@
     shared: Shared,
     clock: Clock,
     limits: Cell<Limits>,
-    /// Idle connections by place, oldest first.
+    /// Idle connections by the endpoint's incarnation, oldest first.
     idle: RefCell<BTreeMap<u64, VecDeque<Idle>>>,
-    /// All connections, idle or not.
+    /// Number of open connections, idle or in use.
     open: Cell<usize>,
-    /// A connection was closed, or could be.
+    /// Notified when a connection was closed or became idle, so that it can be closed.
     freed: Notify,
 }
 
@@ -54,7 +53,7 @@
 struct CountedConnection {
     link: Option<HttpConnection>,
     endpoints: Rc<Endpoints>,
-    /// It has served an earlier call.
+    /// The connection has carried an earlier call.
     kept: bool,
 }
 
@@ -96,33 +95,35 @@
     }
 }
 
-/// Half of the margin at which idle connections are closed.
+/// Ticks at half of the margin by which idle connections are closed before the endpoint closes them.
 fn sweep_timer(idle: Duration) -> Interval {
     let mut sweep = tokio::time::interval((idle / 40).max(Duration::from_millis(5)));
     sweep.set_missed_tick_behavior(MissedTickBehavior::Delay);
     sweep
 }
 
-/// The table of answers: what a status says of every mail of the call. `kept`: its connection served before.
+/// Maps the status of an answer to the report for every mail of the call. `kept`: the call used a connection
+/// that had carried an earlier one.
 pub fn report_by_status(head: &Head, is_batch: bool, kept: bool) -> ConnectReport {
     let (outcome, finished) = match head.status {
         200 => (Outcome::Relayed, true),
         429 => (Outcome::Refused, false),
         503 if head.over_slots => (Outcome::Unsent, false),
-        // Guards against a full table of connections that is taken for a limit, so that all keep theirs: who is
-        // turned away with a new connection got none.
+        // An endpoint whose connection table is full answers a new connection with 503 and closes it. Taken
+        // for a rate limit, this would make every courier hold on to the connections that it has.
         503 if !head.keep_alive && !kept => (Outcome::Unreached, false),
         503 => (Outcome::Refused, false),
         504 => (Outcome::Unsent, false),
         410 => (Outcome::Unsent, true),
-        // Unreadable or too much: none of it has run.
+        // The request could not be parsed or was too large, so no mail in it has run.
         400 | 413 if is_batch => (Outcome::Unsent, false),
         _ => (Outcome::Error, false),
     };
     report_with_head(outcome, finished, head)
 }
 
-/// The table of a batch's answers, item by item; a mail that is not named may have run.
+/// Maps the state of one item of a batch answer to a report. A mail that the answer does not name may have
+/// run.
 pub fn report_by_item(state: Option<&str>, head: &Head) -> ConnectReport {
     let (outcome, finished) = match state {
         Some("ok") => (Outcome::Relayed, true),
@@ -134,7 +135,7 @@
     report_with_head(outcome, finished, head)
 }
 
-/// What an answer's head tells goes with each of its mails.
+/// The head's wait and load report apply to each mail of the call.
 fn report_with_head(outcome: Outcome, finished: bool, head: &Head) -> ConnectReport {
     ConnectReport {
         retry_after: head.retry_after.unwrap_or_default(),
@@ -145,7 +146,7 @@
 }
 
 impl Endpoints {
-    /// Connections are closed a twentieth before the far side would.
+    /// Idle connections are closed a twentieth of the timeout before the endpoint closes them.
     fn is_reusable(&self, idle: &Idle) -> bool {
         let idle_for = self.limits.get().idle_timeout;
         idle.since.elapsed() < idle_for - idle_for / 20
@@ -171,7 +172,7 @@
         });
     }
 
-    /// An idle connection to a place that can still be used, the last one used first.
+    /// Takes the most recently used idle connection that can still be used.
     fn take_idle(&self, incarnation: u64) -> Option<HttpConnection> {
         let mut pools = self.idle.borrow_mut();
         let pool = pools.get_mut(&incarnation)?;
@@ -184,8 +185,8 @@
         None
     }
 
-    /// Keeps a connection for further calls. Guards against one to a place that was left while its call was
-    /// out: whoever is there now is somebody else.
+    /// Keeps a connection for later calls, unless the endpoint has moved or restarted while the call was in
+    /// flight: its old address may belong to another process by now.
     fn return_idle(&self, call: &Call, mut counted: CountedConnection) {
         let current = self.shared.borrow().is_current(call);
         if let Some(link) = if current { counted.link.take() } else { None } {
@@ -195,7 +196,8 @@
         }
     }
 
-    /// Makes room for one more connection by closing the one that has been idle longest.
+    /// Makes room for one more connection by closing the one that has been idle longest, if the limit is
+    /// reached.
     fn make_room(&self) -> bool {
         if self.open.get() < self.limits.get().max_connections {
             return true;
@@ -215,8 +217,8 @@
             if self.make_room() {
                 break;
             }
-            // Guards against calls that are told of as failed, and mails that use up their connects, for want of
-            // a descriptor here: they wait for one.
+            // Waits for a free descriptor. A shortage on this side must not count as a failure of the
+            // endpoint or use up connects of the mails.
             let freed = timeout_at(until.into(), self.freed.notified()).await;
             freed.map_err(|_| Outcome::Unsent)?;
         }
@@ -227,7 +229,7 @@
             Ok(Ok(link)) => Ok(CountedConnection { link: Some(link), endpoints: self.clone(), kept: false }),
             failed => {
                 self.close(1);
-                // Guards against an endpoint that is held to be out because we have no descriptor left.
+                // A local shortage of descriptors or ports does not make the endpoint unreachable.
                 let ours =
                     matches!(failed, Ok(Err(e)) if e.raw_os_error().is_some_and(|e| EXHAUSTED.contains(&e)));
                 Err(if ours { Outcome::Unsent } else { Outcome::Unreached })
@@ -238,7 +240,8 @@
     async fn call(self: Rc<Self>, mut call: Call) {
         let last = call.mails.iter().map(|mail| mail.until).max().unwrap_or_default();
         if !self.limits.get().may_overlap {
-            // A mail whose time-out comes first may go again only once this call is closed.
+            // Mails must not overlap: one that times out may be sent again only once this call is closed, so
+            // all time out together.
             call.mails.iter_mut().for_each(|mail| mail.until = last.min(mail.due));
         }
         let until = self.clock.instant(last);
@@ -257,8 +260,8 @@
         }
         let request = self.request(&call, &mails, until);
         let Some(link) = counted.link.as_mut() else { return };
-        // Before the last byte is written nothing can have run. Guards against a write that stands still past the
-        // end of one of its messages, or until a key may be forgotten: after that none of it must run.
+        // Until the last byte is written nothing can have run. The write must be over before any mail of the
+        // call expires and before the endpoint may forget its key: after that the mail must not run.
         let ends = mails.iter().map(|mail| mail.due.min(mail.latest)).min().unwrap_or(last);
         let written_by = until.min(self.clock.instant(ends));
         if !matches!(timeout_at(written_by.into(), link.send(&request)).await, Ok(Ok(()))) {
@@ -268,7 +271,8 @@
         let Some(answer) = self.wait_for_answer(&mut mails, read_answer(link, is_batch)).await else {
             return;
         };
-        // Guards against an answer that crosses an end: it may be to what was given up, not to what is waited for.
+        // An answer that comes after a mail of the call has expired may belong to that mail, so it does not
+        // count for the others.
         let now = self.clock.now();
         let spans_expiry = mails.iter().any(|mail| mail.due <= now);
         match answer {
@@ -285,7 +289,7 @@
                     self.return_idle(&call, counted);
                 }
             }
-            // Closed: what else has come, or will, belongs to no call.
+            // The connection is closed: any bytes left on it belong to no call.
             Answer::Unread(outcome) => {
                 self.report_outcome(
                     &mails,
@@ -307,9 +311,8 @@
         out
     }
 
-    /// Waits for what a call needs before it can begin, and tells of each message whose end comes before that.
-    /// `None` once all have. Guards against an end that is owed at once and waits for a connection that others
-    /// of its call have more time for.
+    /// Waits until a call can begin and reports each mail that expires before that, so that an expired mail
+    /// does not wait for the connection of those with more time. Returns `None` once all mails have expired.
     async fn expire_until_ready<T>(
         &self,
         mails: &mut Vec<CallMail>,
@@ -329,8 +332,8 @@
         }
     }
 
-    /// Waits for an answer, and tells of each mail whose time-out passes before it. `None` once all have:
-    /// the connection is then to be closed.
+    /// Waits for an answer and reports each mail that times out before it. Returns `None` once all mails have
+    /// timed out; the connection is to be closed then.
     async fn wait_for_answer<T>(&self, mails: &mut [CallMail], answer: impl Future<Output = T>) -> Option<T> {
         let mut answer = std::pin::pin!(answer);
         loop {
@@ -341,7 +344,7 @@
                 () = sleep_until(self.clock.instant(next).into()) => {}
             }
             for mail in mails.iter_mut().filter(|l| l.until == next) {
-                mail.until = 0; // told
+                mail.until = 0; // reported
                 self.shared.borrow_mut().connect_ended(mail.serial, ConnectReport::of(Outcome::Silent));
             }
         }
@@ -364,8 +367,8 @@
         }
     }
 
-    /// Guards against a second outcome for a mail that was told of as silent: it may be out again, and only
-    /// its end is news.
+    /// Reports the outcome of each mail. A mail that was reported as timed out gets no second outcome, since
+    /// it may be in flight again; only that it was relayed after all is passed on.
     fn report_outcome(&self, mails: &[CallMail], report: &ConnectReport) {
         let mut exchange = self.shared.borrow_mut();
         for mail in mails {
@@ -378,30 +381,30 @@
     }
 }
 
-/// Ids and keys were found to be plain text when they came.
+/// Ids and keys are ASCII: this was checked when the mail was submitted.
 fn as_sent(mail: &CallMail) -> http::Mail<'_> {
     let text = |bytes| std::str::from_utf8(bytes).unwrap_or_default();
     http::Mail { id: text(&mail.id), key: text(&mail.key), body: &mail.body }
 }
 
-/// What came back on a call.
+/// The answer to a call.
 enum Answer {
-    /// Its head, and its body where that has been read.
+    /// The head, and the body if it has been read.
     Read(Head, Option<BytesMut>),
-    /// It cannot be read, or there is none.
+    /// No readable answer, and the outcome that follows from that.
     Unread(Outcome),
 }
 
-/// Reads an answer as far as it must be read to be believed. A single mail is relayed once the first line says
-/// so; what tells of several, or that nothing has run, counts only when all of it can be read: a call whose
-/// answer is spoilt may have run.
+/// Reads an answer as far as its meaning depends on it. A single mail is relayed as soon as the status line
+/// says so. An answer to a batch, or one that says that nothing has run, counts only if it is read to its
+/// end: after a malformed answer the mails may have run.
 async fn read_answer(link: &mut HttpConnection, is_batch: bool) -> Answer {
     let head = match link.read_head().await {
         Ok(head) => head,
         Err(_) if !is_batch && link.has_ok_status_line() => return Answer::Unread(Outcome::Relayed),
         Err(e) => return Answer::Unread(read_error_outcome(&e)),
     };
-    // Where the end of the connection is the end of the body there is nothing to wait for.
+    // A body that ends with the connection is not waited for.
     let unrun = head.status != 200 && head.body != Body::UntilClose;
     if unrun || (is_batch && head.status == 200) {
         return match link.read_body(head.body, MAX_ANSWER).await {
--- a/crates/courier/src/exchange.rs
+++ b/crates/courier/src/exchange.rs
@@ -1,5 +1,6 @@
-//! The exchange: where clients and endpoints meet. It owns the decisions, the doors, the mails in hand, the
-//! journal and the timer; it carries out what the module says and tells it what was seen.
+//! The exchange connects clients and endpoints. It owns the decision module (`Control`), the interners, the
+//! mails in hand, the journal and the timer; it carries out the module's actions and reports to it what was
+//! observed.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -27,20 +28,21 @@
 use crate::numbers::Classes;
 use crate::{http, must};
 
-/// What an earlier process took on is offered to the module within this time: all with the first turn. Spread over
-/// 250 ms it lost importance after a mass restart, see `docs/start.md`.
+/// Restored mails are submitted to the decision module within this time: all of them in the first turn.
+/// Spread over 250 ms, mails after a mass restart lost importance; see `docs/start.md`.
 const SUBMITTED_WITHIN: Time = 0;
-/// Whether it is offered by importance and end; else as it was taken. Off: it lost on the bench, see `docs/start.md`.
+/// Whether restored mails are submitted by importance and deadline; otherwise in the order of acceptance.
+/// Off, since it did worse on the bench; see `docs/start.md`.
 const BY_IMPORTANCE: bool = false;
 
-/// The log's target for `list VERSION is in force`, at `trace`, so that it is on only where it is asked for.
+/// Log target of `list VERSION is in force`, at level `trace`, so that it appears only where it is asked for.
 pub const IN_FORCE: &str = "in_force";
-/// Room that is kept for the inputs of a turn.
+/// Capacity that is kept for the inputs of a turn.
 const MAX_KEPT_INPUTS: usize = 16 << 10;
 
 pub type Shared = Rc<RefCell<Exchange>>;
 
-/// The module's clock: the system's at the start of the process, monotonic from then on.
+/// The decision module's clock: the system time at the start of the process, monotonic from then on.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -54,7 +56,7 @@
         Clock { start: Instant::now(), base: to_time(unix), still: false }
     }
 
-    /// A clock that stands still at this time, for tests that play their own.
+    /// A clock fixed at a time, for tests that advance time themselves.
     pub fn still(at: Time) -> Clock {
         Clock { start: Instant::now(), base: at, still: true }
     }
@@ -82,7 +84,7 @@
     Duration::from_micros(time.saturating_mul(100))
 }
 
-/// A mail that a client hands in.
+/// A mail that a client submits.
 pub struct Offer {
     pub id: Bytes,
     pub key: Bytes,
@@ -95,25 +97,27 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// From now on its end is owed; the number is for a client that is gone before it hears so.
+    /// Accepted: from now on the courier must finish the mail. The serial number is for withdrawing it if the
+    /// client leaves before it has read the answer.
     Taken(u64),
-    /// Taken before, and not over.
+    /// Accepted earlier and not finished yet.
     Known,
     Busy,
     Failed(&'static str),
 }
 
-/// A mail of a call.
+/// A mail as part of a call.
 #[derive(Clone, Debug)]
 pub struct CallMail {
     pub serial: u64,
     pub id: Bytes,
     pub key: Bytes,
     pub body: Bytes,
-    /// When its connect is given up, by the module's word.
+    /// When its connect times out, as the decision module set it.
     pub until: Time,
     pub due: Time,
-    /// Only before this may the last byte of its call go out: a repeat is not known as one from then on.
+    /// The last byte of its call must be sent before this: from then on the endpoint may have forgotten the
+    /// key of an earlier connect and would not recognise a repeat.
     pub latest: Time,
 }
 
@@ -121,32 +125,32 @@
 #[derive(Debug)]
 pub struct Call {
     pub endpoint: usize,
-    /// The module's slot that it takes. One that is cut by its size takes one slot for all its parts.
+    /// The decision module's slot. The parts of a call that is split by size share one slot.
     pub slot: usize,
-    /// Where it was when the call was decided on: a number that is never given twice.
+    /// The endpoint's incarnation when the call was decided on. Numbers of incarnations are never reused.
     pub incarnation: u64,
     pub address: Option<SocketAddr>,
-    /// It must not go out on a connection that was kept.
+    /// The call must use a new connection.
     pub new_connection: bool,
     pub mails: Vec<CallMail>,
-    /// Bytes of its body where it carries several mails; a call holds no more than a body may.
+    /// Upper bound of the size of its body as a batch, which is at most `http::MAX_BODY`.
     pub size: usize,
 }
 
-/// What the component that calls endpoints is to do.
+/// Orders to the task that calls endpoints.
 #[derive(Debug)]
 pub enum Order {
     Call(Call),
-    /// Close the idle connections to this place.
+    /// Close the idle connections to this incarnation of an endpoint.
     CloseIdle(u64),
-    /// From here on connections are made within the one time, and kept idle for the other.
+    /// Use these timeouts for opening connections and for keeping them idle from now on.
     SetTimeouts {
         connect_timeout: Duration,
         idle_timeout: Duration,
     },
 }
 
-/// What is to be told to the platform.
+/// A notice to the platform about a mail that was given up.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Notice {
     pub serial: u64,
@@ -154,19 +158,19 @@
     pub verdict: Verdict,
 }
 
-/// What was seen of one mail's connect.
+/// What was observed of one mail's connect.
 #[derive(Clone, Debug)]
 pub struct ConnectReport {
     pub outcome: Outcome,
     pub finished: bool,
     pub retry_after: Duration,
     pub load: Option<String>,
-    /// The call went out on a connection that was kept.
+    /// The call used a connection that had carried an earlier one.
     pub reused_connection: bool,
 }
 
 impl ConnectReport {
-    /// Where nothing but the outcome is known.
+    /// A report of which only the outcome is known.
     pub fn of(outcome: Outcome) -> ConnectReport {
         ConnectReport {
             outcome,
@@ -178,7 +182,7 @@
     }
 }
 
-/// An address in half the room that the system's form takes: there is one for each entry of the list.
+/// A socket address in half the size of `SocketAddr`: one is kept for each entry of the list.
 #[derive(PartialEq, Eq)]
 enum Address {
     Unreadable,
@@ -205,19 +209,19 @@
 }
 
 struct EndpointState {
-    /// Given anew when its address or process changes; 0: it is no more.
+    /// Replaced when the endpoint's address or process changes; 0 if the index is unused.
     incarnation: u64,
     address: Address,
     since: u64,
-    /// As sends to it are put on file.
+    /// The number of its zone in the journal.
     zone: u16,
     kind: u32,
     destination: u64,
-    /// It was told of as ready last, whether the module has read so or not.
+    /// Ready according to the latest list, even if the decision module has not read it yet.
     ready: bool,
 }
 
-/// Figures since the start, for the log.
+/// Counts since the start of the process, for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     pub taken: u64,
@@ -229,12 +233,12 @@
     pub late: u64,
     pub hangups: u64,
     pub compactions: u64,
-    /// Lists, or changes, of a lower version than what came before.
+    /// Lists or changes with a lower version than an earlier one.
     pub older: u64,
-    /// Notes to and from other couriers.
+    /// Notes sent to and received from other couriers.
     pub told: u64,
     pub heard: u64,
-    /// What must hold and did not.
+    /// Violated invariants.
     pub broken: u64,
 }
 
@@ -244,9 +248,10 @@
     names: NameTable,
     max_open: usize,
     batch_limits: Vec<usize>,
-    /// Kinds whose endpoints are limited each on its own.
+    /// For each kind, whether its endpoints are limited individually rather than per destination.
     limited_alone: Vec<bool>,
-    /// The module's classes: those of the settings, and what stands for such as an earlier process or version left.
+    /// The queue classes by number: those of the settings, and those that mails of an earlier process or
+    /// version still use.
     classes: Classes,
     ordering_gap: Time,
     resolution: Time,
@@ -254,16 +259,16 @@
     endpoint_names: Interner<Box<[u8]>>,
     destinations: Interner<u64>,
     order_keys: Interner<Bytes>,
-    /// Endpoints by index.
+    /// Endpoints by their index in `endpoint_names`.
     endpoints: Vec<EndpointState>,
-    /// Connects that have no outcome yet, by the index of their mail.
+    /// Connects in flight, by the index of their mail.
     connects_out: Vec<Option<Flight>>,
-    /// What is to be left alone by what the module has not read yet.
+    /// Units that are to be left alone by inputs that the decision module has not read yet.
     paused_units: Vec<audit::Unit>,
     owed: BTreeMap<u64, Owed>,
     ids: HashMap<Bytes, u64>,
     rests: Vec<(Bytes, Time)>,
-    /// What an earlier process took on, until it goes to the module.
+    /// Restored mails that have not been submitted to the decision module yet.
     backlog: Backlog,
     open_mails: usize,
     next_serial: u64,
@@ -277,34 +282,34 @@
     turns: u64,
     last_turn: Time,
     stopped: bool,
-    /// The agent was not asked yet: no turns, so that no call begins.
+    /// Turns are held back, so that no call begins, until the discovery agent has been asked.
     turns_held: bool,
     notify: Rc<Notify>,
     orders: UnboundedSender<Order>,
     notices: UnboundedSender<Notice>,
-    /// What goes to the other couriers, where there are any.
+    /// Notes to the other couriers, if there are any.
     notes: Option<UnboundedSender<(Bytes, PeerNote)>>,
-    /// Version of the list that was taken up last, and the last by which a turn was taken.
+    /// Version of the latest list, and of the list as of the last turn.
     index: u64,
     in_force: u64,
-    /// What the audit counts beside the books.
+    /// Independent counts for the audit.
     tally: Tally,
     pub counts: Counts,
-    /// Which version of the settings is in force, and what came of others.
+    /// The version of the settings in force, and rejected ones.
     pub versions: Versions,
 }
 
-/// What a courier states of versions of its settings.
+/// What a courier reports about versions of its settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Versions {
-    /// The number of the one in force, and since when.
+    /// The number of the version in force, and since when.
     pub in_force: Option<(u64, Time)>,
-    /// In words, the last one that was turned down since then, with every fault.
+    /// Message about the last version rejected since then, with all faults.
     pub rejected: Option<String>,
 }
 
 impl Versions {
-    /// `None` where there are none.
+    /// One line for the log; `None` if the settings have no version.
     pub fn summary(&self, now: Time) -> Option<String> {
         let (number, since) = self.in_force?;
         let age = now.saturating_sub(since) / SECOND;
@@ -313,23 +318,23 @@
     }
 }
 
-/// What names on the sockets stand for.
+/// Numbers of the names used in the protocols.
 struct NameTable {
-    /// Those of the settings, and then those that only a list or a later version has named.
+    /// Zones of the settings, then those that only a list or a later version has named.
     zones: Vec<String>,
-    /// So many of them have a number that the journal knows.
+    /// The first so many zones have a number that the journal knows.
     zones_in_journal: usize,
-    /// Those of all versions so far, by number.
+    /// Kinds of all versions so far, by number.
     kinds: Vec<String>,
-    /// The number of a kind that is none of them.
+    /// The number used for unknown kinds.
     other_kind: usize,
     report: [Option<usize>; 2],
     fields: Vec<String>,
 }
 
 impl NameTable {
-    /// The module's number of a zone. Guards against two zones, neither of which the settings name, that would
-    /// be held to be one: a key that is known in one of them is not known in the other.
+    /// The number of a zone. Each zone that the settings do not name gets its own number: a key known in one
+    /// of them is not known in another.
     fn zone(&mut self, text: &str) -> usize {
         let zone = name(text);
         let at = self.zones.iter().position(|known| *known == zone).unwrap_or(self.zones.len());
@@ -339,7 +344,7 @@
         at.min(usize::from(NO_ZONE))
     }
 
-    /// What a load report says of the limit.
+    /// Reads the limit from a load report.
     fn report(&self, load: &str) -> Option<LimitReport> {
         let value = |place: Option<usize>| -> Option<f64> {
             let value: f64 = http::pair_value(load, self.fields.get(place?)?)?.parse().ok()?;
@@ -360,7 +365,7 @@
         Exchange::with_clock(Clock::new(), decoded, (journal, found), orders, notices, notes)
     }
 
-    /// The same, by a clock that a test may hold.
+    /// The same with a given clock, for tests.
     pub fn with_clock(
         clock: Clock,
         decoded: Decoded,
@@ -381,7 +386,7 @@
             terms.extend(more.collect::<Vec<_>>());
         }
         let by_name = classes.into_iter().enumerate().map(|(i, class)| (Bytes::from(class), i)).collect();
-        // The module has one kind at least.
+        // The decision module has at least one kind.
         kinds.resize(settings.kinds.len(), String::new());
         let (folder, allowance) = journal.place();
         let mut exchange = Exchange {
@@ -439,16 +444,18 @@
         exchange
     }
 
-    /// What an earlier process took on comes back: as it was taken, or by importance, then by its end.
+    /// Restores the mails of an earlier process, in the order of acceptance, or by importance and then
+    /// deadline.
     fn restore(&mut self, mut found: Found) {
         let now = self.clock.now();
-        // Guards against a repeat that goes where its key is not known, since zones were named or numbered otherwise.
+        // If zones are named or numbered differently now, the zone of an earlier connect is unknown. A repeat
+        // must not go to a zone where its key is not known.
         let zones = Bytes::from(self.names.zones.join(","));
         let known = found.zones == zones;
         if !known {
             found.owed.values_mut().for_each(Owed::forget_zones);
         }
-        // What cannot be put on file is not used: sends are then to no zone that a later process knows.
+        // Zone numbers that are not in the journal are not used: connects are then recorded without a zone.
         if known || self.append_record(&Record::Zones { names: &zones }) {
             self.names.zones_in_journal = self.names.zones.len();
         }
@@ -456,10 +463,10 @@
         let mut keys: HashMap<Bytes, u64> = HashMap::new();
         self.rests = found.rests;
         for (serial, mut owed) in found.owed {
-            // A connect that was out when the process ended may have run, and may be running.
+            // A connect in flight when the process ended may have run, and may still be running.
             let out = owed.out.take();
             owed.ran = owed.ran.or(out);
-            // Guards against a clock that was set back: how long ago that was cannot be known.
+            // If the clock was set back, the time of the connect is unknown.
             owed.ran = owed.ran.map(|(at, zone)| (if at > now { 0 } else { at }, zone));
             if out.is_some() && !owed.item.is_empty() {
                 self.rests.push((owed.item.clone(), now));
@@ -495,15 +502,15 @@
         }
     }
 
-    /// Whether a mail keeps its order among those of its key.
+    /// Whether a mail is kept in order with the others of its key.
     fn is_ordered(&self, owed: &Owed) -> bool {
         !owed.item.is_empty() && self.classes.classes[usize::from(owed.class)].ordered
     }
 
-    /// What an earlier process took on and is to be offered by now goes to the module.
+    /// Submits the restored mails that are due by now to the decision module.
     fn submit_backlog(&mut self, now: Time) {
         while let Some(serial) = self.backlog.next(now) {
-            // One that turned out to be over meanwhile is owed nothing.
+            // A mail that has been finished meanwhile is skipped.
             if let Some(owed) = self.owed.remove(&serial) {
                 self.submit(serial, &owed);
                 self.owed.insert(serial, owed);
@@ -511,7 +518,7 @@
         }
     }
 
-    /// A mail goes to the module.
+    /// Submits a mail to the decision module.
     fn submit(&mut self, serial: u64, owed: &Owed) {
         let class = usize::from(owed.class);
         let ordered = self.is_ordered(owed);
@@ -534,12 +541,12 @@
             self.counts.failed += 1;
             return Answer::Failed("ERR unknown class");
         };
-        // One that no list has named is none, and would never be served.
+        // A destination that no list has named does not exist, and its mails would never be relayed.
         let Some(dest) = self.destinations.get(&offer.destination) else {
             self.counts.failed += 1;
             return Answer::Failed("ERR unknown destination");
         };
-        // Guards against a client that sends again what it was not sure to have handed in.
+        // A client may submit a mail again if it is not sure that it was accepted.
         if self.ids.contains_key(&offer.id) {
             return Answer::Known;
         }
@@ -557,7 +564,7 @@
             ..Owed::default()
         };
         let serial = self.next_serial;
-        log::debug!("mail {serial} for {} of class {class} has come", owed.dest);
+        log::debug!("mail {serial} of class {class} for destination {} received", owed.dest);
         if self.open_mails >= self.max_open
             || self.control.would_reject(dest, class, owed.due)
             || !self.journal.has_room(&owed)
@@ -569,9 +576,9 @@
         self.next_serial += 1;
         self.counts.taken += 1;
         let (id, lifetime) = (String::from_utf8_lossy(&owed.id), owed.due - owed.since);
-        log::debug!("message {id} taken on as {serial}, {} ms", lifetime / 10);
+        log::debug!("message {id} accepted as mail {serial}, lifetime {} ms", lifetime / 10);
         self.ids.insert(owed.id.clone(), serial);
-        // Guards against a mail that overtakes one of its key which an earlier process took on.
+        // A restored mail of the same key must not be overtaken.
         let same = |old: u64| self.owed.get(&old).is_some_and(|old| old.item == owed.item);
         if self.is_ordered(&owed) && self.backlog.waiting().any(same) {
             self.submit_backlog(Time::MAX);
@@ -582,10 +589,10 @@
         Answer::Taken(serial)
     }
 
-    /// What other settings would make of the numbers that are in use; nothing is changed.
+    /// Computes the class numbers under other settings, without changing anything.
     ///
     /// # Errors
-    /// The place, and words, of what cannot be.
+    /// The setting at fault and a message.
     pub fn plan_classes(&self, decoded: &Decoded) -> Result<Classes, (&'static str, &'static str)> {
         let used = self.owed.values().filter(|owed| owed.verdict.is_none());
         let used: BTreeSet<usize> = used.map(|owed| usize::from(owed.class)).collect();
@@ -594,8 +601,9 @@
         after.map_err(|words| ("setting Profiles", words))
     }
 
-    /// These settings are in force from here on, between two turns; `classes` as `plan_classes` had them just now. The same
-    /// kinds must be apart as before. What is out or taken on stays as it is.
+    /// Puts settings in force, between two turns. `classes` is the result of `plan_classes` just before; the
+    /// kinds with individually limited endpoints must be the same as before. Accepted mails and calls in
+    /// flight are not affected.
     pub fn apply_settings(&mut self, decoded: Decoded, classes: Classes) {
         let Decoded { settings, report, fields, zones, kinds, .. } = decoded;
         let names = &mut self.names;
@@ -638,26 +646,26 @@
         self.notify.notify_one();
     }
 
-    /// Rests that are over need not be kept.
+    /// Drops ordering gaps that have elapsed.
     fn drop_elapsed_rests(&mut self) {
         let now = self.clock.now();
         self.rests.retain(|(_, since)| since + self.ordering_gap > now);
     }
 
-    /// Puts a record on file; whether it is there.
+    /// Appends a record to the journal; false if it could not be written.
     fn append_record(&mut self, record: &Record) -> bool {
         if self.journal.is_grown(record) {
             self.drop_elapsed_rests();
             self.counts.compactions += 1;
             if let Err(e) = self.journal.compact(&self.owed, &self.rests) {
-                // One line for as long as it lasts.
+                // Warns once for as long as the failure lasts.
                 let level = if self.journal_failed { log::Level::Debug } else { log::Level::Warn };
                 log::log!(level, "the journal cannot be written anew: {e}");
             }
         }
         let written = self.journal.append(record);
         if let Err(e) = &written {
-            // One line for as long as it lasts.
+            // Warns once for as long as the failure lasts.
             if std::mem::replace(&mut self.journal_failed, true) {
                 log::debug!("the journal still cannot be written: {e}");
             } else {
@@ -669,14 +677,14 @@
         true
     }
 
-    /// Nothing more is owed for a mail.
+    /// Finishes a mail: nothing more has to be done for it.
     fn finish(&mut self, serial: u64) {
         if !self.owed.contains_key(&serial) {
             return;
         }
-        // Before it is forgotten. Guards against a file that is written anew for this record: it would speak of
-        // a mail that the file does not hold. Where this can't be noted the mail comes back after a restart, as
-        // one that may have run.
+        // Recorded before the mail is removed. Otherwise a compaction triggered by this record would write a
+        // journal with a record of a mail that it does not contain. If the record cannot be written the mail
+        // is restored after a restart, as one that may have run.
         self.append_record(&Record::Over { serial });
         if let Some(owed) = self.owed.remove(&serial) {
             self.ids.remove(&owed.id);
@@ -686,13 +694,14 @@
         }
     }
 
-    /// The client was gone before it heard that its mail was taken, or the mail turned out to be over.
+    /// Withdraws a mail whose client left before it could read the acceptance, or that was relayed late.
     pub fn client_gone(&mut self, serial: u64) {
         if self.owed.get(&serial).is_some_and(|owed| owed.verdict.is_none()) {
             self.counts.hangups += 1;
             self.finish(serial);
             if let Some(mail) = self.mail_serials.get(&serial) {
-                // Guards against an outcome that the module reads first, giving up a mail that is over.
+                // The decision module must read this before an outcome, which could make it give up the
+                // finished mail.
                 let ended =
                     |input: &Input| matches!(input, Input::ConnectResult(ended) if ended.mail == mail);
                 let at = self.inputs.iter().position(ended).unwrap_or(self.inputs.len());
@@ -702,7 +711,7 @@
         }
     }
 
-    /// A connect that had its outcome turns out to have been served after all.
+    /// A connect that was already reported as timed out was relayed after all.
     pub fn relayed_late(&mut self, serial: u64) {
         if self.owed.contains_key(&serial) {
             self.counts.late += 1;
@@ -710,7 +719,7 @@
         }
     }
 
-    /// What another courier saw of an endpoint; nothing if the list has not named it here.
+    /// A note of another courier about an endpoint. Ignored if the list has not named the endpoint here.
     pub fn note_received(&mut self, name: &[u8], note: PeerNote) {
         if let Some(endpoint) = self.endpoint_names.get(name) {
             self.counts.heard += 1;
@@ -724,35 +733,35 @@
         }
     }
 
-    /// The platform has heard of a mail's end.
+    /// The platform has acknowledged the notice of a mail.
     pub fn notice_accepted(&mut self, serial: u64) {
         self.finish(serial);
     }
 
     fn send_notice(&mut self, notice: Notice) {
-        // The other end is there as long as the process runs.
+        // The receiver lives as long as the process.
         let _ = self.notices.send(notice);
     }
 
-    /// Begins with the newer of the list that was kept and the one that the configuration knows. `ours`: whether what was
-    /// kept for another deployment than this one, as `memory::deployment` has it, is ours all the same.
+    /// Starts with the saved list or the one in the configuration, whichever is newer. `ours` tells whether a
+    /// list that was saved for another deployment (`memory::deployment`) may be used.
     pub fn recall(&mut self, known: List, ours: impl Fn(&str) -> bool) {
         let list = self.keeper.recall(known, self.clock.now(), ours);
         self.apply_list(&list);
     }
 
-    /// The list, or changes to it.
+    /// Applies a list, or changes to it.
     pub fn listed(&mut self, list: &List) {
         self.apply_list(&Update::from(list));
     }
 
-    /// The same, as it was read.
+    /// The same for a list in its compact form.
     pub fn apply_list(&mut self, list: &Update) {
         if list.index < self.index {
-            // Counted and taken up: only who follows the list knows whether another agent counts versions of its
-            // own, and refusing those for good would be worse than an old line.
+            // Counted, but applied: only the task that follows the list can tell whether another agent uses
+            // its own version numbers, and rejecting those forever would be worse than an outdated entry.
             self.counts.older += 1;
-            log::warn!("a list of version {} came after version {}", list.index, self.index);
+            log::warn!("list version {} is lower than the earlier version {}", list.index, self.index);
         }
         self.index = list.index;
         self.tally.listed(list.index);
@@ -761,7 +770,7 @@
         self.inputs.push(Input::ListBegin { complete: list.whole });
         let mut places: Option<(&str, &str, usize, usize)> = None;
         for entry in list.entries.iter() {
-            // Most entries name the zone and the kind that the one before named.
+            // Most entries have the same zone and kind as the one before.
             if places.is_none_or(|(zone, kind, ..)| (zone, kind) != (entry.zone, entry.kind)) {
                 let kind = self.names.kinds.iter().position(|kind| *kind == name(entry.kind));
                 let kind = kind.unwrap_or(self.names.other_kind);
@@ -791,9 +800,9 @@
             match self.endpoints.get_mut(endpoint) {
                 None => self.endpoints.push(new),
                 Some(old) if old.incarnation == 0 => *old = new,
-                // Guards against a name that turns up at another destination: mails for the old one stay away.
+                // The name has moved to another destination: mails for the old one must not go there.
                 Some(old) if old.destination != group => life = EndpointStatus::Removed,
-                // Moved or started anew: what is open leads nowhere.
+                // Moved or restarted: open connections lead nowhere.
                 Some(old) if old.address != new.address || old.since != since => {
                     (old.address, old.since) = (new.address, since);
                     let left = std::mem::replace(&mut old.incarnation, incarnation);
@@ -818,9 +827,9 @@
         self.notify.notify_one();
     }
 
-    /// Until when the last byte of a mail's call may go out. Guards against a repeat after the time for which its
-    /// key is known, counted from the first connect that may have run: its call may have waited for a connection,
-    /// and the file has it from an earlier process.
+    /// Until when the last byte of a mail's call may be sent. A repeat must arrive while its key is still
+    /// known, counted from the first connect that may have run, also across a wait for a connection or a
+    /// restart.
     fn send_deadline(&self, owed: &Owed) -> Time {
         let class = &self.classes.classes[usize::from(owed.class)];
         match (owed.ran, class.effect) {
@@ -830,12 +839,13 @@
         }
     }
 
-    /// Just before the first byte of a call goes out: which of its mails still go, with their connects on
-    /// file. None where its endpoint has moved, has been told of as leaving, or is to be left alone, since.
+    /// Called just before the first byte of a call is sent. Returns the mails that are still to be sent, with
+    /// their connects recorded in the journal; none if the endpoint has moved, is draining or is to be left
+    /// alone by now.
     pub fn begin(&mut self, call: &Call, mails: Vec<CallMail>) -> Vec<CallMail> {
         let now = self.clock.now();
         let (endpoint, unit) = (call.endpoint, self.unit(call.endpoint));
-        // Guards against a call that begins between what was told and the turn in which the module reads it.
+        // Inputs that the decision module has not read yet count too.
         let may = !self.stopped
             && !self.paused_units.contains(&unit)
             && self.endpoints[endpoint].ready
@@ -846,7 +856,7 @@
         for carried in mails {
             let serial = carried.serial;
             let owed = self.owed.contains_key(&serial);
-            // Guards against a mail whose time passed while its call waited for a connection.
+            // A mail may have expired while its call waited for a connection.
             let in_time = now < carried.until.min(carried.latest);
             if may && owed && in_time && self.append_record(&Record::Out { serial, sent }) {
                 let owed = self.owed.get_mut(&serial);
@@ -874,12 +884,12 @@
         going
     }
 
-    /// Whether the endpoint of a call is still where it was when the call was decided on.
+    /// Whether the endpoint of a call has neither moved nor restarted since the call was decided on.
     pub fn is_current(&self, call: &Call) -> bool {
         self.endpoints[call.endpoint].incarnation == call.incarnation
     }
 
-    /// The outcome of one mail's connect.
+    /// Takes the outcome of one mail's connect.
     pub fn connect_ended(&mut self, serial: u64, report: ConnectReport) {
         let now = self.clock.now();
         let mail = self.mail_serials.get(&serial);
@@ -910,7 +920,7 @@
             }
         }
         log::debug!(
-            "mail {serial}: {outcome:?} after {} ms, wait {retry_after:?}",
+            "mail {serial}: {outcome:?} after {} ms, retry after {retry_after:?}",
             now.saturating_sub(started) / 10
         );
         let report = load.and_then(|load| self.names.report(&load));
@@ -927,14 +937,14 @@
         self.notify.notify_one();
     }
 
-    /// One turn of the module, and its actions.
+    /// Gives the decision module one turn and carries out its actions.
     pub fn turn(&mut self) {
         if self.stopped || self.turns_held {
             return;
         }
         let now = self.clock.now();
         if self.last_turn == 0 {
-            // The pace begins with the turns.
+            // The pace of restored mails starts with the first turn.
             let together = self.batch_limits.iter().copied().max().unwrap_or(1);
             self.backlog.keep_pace(now, backlog::Pace { bears: 0.0, within: SUBMITTED_WITHIN, together });
         }
@@ -943,7 +953,7 @@
         let mut actions = std::mem::take(&mut self.actions);
         self.wake = self.control.step(now, &self.inputs, &mut actions);
         self.inputs.clear();
-        // A long list has gone through it.
+        // A long list may have grown it.
         self.inputs.shrink_to(MAX_KEPT_INPUTS);
         self.paused_units.clear();
         let mut calls: Vec<Call> = Vec::new();
@@ -963,7 +973,7 @@
                     let _ = self.orders.send(Order::CloseIdle(left));
                     self.endpoint_names.release(endpoint);
                 }
-                // A watch is always kept open.
+                // The list is always watched.
                 Action::RequestList => {}
                 Action::SendNote { endpoint, note } => {
                     if let (Some(sender), Some(name)) = (&self.notes, self.endpoint_names.id(endpoint)) {
@@ -989,11 +999,11 @@
                 must!(self.counts.broken, false, "the audit found: {fault}");
             }
         }
-        // Last, for it takes time that counts against the calls.
+        // Last, since it takes time that would delay the calls.
         self.keeper.save(now);
     }
 
-    /// What is limited, and told to wait, as one with this endpoint.
+    /// The unit of limits and waits that an endpoint belongs to.
     fn unit(&self, endpoint: usize) -> audit::Unit {
         let peer = &self.endpoints[endpoint];
         match self.limited_alone.get((peer.kind as usize).min(self.limited_alone.len() - 1)) {
@@ -1002,7 +1012,7 @@
         }
     }
 
-    /// What does not hold of the books, after a turn, in words.
+    /// Checks the invariants between two turns and describes each violation.
     pub fn audit(&self) -> Vec<String> {
         audit::faults(&Books {
             control: &self.control,
@@ -1020,7 +1030,8 @@
         })
     }
 
-    /// Spoils one book, so that a test can show that the audit sees it; false where there is nothing to spoil.
+    /// Corrupts one count or table, so that a test can show that the audit detects it; false if there is
+    /// nothing to corrupt.
     #[cfg(any(debug_assertions, feature = "spoil"))]
     pub fn spoil(&mut self, what: &str) -> bool {
         let flight = self.connects_out.iter().position(|flight| flight.is_some_and(|flight| flight.begun));
@@ -1073,12 +1084,12 @@
         true
     }
 
-    /// What is owed in hand and is not so on file, in words.
+    /// Describes each difference between the mails in hand and those in the journal.
     pub fn audit_file(&self, found: &Found) -> Vec<String> {
         audit::file_faults(&self.owed, found)
     }
 
-    /// A connect joins the round's call to its endpoint while that has room.
+    /// Adds a connect to this turn's call in the same slot, or starts a new call if that one is full.
     fn add_connect(
         &mut self,
         calls: &mut Vec<Call>,
@@ -1089,16 +1100,16 @@
     ) {
         let serial = self.mail_serials.id(mail).copied();
         let Some((serial, owed)) = serial.and_then(|serial| Some((serial, self.owed.get(&serial)?))) else {
-            must!(self.counts.broken, false, "a connect was asked for a mail that is not in hand");
+            must!(self.counts.broken, false, "connect requested for an unknown mail");
             return;
         };
         if mail >= self.connects_out.len() {
             self.connects_out.resize(mail + 1, None);
         }
-        must!(self.counts.broken, self.connects_out[mail].is_none(), "a mail has two connects out at once");
+        must!(self.counts.broken, self.connects_out[mail].is_none(), "a mail has two connects in flight");
         self.tally.begun += 1;
         log::debug!(
-            "mail {serial} for {}: connect to endpoint {endpoint}, {}",
+            "mail {serial} for destination {}: connect to endpoint {endpoint}, timeout {}",
             owed.dest,
             until - self.last_turn
         );
@@ -1115,7 +1126,7 @@
         let most = self.batch_limits[(peer.kind as usize).min(self.batch_limits.len() - 1)];
         let size = http::size_in_batch(&carried.id, &carried.key, &carried.body);
         let fits = |c: &Call| c.mails.len() < most && c.size + size <= http::MAX_BODY;
-        // Guards against two of the module's calls made one: a trial would carry several mails.
+        // Two calls of the decision module must not be merged: a probe would carry several mails.
         let slot = self.control.call_of(mail).map_or(usize::MAX, |(slot, _)| slot);
         let at = calls.iter().position(|c| c.slot == slot && fits(c)).unwrap_or(calls.len());
         match calls.get_mut(at) {
@@ -1139,7 +1150,7 @@
         let serial = self.mail_serials.id(mail).copied();
         let owed = serial.and_then(|serial| self.owed.get_mut(&serial));
         let (Some(serial), Some(owed)) = (serial, owed) else {
-            must!(self.counts.broken, false, "a mail that is not in hand was given up");
+            must!(self.counts.broken, false, "an unknown mail was given up");
             return;
         };
         must!(self.counts.broken, owed.verdict.is_none(), "a mail was given up twice");
@@ -1149,8 +1160,8 @@
         let (id, dest, left) = (owed.id.clone(), owed.dest, owed.due.saturating_sub(now));
         self.open_mails -= 1;
         self.counts.given_up += 1;
-        // Guards against a mail that is handed back, handed in anew, and sent by the next process all the same:
-        // what is not on file as given up is not told as harmless to hand in again.
+        // A mail that is handed back may be submitted elsewhere, so a later process must not send it too:
+        // unless the journal records that it was given up, it is bounced without a promise.
         let noted = self.append_record(&Record::GivenUp { serial, verdict });
         let verdict = if noted { verdict } else { Verdict::Dead };
         if let Some(owed) = self.owed.get_mut(&serial) {
@@ -1158,7 +1169,7 @@
         }
         let words = String::from_utf8_lossy(&id);
         log::debug!(
-            "message {words}, mail {serial} for {dest}: given up, {verdict:?}, {} ms left",
+            "message {words}, mail {serial} for destination {dest}: given up, {verdict:?}, {} ms left",
             left / 10
         );
         self.send_notice(Notice { serial, id, verdict });
@@ -1166,21 +1177,22 @@
 
     /// When the next turn is due.
     fn next_turn(&self) -> Option<Instant> {
-        // Guards against turns without end and without effect: what was due at the stop stays due.
+        // After the stop turns have no effect, and what was due stays due: they would never end.
         if self.stopped {
             return None;
         }
-        // The first turn is asked for by notice, and may be kept back: it is not due before.
+        // The first turn is requested by notification and may be held back, so restored mails do not make it
+        // due.
         let owed = self.backlog.wake().filter(|_| self.last_turn > 0);
         [self.wake, owed].into_iter().flatten().min().map(|at| self.clock.instant(at))
     }
 
-    /// No turn is given before this, so that turns are no closer than the settings say.
+    /// The earliest time of the next turn, by the timer resolution of the settings.
     fn earliest_turn(&self) -> Time {
         self.last_turn + self.resolution
     }
 
-    /// No call begins until `release`; mails are taken on meanwhile.
+    /// Holds back all turns, and so all calls, until `release`; mails are accepted meanwhile.
     pub fn hold(&mut self) {
         self.turns_held = true;
     }
@@ -1191,7 +1203,8 @@
         }
     }
 
-    /// The process was asked to end: calls begin for so long, and those of the next process no sooner than that.
+    /// Announces the shutdown: calls may begin for `calls_for`, and those of the next process begin no sooner
+    /// than `next_after` from now.
     pub fn begin_shutdown(&mut self, calls_for: Duration, next_after: Duration) {
         let now = self.clock.now();
         let shutdown =
@@ -1200,23 +1213,23 @@
         self.notify.notify_one();
     }
 
-    /// No further call begins. What nobody can try any more is given back in a last turn.
+    /// Stops all calls, after a last turn in which the mails that can no longer be tried are handed back.
     pub fn stop(&mut self) {
         self.turn();
         self.stopped = true;
     }
 
-    /// Connects that have no outcome yet, and ends that were decided on and are not told yet.
+    /// Number of connects in flight, and of mails that were given up and whose notice is not acknowledged.
     pub fn unfinished(&self) -> usize {
         self.in_flight() + self.owed.values().filter(|owed| owed.verdict.is_some()).count()
     }
 
-    /// Mails without an end, notices to come included.
+    /// Number of unfinished mails, including those with an unacknowledged notice.
     pub fn in_hand(&self) -> usize {
         self.owed.len()
     }
 
-    /// Connects that have no outcome yet.
+    /// Number of connects in flight.
     pub fn in_flight(&self) -> usize {
         self.connects_out.iter().flatten().count()
     }
@@ -1240,7 +1253,7 @@
     }
 }
 
-/// Gives the module its turns: when something was seen, and when it asked for one, but no more often than
+/// Gives the decision module its turns, on new inputs and when it asked for one, but no closer together than
 /// the settings say.
 pub async fn run_turns(shared: Shared) {
     let (notify, clock) = {
--- a/crates/courier/src/http.rs
+++ b/crates/courier/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 as a client of endpoints speaks it: requests out, answers in. No I/O.
+//! HTTP/1.1 client codec for calls to endpoints: writes requests and parses answers. No I/O.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -11,24 +11,24 @@
 const MAX_HEAD: usize = 16 * 1024;
 const MAX_FIELDS: usize = 64;
 
-/// The longest body, either way.
+/// The largest body in bytes, of a mail as submitted and of a request to an endpoint.
 pub const MAX_BODY: usize = 64 * 1024;
 
 #[derive(Debug, PartialEq, Eq)]
 pub struct Malformed(pub &'static str);
 
-/// How an answer's body is told apart from what follows.
+/// How the end of an answer's body is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Body {
     Length(u64),
     /// Bytes left of the current chunk; `None` between chunks.
     Chunks(Option<u64>),
-    /// After the last chunk: fields until an empty line.
+    /// After the last chunk: trailer fields up to an empty line.
     Trailer,
     UntilClose,
 }
 
-/// The first part of an answer.
+/// The status line and header fields of an answer, as far as a call uses them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Head {
     pub status: u16,
@@ -39,7 +39,7 @@
     pub load: Option<String>,
 }
 
-/// Takes the first part of an answer off the buffer; `None` while it has not all come.
+/// Takes the head of an answer off the buffer; `None` while it is incomplete.
 pub fn read_head(buffer: &mut BytesMut) -> Result<Option<Head>, Malformed> {
     loop {
         let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
@@ -47,10 +47,11 @@
         let size = match answer.parse(buffer) {
             Ok(httparse::Status::Complete(size)) => size,
             Ok(httparse::Status::Partial) if buffer.len() < MAX_HEAD => return Ok(None),
-            Ok(httparse::Status::Partial) => return Err(Malformed("an answer's head is too long")),
-            // Guards against a good answer that is lost to a load report which cannot be read.
+            Ok(httparse::Status::Partial) => return Err(Malformed("answer head exceeds the size limit")),
+            // A malformed load report must not invalidate the answer: it is removed and the head parsed
+            // again.
             Err(_) if remove_load_field(buffer) => continue,
-            Err(_) => return Err(Malformed("an answer's head cannot be read")),
+            Err(_) => return Err(Malformed("malformed answer head")),
         };
         let status = answer.code.unwrap_or(0);
         let keep_alive = answer.version == Some(1);
@@ -70,7 +71,7 @@
         }
         head.keep_alive &= head.body != Body::UntilClose;
         let _ = buffer.split_to(size);
-        // An interim answer: the real one follows.
+        // An interim answer: the final one follows.
         if (100..200).contains(&status) && status != 101 {
             continue;
         }
@@ -78,7 +79,7 @@
     }
 }
 
-/// Cuts the first load report out of a head; whether there was one that has come whole.
+/// Removes the first load report from a head; false if there is no complete one.
 fn remove_load_field(buffer: &mut BytesMut) -> bool {
     let name = b"\r\nx-load:";
     let Some(start) = buffer.windows(name.len()).position(|bytes| bytes.eq_ignore_ascii_case(name)) else {
@@ -96,7 +97,7 @@
     true
 }
 
-/// Whether the front of the buffer, of which no head can be read, is a whole first line that says 200.
+/// Whether the buffer begins with a complete status line that says 200, for a head that cannot be parsed.
 pub fn has_ok_status_line(buffer: &[u8]) -> bool {
     let line = buffer.iter().position(|&b| b == b'\n').map(|end| buffer[..end].trim_ascii_end());
     let Some(rest) = line.and_then(|line| line.strip_prefix(b"HTTP/1.")) else { return false };
@@ -108,9 +109,9 @@
     let text = std::str::from_utf8(field.value).unwrap_or("").trim();
     let names = |word: &str| text.split(',').any(|part| part.trim().eq_ignore_ascii_case(word));
     if is("Content-Length") {
-        let length = text.parse().map_err(|_| Malformed("a length cannot be read"))?;
+        let length = text.parse().map_err(|_| Malformed("invalid Content-Length"))?;
         if matches!(head.body, Body::Length(other) if other != length) {
-            return Err(Malformed("an answer has two lengths"));
+            return Err(Malformed("conflicting Content-Length fields"));
         }
         if head.body == Body::UntilClose {
             head.body = Body::Length(length);
@@ -129,13 +130,13 @@
     Ok(())
 }
 
-/// Seconds with decimals; nothing that is no time, and no more than an hour.
+/// Parses decimal seconds, capped at an hour; `None` for anything but a positive number.
 fn seconds(text: &str) -> Option<Duration> {
     let value: f64 = text.parse().ok()?;
     (value.is_finite() && value > 0.0).then(|| Duration::from_secs_f64(value.min(3600.0)))
 }
 
-/// The value of one name in a list of names and values.
+/// The value of a name in a comma-separated list of `name=value` pairs.
 pub fn pair_value<'a>(text: &'a str, name: &str) -> Option<&'a str> {
     let pairs = text.split(',').filter_map(|pair| pair.split_once('='));
     pairs.filter(|(key, _)| key.trim() == name).map(|(_, value)| value.trim()).next()
@@ -145,13 +146,13 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum Piece {
     Bytes(Bytes),
-    /// Not before more has been read.
+    /// More input is needed.
     More,
     Ended,
 }
 
 impl Body {
-    /// Takes the next part off the buffer.
+    /// Takes the next piece of the body off the buffer.
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Piece, Malformed> {
         loop {
             match self {
@@ -164,7 +165,7 @@
                         return Ok(Piece::More);
                     }
                     if buffer.split_to(2) != b"\r\n"[..] {
-                        return Err(Malformed("a chunk does not end where it should"));
+                        return Err(Malformed("chunk data not followed by CRLF"));
                     }
                     *self = Body::Chunks(None);
                 }
@@ -175,12 +176,16 @@
                         *self = if length == 0 { Body::Trailer } else { Body::Chunks(Some(length)) };
                     }
                     Ok(httparse::Status::Partial) if buffer.len() < MAX_HEAD => return Ok(Piece::More),
-                    _ => return Err(Malformed("a chunk's size cannot be read")),
+                    _ => return Err(Malformed("invalid chunk size")),
                 },
                 Body::Trailer => {
                     let Some(end) = buffer.iter().position(|&b| b == b'\n') else {
                         let long = buffer.len() >= MAX_HEAD;
-                        return if long { Err(Malformed("a trailer is too long")) } else { Ok(Piece::More) };
+                        return if long {
+                            Err(Malformed("trailer exceeds the size limit"))
+                        } else {
+                            Ok(Piece::More)
+                        };
                     };
                     let line = buffer.split_to(end + 1);
                     if line.iter().all(|&b| b == b'\r' || b == b'\n') {
@@ -213,18 +218,18 @@
 }
 
 fn write_fmt(out: &mut BytesMut, text: std::fmt::Arguments) {
-    // Writing to a buffer that grows cannot fail.
+    // Writing to a growable buffer cannot fail.
     let _ = out.write_fmt(text);
 }
 
-/// A mail as a call carries it.
+/// A mail as it is written into a request.
 pub struct Mail<'a> {
     pub id: &'a str,
     pub key: &'a str,
     pub body: &'a [u8],
 }
 
-/// A call with one mail.
+/// Writes a request with a single mail.
 pub fn write_hook(out: &mut BytesMut, host: &str, mail: &Mail, wait: Duration) {
     let (id, key, wait) = (mail.id, mail.key, wait.as_secs_f64());
     let fields = |key: std::fmt::Arguments, out: &mut BytesMut| {
@@ -237,12 +242,12 @@
     }
 }
 
-/// Bytes that a mail takes in a call with several, at most.
+/// Upper bound of the bytes that a mail takes in the body of a batch request.
 pub fn size_in_batch(id: &[u8], key: &[u8], body: &[u8]) -> usize {
     id.len() + key.len() + body.len().div_ceil(3) * 4 + 32
 }
 
-/// A call with several mails. Ids and keys hold nothing that JSON would want escaped.
+/// Writes a request with several mails. Ids and keys contain no characters that JSON has to escape.
 pub fn write_hook_batch(out: &mut BytesMut, host: &str, mails: &[Mail], wait: Duration) {
     let mut body = String::from("[");
     for (i, mail) in mails.iter().enumerate() {
@@ -261,7 +266,7 @@
     write_post(out, "/hook/batch", host, extra_fields, body.as_bytes());
 }
 
-/// What a batch answer says of one mail.
+/// The state of one mail in a batch answer.
 #[derive(Debug, Deserialize, PartialEq, Eq)]
 pub struct Item {
     pub id: String,
--- a/crates/courier/src/link.rs
+++ b/crates/courier/src/link.rs
@@ -1,4 +1,4 @@
-//! One HTTP connection to an endpoint: the I/O under the codec, for calls.
+//! An HTTP connection to an endpoint: the I/O for calls; the codec is in `http`.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -13,10 +13,10 @@
 
 use crate::http::{self, Body, Head, Piece};
 
-/// What has begun of an answer's head is followed by the rest within this time.
+/// Time for the rest of an answer's head after its first byte.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// And a head by its body.
+/// Time for a body after its head.
 const BODY_TIMEOUT: Duration = Duration::from_secs(1);
 
 pub struct HttpConnection {
@@ -28,8 +28,8 @@
     io::Error::new(io::ErrorKind::InvalidData, malformed.0)
 }
 
-/// Whether a byte waits to be read (1), or the other side has ended (0). Guards against what the runtime has not
-/// heard of yet: its own reads ask the system only once it has.
+/// Peeks at the socket: 1 if a byte is waiting, 0 if the peer has closed its side. Asks the operating system
+/// directly, since the runtime may not have seen the socket's readiness yet.
 pub fn peek(stream: &TcpStream) -> io::Result<usize> {
     SockRef::from(stream).peek(&mut [MaybeUninit::uninit(); 1])
 }
@@ -41,12 +41,12 @@
         Ok(HttpConnection { stream, buffer: BytesMut::new() })
     }
 
-    /// Whether an idle connection can carry a request: still open, and nothing unasked has come on it.
+    /// Whether an idle connection can carry a request: it is open and no unexpected bytes have arrived on it.
     pub fn usable(&self) -> bool {
         self.buffer.is_empty() && peek(&self.stream).is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Whether what has come of an answer is a first line that says 200, though no head can be read.
+    /// Whether the received bytes begin with a status line that says 200, although the head cannot be parsed.
     pub fn has_ok_status_line(&self) -> bool {
         http::has_ok_status_line(&self.buffer)
     }
@@ -60,21 +60,22 @@
         self.stream.read_buf(&mut self.buffer).await
     }
 
-    /// The first part of an answer. Interim ones are passed over, however long the real one takes.
+    /// Reads the head of an answer and skips interim (1xx) answers. There is no limit on the time until its
+    /// first byte.
     pub async fn read_head(&mut self) -> io::Result<Head> {
         let mut deadline = None;
         loop {
             if let Some(head) = http::read_head(&mut self.buffer).map_err(invalid_data)? {
                 return Ok(head);
             }
-            // Guards against a head that has begun and never ends, which would hold a slot for nothing.
+            // A head that never ends would hold a slot for nothing.
             deadline =
                 if self.buffer.is_empty() { None } else { deadline.or(Some(Instant::now() + HEAD_TIMEOUT)) };
             let read = match deadline {
                 None => self.fill().await?,
                 Some(deadline) => {
                     let read = timeout_at(deadline, self.fill()).await;
-                    read.map_err(|_| invalid_data(http::Malformed("an answer's head does not end")))??
+                    read.map_err(|_| invalid_data(http::Malformed("answer head not completed in time")))??
                 }
             };
             if read == 0 {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Some more of a body; `None` at its end.
+    /// The next bytes of a body; `None` at its end.
     pub async fn next_piece(&mut self, body: &mut Body) -> io::Result<Option<Bytes>> {
         loop {
             match body.next(&mut self.buffer).map_err(invalid_data)? {
@@ -98,20 +99,23 @@
         }
     }
 
-    /// The body that follows a head that has come.
+    /// Reads the body that follows a head, of at most `max_size` bytes, within `BODY_TIMEOUT`.
     pub async fn read_body(&mut self, body: Body, max_size: usize) -> io::Result<BytesMut> {
         timeout_at(Instant::now() + BODY_TIMEOUT, self.collect_body(body, max_size)).await?
     }
 
-    /// All of a body, which may be no longer than `max_size`.
+    /// Reads a body of at most `max_size` bytes.
     async fn collect_body(&mut self, mut body: Body, max_size: usize) -> io::Result<BytesMut> {
         let mut collected = BytesMut::new();
         if matches!(body, Body::Length(length) if length > max_size as u64) {
-            return Err(io::Error::new(io::ErrorKind::InvalidData, "a body claims to be too long"));
+            return Err(io::Error::new(
+                io::ErrorKind::InvalidData,
+                "declared length of the answer body exceeds the limit",
+            ));
         }
         while let Some(bytes) = self.next_piece(&mut body).await? {
             if collected.len() + bytes.len() > max_size {
-                return Err(io::Error::new(io::ErrorKind::InvalidData, "a body is too long"));
+                return Err(io::Error::new(io::ErrorKind::InvalidData, "answer body exceeds the limit"));
             }
             collected.extend_from_slice(&bytes);
         }
--- a/crates/courier/src/notices.rs
+++ b/crates/courier/src/notices.rs
@@ -1,4 +1,4 @@
-//! Tells the platform of mails that were given up, until it has heard of each.
+//! Sends the platform notices of mails that were given up, until each is acknowledged.
 
 use std::collections::VecDeque;
 use std::fmt::Write;
@@ -20,16 +20,17 @@
 
 const MAX_BATCH: usize = 256;
 const MAX_ANSWER: usize = 64 * 1024;
-/// The platform answers at once; one that hangs is asked again while the answer still counts.
+/// The platform normally answers at once. After this time the notices are sent again while they are still
+/// useful.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
-/// One that it cannot read is sent again, alone, so often.
+/// Interval at which a notice that the platform rejects is sent again, one at a time.
 const UNREADABLE_RETRY: Duration = Duration::from_millis(500);
 const RETRY_PAUSES: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(160));
 
 fn format_lines(notices: &[Notice]) -> String {
     let mut text = String::new();
     for notice in notices {
-        // Ids hold nothing that JSON would want escaped.
+        // Ids contain no characters that JSON has to escape.
         let id = String::from_utf8_lossy(&notice.id);
         let _ = match notice.verdict {
             Verdict::Dead => writeln!(text, "{{\"ref\":\"{id}\",\"result\":\"dead\"}}"),
@@ -43,7 +44,7 @@
     text
 }
 
-/// The first failure in a row is worth a line, the others are not.
+/// Only the first failure in a row is logged as a warning.
 fn failure_level(pause: Duration) -> log::Level {
     if pause == RETRY_PAUSES.0 {
         log::Level::Warn
@@ -58,9 +59,9 @@
 }
 
 impl NoticeSender {
-    /// Sends some notices on the connection that is kept, or a new one; the status of the answer.
+    /// Sends notices on the kept connection or a new one and returns the status of the answer.
     async fn post(&mut self, notices: &[Notice]) -> io::Result<StatusCode> {
-        // One that leads to where the platform was is not used again.
+        // A connection to the platform's former address is not used again.
         let kept = self.connection.take().filter(Connection::is_usable);
         let kept = if self.address.has_changed().unwrap_or(false) { None } else { kept };
         let address = *self.address.borrow_and_update();
@@ -85,9 +86,10 @@
 ) {
     let mut sender = NoticeSender { address: address.clone(), connection: None };
     let mut waiting: VecDeque<Notice> = VecDeque::new();
-    // What the platform could not read, each by itself, and when one of it is sent again.
+    // Notices that the platform rejects singly, and when the next of them is sent again.
     let (mut unreadable, mut retry_at): (VecDeque<Notice>, _) = (VecDeque::new(), Instant::now());
-    // One among the first is looked for; one was heard since the last was put aside.
+    // `searching`: bisecting the first notices for a rejected one. `accepted`: a notice was accepted since
+    // the last rejected one was set aside.
     let (mut searching, mut accepted) = (false, true);
     let (mut batch_size, mut pause) = (MAX_BATCH, RETRY_PAUSES.0);
     loop {
@@ -120,14 +122,14 @@
                 (accepted, pause) = (true, RETRY_PAUSES.0);
                 batch_size = if searching { batch_size } else { MAX_BATCH };
                 if retrying {
-                    // It can read what it could not: the others too, perhaps.
+                    // It accepts what it rejected before, so perhaps the other rejected ones too.
                     waiting.extend(unreadable.drain(..));
                 }
                 continue;
             }
             Ok(Ok(status @ (StatusCode::BAD_REQUEST | StatusCode::PAYLOAD_TOO_LARGE))) => {
-                // One that the platform cannot read must not hold up the others, which are owed to their clients by
-                // now: it is found by halves, without a pause, and put aside.
+                // A notice that the platform rejects must not delay the others, which clients are waiting
+                // for: it is found by bisection, without a pause, and set aside.
                 searching = batch.len() > 1;
                 batch_size = if searching { batch.len() / 2 } else { MAX_BATCH };
                 if searching {
@@ -138,14 +140,15 @@
                     retry_at = Instant::now() + UNREADABLE_RETRY;
                     unreadable.extend(batch);
                 }
-                // Guards against a platform that can read nothing, and gets everything singly without a pause.
+                // A platform that rejects everything must not be sent each notice singly without a pause.
                 if searching || std::mem::take(&mut accepted) {
                     continue;
                 }
             }
             Ok(Ok(status)) => {
                 log::log!(failure_level(pause), "{} notices were answered {status}", batch.len());
-                // Guards against one over which the platform fails: singly from here, it last.
+                // A single notice that makes the platform fail must not block the others: from here they are
+                // sent singly, and this one last.
                 if batch.len() == 1 {
                     waiting.extend(batch);
                 } else {
@@ -169,7 +172,7 @@
     }
 }
 
-/// In their order, before those that wait.
+/// Puts notices back at the front of the queue, in their order.
 fn requeue(waiting: &mut VecDeque<Notice>, batch: Vec<Notice>) {
     batch.into_iter().rev().for_each(|notice| waiting.push_front(notice));
 }
--- a/crates/courier/src/numbers.rs
+++ b/crates/courier/src/numbers.rs
@@ -1,5 +1,5 @@
-//! Numbers of classes over the versions of the settings: what was taken on keeps the number of its class, and the number
-//! means for it what it meant. No I/O.
+//! Numbers of queue classes across versions of the settings. A mail keeps the number of the class that it was
+//! accepted with, and for that mail the rules of the number do not change. No I/O.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -8,29 +8,30 @@
 
 use crate::journal::{Terms, MOST_CLASSES};
 
-/// The module's classes by number.
+/// The queue classes of the decision module, by number.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Classes {
     pub classes: Vec<QueueClass>,
-    /// What a message of each is taken on with.
+    /// The terms under which mails of each class are accepted.
     pub terms: Vec<Terms>,
-    /// Those that a message may be taken on with now.
+    /// The classes that mails can be submitted with now.
     pub by_name: HashMap<Bytes, usize>,
 }
 
-/// What a message keeps of its class to its end.
+/// The part of a class that stays fixed for a mail once it has been accepted.
 fn fixed_rules(c: &QueueClass) -> (meadowhold::interface::Effect, bool, meadowhold::interface::Time, bool) {
     (c.effect, c.dedup_by_zone, c.dedup_window, c.ordered)
 }
 
 impl Classes {
-    /// Those of a version that follows, with at least one class. A class of which only targets and worths change keeps
-    /// its number; one with other rules gets one that nothing is held by (`is_used`), or a new one. What is left goes
-    /// on by its own rules; what a delay of it costs follows the class of its name, or else one that is alike, as after
-    /// a restart.
+    /// The classes under a new version of the settings, which has at least one class. A class whose fixed
+    /// rules are unchanged keeps its number. One with other rules gets a number that no mail uses
+    /// (`is_used`), or a new one. A class that has gone keeps its fixed rules for its remaining mails and
+    /// takes its targets and importance from the class of the same name, or else from one with the same
+    /// effect, as after a restart.
     ///
     /// # Errors
-    /// Words, where too many classes of earlier versions still have messages.
+    /// A message if earlier classes that still have mails leave too few numbers.
     pub fn next_version(
         &self,
         names: &[String],
@@ -40,7 +41,7 @@
         let mut next = Classes { by_name: HashMap::new(), ..self.clone() };
         let mut claimed: BTreeSet<usize> = BTreeSet::new();
         let mut moved = Vec::new();
-        // Of two with one name the last counts, as at a start.
+        // Of two classes with the same name the last one counts, as at a start.
         let last = |&(i, _): &(usize, (&String, _))| !names[i + 1..].contains(&names[i]);
         for (_, (name, class)) in names.iter().zip(new).enumerate().filter(last) {
             let current = self.by_name.get(name.as_bytes()).copied();
--- a/crates/courier/src/resp.rs
+++ b/crates/courier/src/resp.rs
@@ -1,16 +1,16 @@
-//! RESP2 as clients speak it: commands in, answers out. No I/O.
+//! RESP2 codec for clients: parses commands and writes answers. No I/O.
 
 use bytes::{Bytes, BytesMut};
 
 use crate::http::MAX_BODY;
 
-/// A body, with room for the words before it.
+/// The largest command in bytes: a body and the words before it.
 pub const MAX_COMMAND: usize = MAX_BODY + 4096;
 const MAX_WORDS: usize = 16;
-/// A line that counts or measures something is never longer.
+/// The longest line that carries a count or a length.
 const MAX_LINE: usize = 1024;
 
-/// Why the bytes are no command; the connection cannot be read on.
+/// Why the input is not a command. The connection cannot be read any further.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Malformed(pub &'static str);
 
@@ -20,7 +20,7 @@
 }
 
 impl<'a> Scanner<'a> {
-    /// The next line without its end; `None` while it has not all come.
+    /// The next line without its terminator; `None` while it is incomplete.
     fn line(&mut self) -> Result<Option<&'a [u8]>, Malformed> {
         let rest = &self.bytes[self.at..];
         match rest.iter().take(MAX_LINE).position(|&b| b == b'\n') {
@@ -40,8 +40,8 @@
     number.filter(|&n| n <= most).ok_or(Malformed(words))
 }
 
-/// Takes one whole command off the front of the buffer, as slices of it; `None` while it has not all come.
-/// An empty command is an empty line between commands.
+/// Takes one complete command off the buffer, as slices of it; `None` while it is incomplete. An empty line
+/// between commands yields an empty command.
 pub fn read_command(buffer: &mut BytesMut) -> Result<Option<Vec<Bytes>>, Malformed> {
     let mut scanner = Scanner { bytes: buffer, at: 0 };
     let Some(first) = scanner.line()? else { return Ok(None) };
@@ -65,7 +65,7 @@
             scanner.at = end + 2;
         }
     } else {
-        // A line typed by hand: words between blanks.
+        // An inline command: words separated by spaces.
         let mut at = 0;
         for word in first.split(|&b| b == b' ') {
             if !word.is_empty() {
--- a/crates/courier/tests/codecs.rs
+++ b/crates/courier/tests/codecs.rs
@@ -151,7 +151,7 @@
     }
     let mut body = Body::Trailer;
     let mut endless = BytesMut::from(&[b'x'; 20_000][..]);
-    assert_eq!(body.next(&mut endless), Err(http::Malformed("a trailer is too long")));
+    assert_eq!(body.next(&mut endless), Err(http::Malformed("trailer exceeds the size limit")));
 }
 
 #[test]
