--- a/crates/courier/src/exchange.rs
+++ b/crates/courier/src/exchange.rs
@@ -1,5 +1,6 @@
-//! The exchange: where clients and endpoints meet. It owns the decisions, the doors, the mails in hand, the
-//! journal and the timer; it carries out what the module says and tells it what was seen.
+//! The exchange connects clients and endpoints. It owns the decision module (`Control`), the interners, the
+//! mails in hand, the journal and the timer; it carries out the module's actions and reports to it what was
+//! observed.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -27,20 +28,21 @@
 use crate::numbers::Classes;
 use crate::{http, must};
 
-/// What an earlier process took on is offered to the module within this time: all with the first turn. Spread over
-/// 250 ms it lost importance after a mass restart, see `docs/start.md`.
+/// Restored mails are submitted to the decision module within this time: all of them in the first turn.
+/// Spread over 250 ms, mails after a mass restart lost importance; see `docs/start.md`.
 const SUBMITTED_WITHIN: Time = 0;
-/// Whether it is offered by importance and end; else as it was taken. Off: it lost on the bench, see `docs/start.md`.
+/// Whether restored mails are submitted by importance and deadline; otherwise in the order of acceptance.
+/// Off, since it did worse on the bench; see `docs/start.md`.
 const BY_IMPORTANCE: bool = false;
 
-/// The log's target for `list VERSION is in force`, at `trace`, so that it is on only where it is asked for.
+/// Log target of `list VERSION is in force`, at level `trace`, so that it appears only where it is asked for.
 pub const IN_FORCE: &str = "in_force";
-/// Room that is kept for the inputs of a turn.
+/// Capacity that is kept for the inputs of a turn.
 const MAX_KEPT_INPUTS: usize = 16 << 10;
 
 pub type Shared = Rc<RefCell<Exchange>>;
 
-/// The module's clock: the system's at the start of the process, monotonic from then on.
+/// The decision module's clock: the system time at the start of the process, monotonic from then on.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -54,7 +56,7 @@
         Clock { start: Instant::now(), base: to_time(unix), still: false }
     }
 
-    /// A clock that stands still at this time, for tests that play their own.
+    /// A clock fixed at a time, for tests that advance time themselves.
     pub fn still(at: Time) -> Clock {
         Clock { start: Instant::now(), base: at, still: true }
     }
@@ -82,7 +84,7 @@
     Duration::from_micros(time.saturating_mul(100))
 }
 
-/// A mail that a client hands in.
+/// A mail that a client submits.
 pub struct Offer {
     pub id: Bytes,
     pub key: Bytes,
@@ -95,25 +97,27 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// From now on its end is owed; the number is for a client that is gone before it hears so.
+    /// Accepted: from now on the courier must finish the mail. The serial number is for withdrawing it if the
+    /// client leaves before it has read the answer.
     Taken(u64),
-    /// Taken before, and not over.
+    /// Accepted earlier and not finished yet.
     Known,
     Busy,
     Failed(&'static str),
 }
 
-/// A mail of a call.
+/// A mail as part of a call.
 #[derive(Clone, Debug)]
 pub struct CallMail {
     pub serial: u64,
     pub id: Bytes,
     pub key: Bytes,
     pub body: Bytes,
-    /// When its connect is given up, by the module's word.
+    /// When its connect times out, as the decision module set it.
     pub until: Time,
     pub due: Time,
-    /// Only before this may the last byte of its call go out: a repeat is not known as one from then on.
+    /// The last byte of its call must be sent before this: from then on the endpoint may have forgotten the
+    /// key of an earlier connect and would not recognise a repeat.
     pub latest: Time,
 }
 
@@ -121,32 +125,32 @@
 #[derive(Debug)]
 pub struct Call {
     pub endpoint: usize,
-    /// The module's slot that it takes. One that is cut by its size takes one slot for all its parts.
+    /// The decision module's slot. The parts of a call that is split by size share one slot.
     pub slot: usize,
-    /// Where it was when the call was decided on: a number that is never given twice.
+    /// The endpoint's incarnation when the call was decided on. Numbers of incarnations are never reused.
     pub incarnation: u64,
     pub address: Option<SocketAddr>,
-    /// It must not go out on a connection that was kept.
+    /// The call must use a new connection.
     pub new_connection: bool,
     pub mails: Vec<CallMail>,
-    /// Bytes of its body where it carries several mails; a call holds no more than a body may.
+    /// Upper bound of the size of its body as a batch, which is at most `http::MAX_BODY`.
     pub size: usize,
 }
 
-/// What the component that calls endpoints is to do.
+/// Orders to the task that calls endpoints.
 #[derive(Debug)]
 pub enum Order {
     Call(Call),
-    /// Close the idle connections to this place.
+    /// Close the idle connections to this incarnation of an endpoint.
     CloseIdle(u64),
-    /// From here on connections are made within the one time, and kept idle for the other.
+    /// Use these timeouts for opening connections and for keeping them idle from now on.
     SetTimeouts {
         connect_timeout: Duration,
         idle_timeout: Duration,
     },
 }
 
-/// What is to be told to the platform.
+/// A notice to the platform about a mail that was given up.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Notice {
     pub serial: u64,
@@ -154,31 +158,31 @@
     pub verdict: Verdict,
 }
 
-/// What was seen of one mail's connect.
+/// What was observed of one mail's connect.
 #[derive(Clone, Debug)]
 pub struct ConnectReport {
     pub outcome: Outcome,
-    pub over: bool,
-    pub wait: Duration,
+    pub finished: bool,
+    pub retry_after: Duration,
     pub load: Option<String>,
-    /// The call went out on a connection that was kept.
-    pub kept: bool,
+    /// The call used a connection that had carried an earlier one.
+    pub reused_connection: bool,
 }
 
 impl ConnectReport {
-    /// Where nothing but the outcome is known.
+    /// A report of which only the outcome is known.
     pub fn of(outcome: Outcome) -> ConnectReport {
         ConnectReport {
             outcome,
-            over: outcome == Outcome::Relayed,
-            wait: Duration::ZERO,
+            finished: outcome == Outcome::Relayed,
+            retry_after: Duration::ZERO,
             load: None,
-            kept: false,
+            reused_connection: false,
         }
     }
 }
 
-/// An address in half the room that the system's form takes: there is one for each entry of the list.
+/// A socket address in half the size of `SocketAddr`: one is kept for each entry of the list.
 #[derive(PartialEq, Eq)]
 enum Address {
     Unreadable,
@@ -205,19 +209,19 @@
 }
 
 struct EndpointState {
-    /// Given anew when its address or process changes; 0: it is no more.
+    /// Replaced when the endpoint's address or process changes; 0 if the index is unused.
     incarnation: u64,
     address: Address,
     since: u64,
-    /// As sends to it are put on file.
+    /// The number of its zone in the journal.
     zone: u16,
     kind: u32,
-    group: u64,
-    /// It was told of as ready last, whether the module has read so or not.
+    destination: u64,
+    /// Ready according to the latest list, even if the decision module has not read it yet.
     ready: bool,
 }
 
-/// Figures since the start, for the log.
+/// Counts since the start of the process, for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     pub taken: u64,
@@ -229,43 +233,44 @@
     pub late: u64,
     pub hangups: u64,
     pub compactions: u64,
-    /// Lists, or changes, of a lower version than what came before.
+    /// Lists or changes with a lower version than an earlier one.
     pub older: u64,
-    /// Notes to and from other couriers.
+    /// Notes sent to and received from other couriers.
     pub told: u64,
     pub heard: u64,
-    /// What must hold and did not.
+    /// Violated invariants.
     pub broken: u64,
 }
 
 pub struct Exchange {
     control: Control,
     pub clock: Clock,
-    names: Names,
+    names: NameTable,
     max_open: usize,
     batch_limits: Vec<usize>,
-    /// Kinds whose endpoints are limited each on its own.
+    /// For each kind, whether its endpoints are limited individually rather than per destination.
     limited_alone: Vec<bool>,
-    /// The module's classes: those of the settings, and what stands for such as an earlier process or version left.
+    /// The queue classes by number: those of the settings, and those that mails of an earlier process or
+    /// version still use.
     classes: Classes,
-    turn_gap: Time,
+    ordering_gap: Time,
     resolution: Time,
     mail_serials: Interner<u64>,
     endpoint_names: Interner<Box<[u8]>>,
     destinations: Interner<u64>,
     order_keys: Interner<Bytes>,
-    /// Endpoints by index.
+    /// Endpoints by their index in `endpoint_names`.
     endpoints: Vec<EndpointState>,
-    /// Connects that have no outcome yet, by the index of their mail.
+    /// Connects in flight, by the index of their mail.
     connects_out: Vec<Option<Flight>>,
-    /// What is to be left alone by what the module has not read yet.
+    /// Units that are to be left alone by inputs that the decision module has not read yet.
     paused_units: Vec<audit::Unit>,
     owed: BTreeMap<u64, Owed>,
     ids: HashMap<Bytes, u64>,
     rests: Vec<(Bytes, Time)>,
-    /// What an earlier process took on, until it goes to the module.
+    /// Restored mails that have not been submitted to the decision module yet.
     backlog: Backlog,
-    open: usize,
+    open_mails: usize,
     next_serial: u64,
     next_incarnation: u64,
     journal: Journal,
@@ -277,34 +282,34 @@
     turns: u64,
     last_turn: Time,
     stopped: bool,
-    /// The agent was not asked yet: no turns, so that no call begins.
+    /// Turns are held back, so that no call begins, until the discovery agent has been asked.
     turns_held: bool,
     notify: Rc<Notify>,
     orders: UnboundedSender<Order>,
     notices: UnboundedSender<Notice>,
-    /// What goes to the other couriers, where there are any.
-    news: Option<UnboundedSender<(Bytes, PeerNote)>>,
-    /// Version of the list that was taken up last, and the last by which a turn was taken.
+    /// Notes to the other couriers, if there are any.
+    notes: Option<UnboundedSender<(Bytes, PeerNote)>>,
+    /// Version of the latest list, and of the list as of the last turn.
     index: u64,
     in_force: u64,
-    /// What the audit counts beside the books.
+    /// Independent counts for the audit.
     tally: Tally,
     pub counts: Counts,
-    /// Which version of the settings is in force, and what came of others.
+    /// The version of the settings in force, and rejected ones.
     pub versions: Versions,
 }
 
-/// What a courier states of versions of its settings.
+/// What a courier reports about versions of its settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Versions {
-    /// The number of the one in force, and since when.
+    /// The number of the version in force, and since when.
     pub in_force: Option<(u64, Time)>,
-    /// In words, the last one that was turned down since then, with every fault.
+    /// Message about the last version rejected since then, with all faults.
     pub rejected: Option<String>,
 }
 
 impl Versions {
-    /// `None` where there are none.
+    /// One line for the log; `None` if the settings have no version.
     pub fn summary(&self, now: Time) -> Option<String> {
         let (number, since) = self.in_force?;
         let age = now.saturating_sub(since) / SECOND;
@@ -313,23 +318,23 @@
     }
 }
 
-/// What names on the sockets stand for.
-struct Names {
-    /// Those of the settings, and then those that only a list or a later version has named.
+/// Numbers of the names used in the protocols.
+struct NameTable {
+    /// Zones of the settings, then those that only a list or a later version has named.
     zones: Vec<String>,
-    /// So many of them have a number that the journal knows.
-    on_file: usize,
-    /// Those of all versions so far, by number.
+    /// The first so many zones have a number that the journal knows.
+    zones_in_journal: usize,
+    /// Kinds of all versions so far, by number.
     kinds: Vec<String>,
-    /// The number of a kind that is none of them.
-    other: usize,
+    /// The number used for unknown kinds.
+    other_kind: usize,
     report: [Option<usize>; 2],
     fields: Vec<String>,
 }
 
-impl Names {
-    /// The module's number of a zone. Guards against two zones, neither of which the settings name, that would
-    /// be held to be one: a key that is known in one of them is not known in the other.
+impl NameTable {
+    /// The number of a zone. Each zone that the settings do not name gets its own number: a key known in one
+    /// of them is not known in another.
     fn zone(&mut self, text: &str) -> usize {
         let zone = normalized_name(text);
         let at = self.zones.iter().position(|known| *known == zone).unwrap_or(self.zones.len());
@@ -339,7 +344,7 @@
         at.min(usize::from(NO_ZONE))
     }
 
-    /// What a load report says of the limit.
+    /// Reads the limit from a load report.
     fn report(&self, load: &str) -> Option<LimitReport> {
         let value = |place: Option<usize>| -> Option<f64> {
             let value: f64 = http::pair_value(load, self.fields.get(place?)?)?.parse().ok()?;
@@ -355,19 +360,19 @@
         (journal, found): (Journal, Found),
         orders: UnboundedSender<Order>,
         notices: UnboundedSender<Notice>,
-        news: Option<UnboundedSender<(Bytes, PeerNote)>>,
+        notes: Option<UnboundedSender<(Bytes, PeerNote)>>,
     ) -> Exchange {
-        Exchange::with_clock(Clock::new(), decoded, (journal, found), orders, notices, news)
+        Exchange::with_clock(Clock::new(), decoded, (journal, found), orders, notices, notes)
     }
 
-    /// The same, by a clock that a test may hold.
+    /// The same with a given clock, for tests.
     pub fn with_clock(
         clock: Clock,
         decoded: Decoded,
         (journal, mut found): (Journal, Found),
         orders: UnboundedSender<Order>,
         notices: UnboundedSender<Notice>,
-        news: Option<UnboundedSender<(Bytes, PeerNote)>>,
+        notes: Option<UnboundedSender<(Bytes, PeerNote)>>,
     ) -> Exchange {
         let deployment = deployment(&decoded);
         let Decoded {
@@ -389,17 +394,24 @@
             terms.extend(more.collect::<Vec<_>>());
         }
         let by_name = classes.into_iter().enumerate().map(|(i, class)| (Bytes::from(class), i)).collect();
-        // The module has one kind at least.
+        // The decision module has at least one kind.
         kinds.resize(settings.kinds.len(), String::new());
         let (folder, allowance) = journal.place();
         let mut exchange = Exchange {
             keeper: Keeper::new(folder, allowance, deployment),
-            names: Names { zones, on_file: 0, other: kinds.len() - 1, kinds, report, fields },
+            names: NameTable {
+                zones,
+                zones_in_journal: 0,
+                other_kind: kinds.len() - 1,
+                kinds,
+                report,
+                fields,
+            },
             max_open: settings.max_mails,
             batch_limits: settings.kinds.iter().map(|kind| kind.max_batch).collect(),
             limited_alone: settings.kinds.iter().map(|kind| kind.per_endpoint_limits).collect(),
             classes: Classes { classes: settings.classes.clone(), terms, by_name },
-            turn_gap: settings.ordering_gap,
+            ordering_gap: settings.ordering_gap,
             resolution: settings.timer_resolution,
             control: Control::new(settings),
             clock,
@@ -414,7 +426,7 @@
             ids: HashMap::new(),
             rests: Vec::new(),
             backlog: Backlog::default(),
-            open: 0,
+            open_mails: 0,
             next_serial: found.owed.keys().next_back().map_or(1, |last| last + 1),
             next_incarnation: 1,
             journal,
@@ -429,7 +441,7 @@
             notify: Rc::default(),
             orders,
             notices,
-            news,
+            notes,
             index: 0,
             in_force: 0,
             tally: Tally { found: found.owed.len() as u64, ..Tally::default() },
@@ -440,27 +452,29 @@
         exchange
     }
 
-    /// What an earlier process took on comes back: as it was taken, or by importance, then by its end.
+    /// Restores the mails of an earlier process, in the order of acceptance, or by importance and then
+    /// deadline.
     fn restore(&mut self, mut found: Found) {
         let now = self.clock.now();
-        // Guards against a repeat that goes where its key is not known, since zones were named or numbered otherwise.
+        // If zones are named or numbered differently now, the zone of an earlier connect is unknown. A repeat
+        // must not go to a zone where its key is not known.
         let zones = Bytes::from(self.names.zones.join(","));
         let known = found.zones == zones;
         if !known {
             found.owed.values_mut().for_each(Owed::forget_zones);
         }
-        // What cannot be put on file is not used: sends are then to no zone that a later process knows.
+        // Zone numbers that are not in the journal are not used: connects are then recorded without a zone.
         if known || self.append_record(&Record::Zones { names: &zones }) {
-            self.names.on_file = self.names.zones.len();
+            self.names.zones_in_journal = self.names.zones.len();
         }
         let mut mails = Vec::with_capacity(found.owed.len());
         let mut keys: HashMap<Bytes, u64> = HashMap::new();
         self.rests = found.rests;
         for (serial, mut owed) in found.owed {
-            // A connect that was out when the process ended may have run, and may be running.
+            // A connect in flight when the process ended may have run, and may still be running.
             let out = owed.out.take();
             owed.ran = owed.ran.or(out);
-            // Guards against a clock that was set back: how long ago that was cannot be known.
+            // If the clock was set back, the time of the connect is unknown.
             owed.ran = owed.ran.map(|(at, zone)| (if at > now { 0 } else { at }, zone));
             if out.is_some() && !owed.item.is_empty() {
                 self.rests.push((owed.item.clone(), now));
@@ -470,11 +484,11 @@
             match owed.verdict {
                 Some(verdict) => self.send_notice(Notice { serial, id: owed.id.clone(), verdict }),
                 None if !BY_IMPORTANCE => {
-                    self.open += 1;
+                    self.open_mails += 1;
                     self.submit(serial, &owed);
                 }
                 None => {
-                    self.open += 1;
+                    self.open_mails += 1;
                     let next = keys.len() as u64;
                     let key = self.is_ordered(&owed).then(|| *keys.entry(owed.item.clone()).or_insert(next));
                     let importance = self.classes.classes[usize::from(owed.class)].importance;
@@ -496,15 +510,15 @@
         }
     }
 
-    /// Whether a mail keeps its order among those of its key.
+    /// Whether a mail is kept in order with the others of its key.
     fn is_ordered(&self, owed: &Owed) -> bool {
         !owed.item.is_empty() && self.classes.classes[usize::from(owed.class)].ordered
     }
 
-    /// What an earlier process took on and is to be offered by now goes to the module.
+    /// Submits the restored mails that are due by now to the decision module.
     fn submit_backlog(&mut self, now: Time) {
         while let Some(serial) = self.backlog.pop_due(now) {
-            // One that turned out to be over meanwhile is owed nothing.
+            // A mail that has been finished meanwhile is skipped.
             if let Some(owed) = self.owed.remove(&serial) {
                 self.submit(serial, &owed);
                 self.owed.insert(serial, owed);
@@ -512,7 +526,7 @@
         }
     }
 
-    /// A mail goes to the module.
+    /// Submits a mail to the decision module.
     fn submit(&mut self, serial: u64, owed: &Owed) {
         let class = usize::from(owed.class);
         let ordered = self.is_ordered(owed);
@@ -535,12 +549,12 @@
             self.counts.failed += 1;
             return Answer::Failed("ERR unknown class");
         };
-        // One that no list has named is none, and would never be served.
+        // A destination that no list has named does not exist, and its mails would never be relayed.
         let Some(dest) = self.destinations.get(&offer.destination) else {
             self.counts.failed += 1;
             return Answer::Failed("ERR unknown destination");
         };
-        // Guards against a client that sends again what it was not sure to have handed in.
+        // A client may submit a mail again if it is not sure that it was accepted.
         if self.ids.contains_key(&offer.id) {
             return Answer::Known;
         }
@@ -558,8 +572,8 @@
             ..Owed::default()
         };
         let serial = self.next_serial;
-        log::debug!("mail {serial} for {} of class {class} has come", owed.dest);
-        if self.open >= self.max_open
+        log::debug!("mail {serial} of class {class} for destination {} received", owed.dest);
+        if self.open_mails >= self.max_open
             || self.control.would_reject(dest, class, owed.due)
             || !self.journal.has_room(&owed)
             || !self.append_record(&Record::Taken { serial, owed: &owed })
@@ -570,23 +584,23 @@
         self.next_serial += 1;
         self.counts.taken += 1;
         let (id, lifetime) = (String::from_utf8_lossy(&owed.id), owed.due - owed.since);
-        log::debug!("message {id} taken on as {serial}, {} ms", lifetime / 10);
+        log::debug!("message {id} accepted as mail {serial}, lifetime {} ms", lifetime / 10);
         self.ids.insert(owed.id.clone(), serial);
-        // Guards against a mail that overtakes one of its key which an earlier process took on.
+        // A restored mail of the same key must not be overtaken.
         let same = |old: u64| self.owed.get(&old).is_some_and(|old| old.item == owed.item);
         if self.is_ordered(&owed) && self.backlog.waiting().any(same) {
             self.submit_backlog(Time::MAX);
         }
-        self.open += 1;
+        self.open_mails += 1;
         self.submit(serial, &owed);
         self.owed.insert(serial, owed);
         Answer::Taken(serial)
     }
 
-    /// What other settings would make of the numbers that are in use; nothing is changed.
+    /// Computes the class numbers under other settings, without changing anything.
     ///
     /// # Errors
-    /// The place, and words, of what cannot be.
+    /// The setting at fault and a message.
     pub fn plan_classes(&self, decoded: &Decoded) -> Result<Classes, (&'static str, &'static str)> {
         let used = self.owed.values().filter(|owed| owed.verdict.is_none());
         let used: BTreeSet<usize> = used.map(|owed| usize::from(owed.class)).collect();
@@ -595,8 +609,9 @@
         after.map_err(|words| ("setting Profiles", words))
     }
 
-    /// These settings are in force from here on, between two turns; `classes` as `plan_classes` had them just now. The same
-    /// kinds must be apart as before. What is out or taken on stays as it is.
+    /// Puts settings in force, between two turns. `classes` is the result of `plan_classes` just before; the
+    /// kinds with individually limited endpoints must be the same as before. Accepted mails and calls in
+    /// flight are not affected.
     pub fn apply_settings(&mut self, decoded: Decoded, classes: Classes) {
         let Decoded { settings, report_positions: report, report_fields: fields, zones, kinds, .. } = decoded;
         let names = &mut self.names;
@@ -617,7 +632,7 @@
                 self.limited_alone.push(kind.per_endpoint_limits);
             }
             self.batch_limits[at] = kind.max_batch;
-            names.other = at;
+            names.other_kind = at;
         }
         (names.report, names.fields) = (report, fields);
         let by_number = self.batch_limits.iter().zip(&self.limited_alone);
@@ -630,7 +645,7 @@
             ..settings
         };
         self.classes = classes;
-        (self.max_open, self.turn_gap, self.resolution) =
+        (self.max_open, self.ordering_gap, self.resolution) =
             (settings.max_mails, settings.ordering_gap, settings.timer_resolution);
         let timeouts = (duration(settings.connection_timeout), duration(settings.idle_timeout));
         let _ =
@@ -639,26 +654,26 @@
         self.notify.notify_one();
     }
 
-    /// Rests that are over need not be kept.
+    /// Drops ordering gaps that have elapsed.
     fn drop_elapsed_rests(&mut self) {
         let now = self.clock.now();
-        self.rests.retain(|(_, since)| since + self.turn_gap > now);
+        self.rests.retain(|(_, since)| since + self.ordering_gap > now);
     }
 
-    /// Puts a record on file; whether it is there.
+    /// Appends a record to the journal; false if it could not be written.
     fn append_record(&mut self, record: &Record) -> bool {
         if self.journal.is_grown(record) {
             self.drop_elapsed_rests();
             self.counts.compactions += 1;
             if let Err(e) = self.journal.compact(&self.owed, &self.rests) {
-                // One line for as long as it lasts.
+                // Warns once for as long as the failure lasts.
                 let level = if self.journal_failed { log::Level::Debug } else { log::Level::Warn };
                 log::log!(level, "the journal cannot be written anew: {e}");
             }
         }
         let written = self.journal.append(record);
         if let Err(e) = &written {
-            // One line for as long as it lasts.
+            // Warns once for as long as the failure lasts.
             if std::mem::replace(&mut self.journal_failed, true) {
                 log::debug!("the journal still cannot be written: {e}");
             } else {
@@ -670,30 +685,31 @@
         true
     }
 
-    /// Nothing more is owed for a mail.
+    /// Finishes a mail: nothing more has to be done for it.
     fn finish(&mut self, serial: u64) {
         if !self.owed.contains_key(&serial) {
             return;
         }
-        // Before it is forgotten. Guards against a file that is written anew for this record: it would speak of
-        // a mail that the file does not hold. Where this can't be noted the mail comes back after a restart, as
-        // one that may have run.
+        // Recorded before the mail is removed. Otherwise a compaction triggered by this record would write a
+        // journal with a record of a mail that it does not contain. If the record cannot be written the mail
+        // is restored after a restart, as one that may have run.
         self.append_record(&Record::Over { serial });
         if let Some(owed) = self.owed.remove(&serial) {
             self.ids.remove(&owed.id);
             self.tally.ended += 1;
             self.journal.shrink(weight(&owed));
-            self.open -= usize::from(owed.verdict.is_none());
+            self.open_mails -= usize::from(owed.verdict.is_none());
         }
     }
 
-    /// The client was gone before it heard that its mail was taken, or the mail turned out to be over.
-    pub fn hangup(&mut self, serial: u64) {
+    /// Withdraws a mail whose client left before it could read the acceptance, or that was relayed late.
+    pub fn client_gone(&mut self, serial: u64) {
         if self.owed.get(&serial).is_some_and(|owed| owed.verdict.is_none()) {
             self.counts.hangups += 1;
             self.finish(serial);
             if let Some(mail) = self.mail_serials.get(&serial) {
-                // Guards against an outcome that the module reads first, giving up a mail that is over.
+                // The decision module must read this before an outcome, which could make it give up the
+                // finished mail.
                 let ended =
                     |input: &Input| matches!(input, Input::ConnectResult(ended) if ended.mail == mail);
                 let at = self.inputs.iter().position(ended).unwrap_or(self.inputs.len());
@@ -703,15 +719,15 @@
         }
     }
 
-    /// A connect that had its outcome turns out to have been served after all.
+    /// A connect that was already reported as timed out was relayed after all.
     pub fn relayed_late(&mut self, serial: u64) {
         if self.owed.contains_key(&serial) {
             self.counts.late += 1;
-            self.hangup(serial);
+            self.client_gone(serial);
         }
     }
 
-    /// What another courier saw of an endpoint; nothing if the list has not named it here.
+    /// A note of another courier about an endpoint. Ignored if the list has not named the endpoint here.
     pub fn note_received(&mut self, name: &[u8], note: PeerNote) {
         if let Some(endpoint) = self.endpoint_names.get(name) {
             self.counts.heard += 1;
@@ -725,35 +741,35 @@
         }
     }
 
-    /// The platform has heard of a mail's end.
+    /// The platform has acknowledged the notice of a mail.
     pub fn notice_accepted(&mut self, serial: u64) {
         self.finish(serial);
     }
 
     fn send_notice(&mut self, notice: Notice) {
-        // The other end is there as long as the process runs.
+        // The receiver lives as long as the process.
         let _ = self.notices.send(notice);
     }
 
-    /// Begins with the newer of the list that was kept and the one that the configuration knows. `ours`: whether what was
-    /// kept for another deployment than this one, as `memory::deployment` has it, is ours all the same.
+    /// Starts with the saved list or the one in the configuration, whichever is newer. `ours` tells whether a
+    /// list that was saved for another deployment (`memory::deployment`) may be used.
     pub fn recall(&mut self, known: List, ours: impl Fn(&str) -> bool) {
         let list = self.keeper.recall(known, self.clock.now(), ours);
         self.apply_list(&list);
     }
 
-    /// The list, or changes to it.
+    /// Applies a list, or changes to it.
     pub fn listed(&mut self, list: &List) {
         self.apply_list(&Update::from(list));
     }
 
-    /// The same, as it was read.
+    /// The same for a list in its compact form.
     pub fn apply_list(&mut self, list: &Update) {
         if list.index < self.index {
-            // Counted and taken up: only who follows the list knows whether another agent counts versions of its
-            // own, and refusing those for good would be worse than an old line.
+            // Counted, but applied: only the task that follows the list can tell whether another agent uses
+            // its own version numbers, and rejecting those forever would be worse than an outdated entry.
             self.counts.older += 1;
-            log::warn!("a list of version {} came after version {}", list.index, self.index);
+            log::warn!("list version {} is lower than the earlier version {}", list.index, self.index);
         }
         self.index = list.index;
         self.tally.listed(list.index);
@@ -762,10 +778,10 @@
         self.inputs.push(Input::ListBegin { complete: list.whole });
         let mut places: Option<(&str, &str, usize, usize)> = None;
         for entry in list.entries.iter() {
-            // Most entries name the zone and the kind that the one before named.
+            // Most entries have the same zone and kind as the one before.
             if places.is_none_or(|(zone, kind, ..)| (zone, kind) != (entry.zone, entry.kind)) {
                 let kind = self.names.kinds.iter().position(|kind| *kind == normalized_name(entry.kind));
-                let kind = kind.unwrap_or(self.names.other);
+                let kind = kind.unwrap_or(self.names.other_kind);
                 places = Some((entry.zone, entry.kind, self.names.zone(entry.zone), kind));
             }
             let (zone, kind) = places.map_or((0, 0), |(.., zone, kind)| (zone, kind));
@@ -778,23 +794,23 @@
                 Some(endpoint) => endpoint,
             };
             let incarnation = self.next_incarnation;
-            let on_file = if zone < self.names.on_file { zone as u16 } else { NO_ZONE };
+            let on_file = if zone < self.names.zones_in_journal { zone as u16 } else { NO_ZONE };
             let (zone_on_file, kind_of) = (on_file, kind as u32);
             let new = EndpointState {
                 incarnation,
                 address,
                 since,
                 zone: zone_on_file,
-                group,
+                destination: group,
                 kind: kind_of,
                 ready: false,
             };
             match self.endpoints.get_mut(endpoint) {
                 None => self.endpoints.push(new),
                 Some(old) if old.incarnation == 0 => *old = new,
-                // Guards against a name that turns up at another destination: mails for the old one stay away.
-                Some(old) if old.group != group => life = EndpointStatus::Removed,
-                // Moved or started anew: what is open leads nowhere.
+                // The name has moved to another destination: mails for the old one must not go there.
+                Some(old) if old.destination != group => life = EndpointStatus::Removed,
+                // Moved or restarted: open connections lead nowhere.
                 Some(old) if old.address != new.address || old.since != since => {
                     (old.address, old.since) = (new.address, since);
                     let left = std::mem::replace(&mut old.incarnation, incarnation);
@@ -805,7 +821,7 @@
             self.next_incarnation += 1;
             let peer = &mut self.endpoints[endpoint];
             peer.ready = life == EndpointStatus::Ready;
-            let group = peer.group;
+            let group = peer.destination;
             self.inputs.push(Input::ListEntry(ListEntry {
                 endpoint,
                 destination: self.destinations.intern(group),
@@ -819,9 +835,9 @@
         self.notify.notify_one();
     }
 
-    /// Until when the last byte of a mail's call may go out. Guards against a repeat after the time for which its
-    /// key is known, counted from the first connect that may have run: its call may have waited for a connection,
-    /// and the file has it from an earlier process.
+    /// Until when the last byte of a mail's call may be sent. A repeat must arrive while its key is still
+    /// known, counted from the first connect that may have run, also across a wait for a connection or a
+    /// restart.
     fn send_deadline(&self, owed: &Owed) -> Time {
         let class = &self.classes.classes[usize::from(owed.class)];
         match (owed.ran, class.effect) {
@@ -831,12 +847,13 @@
         }
     }
 
-    /// Just before the first byte of a call goes out: which of its mails still go, with their connects on
-    /// file. None where its endpoint has moved, has been told of as leaving, or is to be left alone, since.
+    /// Called just before the first byte of a call is sent. Returns the mails that are still to be sent, with
+    /// their connects recorded in the journal; none if the endpoint has moved, is draining or is to be left
+    /// alone by now.
     pub fn begin(&mut self, call: &Call, mails: Vec<CallMail>) -> Vec<CallMail> {
         let now = self.clock.now();
         let (endpoint, unit) = (call.endpoint, self.unit(call.endpoint));
-        // Guards against a call that begins between what was told and the turn in which the module reads it.
+        // Inputs that the decision module has not read yet count too.
         let may = !self.stopped
             && !self.paused_units.contains(&unit)
             && self.endpoints[endpoint].ready
@@ -847,7 +864,7 @@
         for carried in mails {
             let serial = carried.serial;
             let owed = self.owed.contains_key(&serial);
-            // Guards against a mail whose time passed while its call waited for a connection.
+            // A mail may have expired while its call waited for a connection.
             let in_time = now < carried.until.min(carried.latest);
             if may && owed && in_time && self.append_record(&Record::Out { serial, sent }) {
                 let owed = self.owed.get_mut(&serial);
@@ -875,13 +892,13 @@
         going
     }
 
-    /// Whether the endpoint of a call is still where it was when the call was decided on.
+    /// Whether the endpoint of a call has neither moved nor restarted since the call was decided on.
     pub fn is_current(&self, call: &Call) -> bool {
         self.endpoints[call.endpoint].incarnation == call.incarnation
     }
 
-    /// The outcome of one mail's connect.
-    pub fn connect_ended(&mut self, serial: u64, result: ConnectReport) {
+    /// Takes the outcome of one mail's connect.
+    pub fn connect_ended(&mut self, serial: u64, report: ConnectReport) {
         let now = self.clock.now();
         let mail = self.mail_serials.get(&serial);
         let started = mail.and_then(|mail| self.connects_out.get_mut(mail)?.take());
@@ -889,16 +906,16 @@
             must!(self.counts.broken, false, "an outcome came for a connect that is not out");
             return;
         };
-        let ConnectReport { outcome, over, wait, load, kept } = result;
+        let ConnectReport { outcome, finished, retry_after, load, reused_connection } = report;
         self.tally.landed += 1;
-        if wait > Duration::ZERO {
+        if retry_after > Duration::ZERO {
             let unit = self.unit(endpoint);
             self.paused_units.push(unit);
-            self.tally.hold(unit, now + to_time(wait));
+            self.tally.hold(unit, now + to_time(retry_after));
         }
         self.counts.relayed += u64::from(outcome == Outcome::Relayed);
         let (ran, rests) = (!outcome.never_ran(), outcome.may_still_run());
-        if over {
+        if finished {
             self.finish(serial);
         } else if let Some(owed) = self.owed.get_mut(&serial) {
             let sent = owed.out.take();
@@ -911,7 +928,7 @@
             }
         }
         log::debug!(
-            "mail {serial}: {outcome:?} after {} ms, wait {wait:?}",
+            "mail {serial}: {outcome:?} after {} ms, retry after {retry_after:?}",
             now.saturating_sub(started) / 10
         );
         let report = load.and_then(|load| self.names.report(&load));
@@ -919,23 +936,23 @@
         self.inputs.push(Input::ConnectResult(ConnectResult {
             mail,
             outcome,
-            finished: over,
-            retry_after: to_time(wait),
+            finished,
+            retry_after: to_time(retry_after),
             duration: took,
-            reused_connection: kept,
+            reused_connection,
             limit_report: report,
         }));
         self.notify.notify_one();
     }
 
-    /// One turn of the module, and its actions.
+    /// Gives the decision module one turn and carries out its actions.
     pub fn turn(&mut self) {
         if self.stopped || self.turns_held {
             return;
         }
         let now = self.clock.now();
         if self.last_turn == 0 {
-            // The pace begins with the turns.
+            // The pace of restored mails starts with the first turn.
             let together = self.batch_limits.iter().copied().max().unwrap_or(1);
             self.backlog.set_pace(
                 now,
@@ -947,7 +964,7 @@
         let mut actions = std::mem::take(&mut self.actions);
         self.wake = self.control.step(now, &self.inputs, &mut actions);
         self.inputs.clear();
-        // A long list has gone through it.
+        // A long list may have grown it.
         self.inputs.shrink_to(MAX_KEPT_INPUTS);
         self.paused_units.clear();
         let mut calls: Vec<Call> = Vec::new();
@@ -967,12 +984,12 @@
                     let _ = self.orders.send(Order::CloseIdle(left));
                     self.endpoint_names.release(endpoint);
                 }
-                // A watch is always kept open.
+                // The list is always watched.
                 Action::RequestList => {}
                 Action::SendNote { endpoint, note } => {
-                    if let (Some(notes), Some(name)) = (&self.news, self.endpoint_names.id(endpoint)) {
+                    if let (Some(sender), Some(name)) = (&self.notes, self.endpoint_names.id(endpoint)) {
                         self.counts.told += 1;
-                        let _ = notes.send((Bytes::copy_from_slice(name), note));
+                        let _ = sender.send((Bytes::copy_from_slice(name), note));
                     }
                 }
                 Action::FreeMail(mail) => self.mail_serials.release(mail),
@@ -993,29 +1010,29 @@
                 must!(self.counts.broken, false, "the audit found: {fault}");
             }
         }
-        // Last, for it takes time that counts against the calls.
+        // Last, since it takes time that would delay the calls.
         self.keeper.save(now);
     }
 
-    /// What is limited, and told to wait, as one with this endpoint.
+    /// The unit of limits and waits that an endpoint belongs to.
     fn unit(&self, endpoint: usize) -> audit::Unit {
         let peer = &self.endpoints[endpoint];
         match self.limited_alone.get((peer.kind as usize).min(self.limited_alone.len() - 1)) {
             Some(true) => audit::Unit::Route(endpoint),
-            _ => audit::Unit::Dest(peer.group),
+            _ => audit::Unit::Dest(peer.destination),
         }
     }
 
-    /// What does not hold of the books, after a turn, in words.
+    /// Checks the invariants between two turns and describes each violation.
     pub fn audit(&self) -> Vec<String> {
         audit::faults(&Books {
             control: &self.control,
             owed: &self.owed,
             ids: &self.ids,
-            open: self.open,
+            open: self.open_mails,
             flying: &self.connects_out,
             mails: &self.mail_serials,
-            groups: &|endpoint| self.endpoints[endpoint].group,
+            groups: &|endpoint| self.endpoints[endpoint].destination,
             on_file: self.journal.live(),
             taken: self.counts.taken,
             index: self.index,
@@ -1024,7 +1041,8 @@
         })
     }
 
-    /// Spoils one book, so that a test can show that the audit sees it; false where there is nothing to spoil.
+    /// Corrupts one count or table, so that a test can show that the audit detects it; false if there is
+    /// nothing to corrupt.
     #[cfg(any(debug_assertions, feature = "spoil"))]
     pub fn spoil(&mut self, what: &str) -> bool {
         let flight = self.connects_out.iter().position(|flight| flight.is_some_and(|flight| flight.begun));
@@ -1032,7 +1050,7 @@
         match (what, flight, first) {
             ("taken", ..) => self.counts.taken += 1,
             ("ended", ..) => self.tally.ended += 1,
-            ("open mails", ..) => self.open += 1,
+            ("open mails", ..) => self.open_mails += 1,
             ("an id", _, Some(first)) => {
                 let id = self.owed[&first].id.clone();
                 self.ids.insert(id, first + 1);
@@ -1057,7 +1075,7 @@
             }
             ("a group", Some(mail), _) => {
                 let endpoint = self.connects_out[mail].map_or(0, |flight| flight.endpoint);
-                self.endpoints[endpoint].group += 1;
+                self.endpoints[endpoint].destination += 1;
             }
             ("a mail twice", Some(mail), _) => {
                 let copy = self.connects_out[mail];
@@ -1077,12 +1095,12 @@
         true
     }
 
-    /// What is owed in hand and is not so on file, in words.
+    /// Describes each difference between the mails in hand and those in the journal.
     pub fn audit_file(&self, found: &Found) -> Vec<String> {
         audit::file_faults(&self.owed, found)
     }
 
-    /// A connect joins the round's call to its endpoint while that has room.
+    /// Adds a connect to this turn's call in the same slot, or starts a new call if that one is full.
     fn add_connect(
         &mut self,
         calls: &mut Vec<Call>,
@@ -1093,16 +1111,16 @@
     ) {
         let serial = self.mail_serials.id(mail).copied();
         let Some((serial, owed)) = serial.and_then(|serial| Some((serial, self.owed.get(&serial)?))) else {
-            must!(self.counts.broken, false, "a connect was asked for a mail that is not in hand");
+            must!(self.counts.broken, false, "connect requested for an unknown mail");
             return;
         };
         if mail >= self.connects_out.len() {
             self.connects_out.resize(mail + 1, None);
         }
-        must!(self.counts.broken, self.connects_out[mail].is_none(), "a mail has two connects out at once");
+        must!(self.counts.broken, self.connects_out[mail].is_none(), "a mail has two connects in flight");
         self.tally.begun += 1;
         log::debug!(
-            "mail {serial} for {}: connect to endpoint {endpoint}, {}",
+            "mail {serial} for destination {}: connect to endpoint {endpoint}, timeout {}",
             owed.dest,
             until - self.last_turn
         );
@@ -1119,7 +1137,7 @@
         let most = self.batch_limits[(peer.kind as usize).min(self.batch_limits.len() - 1)];
         let size = http::size_in_batch(&carried.id, &carried.key, &carried.body);
         let fits = |c: &Call| c.mails.len() < most && c.size + size <= http::MAX_BODY;
-        // Guards against two of the module's calls made one: a trial would carry several mails.
+        // Two calls of the decision module must not be merged: a probe would carry several mails.
         let slot = self.control.call_of(mail).map_or(usize::MAX, |(slot, _)| slot);
         let at = calls.iter().position(|c| c.slot == slot && fits(c)).unwrap_or(calls.len());
         match calls.get_mut(at) {
@@ -1143,7 +1161,7 @@
         let serial = self.mail_serials.id(mail).copied();
         let owed = serial.and_then(|serial| self.owed.get_mut(&serial));
         let (Some(serial), Some(owed)) = (serial, owed) else {
-            must!(self.counts.broken, false, "a mail that is not in hand was given up");
+            must!(self.counts.broken, false, "an unknown mail was given up");
             return;
         };
         must!(self.counts.broken, owed.verdict.is_none(), "a mail was given up twice");
@@ -1151,10 +1169,10 @@
         self.journal.shrink(owed.body.len() as u64);
         owed.body.clear();
         let (id, dest, left) = (owed.id.clone(), owed.dest, owed.due.saturating_sub(now));
-        self.open -= 1;
+        self.open_mails -= 1;
         self.counts.given_up += 1;
-        // Guards against a mail that is handed back, handed in anew, and sent by the next process all the same:
-        // what is not on file as given up is not told as harmless to hand in again.
+        // A mail that is handed back may be submitted elsewhere, so a later process must not send it too:
+        // unless the journal records that it was given up, it is bounced without a promise.
         let noted = self.append_record(&Record::GivenUp { serial, verdict });
         let verdict = if noted { verdict } else { Verdict::Dead };
         if let Some(owed) = self.owed.get_mut(&serial) {
@@ -1162,7 +1180,7 @@
         }
         let words = String::from_utf8_lossy(&id);
         log::debug!(
-            "message {words}, mail {serial} for {dest}: given up, {verdict:?}, {} ms left",
+            "message {words}, mail {serial} for destination {dest}: given up, {verdict:?}, {} ms left",
             left / 10
         );
         self.send_notice(Notice { serial, id, verdict });
@@ -1170,21 +1188,22 @@
 
     /// When the next turn is due.
     fn next_turn(&self) -> Option<Instant> {
-        // Guards against turns without end and without effect: what was due at the stop stays due.
+        // After the stop turns have no effect, and what was due stays due: they would never end.
         if self.stopped {
             return None;
         }
-        // The first turn is asked for by notice, and may be kept back: it is not due before.
+        // The first turn is requested by notification and may be held back, so restored mails do not make it
+        // due.
         let owed = self.backlog.wake().filter(|_| self.last_turn > 0);
         [self.wake, owed].into_iter().flatten().min().map(|at| self.clock.instant(at))
     }
 
-    /// No turn is given before this, so that turns are no closer than the settings say.
+    /// The earliest time of the next turn, by the timer resolution of the settings.
     fn earliest_turn(&self) -> Time {
         self.last_turn + self.resolution
     }
 
-    /// No call begins until `release`; mails are taken on meanwhile.
+    /// Holds back all turns, and so all calls, until `release`; mails are accepted meanwhile.
     pub fn hold(&mut self) {
         self.turns_held = true;
     }
@@ -1195,7 +1214,8 @@
         }
     }
 
-    /// The process was asked to end: calls begin for so long, and those of the next process no sooner than that.
+    /// Announces the shutdown: calls may begin for `calls_for`, and those of the next process begin no sooner
+    /// than `next_after` from now.
     pub fn begin_shutdown(&mut self, calls_for: Duration, next_after: Duration) {
         let now = self.clock.now();
         let shutdown =
@@ -1204,23 +1224,23 @@
         self.notify.notify_one();
     }
 
-    /// No further call begins. What nobody can try any more is given back in a last turn.
+    /// Stops all calls, after a last turn in which the mails that can no longer be tried are handed back.
     pub fn stop(&mut self) {
         self.turn();
         self.stopped = true;
     }
 
-    /// Connects that have no outcome yet, and ends that were decided on and are not told yet.
+    /// Number of connects in flight, and of mails that were given up and whose notice is not acknowledged.
     pub fn unfinished(&self) -> usize {
         self.in_flight() + self.owed.values().filter(|owed| owed.verdict.is_some()).count()
     }
 
-    /// Mails without an end, notices to come included.
+    /// Number of unfinished mails, including those with an unacknowledged notice.
     pub fn in_hand(&self) -> usize {
         self.owed.len()
     }
 
-    /// Connects that have no outcome yet.
+    /// Number of connects in flight.
     pub fn in_flight(&self) -> usize {
         self.connects_out.iter().flatten().count()
     }
@@ -1244,7 +1264,7 @@
     }
 }
 
-/// Gives the module its turns: when something was seen, and when it asked for one, but no more often than
+/// Gives the decision module its turns, on new inputs and when it asked for one, but no closer together than
 /// the settings say.
 pub async fn run_turns(shared: Shared) {
     let (notify, clock) = {
