--- a/crates/courier/src/audit.rs
+++ b/crates/courier/src/audit.rs
@@ -8,7 +8,7 @@
 use meadowhold::door::Door;
 use meadowhold::interface::Time;
 
-use crate::journal::{weight, Found, Owed};
+use crate::journal::{max_stored_size, JournalContents, OwedMail};
 
 /// In release builds the audit runs after every so-manieth turn: it looks at all mails and all endpoints.
 pub const EVERY: u64 = 256;
@@ -71,7 +71,7 @@
 /// The books that are looked at, between two turns: all that was seen has been told to the decisions.
 pub struct Books<'a> {
     pub control: &'a Control,
-    pub owed: &'a BTreeMap<u64, Owed>,
+    pub owed: &'a BTreeMap<u64, OwedMail>,
     pub ids: &'a HashMap<Bytes, u64>,
     pub open: usize,
     pub flying: &'a [Option<Flight>],
@@ -125,7 +125,7 @@
     for (serial, owed) in *owed {
         faults.must(ids.get(&owed.id) == Some(serial), || format!("mail {serial} is not known by its id"));
     }
-    faults.agree("bytes owed on file", books.on_file, owed.values().map(weight).sum());
+    faults.agree("bytes owed on file", books.on_file, owed.values().map(max_stored_size).sum());
 }
 
 /// Each connect that is out has its slot, its call, its record and an endpoint of its mail's destination.
@@ -174,7 +174,7 @@
 }
 
 /// Where the file does not say of the mails in hand what the books say.
-pub fn file_faults(owed: &BTreeMap<u64, Owed>, found: &Found) -> Vec<String> {
+pub fn file_faults(owed: &BTreeMap<u64, OwedMail>, found: &JournalContents) -> Vec<String> {
     let mut faults = Faults(Vec::new());
     faults.agree("mails on file", found.owed.len() as u64, owed.len() as u64);
     for (serial, owed) in owed {
@@ -183,7 +183,7 @@
             continue;
         };
         // After a restart the file still says "out" of what the books say "may have run" of.
-        let told = |owed: &Owed| (owed.connects, owed.verdict, owed.ran.or(owed.out));
+        let told = |owed: &OwedMail| (owed.connects, owed.verdict, owed.ran.or(owed.out));
         let same = told(owed) == told(filed) && owed.terms == filed.terms;
         faults.must(same, || format!("mail {serial} is otherwise on file"));
     }
--- a/crates/courier/src/command.rs
+++ b/crates/courier/src/command.rs
@@ -13,7 +13,7 @@
 
 use crate::changes::{self, Change};
 use crate::config::Config;
-use crate::journal::Found;
+use crate::journal::JournalContents;
 use crate::relay;
 
 /// What each sub-command does is said here once, for `meadowhold help` too.
@@ -203,7 +203,7 @@
 }
 
 fn owed(folder: &Path) -> Result<(), String> {
-    let loaded = Found::load(folder);
+    let loaded = JournalContents::load(folder);
     let (found, unread) = loaded.map_err(|e| format!("the journal in {}: {e}", folder.display()))?;
     for owed in found.owed.values() {
         let id = String::from_utf8_lossy(&owed.id);
--- a/crates/courier/src/exchange.rs
+++ b/crates/courier/src/exchange.rs
@@ -22,7 +22,10 @@
 use crate::audit::{self, Books, Flight, Tally};
 use crate::discovery::{List, Listener};
 use crate::entries::Update;
-use crate::journal::{held_as, weight, Found, Journal, Owed, Record, Sent, Terms, Verdict, NO_ZONE};
+use crate::journal::{
+    class_for_restored, max_stored_size, ClassTerms, Journal, JournalContents, OwedMail, Record, Sent,
+    Verdict, UNKNOWN_ZONE,
+};
 use crate::memory::{deployment, Keeper};
 use crate::numbers::Classes;
 use crate::{http, must};
@@ -254,7 +257,7 @@
     flying: Vec<Option<Flight>>,
     /// What is to be left alone by what the module has not read yet.
     hushed: Vec<audit::Unit>,
-    owed: BTreeMap<u64, Owed>,
+    owed: BTreeMap<u64, OwedMail>,
     ids: HashMap<Bytes, u64>,
     rests: Vec<(Bytes, Time)>,
     /// What an earlier process took on, until it goes to the module.
@@ -327,10 +330,10 @@
     fn zone(&mut self, text: &str) -> usize {
         let zone = name(text);
         let at = self.zones.iter().position(|known| *known == zone).unwrap_or(self.zones.len());
-        if at == self.zones.len() && at < usize::from(NO_ZONE) {
+        if at == self.zones.len() && at < usize::from(UNKNOWN_ZONE) {
             self.zones.push(zone);
         }
-        at.min(usize::from(NO_ZONE))
+        at.min(usize::from(UNKNOWN_ZONE))
     }
 
     /// What a load report says of the limit.
@@ -346,7 +349,7 @@
 impl Exchange {
     pub fn new(
         decoded: Decoded,
-        (journal, found): (Journal, Found),
+        (journal, found): (Journal, JournalContents),
         orders: UnboundedSender<Order>,
         notices: UnboundedSender<Notice>,
         news: Option<UnboundedSender<(Bytes, News)>>,
@@ -358,26 +361,27 @@
     pub fn with_clock(
         clock: Clock,
         decoded: Decoded,
-        (journal, mut found): (Journal, Found),
+        (journal, mut found): (Journal, JournalContents),
         orders: UnboundedSender<Order>,
         notices: UnboundedSender<Notice>,
         news: Option<UnboundedSender<(Bytes, News)>>,
     ) -> Exchange {
         let deployment = deployment(&decoded);
         let Decoded { mut settings, report, fields, classes, zones, mut kinds, .. } = decoded;
-        let today: Vec<Terms> =
-            classes.iter().zip(&settings.classes).map(|(name, class)| Terms::new(name, class)).collect();
+        let today: Vec<ClassTerms> =
+            classes.iter().zip(&settings.classes).map(|(name, class)| ClassTerms::new(name, class)).collect();
         let mut terms = today.clone();
         for owed in found.owed.values_mut() {
-            owed.class = held_as(owed, &today, &mut settings.classes);
+            owed.class = class_for_restored(owed, &today, &mut settings.classes);
             let more = settings.classes.iter().skip(terms.len());
-            let more = more.map(|class| Terms { class: owed.terms.class.clone(), ..Terms::new("", class) });
+            let more = more
+                .map(|class| ClassTerms { class: owed.terms.class.clone(), ..ClassTerms::new("", class) });
             terms.extend(more.collect::<Vec<_>>());
         }
         let named = classes.into_iter().enumerate().map(|(i, class)| (Bytes::from(class), i)).collect();
         // The module has one kind at least.
         kinds.resize(settings.kinds.len(), String::new());
-        let (folder, allowance) = journal.place();
+        let (folder, allowance) = journal.location();
         let mut exchange = Exchange {
             keeper: Keeper::new(folder, allowance, deployment),
             names: Names { zones, on_file: 0, other: kinds.len() - 1, kinds, report, fields },
@@ -427,13 +431,13 @@
     }
 
     /// What an earlier process took on comes back: as it was taken, or by importance, then by its end.
-    fn restore(&mut self, mut found: Found) {
+    fn restore(&mut self, mut found: JournalContents) {
         let now = self.clock.now();
         // Guards against a repeat that goes where its key is not known, since zones were named or numbered otherwise.
         let zones = Bytes::from(self.names.zones.join(","));
         let known = found.zones == zones;
         if !known {
-            found.owed.values_mut().for_each(Owed::forget_zones);
+            found.owed.values_mut().for_each(OwedMail::clear_zones);
         }
         // What cannot be put on file is not used: sends are then to no zone that a later process knows.
         if known || self.note(&Record::Zones { names: &zones }) {
@@ -450,7 +454,7 @@
             owed.ran = owed.ran.map(|(at, zone)| (if at > now { 0 } else { at }, zone));
             if out.is_some() && !owed.item.is_empty() {
                 self.rests.push((owed.item.clone(), now));
-                self.note(&Record::Rest { item: &owed.item, since: now });
+                self.note(&Record::KeyHeld { item: &owed.item, since: now });
             }
             self.ids.insert(owed.id.clone(), serial);
             match owed.verdict {
@@ -483,7 +487,7 @@
     }
 
     /// Whether a mail keeps its order among those of its key.
-    fn is_ordered(&self, owed: &Owed) -> bool {
+    fn is_ordered(&self, owed: &OwedMail) -> bool {
         !owed.item.is_empty() && self.classes.classes[usize::from(owed.class)].in_turn
     }
 
@@ -499,7 +503,7 @@
     }
 
     /// A mail goes to the module.
-    fn enter(&mut self, serial: u64, owed: &Owed) {
+    fn enter(&mut self, serial: u64, owed: &OwedMail) {
         let class = usize::from(owed.class);
         let ordered = self.is_ordered(owed);
         let mail = self.mails.enter(serial);
@@ -531,7 +535,7 @@
             return Answer::Known;
         }
         let ordered = self.classes.classes[class].in_turn && offer.item.iter().any(|&b| b != b'0');
-        let owed = Owed {
+        let owed = OwedMail {
             id: offer.id,
             key: offer.key,
             item: if ordered { offer.item } else { Bytes::new() },
@@ -541,14 +545,14 @@
             since: self.clock.now(),
             due: self.clock.now() + tenths(offer.lifetime),
             body: offer.body,
-            ..Owed::default()
+            ..OwedMail::default()
         };
         let serial = self.next_serial;
         log::debug!("mail {serial} for {} of class {class} has come", owed.dest);
         if self.open >= self.room
             || self.control.turns_away(dest, class, owed.due)
             || !self.journal.has_room(&owed)
-            || !self.note(&Record::Taken { serial, owed: &owed })
+            || !self.note(&Record::Accepted { serial, owed: &owed })
         {
             self.counts.busy += 1;
             return Answer::Busy;
@@ -629,7 +633,7 @@
 
     /// Puts a record on file; whether it is there.
     fn note(&mut self, record: &Record) -> bool {
-        if self.journal.is_grown(record) {
+        if self.journal.needs_compaction(record) {
             self.forget_rests();
             self.counts.compactions += 1;
             if let Err(e) = self.journal.compact(&self.owed, &self.rests) {
@@ -660,11 +664,11 @@
         // Before it is forgotten. Guards against a file that is written anew for this record: it would speak of
         // a mail that the file does not hold. Where this can't be noted the mail comes back after a restart, as
         // one that may have run.
-        self.note(&Record::Over { serial });
+        self.note(&Record::Settled { serial });
         if let Some(owed) = self.owed.remove(&serial) {
             self.ids.remove(&owed.id);
             self.tally.ended += 1;
-            self.journal.shrink(weight(&owed));
+            self.journal.release(max_stored_size(&owed));
             self.open -= usize::from(owed.verdict.is_none());
         }
     }
@@ -759,7 +763,7 @@
                 Some(endpoint) => endpoint,
             };
             let place = self.next_place;
-            let on_file = if zone < self.names.on_file { zone as u16 } else { NO_ZONE };
+            let on_file = if zone < self.names.on_file { zone as u16 } else { UNKNOWN_ZONE };
             let (zone_on_file, kind_of) = (on_file, kind as u32);
             let new = Peer { place, address, since, zone: zone_on_file, group, kind: kind_of, ready: false };
             match self.peers.get_mut(endpoint) {
@@ -795,7 +799,7 @@
     /// Until when the last byte of a mail's call may go out. Guards against a repeat after the time for which its
     /// key is known, counted from the first connect that may have run: its call may have waited for a connection,
     /// and the file has it from an earlier process.
-    fn latest(&self, owed: &Owed) -> Time {
+    fn latest(&self, owed: &OwedMail) -> Time {
         let class = &self.classes.classes[usize::from(owed.class)];
         match (owed.ran, class.effect) {
             (None, _) | (_, Effect::Redeliverable) => Time::MAX,
@@ -822,7 +826,7 @@
             let owed = self.owed.contains_key(&serial);
             // Guards against a mail whose time passed while its call waited for a connection.
             let in_time = now < letter.until.min(letter.latest);
-            if may && owed && in_time && self.note(&Record::Out { serial, sent }) {
+            if may && owed && in_time && self.note(&Record::ConnectStarted { serial, sent }) {
                 let owed = self.owed.get_mut(&serial);
                 owed.into_iter().for_each(|owed| {
                     owed.out = Some(sent);
@@ -879,7 +883,7 @@
                 if rests && !owed.item.is_empty() {
                     self.rests.push((owed.item.clone(), now));
                 }
-                self.note(&Record::Back { serial, ran, rests, at: now });
+                self.note(&Record::ConnectEnded { serial, ran, rests, at: now });
             }
         }
         log::debug!(
@@ -977,7 +981,7 @@
             flying: &self.flying,
             mails: &self.mails,
             groups: &|endpoint| self.peers[endpoint].group,
-            on_file: self.journal.live(),
+            on_file: self.journal.owed_bytes(),
             taken: self.counts.taken,
             index: self.index,
             older: self.counts.older,
@@ -999,7 +1003,7 @@
                 self.ids.insert(id, first + 1);
             }
             ("one id more", ..) => drop(self.ids.insert(Bytes::from_static(b"none"), 0)),
-            ("bytes on file", ..) => self.journal.shrink(1),
+            ("bytes on file", ..) => self.journal.release(1),
             ("an index of a mail", ..) => drop(self.mails.enter(u64::MAX)),
             ("an outcome", ..) => self.tally.landed += 1,
             ("a connect lost", Some(mail), _) => self.flying[mail] = None,
@@ -1039,7 +1043,7 @@
     }
 
     /// What is owed in hand and is not so on file, in words.
-    pub fn audit_file(&self, found: &Found) -> Vec<String> {
+    pub fn audit_file(&self, found: &JournalContents) -> Vec<String> {
         audit::file_faults(&self.owed, found)
     }
 
@@ -1101,7 +1105,7 @@
         };
         must!(self.counts.broken, owed.verdict.is_none(), "a mail was given up twice");
         owed.verdict = Some(verdict);
-        self.journal.shrink(owed.body.len() as u64);
+        self.journal.release(owed.body.len() as u64);
         owed.body.clear();
         let (id, dest, left) = (owed.id.clone(), owed.dest, owed.due.saturating_sub(now));
         self.open -= 1;
--- a/crates/courier/src/files.rs
+++ b/crates/courier/src/files.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 /// What the journal does with files.
-pub trait Files {
+pub trait FileSystem {
     fn create_folder(&self, path: &Path) -> io::Result<()>;
 
     /// Makes a file for a lock, or opens the one that is there, and locks it for as long as it is open.
@@ -22,7 +22,7 @@
     fn append(&self, file: &mut File, bytes: &[u8]) -> io::Result<()>;
 
     /// Cuts a file to this length.
-    fn cut(&self, file: &File, length: u64) -> io::Result<()>;
+    fn truncate(&self, file: &File, length: u64) -> io::Result<()>;
 
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
 
@@ -30,9 +30,9 @@
 }
 
 /// The files of the system.
-pub struct System;
+pub struct OsFileSystem;
 
-impl Files for System {
+impl FileSystem for OsFileSystem {
     fn create_folder(&self, path: &Path) -> io::Result<()> {
         fs::create_dir_all(path)
     }
@@ -63,7 +63,7 @@
         file.write_all(bytes)
     }
 
-    fn cut(&self, file: &File, length: u64) -> io::Result<()> {
+    fn truncate(&self, file: &File, length: u64) -> io::Result<()> {
         file.set_len(length)
     }
 
@@ -80,7 +80,7 @@
 const EIO: i32 = 5;
 
 /// Whether the same may go well later, with nothing changed in the configuration: no room, or a fault of the device.
-pub fn may_pass(error: &io::Error) -> bool {
+pub fn is_transient(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::StorageFull | ErrorKind::QuotaExceeded)
         || error.raw_os_error() == Some(EIO)
 }
--- a/crates/courier/src/journal.rs
+++ b/crates/courier/src/journal.rs
@@ -11,13 +11,13 @@
 use bytes::{Buf, BufMut, Bytes};
 use meadowhold::interface::{Effect, QueueClass, Time};
 
-use crate::files::{may_pass, Files, System};
+use crate::files::{is_transient, FileSystem, OsFileSystem};
 
 /// A send: when, and to which zone, by its place among those of the settings.
 pub type Sent = (Time, u16);
 
 /// A zone of which no later process can say which one it is: no endpoint is in it.
-pub const NO_ZONE: u16 = u16::MAX;
+pub const UNKNOWN_ZONE: u16 = u16::MAX;
 
 /// What goes to the platform about a mail that was given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
 /// What a mail was taken on with, by the settings of then. Guards against a folder that other settings left: a
 /// place in their list of classes says nothing by today's.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Terms {
+pub struct ClassTerms {
     /// The name of its class.
     pub class: Bytes,
     /// `None`: on file before that was noted.
@@ -40,22 +40,22 @@
     pub in_turn: bool,
 }
 
-impl Terms {
-    pub fn new(name: &str, class: &QueueClass) -> Terms {
+impl ClassTerms {
+    pub fn new(name: &str, class: &QueueClass) -> ClassTerms {
         let QueueClass { effect, by_zone, window, in_turn, .. } = *class;
         let class = Bytes::copy_from_slice(name.as_bytes());
-        Terms { class, effect: Some(effect), by_zone, window, in_turn }
+        ClassTerms { class, effect: Some(effect), by_zone, window, in_turn }
     }
 }
 
 /// So many classes of the module at most stand for what other settings left. Guards against a file of nothing
 /// but classes, by a fault of ours or another's hand.
-pub const MOST_CLASSES: usize = 4096;
+pub const MAX_CLASSES: usize = 4096;
 
 /// The module's class by which a mail of an earlier process is held: today's of the same name, if that allows no
 /// more than what the mail was taken on with, else one more that allows only what both do. `today`: what the
 /// settings' classes stand for, the first of `classes`.
-pub fn held_as(owed: &Owed, today: &[Terms], classes: &mut Vec<QueueClass>) -> u16 {
+pub fn class_for_restored(owed: &OwedMail, today: &[ClassTerms], classes: &mut Vec<QueueClass>) -> u16 {
     let own = &owed.terms;
     let named = match own.effect {
         Some(_) => today.iter().position(|terms| terms.class == own.class),
@@ -67,9 +67,9 @@
     // Guards against a second run of what was taken on when nobody noted what a repeat would do.
     let effect = own.effect.unwrap_or(Effect::OnceOnly);
     let own = QueueClass { effect, by_zone: own.by_zone, window: own.window, in_turn: own.in_turn, ..base };
-    let mut held = if named.is_some() { stricter(&own, &base, owed.key.is_empty()) } else { own };
+    let mut held = if named.is_some() { stricter_of(&own, &base, owed.key.is_empty()) } else { own };
     held.in_turn |= owed.terms.effect.is_none() && !owed.item.is_empty();
-    if classes.len() >= MOST_CLASSES {
+    if classes.len() >= MAX_CLASSES {
         held.effect = Effect::OnceOnly;
     }
     if held.effect != Effect::Tagged {
@@ -86,7 +86,7 @@
 }
 
 /// What both classes allow of a mail.
-fn stricter(a: &QueueClass, b: &QueueClass, keyless: bool) -> QueueClass {
+fn stricter_of(a: &QueueClass, b: &QueueClass, keyless: bool) -> QueueClass {
     let in_turn = a.in_turn || b.in_turn;
     match (a.effect, b.effect) {
         (Effect::Tagged, Effect::Tagged) => {
@@ -103,7 +103,7 @@
 
 /// A mail that is owed its end. Times are by the system's clock, in tenths of a millisecond.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Owed {
+pub struct OwedMail {
     pub id: Bytes,
     /// The idempotency key; empty: none.
     pub key: Bytes,
@@ -111,7 +111,7 @@
     pub item: Bytes,
     /// The module's class for it, by today's settings.
     pub class: u16,
-    pub terms: Terms,
+    pub terms: ClassTerms,
     pub dest: u64,
     /// When it was handed in; 0: on file before that was noted.
     pub since: Time,
@@ -126,25 +126,25 @@
     pub verdict: Option<Verdict>,
 }
 
-impl Owed {
+impl OwedMail {
     /// Its sends were to zones of which nothing is known any more.
-    pub fn forget_zones(&mut self) {
-        [&mut self.ran, &mut self.out].into_iter().flatten().for_each(|sent| sent.1 = NO_ZONE);
+    pub fn clear_zones(&mut self) {
+        [&mut self.ran, &mut self.out].into_iter().flatten().for_each(|sent| sent.1 = UNKNOWN_ZONE);
     }
 }
 
 #[derive(Debug, PartialEq)]
 pub enum Record<'a> {
-    Taken {
+    Accepted {
         serial: u64,
-        owed: &'a Owed,
+        owed: &'a OwedMail,
     },
-    Out {
+    ConnectStarted {
         serial: u64,
         sent: Sent,
     },
     /// The connect that was out has an outcome; `ran`: it may have run. `rests`: it may be running still.
-    Back {
+    ConnectEnded {
         serial: u64,
         ran: bool,
         rests: bool,
@@ -154,10 +154,10 @@
         serial: u64,
         verdict: Verdict,
     },
-    Over {
+    Settled {
         serial: u64,
     },
-    Rest {
+    KeyHeld {
         item: &'a [u8],
         since: Time,
     },
@@ -169,28 +169,28 @@
 
 /// What a journal held at its opening.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Found {
-    pub owed: BTreeMap<u64, Owed>,
+pub struct JournalContents {
+    pub owed: BTreeMap<u64, OwedMail>,
     /// Keys of which a connect may be running still, and since when.
     pub rests: Vec<(Bytes, Time)>,
     /// The zones by whose places sends name theirs.
     pub zones: Bytes,
 }
 
-const NAME: &str = "journal";
-const FRESH: &str = "journal.new";
-const LOCK: &str = "lock";
+const FILE_NAME: &str = "journal";
+const NEW_FILE_NAME: &str = "journal.new";
+const LOCK_FILE_NAME: &str = "lock";
 const MAGIC: &[u8] = b"meadowhold journal 1\n";
-const HEADER: usize = 8;
-const BLOCK: u64 = 512;
+const HEADER_SIZE: usize = 8;
+const BLOCK_SIZE: u64 = 512;
 /// Parts of the allowance, in hundredths: what is owed may take so much, the file grows to so much before
 /// it is written anew. For that moment both files stand there; `memory` has what is beyond the two.
-const OWED_PART: u64 = 34;
-const FILE_PART: u64 = 44;
+const OWED_PERCENT: u64 = 34;
+const FILE_PERCENT: u64 = 44;
 
 pub struct Journal {
     folder: PathBuf,
-    files: Rc<dyn Files>,
+    files: Rc<dyn FileSystem>,
     /// Held for as long as the journal is open. None: it could not be made yet, and nothing is written before.
     lock: Option<File>,
     /// None: it could not be written at the start, and is as soon as a record is to be noted and there is room.
@@ -198,11 +198,11 @@
     size: u64,
     allowance: u64,
     /// Bytes that the mails owed would take in a fresh file.
-    live: u64,
+    owed_bytes: u64,
     /// What the file says of zones.
     zones: Bytes,
     /// Part of a record may stand behind the file's last whole one.
-    torn: bool,
+    has_partial_tail: bool,
     buffer: Vec<u8>,
 }
 
@@ -210,47 +210,47 @@
 const EFFECTS: [Option<Effect>; 4] =
     [None, Some(Effect::Redeliverable), Some(Effect::Tagged), Some(Effect::OnceOnly)];
 
-fn short(out: &mut Vec<u8>, bytes: &[u8]) {
+fn put_short_bytes(out: &mut Vec<u8>, bytes: &[u8]) {
     out.put_u16(bytes.len() as u16);
     out.extend_from_slice(bytes);
 }
 
-fn maybe(out: &mut Vec<u8>, sent: Option<Sent>) {
+fn put_optional_sent(out: &mut Vec<u8>, sent: Option<Sent>) {
     out.put_u8(u8::from(sent.is_some()));
     let (at, zone) = sent.unwrap_or_default();
     out.put_u64(at);
     out.put_u16(zone);
 }
 
-fn write(out: &mut Vec<u8>, record: &Record) {
+fn encode(out: &mut Vec<u8>, record: &Record) {
     let start = out.len();
-    out.extend_from_slice(&[0; HEADER]);
+    out.extend_from_slice(&[0; HEADER_SIZE]);
     match *record {
-        Record::Taken { serial, owed } => {
+        Record::Accepted { serial, owed } => {
             out.put_u8(8);
             out.put_u64(serial);
             out.put_u64(owed.since);
-            [&owed.id, &owed.key, &owed.item].into_iter().for_each(|bytes| short(out, bytes));
+            [&owed.id, &owed.key, &owed.item].into_iter().for_each(|bytes| put_short_bytes(out, bytes));
             out.put_u16(owed.class);
-            let Terms { class, effect, by_zone, window, in_turn } = &owed.terms;
-            short(out, class);
+            let ClassTerms { class, effect, by_zone, window, in_turn } = &owed.terms;
+            put_short_bytes(out, class);
             out.put_u8(EFFECTS.iter().position(|known| known == effect).unwrap_or(0) as u8);
             out.put_u8(u8::from(*by_zone) | u8::from(*in_turn) << 1);
             out.put_u64(*window);
             out.put_u64(owed.dest);
             out.put_u64(owed.due);
             out.put_u32(owed.connects);
-            maybe(out, owed.ran);
-            maybe(out, owed.out);
+            put_optional_sent(out, owed.ran);
+            put_optional_sent(out, owed.out);
             out.extend_from_slice(&owed.body);
         }
-        Record::Out { serial, sent } => {
+        Record::ConnectStarted { serial, sent } => {
             out.put_u8(2);
             out.put_u64(serial);
             out.put_u64(sent.0);
             out.put_u16(sent.1);
         }
-        Record::Back { serial, ran, rests, at } => {
+        Record::ConnectEnded { serial, ran, rests, at } => {
             out.put_u8(3);
             out.put_u64(serial);
             out.put_u8(u8::from(ran) | u8::from(rests) << 1);
@@ -264,14 +264,14 @@
                 Verdict::Bounced(wait) => out.put_u64(wait),
             }
         }
-        Record::Over { serial } => {
+        Record::Settled { serial } => {
             out.put_u8(5);
             out.put_u64(serial);
         }
-        Record::Rest { item, since } => {
+        Record::KeyHeld { item, since } => {
             out.put_u8(6);
             out.put_u64(since);
-            short(out, item);
+            put_short_bytes(out, item);
         }
         Record::Zones { names } => {
             out.put_u8(9);
@@ -279,22 +279,22 @@
             out.extend_from_slice(names);
         }
     }
-    let length = (out.len() - start - HEADER) as u32;
-    let sum = crc32fast::hash(&out[start + HEADER..]);
+    let length = (out.len() - start - HEADER_SIZE) as u32;
+    let sum = crc32fast::hash(&out[start + HEADER_SIZE..]);
     out[start..start + 4].copy_from_slice(&length.to_be_bytes());
-    out[start + 4..start + HEADER].copy_from_slice(&sum.to_be_bytes());
+    out[start + 4..start + HEADER_SIZE].copy_from_slice(&sum.to_be_bytes());
 }
 
 /// What a mail takes in a fresh file, with its verdict, at most.
-pub fn weight(owed: &Owed) -> u64 {
+pub fn max_stored_size(owed: &OwedMail) -> u64 {
     let texts = [&owed.id, &owed.key, &owed.item, &owed.terms.class, &owed.body];
-    (HEADER + 104) as u64 + texts.iter().map(|text| text.len() as u64).sum::<u64>()
+    (HEADER_SIZE + 104) as u64 + texts.iter().map(|text| text.len() as u64).sum::<u64>()
 }
 
 /// Reads fields off the front of a record; `None` where it is too short.
-struct Fields(Bytes);
+struct FieldReader(Bytes);
 
-impl Fields {
+impl FieldReader {
     fn u8(&mut self) -> Option<u8> {
         self.0.try_get_u8().ok()
     }
@@ -311,46 +311,52 @@
         self.0.try_get_u64().ok()
     }
 
-    fn short(&mut self) -> Option<Bytes> {
+    fn short_bytes(&mut self) -> Option<Bytes> {
         let length = usize::from(self.u16()?);
         (length <= self.0.len()).then(|| self.0.split_to(length))
     }
 
-    fn terms(&mut self) -> Option<Terms> {
-        let (class, effect, flags) = (self.short()?, self.u8()?, self.u8()?);
+    fn terms(&mut self) -> Option<ClassTerms> {
+        let (class, effect, flags) = (self.short_bytes()?, self.u8()?, self.u8()?);
         let effect = *EFFECTS.get(usize::from(effect))?;
-        Some(Terms { class, effect, by_zone: flags & 1 != 0, in_turn: flags & 2 != 0, window: self.u64()? })
+        Some(ClassTerms {
+            class,
+            effect,
+            by_zone: flags & 1 != 0,
+            in_turn: flags & 2 != 0,
+            window: self.u64()?,
+        })
     }
 
-    fn maybe(&mut self) -> Option<Option<Sent>> {
+    fn optional_sent(&mut self) -> Option<Option<Sent>> {
         let is = self.u8()? != 0;
         let sent = (self.u64()?, self.u16()?);
         Some(is.then_some(sent))
     }
 }
 
-impl Found {
+impl JournalContents {
     /// What a folder's journal says, and how many of its last bytes cannot be read.
-    pub fn load(folder: &Path) -> io::Result<(Found, usize)> {
-        let bytes = Bytes::from(fs::read(folder.join(NAME))?);
-        let (found, good) = Found::read(&bytes);
+    pub fn load(folder: &Path) -> io::Result<(JournalContents, usize)> {
+        let bytes = Bytes::from(fs::read(folder.join(FILE_NAME))?);
+        let (found, good) = JournalContents::read(&bytes);
         Ok((found, bytes.len() - good))
     }
 
     /// What the bytes of a journal say, up to the first that do not add up; and how many those are.
-    pub fn read(bytes: &Bytes) -> (Found, usize) {
-        let mut found = Found::default();
+    pub fn read(bytes: &Bytes) -> (JournalContents, usize) {
+        let mut found = JournalContents::default();
         if !bytes.starts_with(MAGIC) {
             return (found, 0);
         }
         let mut at = MAGIC.len();
-        while let Some(mut header) = bytes.get(at..at + HEADER) {
+        while let Some(mut header) = bytes.get(at..at + HEADER_SIZE) {
             let (length, sum) = (header.get_u32() as usize, header.get_u32());
-            let Some(end) = (at + HEADER).checked_add(length).filter(|&end| end <= bytes.len()) else {
+            let Some(end) = (at + HEADER_SIZE).checked_add(length).filter(|&end| end <= bytes.len()) else {
                 break;
             };
-            let record = bytes.slice(at + HEADER..end);
-            if crc32fast::hash(&record) != sum || found.apply(Fields(record)).is_none() {
+            let record = bytes.slice(at + HEADER_SIZE..end);
+            if crc32fast::hash(&record) != sum || found.apply(FieldReader(record)).is_none() {
                 break;
             }
             at = end;
@@ -358,21 +364,34 @@
         (found, at)
     }
 
-    fn apply(&mut self, mut f: Fields) -> Option<()> {
+    fn apply(&mut self, mut f: FieldReader) -> Option<()> {
         let (code, serial) = (f.u8()?, f.u64()?);
         match code {
             // The first two are how earlier versions had it.
             1 | 7 | 8 => {
                 let since = if code == 1 { 0 } else { f.u64()? };
-                let (id, key, item) = (f.short()?, f.short()?, f.short()?);
+                let (id, key, item) = (f.short_bytes()?, f.short_bytes()?, f.short_bytes()?);
                 let class = f.u16()?;
-                let terms = if code == 8 { f.terms()? } else { Terms::default() };
+                let terms = if code == 8 { f.terms()? } else { ClassTerms::default() };
                 let (dest, due, connects) = (f.u64()?, f.u64()?, f.u32()?);
-                let (ran, out) = (f.maybe()?, f.maybe()?);
+                let (ran, out) = (f.optional_sent()?, f.optional_sent()?);
                 let body = f.0;
                 let verdict = None;
-                let owed =
-                    Owed { id, key, item, class, terms, dest, since, due, body, connects, ran, out, verdict };
+                let owed = OwedMail {
+                    id,
+                    key,
+                    item,
+                    class,
+                    terms,
+                    dest,
+                    since,
+                    due,
+                    body,
+                    connects,
+                    ran,
+                    out,
+                    verdict,
+                };
                 self.owed.insert(serial, owed);
             }
             2 => {
@@ -401,11 +420,11 @@
             // it would hide all that follows.
             5 => drop(self.owed.remove(&serial)),
             // The place of the serial holds the time.
-            6 => self.rests.push((f.short()?, serial)),
+            6 => self.rests.push((f.short_bytes()?, serial)),
             9 => {
                 let before = std::mem::replace(&mut self.zones, f.0);
                 if before != self.zones {
-                    self.owed.values_mut().for_each(Owed::forget_zones);
+                    self.owed.values_mut().for_each(OwedMail::clear_zones);
                 }
             }
             _ => return None,
@@ -421,18 +440,22 @@
     /// # Errors
     /// Where what it holds cannot be read, another courier has it open, or the folder cannot be had for good. One whose
     /// disk is full, or fails, is opened all the same: nothing is taken on before it can be written.
-    pub fn open(folder: &Path, allowance: u64) -> io::Result<(Journal, Found)> {
-        Journal::open_with(Rc::new(System), folder, allowance)
+    pub fn open(folder: &Path, allowance: u64) -> io::Result<(Journal, JournalContents)> {
+        Journal::open_with(Rc::new(OsFileSystem), folder, allowance)
     }
 
     /// The same on files of a test's own.
-    pub fn open_with(files: Rc<dyn Files>, folder: &Path, allowance: u64) -> io::Result<(Journal, Found)> {
-        let lock = passing(take_lock(&*files, folder))?;
-        let bytes = match files.read(&folder.join(NAME)) {
+    pub fn open_with(
+        files: Rc<dyn FileSystem>,
+        folder: &Path,
+        allowance: u64,
+    ) -> io::Result<(Journal, JournalContents)> {
+        let lock = unless_transient(lock_folder(&*files, folder))?;
+        let bytes = match files.read(&folder.join(FILE_NAME)) {
             Err(e) if e.kind() == io::ErrorKind::NotFound => Bytes::new(),
             read => Bytes::from(read?),
         };
-        let (found, good) = Found::read(&bytes);
+        let (found, good) = JournalContents::read(&bytes);
         if good < bytes.len() {
             log::warn!("the journal's last {} bytes cannot be read and are passed over", bytes.len() - good);
         }
@@ -443,61 +466,61 @@
             file: None,
             size: good as u64,
             allowance,
-            live: found.owed.values().map(weight).sum(),
+            owed_bytes: found.owed.values().map(max_stored_size).sum(),
             zones: found.zones.clone(),
-            torn: false,
+            has_partial_tail: false,
             buffer: Vec::new(),
         };
         if let Err(e) = journal.compact(&found.owed, &found.rests) {
             log::warn!("the journal cannot be written anew at the start: {e}");
             // Guards against a full disk that keeps what is owed from its end: the old file still serves.
-            let old = if good > 0 && journal.lock.is_some() { journal.cut_old() } else { Err(e) };
-            journal.file = passing(old)?;
+            let old = if good > 0 && journal.lock.is_some() { journal.reopen_truncated() } else { Err(e) };
+            journal.file = unless_transient(old)?;
         }
         Ok((journal, found))
     }
 
     /// The folder that lasts, and the bytes that it may hold.
-    pub fn place(&self) -> (&Path, u64) {
+    pub fn location(&self) -> (&Path, u64) {
         (&self.folder, self.allowance)
     }
 
-    fn part(&self, hundredths: u64) -> u64 {
-        (self.allowance / 100 * hundredths).saturating_sub(BLOCK)
+    fn percent_of_allowance(&self, percent: u64) -> u64 {
+        (self.allowance / 100 * percent).saturating_sub(BLOCK_SIZE)
     }
 
     /// Whether one more mail may be taken on.
-    pub fn has_room(&self, owed: &Owed) -> bool {
-        self.live + weight(owed) <= self.part(OWED_PART)
+    pub fn has_room(&self, owed: &OwedMail) -> bool {
+        self.owed_bytes + max_stored_size(owed) <= self.percent_of_allowance(OWED_PERCENT)
     }
 
     /// Whether the file should be written anew before this record.
-    pub fn is_grown(&self, record: &Record) -> bool {
-        let more = if let Record::Taken { owed, .. } = record { weight(owed) } else { 0 };
-        self.file.is_none() || self.size + more > self.part(FILE_PART)
+    pub fn needs_compaction(&self, record: &Record) -> bool {
+        let more = if let Record::Accepted { owed, .. } = record { max_stored_size(owed) } else { 0 };
+        self.file.is_none() || self.size + more > self.percent_of_allowance(FILE_PERCENT)
     }
 
     pub fn append(&mut self, record: &Record) -> io::Result<()> {
         self.buffer.clear();
-        write(&mut self.buffer, record);
-        if self.size + self.buffer.len() as u64 > self.part(FILE_PART + 2) {
+        encode(&mut self.buffer, record);
+        if self.size + self.buffer.len() as u64 > self.percent_of_allowance(FILE_PERCENT + 2) {
             return Err(io::Error::new(io::ErrorKind::StorageFull, "the journal is full"));
         }
         let Some(file) = &mut self.file else {
             return Err(io::Error::new(io::ErrorKind::StorageFull, "there is no journal yet"));
         };
         // Guards against half a record in the middle, behind which nothing would be read again.
-        if self.torn {
-            self.files.cut(file, self.size)?;
-            self.torn = false;
+        if self.has_partial_tail {
+            self.files.truncate(file, self.size)?;
+            self.has_partial_tail = false;
         }
         if let Err(e) = self.files.append(file, &self.buffer) {
-            self.torn = self.files.cut(file, self.size).is_err();
+            self.has_partial_tail = self.files.truncate(file, self.size).is_err();
             return Err(e);
         }
         self.size += self.buffer.len() as u64;
         match record {
-            Record::Taken { owed, .. } => self.live += weight(owed),
+            Record::Accepted { owed, .. } => self.owed_bytes += max_stored_size(owed),
             Record::Zones { names } => self.zones = Bytes::copy_from_slice(names),
             _ => {}
         }
@@ -505,37 +528,37 @@
     }
 
     /// Bytes that the mails owed would take in a fresh file, for audits.
-    pub fn live(&self) -> u64 {
-        self.live
+    pub fn owed_bytes(&self) -> u64 {
+        self.owed_bytes
     }
 
     /// So many bytes less are owed, once the file is written anew.
-    pub fn shrink(&mut self, bytes: u64) {
-        self.live = self.live.saturating_sub(bytes);
+    pub fn release(&mut self, bytes: u64) {
+        self.owed_bytes = self.owed_bytes.saturating_sub(bytes);
     }
 
     /// Puts a fresh file of what is owed in the place of the old one.
-    pub fn compact(&mut self, owed: &BTreeMap<u64, Owed>, rests: &[(Bytes, Time)]) -> io::Result<()> {
+    pub fn compact(&mut self, owed: &BTreeMap<u64, OwedMail>, rests: &[(Bytes, Time)]) -> io::Result<()> {
         if self.lock.is_none() {
-            self.lock = Some(take_lock(&*self.files, &self.folder)?);
+            self.lock = Some(lock_folder(&*self.files, &self.folder)?);
         }
-        let (file, size) = write_anew(&*self.files, &self.folder, owed, rests, &self.zones)?;
-        (self.file, self.size, self.torn) = (Some(file), size, false);
+        let (file, size) = write_compacted(&*self.files, &self.folder, owed, rests, &self.zones)?;
+        (self.file, self.size, self.has_partial_tail) = (Some(file), size, false);
         Ok(())
     }
 
     /// The folder's journal as it stands, for appending behind what could be read of it.
-    fn cut_old(&self) -> io::Result<File> {
-        let file = self.files.open(&self.folder.join(NAME))?;
-        self.files.cut(&file, self.size)?;
+    fn reopen_truncated(&self) -> io::Result<File> {
+        let file = self.files.open(&self.folder.join(FILE_NAME))?;
+        self.files.truncate(&file, self.size)?;
         Ok(file)
     }
 }
 
 /// Nothing, with a line of the log, where it may go well later.
-fn passing(made: io::Result<File>) -> io::Result<Option<File>> {
+fn unless_transient(made: io::Result<File>) -> io::Result<Option<File>> {
     match made {
-        Err(e) if may_pass(&e) => {
+        Err(e) if is_transient(&e) => {
             log::warn!("nothing is taken on before the journal can be written: {e}");
             Ok(None)
         }
@@ -544,39 +567,39 @@
 }
 
 /// Guards against a second courier on the folder, which would put a file of its own in the place of ours.
-fn take_lock(files: &dyn Files, folder: &Path) -> io::Result<File> {
+fn lock_folder(files: &dyn FileSystem, folder: &Path) -> io::Result<File> {
     files.create_folder(folder)?;
-    files.lock(&folder.join(LOCK))
+    files.lock(&folder.join(LOCK_FILE_NAME))
 }
 
 /// Writes a file of what is owed and renames it to be the folder's journal; the file, for appending, and its
 /// size.
-fn write_anew(
-    files: &dyn Files,
+fn write_compacted(
+    files: &dyn FileSystem,
     folder: &Path,
-    owed: &BTreeMap<u64, Owed>,
+    owed: &BTreeMap<u64, OwedMail>,
     rests: &[(Bytes, Time)],
     zones: &[u8],
 ) -> io::Result<(File, u64)> {
     let mut bytes = MAGIC.to_vec();
     if !zones.is_empty() {
-        write(&mut bytes, &Record::Zones { names: zones });
+        encode(&mut bytes, &Record::Zones { names: zones });
     }
     for (&serial, owed) in owed {
-        write(&mut bytes, &Record::Taken { serial, owed });
+        encode(&mut bytes, &Record::Accepted { serial, owed });
         if let Some(verdict) = owed.verdict {
-            write(&mut bytes, &Record::GivenUp { serial, verdict });
+            encode(&mut bytes, &Record::GivenUp { serial, verdict });
         }
     }
     for (item, since) in rests {
-        write(&mut bytes, &Record::Rest { item, since: *since });
+        encode(&mut bytes, &Record::KeyHeld { item, since: *since });
     }
-    let path = folder.join(FRESH);
+    let path = folder.join(NEW_FILE_NAME);
     // One that an earlier process left behind half written.
     let _ = files.remove(&path);
     // Appending, so that a write that is cut back is followed by no gap.
     let mut file = files.create(&path)?;
-    let written = files.append(&mut file, &bytes).and_then(|()| files.rename(&path, &folder.join(NAME)));
+    let written = files.append(&mut file, &bytes).and_then(|()| files.rename(&path, &folder.join(FILE_NAME)));
     if let Err(e) = written {
         let _ = files.remove(&path);
         return Err(e);
--- a/crates/courier/src/numbers.rs
+++ b/crates/courier/src/numbers.rs
@@ -6,14 +6,14 @@
 use bytes::Bytes;
 use meadowhold::interface::QueueClass;
 
-use crate::journal::{Terms, MOST_CLASSES};
+use crate::journal::{ClassTerms, MAX_CLASSES};
 
 /// The module's classes by number.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Classes {
     pub classes: Vec<QueueClass>,
     /// What a message of each is taken on with.
-    pub terms: Vec<Terms>,
+    pub terms: Vec<ClassTerms>,
     /// Those that a message may be taken on with now.
     pub named: HashMap<Bytes, usize>,
 }
@@ -55,7 +55,7 @@
             claimed.insert(at);
             after.put(at, name, class);
         }
-        if after.classes.len() > MOST_CLASSES {
+        if after.classes.len() > MAX_CLASSES {
             return Err("are too many with those that still have messages");
         }
         for at in (0..after.classes.len()).filter(|at| !claimed.contains(at)) {
@@ -70,7 +70,7 @@
     }
 
     fn put(&mut self, at: usize, name: &str, class: &QueueClass) {
-        let terms = Terms::new(name, class);
+        let terms = ClassTerms::new(name, class);
         self.named.insert(terms.class.clone(), at);
         if at == self.classes.len() {
             self.classes.push(class.clone());
--- a/crates/courier/tests/audit.rs
+++ b/crates/courier/tests/audit.rs
@@ -15,7 +15,7 @@
 use meadowhold::interface::{News, Outcome, Time, SECOND};
 use meadowhold_courier::discovery::List;
 use meadowhold_courier::exchange::{Answer, Call, Clock, Exchange, Letter, Notice, Offer, Order, Seen};
-use meadowhold_courier::journal::{Found, Journal};
+use meadowhold_courier::journal::{Journal, JournalContents};
 use meadowhold_settings::decode_json;
 use serde_json::{json, Value};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
@@ -225,7 +225,7 @@
     /// The process is gone, and another has its folder: what was out is lost to it.
     fn restart(&mut self) {
         self.broken += self.exchange.counts.broken;
-        let found = Found::load(&self.folder.path).unwrap().0;
+        let found = JournalContents::load(&self.folder.path).unwrap().0;
         assert_eq!(self.exchange.audit_file(&found), Vec::<String>::new());
         let in_hand = self.exchange.in_hand();
         let next = Folder::new();
@@ -272,7 +272,7 @@
                 gone.into_iter().for_each(|serial| self.exchange.hangup(serial));
             }
             996..998 => {
-                let found = Found::load(&self.folder.path).unwrap().0;
+                let found = JournalContents::load(&self.folder.path).unwrap().0;
                 assert_eq!(self.exchange.audit_file(&found), Vec::<String>::new());
             }
             _ => self.restart(),
@@ -422,7 +422,7 @@
         for letter in begun.iter().flat_map(|call| &call.letters) {
             day.exchange.seen(letter.serial, Seen { over: true, ..Seen::only(Outcome::Unsent) });
         }
-        let left: Vec<u64> = Found::load(&day.folder.path).unwrap().0.owed.into_keys().collect();
+        let left: Vec<u64> = JournalContents::load(&day.folder.path).unwrap().0.owed.into_keys().collect();
         left.into_iter().for_each(|serial| day.exchange.hangup(serial));
         day.turn();
         assert_eq!(day.exchange.in_hand(), 0);
--- a/crates/courier/tests/common/process.rs
+++ b/crates/courier/tests/common/process.rs
@@ -7,7 +7,7 @@
 use meadowhold::interface::{Outcome, Time, SECOND};
 use meadowhold_courier::discovery::List;
 use meadowhold_courier::exchange::{Answer, Call, Clock, Exchange, Notice, Offer, Order, Seen};
-use meadowhold_courier::journal::{Found, Journal, Verdict};
+use meadowhold_courier::journal::{Journal, JournalContents, Verdict};
 use meadowhold_settings::decode_json;
 use serde_json::json;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
@@ -41,7 +41,7 @@
     }
 
     /// The same with a journal that has been opened; `window`: for how long a repeat of a tagged message is dropped.
-    pub fn with(journal: (Journal, Found), now: Time, window: Option<u64>) -> Process {
+    pub fn with(journal: (Journal, JournalContents), now: Time, window: Option<u64>) -> Process {
         let (orders_in, orders) = unbounded_channel();
         let (notices_in, notices) = unbounded_channel();
         let mut settings = settings();
--- a/crates/courier/tests/disk.rs
+++ b/crates/courier/tests/disk.rs
@@ -14,7 +14,7 @@
 use common::Folder;
 use meadowhold::interface::{Outcome, SECOND};
 use meadowhold_courier::exchange::Answer;
-use meadowhold_courier::files::{Files, System};
+use meadowhold_courier::files::{FileSystem, OsFileSystem};
 use meadowhold_courier::journal::Journal;
 use process::{Process, START};
 
@@ -53,54 +53,54 @@
     }
 }
 
-impl Files for Failing {
+impl FileSystem for Failing {
     fn create_folder(&self, path: &Path) -> io::Result<()> {
         self.fails()?;
-        System.create_folder(path)
+        OsFileSystem.create_folder(path)
     }
 
     fn lock(&self, path: &Path) -> io::Result<File> {
         self.fails()?;
-        System.lock(path)
+        OsFileSystem.lock(path)
     }
 
     fn read(&self, path: &Path) -> io::Result<Vec<u8>> {
         // What cannot be read is no matter of room: `a_journal_that_cannot_be_read_...`.
-        System.read(path)
+        OsFileSystem.read(path)
     }
 
     fn create(&self, path: &Path) -> io::Result<File> {
         self.fails()?;
-        System.create(path)
+        OsFileSystem.create(path)
     }
 
     fn open(&self, path: &Path) -> io::Result<File> {
         self.fails()?;
-        System.open(path)
+        OsFileSystem.open(path)
     }
 
     fn append(&self, file: &mut File, bytes: &[u8]) -> io::Result<()> {
         let failed = self.fails();
         if failed.is_err() && self.in_half {
-            System.append(file, &bytes[..bytes.len() / 2])?;
+            OsFileSystem.append(file, &bytes[..bytes.len() / 2])?;
         }
         failed?;
-        System.append(file, bytes)
+        OsFileSystem.append(file, bytes)
     }
 
-    fn cut(&self, file: &File, length: u64) -> io::Result<()> {
+    fn truncate(&self, file: &File, length: u64) -> io::Result<()> {
         self.fails()?;
-        System.cut(file, length)
+        OsFileSystem.truncate(file, length)
     }
 
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
         self.fails()?;
-        System.rename(from, to)
+        OsFileSystem.rename(from, to)
     }
 
     fn remove(&self, path: &Path) -> io::Result<()> {
         // Nobody hears of its failure.
-        System.remove(path)
+        OsFileSystem.remove(path)
     }
 }
 
--- a/crates/courier/tests/exchange.rs
+++ b/crates/courier/tests/exchange.rs
@@ -10,7 +10,7 @@
 use meadowhold::interface::Outcome;
 use meadowhold_courier::discovery::List;
 use meadowhold_courier::exchange::{Answer, Call, Clock, Exchange, Notice, Offer, Order, Seen};
-use meadowhold_courier::journal::{Found, Journal, Verdict};
+use meadowhold_courier::journal::{Journal, JournalContents, Verdict};
 use meadowhold_settings::decode_json;
 use serde_json::json;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
@@ -235,7 +235,7 @@
         let now = world.exchange.counts.compactions;
         if std::mem::replace(&mut steps, now) < now {
             *anew.entry(what).or_default() += 1;
-            let (found, unread) = Found::load(&world.folder.path).unwrap();
+            let (found, unread) = JournalContents::load(&world.folder.path).unwrap();
             assert_eq!((found.owed.len(), unread), (world.exchange.in_hand(), 0), "{what}");
             assert_eq!(world.exchange.audit_file(&found), Vec::<String>::new(), "{what}");
         }
--- a/crates/courier/tests/journal.rs
+++ b/crates/courier/tests/journal.rs
@@ -7,12 +7,12 @@
 
 use bytes::Bytes;
 use common::Folder;
-use meadowhold_courier::journal::{Found, Journal, Owed, Record, Verdict};
+use meadowhold_courier::journal::{Journal, JournalContents, OwedMail, Record, Verdict};
 
-fn owed(id: &str, body: usize) -> Owed {
+fn owed(id: &str, body: usize) -> OwedMail {
     let (id, item) = (Bytes::copy_from_slice(id.as_bytes()), Bytes::from_static(b"7f3a"));
     let body = vec![b'x'; body].into();
-    Owed { id, item, class: 1, dest: 7, since: 30_000, due: 90_000, body, ..Owed::default() }
+    OwedMail { id, item, class: 1, dest: 7, since: 30_000, due: 90_000, body, ..OwedMail::default() }
 }
 
 fn bytes(folder: &Folder) -> Bytes {
@@ -20,28 +20,28 @@
 }
 
 /// A journal of every kind of record, with what was owed after each.
-fn written(folder: &Folder) -> Vec<(usize, Found)> {
+fn written(folder: &Folder) -> Vec<(usize, JournalContents)> {
     let (mut journal, found) = Journal::open(&folder.path, 3_000_000).unwrap();
-    assert_eq!(found, Found::default());
+    assert_eq!(found, JournalContents::default());
     let (first, second) = (owed("a1", 3), owed("b2", 300));
     let records = [
-        Record::Taken { serial: 1, owed: &first },
-        Record::Taken { serial: 2, owed: &second },
-        Record::Out { serial: 1, sent: (500, 2) },
-        Record::Out { serial: 2, sent: (510, 0) },
-        Record::Back { serial: 1, ran: true, rests: true, at: 600 },
-        Record::Back { serial: 2, ran: false, rests: false, at: 610 },
-        Record::Out { serial: 1, sent: (700, 1) },
+        Record::Accepted { serial: 1, owed: &first },
+        Record::Accepted { serial: 2, owed: &second },
+        Record::ConnectStarted { serial: 1, sent: (500, 2) },
+        Record::ConnectStarted { serial: 2, sent: (510, 0) },
+        Record::ConnectEnded { serial: 1, ran: true, rests: true, at: 600 },
+        Record::ConnectEnded { serial: 2, ran: false, rests: false, at: 610 },
+        Record::ConnectStarted { serial: 1, sent: (700, 1) },
         Record::GivenUp { serial: 2, verdict: Verdict::Bounced(250) },
-        Record::Rest { item: b"99", since: 720 },
-        Record::Over { serial: 1 },
+        Record::KeyHeld { item: b"99", since: 720 },
+        Record::Settled { serial: 1 },
         Record::GivenUp { serial: 2, verdict: Verdict::Dead },
     ];
-    let mut states = vec![(bytes(folder).len(), Found::default())];
+    let mut states = vec![(bytes(folder).len(), JournalContents::default())];
     for record in &records {
         journal.append(record).unwrap();
         let bytes = bytes(folder);
-        states.push((bytes.len(), Found::read(&bytes).0));
+        states.push((bytes.len(), JournalContents::read(&bytes).0));
     }
     states
 }
@@ -73,9 +73,9 @@
     file.extend((record.len() as u32).to_be_bytes().iter().chain(&crc32fast::hash(&record).to_be_bytes()));
     file.extend(&record);
     let size = file.len();
-    let (found, good) = Found::read(&file.into());
-    let old = Owed { item: Bytes::new(), since: 0, connects: 2, ..owed("a1", 3) };
-    assert_eq!((good, &found.owed[&9]), (size, &Owed { body: Bytes::from_static(b"xyz"), ..old }));
+    let (found, good) = JournalContents::read(&file.into());
+    let old = OwedMail { item: Bytes::new(), since: 0, connects: 2, ..owed("a1", 3) };
+    assert_eq!((good, &found.owed[&9]), (size, &OwedMail { body: Bytes::from_static(b"xyz"), ..old }));
 }
 
 #[test]
@@ -85,13 +85,13 @@
     for sent in sends {
         let (mut journal, found) = Journal::open(&folder.path, 3_000_000).unwrap();
         if found.owed.is_empty() {
-            journal.append(&Record::Taken { serial: 1, owed: &owed("a1", 3) }).unwrap();
+            journal.append(&Record::Accepted { serial: 1, owed: &owed("a1", 3) }).unwrap();
         }
-        journal.append(&Record::Out { serial: 1, sent }).unwrap();
+        journal.append(&Record::ConnectStarted { serial: 1, sent }).unwrap();
     }
     let (mut journal, _) = Journal::open(&folder.path, 3_000_000).unwrap();
-    journal.append(&Record::Back { serial: 1, ran: false, rests: false, at: 950 }).unwrap();
-    let mail = Found::read(&bytes(&folder)).0.owed[&1].clone();
+    journal.append(&Record::ConnectEnded { serial: 1, ran: false, rests: false, at: 950 }).unwrap();
+    let mail = JournalContents::read(&bytes(&folder)).0.owed[&1].clone();
     assert_eq!((mail.ran, mail.out, mail.connects), (Some(sends[0]), None, 2));
 }
 
@@ -101,9 +101,10 @@
     let states = written(&folder);
     let whole = bytes(&folder);
     for cut in 0..=whole.len() {
-        let (found, good) = Found::read(&whole.slice(..cut));
+        let (found, good) = JournalContents::read(&whole.slice(..cut));
         let before = states.iter().rev().find(|state| state.0 <= cut);
-        let (end, expected) = before.map_or((0, Found::default()), |(end, state)| (*end, state.clone()));
+        let (end, expected) =
+            before.map_or((0, JournalContents::default()), |(end, state)| (*end, state.clone()));
         assert_eq!((good, found), (end, expected), "cut at {cut}");
     }
 }
@@ -116,7 +117,7 @@
     for at in 0..whole.len() {
         let mut broken = whole.to_vec();
         broken[at] ^= 0x41;
-        let (found, good) = Found::read(&broken.into());
+        let (found, good) = JournalContents::read(&broken.into());
         assert!(good <= at && states.iter().any(|state| state.1 == found), "flipped at {at}");
     }
 }
@@ -132,7 +133,7 @@
     fs::write(folder.path.join("journal.new"), b"meadowhold journal 1\nhalf").unwrap();
     let (mut journal, found) = Journal::open(&folder.path, 3_000_000).unwrap();
     assert_eq!(found.owed[&2].verdict, Some(Verdict::Bounced(250)));
-    journal.append(&Record::Over { serial: 2 }).unwrap();
+    journal.append(&Record::Settled { serial: 2 }).unwrap();
     drop(journal);
     let (_, found) = Journal::open(&folder.path, 3_000_000).unwrap();
     assert_eq!(found.owed, BTreeMap::new());
@@ -147,7 +148,7 @@
     let (mut owing, mut refused, mut most) = (BTreeMap::new(), 0, 0);
     for serial in 1..2000 {
         let mail = owed(&serial.to_string(), 400 + serial as usize % 700);
-        if journal.is_grown(&Record::Taken { serial, owed: &mail }) {
+        if journal.needs_compaction(&Record::Accepted { serial, owed: &mail }) {
             journal.compact(&owing, &[]).unwrap();
             // Both files stood there for a moment.
             most = most.max(allowance * 44 / 100 + bytes(&folder).len() as u64);
@@ -155,11 +156,11 @@
         if !journal.has_room(&mail) {
             refused += 1;
             // The oldest ends.
-            let (serial, oldest): (u64, Owed) = owing.pop_first().unwrap();
-            journal.shrink(meadowhold_courier::journal::weight(&oldest));
-            journal.append(&Record::Over { serial }).unwrap();
+            let (serial, oldest): (u64, OwedMail) = owing.pop_first().unwrap();
+            journal.release(meadowhold_courier::journal::max_stored_size(&oldest));
+            journal.append(&Record::Settled { serial }).unwrap();
         } else {
-            journal.append(&Record::Taken { serial, owed: &mail }).unwrap();
+            journal.append(&Record::Accepted { serial, owed: &mail }).unwrap();
             owing.insert(serial, mail);
         }
         most = most.max(bytes(&folder).len() as u64);
@@ -187,8 +188,8 @@
     let (mut journal, _) = Journal::open(&folder.path, 10_000).unwrap();
     let mail = owed("a", 1000);
     let fits =
-        (1..).take_while(|&serial| journal.append(&Record::Taken { serial, owed: &mail }).is_ok()).count();
+        (1..).take_while(|&serial| journal.append(&Record::Accepted { serial, owed: &mail }).is_ok()).count();
     assert!((2..10).contains(&fits));
-    let (found, good) = Found::read(&bytes(&folder));
+    let (found, good) = JournalContents::read(&bytes(&folder));
     assert_eq!((found.owed.len(), good), (fits, bytes(&folder).len()));
 }
--- a/crates/courier/tests/settings_exchange.rs
+++ b/crates/courier/tests/settings_exchange.rs
@@ -14,7 +14,7 @@
 use meadowhold_courier::config::Offered;
 use meadowhold_courier::discovery::List;
 use meadowhold_courier::exchange::{Answer, Call, Clock, Exchange, Letter, Notice, Offer, Order, Seen};
-use meadowhold_courier::journal::{Found, Journal, Terms, Verdict};
+use meadowhold_courier::journal::{ClassTerms, Journal, JournalContents, Verdict};
 use meadowhold_courier::kept_settings::{self, Kept};
 use meadowhold_courier::numbers::Classes;
 use meadowhold_courier::version::Sum;
@@ -470,7 +470,7 @@
             // Of two with one name the last counts, as at a start.
             let last = decoded.classes.iter().rposition(|other| other == name).unwrap();
             assert_eq!(held.classes[at], new[last], "{name}");
-            assert_eq!(held.terms[at], Terms::new(name, &new[last]));
+            assert_eq!(held.terms[at], ClassTerms::new(name, &new[last]));
         }
         assert_eq!(held.named.len(), decoded.classes.iter().collect::<BTreeSet<_>>().len());
         for (class, was) in &messages {
@@ -568,7 +568,7 @@
                 }
                 38 if chance.u8(..4) == 0 => {
                     // Killed, and started again by what it had kept.
-                    let found = Found::load(&world.folder.path).unwrap().0;
+                    let found = JournalContents::load(&world.folder.path).unwrap().0;
                     assert_eq!(world.exchange.audit_file(&found), Vec::<String>::new());
                     let folder = Folder::new();
                     for file in ["journal", "settings"] {
--- a/crates/courier/tests/start.rs
+++ b/crates/courier/tests/start.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use common::{put, until, Courier, Endpoint, Platform, Reply, OK};
 use meadowhold_courier::exchange::Clock;
-use meadowhold_courier::journal::{Journal, Owed, Record};
+use meadowhold_courier::journal::{Journal, OwedMail, Record};
 use serde_json::{json, Value};
 
 /// Classes by importance, and that only one call is out at a time: the order of calls is the order of offering.
@@ -187,7 +187,7 @@
     let now = Clock::new().now();
     let mut mails = 0;
     loop {
-        let owed = Owed {
+        let owed = OwedMail {
             id: Bytes::from(format!("{mails:016}")),
             class: 0,
             dest: 7,
@@ -195,12 +195,12 @@
             // Of a hundred one has time left; the others pass their ends while no process runs.
             due: now + if mails % 100 == 0 { 300_000 } else { 10 },
             body: Bytes::from_static(&[b'x'; 100]),
-            ..Owed::default()
+            ..OwedMail::default()
         };
         if !journal.has_room(&owed) {
             break;
         }
-        journal.append(&Record::Taken { serial: mails + 1, owed: &owed }).unwrap();
+        journal.append(&Record::Accepted { serial: mails + 1, owed: &owed }).unwrap();
         mails += 1;
     }
     assert!(mails > 3000, "{mails}");
--- a/crates/rig/benches/slopes.rs
+++ b/crates/rig/benches/slopes.rs
@@ -270,7 +270,7 @@
     Ok(vec![Ok((cost, words)), Ok((bytes, String::new()))])
 }
 
-/// Bytes on file of a message held, by `journal::weight`: what the courier reckons its room by.
+/// Bytes on file of a message held, by `journal::max_stored_size`: what the courier reckons its room by.
 const WEIGHT: f64 = 340.0;
 
 /// Hands in so many messages, for destinations 1 to `UNREACHABLE` in their turn, and has all taken on.
