--- a/crates/courier/src/audit.rs
+++ b/crates/courier/src/audit.rs
@@ -142,14 +142,14 @@
         let &Flight { serial, endpoint, call, begun, .. } = flight;
         let indexed = books.mails.outside(mail) == Some(&serial);
         faults.must(indexed, || format!("mail {serial} is out and its index is another's"));
-        let record = owed.get(&serial).map(|owed| owed.out.is_some());
+        let record = owed.get(&serial).map(|owed| owed.in_flight.is_some());
         recorded += usize::from(record == Some(true));
         faults.must(record.is_none_or(|record| record == begun), || {
             let words = if begun { "out without a record" } else { "on record as out and not begun" };
             format!("mail {serial} is {words}")
         });
         let (to, of) =
-            ((books.groups)(endpoint), owed.get(&serial).map_or((books.groups)(endpoint), |o| o.dest));
+            ((books.groups)(endpoint), owed.get(&serial).map_or((books.groups)(endpoint), |o| o.destination));
         faults.must(to == of, || format!("mail {serial} of destination {of} is out to destination {to}"));
         let Some((slot, at)) = control.flight(mail) else {
             faults.0.push(format!("mail {serial} is out and the decisions do not know it"));
@@ -161,7 +161,7 @@
         let carrier = *carried_by.entry(call).or_insert(slot);
         faults.must(carrier == slot, || format!("call {call} carries mails of slots {carrier} and {slot}"));
     }
-    let marked = owed.values().filter(|owed| owed.out.is_some()).count();
+    let marked = owed.values().filter(|owed| owed.in_flight.is_some()).count();
     faults.agree("records of connects out", marked as u64, recorded as u64);
     faults.agree("slots of connects out", control.slots_taken() as u64, slots.len() as u64);
     let mut at: BTreeMap<usize, u64> = BTreeMap::new();
@@ -183,7 +183,7 @@
             continue;
         };
         // After a restart the file still says "out" of what the books say "may have run" of.
-        let told = |owed: &OwedMail| (owed.connects, owed.verdict, owed.ran.or(owed.out));
+        let told = |owed: &OwedMail| (owed.connects, owed.verdict, owed.may_have_run.or(owed.in_flight));
         let same = told(owed) == told(filed) && owed.terms == filed.terms;
         faults.must(same, || format!("mail {serial} is otherwise on file"));
     }
--- a/crates/courier/src/command.rs
+++ b/crates/courier/src/command.rs
@@ -207,13 +207,13 @@
     let (found, unread) = loaded.map_err(|e| format!("the journal in {}: {e}", folder.display()))?;
     for owed in found.owed.values() {
         let id = String::from_utf8_lossy(&owed.id);
-        let state = match (owed.verdict, owed.out, owed.ran) {
+        let state = match (owed.verdict, owed.in_flight, owed.may_have_run) {
             (Some(verdict), ..) => format!("given up, notice not yet heard: {verdict:?}"),
             (_, Some(_), _) => "a connect is out".to_string(),
             (_, _, Some(_)) => "waits, may have run".to_string(),
             _ => "waits, has not run".to_string(),
         };
-        println!("{id} destination {} connects {} {state}", owed.dest, owed.connects);
+        println!("{id} destination {} connects {} {state}", owed.destination, owed.connects);
     }
     println!("{} mails owed; {unread} bytes cannot be read", found.owed.len());
     Ok(())
--- a/crates/courier/src/exchange.rs
+++ b/crates/courier/src/exchange.rs
@@ -445,13 +445,13 @@
         }
         let mut mails = Vec::with_capacity(found.owed.len());
         let mut keys: HashMap<Bytes, u64> = HashMap::new();
-        self.rests = found.rests;
+        self.rests = found.held_keys;
         for (serial, mut owed) in found.owed {
             // A connect that was out when the process ended may have run, and may be running.
-            let out = owed.out.take();
-            owed.ran = owed.ran.or(out);
+            let out = owed.in_flight.take();
+            owed.may_have_run = owed.may_have_run.or(out);
             // Guards against a clock that was set back: how long ago that was cannot be known.
-            owed.ran = owed.ran.map(|(at, zone)| (if at > now { 0 } else { at }, zone));
+            owed.may_have_run = owed.may_have_run.map(|(at, zone)| (if at > now { 0 } else { at }, zone));
             if out.is_some() && !owed.item.is_empty() {
                 self.rests.push((owed.item.clone(), now));
                 self.note(&Record::KeyHeld { item: &owed.item, since: now });
@@ -468,7 +468,7 @@
                     let next = keys.len() as u64;
                     let key = self.is_ordered(&owed).then(|| *keys.entry(owed.item.clone()).or_insert(next));
                     let importance = self.classes.classes[usize::from(owed.class)].importance;
-                    mails.push(backlog::Mail { serial, importance, due: owed.due, key });
+                    mails.push(backlog::Mail { serial, importance, due: owed.expires_at, key });
                 }
             }
             self.owed.insert(serial, owed);
@@ -509,13 +509,13 @@
         let mail = self.mails.enter(serial);
         self.inputs.push(Input::Taken(Taken {
             mail,
-            dest: self.dests.enter(owed.dest),
+            dest: self.dests.enter(owed.destination),
             class,
             key: ordered.then(|| self.keys.enter(owed.item.clone())),
-            since: owed.since,
-            due: owed.due,
+            since: owed.accepted_at,
+            due: owed.expires_at,
             connects: owed.connects as usize,
-            ran: owed.ran.map(|(at, zone)| (at, usize::from(zone))),
+            ran: owed.may_have_run.map(|(at, zone)| (at, usize::from(zone))),
         }));
         self.notify.notify_one();
     }
@@ -541,16 +541,16 @@
             item: if ordered { offer.item } else { Bytes::new() },
             class: class as u16,
             terms: self.classes.terms[class].clone(),
-            dest: offer.dest,
-            since: self.clock.now(),
-            due: self.clock.now() + tenths(offer.lifetime),
+            destination: offer.dest,
+            accepted_at: self.clock.now(),
+            expires_at: self.clock.now() + tenths(offer.lifetime),
             body: offer.body,
             ..OwedMail::default()
         };
         let serial = self.next_serial;
-        log::debug!("mail {serial} for {} of class {class} has come", owed.dest);
+        log::debug!("mail {serial} for {} of class {class} has come", owed.destination);
         if self.open >= self.room
-            || self.control.turns_away(dest, class, owed.due)
+            || self.control.turns_away(dest, class, owed.expires_at)
             || !self.journal.has_room(&owed)
             || !self.note(&Record::Accepted { serial, owed: &owed })
         {
@@ -559,7 +559,7 @@
         }
         self.next_serial += 1;
         self.counts.taken += 1;
-        let (id, lifetime) = (String::from_utf8_lossy(&owed.id), owed.due - owed.since);
+        let (id, lifetime) = (String::from_utf8_lossy(&owed.id), owed.expires_at - owed.accepted_at);
         log::debug!("message {id} taken on as {serial}, {} ms", lifetime / 10);
         self.ids.insert(owed.id.clone(), serial);
         // Guards against a mail that overtakes one of its key which an earlier process took on.
@@ -801,7 +801,7 @@
     /// and the file has it from an earlier process.
     fn latest(&self, owed: &OwedMail) -> Time {
         let class = &self.classes.classes[usize::from(owed.class)];
-        match (owed.ran, class.effect) {
+        match (owed.may_have_run, class.effect) {
             (None, _) | (_, Effect::Redeliverable) => Time::MAX,
             (Some((sent, _)), Effect::Tagged) => sent.saturating_add(class.window),
             (Some(_), Effect::OnceOnly) => 0,
@@ -829,7 +829,7 @@
             if may && owed && in_time && self.note(&Record::ConnectStarted { serial, sent }) {
                 let owed = self.owed.get_mut(&serial);
                 owed.into_iter().for_each(|owed| {
-                    owed.out = Some(sent);
+                    owed.in_flight = Some(sent);
                     owed.connects += 1;
                 });
                 let flight = self.mails.find(&serial).and_then(|mail| self.flying.get_mut(mail)?.as_mut());
@@ -877,13 +877,13 @@
         if over {
             self.over(serial);
         } else if let Some(owed) = self.owed.get_mut(&serial) {
-            let sent = owed.out.take();
+            let sent = owed.in_flight.take();
             if sent.is_some() {
-                owed.ran = owed.ran.or(sent.filter(|_| ran));
+                owed.may_have_run = owed.may_have_run.or(sent.filter(|_| ran));
                 if rests && !owed.item.is_empty() {
                     self.rests.push((owed.item.clone(), now));
                 }
-                self.note(&Record::ConnectEnded { serial, ran, rests, at: now });
+                self.note(&Record::ConnectEnded { serial, may_have_run: ran, may_still_run: rests, at: now });
             }
         }
         log::debug!(
@@ -1009,11 +1009,11 @@
             ("a connect lost", Some(mail), _) => self.flying[mail] = None,
             ("a record lost", Some(mail), _) => {
                 let serial = self.flying[mail].map_or(0, |flight| flight.serial);
-                self.owed.get_mut(&serial).into_iter().for_each(|owed| owed.out = None);
+                self.owed.get_mut(&serial).into_iter().for_each(|owed| owed.in_flight = None);
             }
             ("a record too many", _, Some(_)) => {
-                let parked = self.owed.values_mut().find(|owed| owed.out.is_none());
-                parked.into_iter().for_each(|owed| owed.out = Some((1, 0)));
+                let parked = self.owed.values_mut().find(|owed| owed.in_flight.is_none());
+                parked.into_iter().for_each(|owed| owed.in_flight = Some((1, 0)));
             }
             ("an endpoint", Some(mail), _) => {
                 let other = |e: usize| if e == 0 { 1 } else { 0 };
@@ -1061,7 +1061,7 @@
         self.tally.begun += 1;
         log::debug!(
             "mail {serial} for {}: connect to endpoint {endpoint}, {}",
-            owed.dest,
+            owed.destination,
             until - self.last_turn
         );
         let letter = Letter {
@@ -1070,7 +1070,7 @@
             key: owed.key.clone(),
             body: owed.body.clone(),
             until,
-            due: owed.due,
+            due: owed.expires_at,
             latest: self.latest(owed),
         };
         let peer = &self.peers[endpoint];
@@ -1107,7 +1107,7 @@
         owed.verdict = Some(verdict);
         self.journal.release(owed.body.len() as u64);
         owed.body.clear();
-        let (id, dest, left) = (owed.id.clone(), owed.dest, owed.due.saturating_sub(now));
+        let (id, dest, left) = (owed.id.clone(), owed.destination, owed.expires_at.saturating_sub(now));
         self.open -= 1;
         self.counts.given_up += 1;
         // Guards against a mail that is handed back, handed in anew, and sent by the next process all the same:
--- a/crates/courier/src/journal.rs
+++ b/crates/courier/src/journal.rs
@@ -53,40 +53,50 @@
 pub const MAX_CLASSES: usize = 4096;
 
 /// The module's class by which a mail of an earlier process is held: today's of the same name, if that allows no
-/// more than what the mail was taken on with, else one more that allows only what both do. `today`: what the
+/// more than what the mail was taken on with, else one more that allows only what both do. `current`: what the
 /// settings' classes stand for, the first of `classes`.
-pub fn class_for_restored(owed: &OwedMail, today: &[ClassTerms], classes: &mut Vec<QueueClass>) -> u16 {
-    let own = &owed.terms;
-    let named = match own.effect {
-        Some(_) => today.iter().position(|terms| terms.class == own.class),
-        None => Some(usize::from(owed.class)).filter(|&class| class < today.len()),
+pub fn class_for_restored(owed: &OwedMail, current: &[ClassTerms], classes: &mut Vec<QueueClass>) -> u16 {
+    let accepted = &owed.terms;
+    let same_name = match accepted.effect {
+        Some(_) => current.iter().position(|terms| terms.class == accepted.class),
+        None => Some(usize::from(owed.class)).filter(|&class| class < current.len()),
     };
-    let alike = || today.iter().position(|terms| terms.effect == own.effect).unwrap_or_default();
-    // What a delay costs, and the like, is today's.
-    let base = classes[named.unwrap_or_else(alike)].clone();
+    let same_effect = || current.iter().position(|terms| terms.effect == accepted.effect).unwrap_or_default();
+    // What a delay costs, and the like, is current's.
+    let base = classes[same_name.unwrap_or_else(same_effect)].clone();
     // Guards against a second run of what was taken on when nobody noted what a repeat would do.
-    let effect = own.effect.unwrap_or(Effect::OnceOnly);
-    let own = QueueClass { effect, by_zone: own.by_zone, window: own.window, in_turn: own.in_turn, ..base };
-    let mut held = if named.is_some() { stricter_of(&own, &base, owed.key.is_empty()) } else { own };
-    held.in_turn |= owed.terms.effect.is_none() && !owed.item.is_empty();
+    let effect = accepted.effect.unwrap_or(Effect::OnceOnly);
+    let accepted_class = QueueClass {
+        effect,
+        by_zone: accepted.by_zone,
+        window: accepted.window,
+        in_turn: accepted.in_turn,
+        ..base
+    };
+    let mut restored = if same_name.is_some() {
+        stricter_of(&accepted_class, &base, owed.key.is_empty())
+    } else {
+        accepted_class
+    };
+    restored.in_turn |= owed.terms.effect.is_none() && !owed.item.is_empty();
     if classes.len() >= MAX_CLASSES {
-        held.effect = Effect::OnceOnly;
+        restored.effect = Effect::OnceOnly;
     }
-    if held.effect != Effect::Tagged {
-        (held.by_zone, held.window) = (base.by_zone, base.window);
+    if restored.effect != Effect::Tagged {
+        (restored.by_zone, restored.window) = (base.by_zone, base.window);
     }
     let rules = |c: &QueueClass| (c.effect, c.by_zone, c.window, c.in_turn, c.target, c.lifetime);
     let worth = |c: &QueueClass| (c.importance, c.late_worth);
-    let same = |c: &QueueClass| rules(c) == rules(&held) && worth(c) == worth(&held);
-    let at = classes.iter().position(same).unwrap_or(classes.len());
-    if at == classes.len() {
-        classes.push(held);
+    let same = |c: &QueueClass| rules(c) == rules(&restored) && worth(c) == worth(&restored);
+    let index = classes.iter().position(same).unwrap_or(classes.len());
+    if index == classes.len() {
+        classes.push(restored);
     }
-    at as u16
+    index as u16
 }
 
 /// What both classes allow of a mail.
-fn stricter_of(a: &QueueClass, b: &QueueClass, keyless: bool) -> QueueClass {
+fn stricter_of(a: &QueueClass, b: &QueueClass, without_key: bool) -> QueueClass {
     let in_turn = a.in_turn || b.in_turn;
     match (a.effect, b.effect) {
         (Effect::Tagged, Effect::Tagged) => {
@@ -94,7 +104,7 @@
             QueueClass { by_zone, window, in_turn, ..a.clone() }
         }
         // Guards against repeats of what was taken on without a key.
-        (Effect::Tagged, Effect::Redeliverable) | (Effect::Redeliverable, Effect::Tagged) if keyless => {
+        (Effect::Tagged, Effect::Redeliverable) | (Effect::Redeliverable, Effect::Tagged) if without_key => {
             QueueClass { effect: Effect::OnceOnly, in_turn, ..a.clone() }
         }
         (x, y) => QueueClass { in_turn, ..if x as u8 >= y as u8 { a } else { b }.clone() },
@@ -112,16 +122,16 @@
     /// The module's class for it, by today's settings.
     pub class: u16,
     pub terms: ClassTerms,
-    pub dest: u64,
+    pub destination: u64,
     /// When it was handed in; 0: on file before that was noted.
-    pub since: Time,
-    pub due: Time,
+    pub accepted_at: Time,
+    pub expires_at: Time,
     pub body: Bytes,
     pub connects: u32,
     /// The first connect that may have run.
-    pub ran: Option<Sent>,
+    pub may_have_run: Option<Sent>,
     /// A connect that is out.
-    pub out: Option<Sent>,
+    pub in_flight: Option<Sent>,
     /// Given up: only the notice is owed.
     pub verdict: Option<Verdict>,
 }
@@ -129,7 +139,10 @@
 impl OwedMail {
     /// Its sends were to zones of which nothing is known any more.
     pub fn clear_zones(&mut self) {
-        [&mut self.ran, &mut self.out].into_iter().flatten().for_each(|sent| sent.1 = UNKNOWN_ZONE);
+        [&mut self.may_have_run, &mut self.in_flight]
+            .into_iter()
+            .flatten()
+            .for_each(|sent| sent.1 = UNKNOWN_ZONE);
     }
 }
 
@@ -146,8 +159,8 @@
     /// The connect that was out has an outcome; `ran`: it may have run. `rests`: it may be running still.
     ConnectEnded {
         serial: u64,
-        ran: bool,
-        rests: bool,
+        may_have_run: bool,
+        may_still_run: bool,
         at: Time,
     },
     GivenUp {
@@ -172,7 +185,7 @@
 pub struct JournalContents {
     pub owed: BTreeMap<u64, OwedMail>,
     /// Keys of which a connect may be running still, and since when.
-    pub rests: Vec<(Bytes, Time)>,
+    pub held_keys: Vec<(Bytes, Time)>,
     /// The zones by whose places sends name theirs.
     pub zones: Bytes,
 }
@@ -181,6 +194,19 @@
 const NEW_FILE_NAME: &str = "journal.new";
 const LOCK_FILE_NAME: &str = "lock";
 const MAGIC: &[u8] = b"meadowhold journal 1\n";
+/// Record types by their number on file. 1 and 7 were written by earlier versions and are only read.
+mod code {
+    pub const ACCEPTED_WITHOUT_TIME: u8 = 1;
+    pub const CONNECT_STARTED: u8 = 2;
+    pub const CONNECT_ENDED: u8 = 3;
+    pub const GIVEN_UP: u8 = 4;
+    pub const SETTLED: u8 = 5;
+    pub const KEY_HELD: u8 = 6;
+    pub const ACCEPTED_WITHOUT_TERMS: u8 = 7;
+    pub const ACCEPTED: u8 = 8;
+    pub const ZONES: u8 = 9;
+}
+
 const HEADER_SIZE: usize = 8;
 const BLOCK_SIZE: u64 = 512;
 /// Parts of the allowance, in hundredths: what is owed may take so much, the file grows to so much before
@@ -227,9 +253,9 @@
     out.extend_from_slice(&[0; HEADER_SIZE]);
     match *record {
         Record::Accepted { serial, owed } => {
-            out.put_u8(8);
+            out.put_u8(code::ACCEPTED);
             out.put_u64(serial);
-            out.put_u64(owed.since);
+            out.put_u64(owed.accepted_at);
             [&owed.id, &owed.key, &owed.item].into_iter().for_each(|bytes| put_short_bytes(out, bytes));
             out.put_u16(owed.class);
             let ClassTerms { class, effect, by_zone, window, in_turn } = &owed.terms;
@@ -237,27 +263,27 @@
             out.put_u8(EFFECTS.iter().position(|known| known == effect).unwrap_or(0) as u8);
             out.put_u8(u8::from(*by_zone) | u8::from(*in_turn) << 1);
             out.put_u64(*window);
-            out.put_u64(owed.dest);
-            out.put_u64(owed.due);
+            out.put_u64(owed.destination);
+            out.put_u64(owed.expires_at);
             out.put_u32(owed.connects);
-            put_optional_sent(out, owed.ran);
-            put_optional_sent(out, owed.out);
+            put_optional_sent(out, owed.may_have_run);
+            put_optional_sent(out, owed.in_flight);
             out.extend_from_slice(&owed.body);
         }
         Record::ConnectStarted { serial, sent } => {
-            out.put_u8(2);
+            out.put_u8(code::CONNECT_STARTED);
             out.put_u64(serial);
             out.put_u64(sent.0);
             out.put_u16(sent.1);
         }
-        Record::ConnectEnded { serial, ran, rests, at } => {
-            out.put_u8(3);
+        Record::ConnectEnded { serial, may_have_run, may_still_run, at } => {
+            out.put_u8(code::CONNECT_ENDED);
             out.put_u64(serial);
-            out.put_u8(u8::from(ran) | u8::from(rests) << 1);
+            out.put_u8(u8::from(may_have_run) | u8::from(may_still_run) << 1);
             out.put_u64(at);
         }
         Record::GivenUp { serial, verdict } => {
-            out.put_u8(4);
+            out.put_u8(code::GIVEN_UP);
             out.put_u64(serial);
             match verdict {
                 Verdict::Dead => out.put_u64(u64::MAX),
@@ -265,24 +291,24 @@
             }
         }
         Record::Settled { serial } => {
-            out.put_u8(5);
+            out.put_u8(code::SETTLED);
             out.put_u64(serial);
         }
         Record::KeyHeld { item, since } => {
-            out.put_u8(6);
+            out.put_u8(code::KEY_HELD);
             out.put_u64(since);
             put_short_bytes(out, item);
         }
         Record::Zones { names } => {
-            out.put_u8(9);
+            out.put_u8(code::ZONES);
             out.put_u64(0);
             out.extend_from_slice(names);
         }
     }
     let length = (out.len() - start - HEADER_SIZE) as u32;
-    let sum = crc32fast::hash(&out[start + HEADER_SIZE..]);
+    let checksum = crc32fast::hash(&out[start + HEADER_SIZE..]);
     out[start..start + 4].copy_from_slice(&length.to_be_bytes());
-    out[start + 4..start + HEADER_SIZE].copy_from_slice(&sum.to_be_bytes());
+    out[start + 4..start + HEADER_SIZE].copy_from_slice(&checksum.to_be_bytes());
 }
 
 /// What a mail takes in a fresh file, with its verdict, at most.
@@ -329,9 +355,9 @@
     }
 
     fn optional_sent(&mut self) -> Option<Option<Sent>> {
-        let is = self.u8()? != 0;
+        let is_present = self.u8()? != 0;
         let sent = (self.u64()?, self.u16()?);
-        Some(is.then_some(sent))
+        Some(is_present.then_some(sent))
     }
 }
 
@@ -339,43 +365,45 @@
     /// What a folder's journal says, and how many of its last bytes cannot be read.
     pub fn load(folder: &Path) -> io::Result<(JournalContents, usize)> {
         let bytes = Bytes::from(fs::read(folder.join(FILE_NAME))?);
-        let (found, good) = JournalContents::read(&bytes);
-        Ok((found, bytes.len() - good))
+        let (contents, valid_len) = JournalContents::read(&bytes);
+        Ok((contents, bytes.len() - valid_len))
     }
 
     /// What the bytes of a journal say, up to the first that do not add up; and how many those are.
     pub fn read(bytes: &Bytes) -> (JournalContents, usize) {
-        let mut found = JournalContents::default();
+        let mut contents = JournalContents::default();
         if !bytes.starts_with(MAGIC) {
-            return (found, 0);
+            return (contents, 0);
         }
-        let mut at = MAGIC.len();
-        while let Some(mut header) = bytes.get(at..at + HEADER_SIZE) {
-            let (length, sum) = (header.get_u32() as usize, header.get_u32());
-            let Some(end) = (at + HEADER_SIZE).checked_add(length).filter(|&end| end <= bytes.len()) else {
+        let mut offset = MAGIC.len();
+        while let Some(mut header) = bytes.get(offset..offset + HEADER_SIZE) {
+            let (length, checksum) = (header.get_u32() as usize, header.get_u32());
+            let Some(end) = (offset + HEADER_SIZE).checked_add(length).filter(|&end| end <= bytes.len())
+            else {
                 break;
             };
-            let record = bytes.slice(at + HEADER_SIZE..end);
-            if crc32fast::hash(&record) != sum || found.apply(FieldReader(record)).is_none() {
+            let record = bytes.slice(offset + HEADER_SIZE..end);
+            if crc32fast::hash(&record) != checksum || contents.apply(FieldReader(record)).is_none() {
                 break;
             }
-            at = end;
+            offset = end;
         }
-        (found, at)
-    }
-
-    fn apply(&mut self, mut f: FieldReader) -> Option<()> {
-        let (code, serial) = (f.u8()?, f.u64()?);
-        match code {
-            // The first two are how earlier versions had it.
-            1 | 7 | 8 => {
-                let since = if code == 1 { 0 } else { f.u64()? };
-                let (id, key, item) = (f.short_bytes()?, f.short_bytes()?, f.short_bytes()?);
-                let class = f.u16()?;
-                let terms = if code == 8 { f.terms()? } else { ClassTerms::default() };
-                let (dest, due, connects) = (f.u64()?, f.u64()?, f.u32()?);
-                let (ran, out) = (f.optional_sent()?, f.optional_sent()?);
-                let body = f.0;
+        (contents, offset)
+    }
+
+    fn apply(&mut self, mut fields: FieldReader) -> Option<()> {
+        let (record_type, serial) = (fields.u8()?, fields.u64()?);
+        match record_type {
+            code::ACCEPTED_WITHOUT_TIME | code::ACCEPTED_WITHOUT_TERMS | code::ACCEPTED => {
+                let accepted_at =
+                    if record_type == code::ACCEPTED_WITHOUT_TIME { 0 } else { fields.u64()? };
+                let (id, key, item) = (fields.short_bytes()?, fields.short_bytes()?, fields.short_bytes()?);
+                let class = fields.u16()?;
+                let terms =
+                    if record_type == code::ACCEPTED { fields.terms()? } else { ClassTerms::default() };
+                let (destination, expires_at, connects) = (fields.u64()?, fields.u64()?, fields.u32()?);
+                let (may_have_run, in_flight) = (fields.optional_sent()?, fields.optional_sent()?);
+                let body = fields.0;
                 let verdict = None;
                 let owed = OwedMail {
                     id,
@@ -383,47 +411,47 @@
                     item,
                     class,
                     terms,
-                    dest,
-                    since,
-                    due,
+                    destination,
+                    accepted_at,
+                    expires_at,
                     body,
                     connects,
-                    ran,
-                    out,
+                    may_have_run,
+                    in_flight,
                     verdict,
                 };
                 self.owed.insert(serial, owed);
             }
-            2 => {
-                let sent = (f.u64()?, f.u16()?);
+            code::CONNECT_STARTED => {
+                let sent = (fields.u64()?, fields.u16()?);
                 let owed = self.owed.get_mut(&serial)?;
                 // Guards against a second restart that forgets the first: what was out then may have run.
-                let lost = owed.out.replace(sent);
-                owed.ran = owed.ran.or(lost);
+                let unresolved = owed.in_flight.replace(sent);
+                owed.may_have_run = owed.may_have_run.or(unresolved);
                 owed.connects += 1;
             }
-            3 => {
-                let (flags, at) = (f.u8()?, f.u64()?);
+            code::CONNECT_ENDED => {
+                let (flags, at) = (fields.u8()?, fields.u64()?);
                 let owed = self.owed.get_mut(&serial)?;
-                let sent = owed.out.take().filter(|_| flags & 1 != 0);
-                owed.ran = owed.ran.or(sent);
+                let possible_run = owed.in_flight.take().filter(|_| flags & 1 != 0);
+                owed.may_have_run = owed.may_have_run.or(possible_run);
                 if flags & 2 != 0 && !owed.item.is_empty() {
-                    self.rests.push((owed.item.clone(), at));
+                    self.held_keys.push((owed.item.clone(), at));
                 }
             }
-            4 => {
-                let wait = f.u64()?;
+            code::GIVEN_UP => {
+                let wait = fields.u64()?;
                 let verdict = if wait == u64::MAX { Verdict::Dead } else { Verdict::Bounced(wait) };
                 self.owed.get_mut(&serial)?.verdict = Some(verdict);
             }
             // Guards against a whole record that speaks of a mail which is not there, as 0.2.0 could leave one:
             // it would hide all that follows.
-            5 => drop(self.owed.remove(&serial)),
+            code::SETTLED => drop(self.owed.remove(&serial)),
             // The place of the serial holds the time.
-            6 => self.rests.push((f.short_bytes()?, serial)),
-            9 => {
-                let before = std::mem::replace(&mut self.zones, f.0);
-                if before != self.zones {
+            code::KEY_HELD => self.held_keys.push((fields.short_bytes()?, serial)),
+            code::ZONES => {
+                let previous = std::mem::replace(&mut self.zones, fields.0);
+                if previous != self.zones {
                     self.owed.values_mut().for_each(OwedMail::clear_zones);
                 }
             }
@@ -455,29 +483,33 @@
             Err(e) if e.kind() == io::ErrorKind::NotFound => Bytes::new(),
             read => Bytes::from(read?),
         };
-        let (found, good) = JournalContents::read(&bytes);
-        if good < bytes.len() {
-            log::warn!("the journal's last {} bytes cannot be read and are passed over", bytes.len() - good);
+        let (contents, valid_len) = JournalContents::read(&bytes);
+        if valid_len < bytes.len() {
+            log::warn!(
+                "the journal's last {} bytes cannot be read and are passed over",
+                bytes.len() - valid_len
+            );
         }
         let mut journal = Journal {
             folder: folder.to_path_buf(),
             files,
             lock,
             file: None,
-            size: good as u64,
+            size: valid_len as u64,
             allowance,
-            owed_bytes: found.owed.values().map(max_stored_size).sum(),
-            zones: found.zones.clone(),
+            owed_bytes: contents.owed.values().map(max_stored_size).sum(),
+            zones: contents.zones.clone(),
             has_partial_tail: false,
             buffer: Vec::new(),
         };
-        if let Err(e) = journal.compact(&found.owed, &found.rests) {
+        if let Err(e) = journal.compact(&contents.owed, &contents.held_keys) {
             log::warn!("the journal cannot be written anew at the start: {e}");
             // Guards against a full disk that keeps what is owed from its end: the old file still serves.
-            let old = if good > 0 && journal.lock.is_some() { journal.reopen_truncated() } else { Err(e) };
+            let old =
+                if valid_len > 0 && journal.lock.is_some() { journal.reopen_truncated() } else { Err(e) };
             journal.file = unless_transient(old)?;
         }
-        Ok((journal, found))
+        Ok((journal, contents))
     }
 
     /// The folder that lasts, and the bytes that it may hold.
@@ -496,8 +528,8 @@
 
     /// Whether the file should be written anew before this record.
     pub fn needs_compaction(&self, record: &Record) -> bool {
-        let more = if let Record::Accepted { owed, .. } = record { max_stored_size(owed) } else { 0 };
-        self.file.is_none() || self.size + more > self.percent_of_allowance(FILE_PERCENT)
+        let added = if let Record::Accepted { owed, .. } = record { max_stored_size(owed) } else { 0 };
+        self.file.is_none() || self.size + added > self.percent_of_allowance(FILE_PERCENT)
     }
 
     pub fn append(&mut self, record: &Record) -> io::Result<()> {
@@ -538,11 +570,11 @@
     }
 
     /// Puts a fresh file of what is owed in the place of the old one.
-    pub fn compact(&mut self, owed: &BTreeMap<u64, OwedMail>, rests: &[(Bytes, Time)]) -> io::Result<()> {
+    pub fn compact(&mut self, owed: &BTreeMap<u64, OwedMail>, held_keys: &[(Bytes, Time)]) -> io::Result<()> {
         if self.lock.is_none() {
             self.lock = Some(lock_folder(&*self.files, &self.folder)?);
         }
-        let (file, size) = write_compacted(&*self.files, &self.folder, owed, rests, &self.zones)?;
+        let (file, size) = write_compacted(&*self.files, &self.folder, owed, held_keys, &self.zones)?;
         (self.file, self.size, self.has_partial_tail) = (Some(file), size, false);
         Ok(())
     }
@@ -556,13 +588,13 @@
 }
 
 /// Nothing, with a line of the log, where it may go well later.
-fn unless_transient(made: io::Result<File>) -> io::Result<Option<File>> {
-    match made {
+fn unless_transient(result: io::Result<File>) -> io::Result<Option<File>> {
+    match result {
         Err(e) if is_transient(&e) => {
             log::warn!("nothing is taken on before the journal can be written: {e}");
             Ok(None)
         }
-        made => made.map(Some),
+        result => result.map(Some),
     }
 }
 
@@ -578,7 +610,7 @@
     files: &dyn FileSystem,
     folder: &Path,
     owed: &BTreeMap<u64, OwedMail>,
-    rests: &[(Bytes, Time)],
+    held_keys: &[(Bytes, Time)],
     zones: &[u8],
 ) -> io::Result<(File, u64)> {
     let mut bytes = MAGIC.to_vec();
@@ -591,7 +623,7 @@
             encode(&mut bytes, &Record::GivenUp { serial, verdict });
         }
     }
-    for (item, since) in rests {
+    for (item, since) in held_keys {
         encode(&mut bytes, &Record::KeyHeld { item, since: *since });
     }
     let path = folder.join(NEW_FILE_NAME);
--- a/crates/courier/tests/start.rs
+++ b/crates/courier/tests/start.rs
@@ -190,10 +190,10 @@
         let owed = OwedMail {
             id: Bytes::from(format!("{mails:016}")),
             class: 0,
-            dest: 7,
-            since: now,
+            destination: 7,
+            accepted_at: now,
             // Of a hundred one has time left; the others pass their ends while no process runs.
-            due: now + if mails % 100 == 0 { 300_000 } else { 10 },
+            expires_at: now + if mails % 100 == 0 { 300_000 } else { 10 },
             body: Bytes::from_static(&[b'x'; 100]),
             ..OwedMail::default()
         };
