--- a/crates/courier/src/audit.rs
+++ b/crates/courier/src/audit.rs
@@ -1,4 +1,4 @@
-//! The audit: what must hold of a courier's books after a turn, counted another way than they are kept. It
+//! The audit: what must hold of a courier's state after a turn, counted another way than they are kept. It
 //! changes nothing and decides nothing; what does not hold comes back in words, and whoever asked counts it.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -11,181 +11,190 @@
 use crate::journal::{max_stored_size, JournalContents, OwedMail};
 
 /// In release builds the audit runs after every so-manieth turn: it looks at all mails and all endpoints.
-pub const EVERY: u64 = 256;
+pub const INTERVAL_TURNS: u64 = 256;
 
 /// A connect that was asked for and has no outcome yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Flight {
+pub struct PendingConnect {
     /// Of its mail.
     pub serial: u64,
     pub endpoint: usize,
     /// Number of the call that it travels with; calls are numbered from the start of the process.
     pub call: u64,
     /// When it was asked for.
-    pub started: Time,
+    pub requested_at: Time,
     /// Its call's first byte may have gone out.
     pub begun: bool,
 }
 
 /// What is limited, and told to wait, on its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Unit {
+pub enum LimitScope {
     /// A destination, by its outside number.
-    Dest(u64),
+    Destination(u64),
     /// An endpoint that is a route apart, by its index.
-    Route(usize),
+    Endpoint(usize),
 }
 
-/// What is counted beside the books, event by event.
+/// What is counted beside the state, event by event.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
+pub struct AuditCounters {
     /// Mails that an earlier process had left, and mails of which nothing is owed any more.
-    pub found: u64,
+    pub restored: u64,
     pub ended: u64,
     /// Connects asked for, and outcomes.
-    pub begun: u64,
-    pub landed: u64,
+    pub connects_started: u64,
+    pub connects_ended: u64,
     /// Until when a unit was told to be left alone.
-    pub held: BTreeMap<Unit, Time>,
+    pub held_until: BTreeMap<LimitScope, Time>,
     /// Versions of the list as they came: the last one, and how often it was lower than the one before.
-    pub version: u64,
-    pub went_back: u64,
+    pub list_version: u64,
+    pub older_lists: u64,
 }
 
-impl Tally {
-    pub fn listed(&mut self, version: u64) {
-        self.went_back += u64::from(version < self.version);
-        self.version = version;
+impl AuditCounters {
+    pub fn record_list_version(&mut self, version: u64) {
+        self.older_lists += u64::from(version < self.list_version);
+        self.list_version = version;
     }
 
-    pub fn hold(&mut self, unit: Unit, until: Time) {
-        let held = self.held.entry(unit).or_default();
+    pub fn hold(&mut self, scope: LimitScope, until: Time) {
+        let held = self.held_until.entry(scope).or_default();
         *held = until.max(*held);
     }
 
-    pub fn is_held(&self, unit: Unit, now: Time) -> bool {
-        self.held.get(&unit).is_some_and(|&until| now < until)
+    pub fn is_held(&self, scope: LimitScope, now: Time) -> bool {
+        self.held_until.get(&scope).is_some_and(|&until| now < until)
     }
 }
 
-/// The books that are looked at, between two turns: all that was seen has been told to the decisions.
-pub struct Books<'a> {
+/// The state that is looked at, between two turns: all that was seen has been told to the decisions.
+pub struct AuditedState<'a> {
     pub control: &'a Control,
     pub owed: &'a BTreeMap<u64, OwedMail>,
     pub ids: &'a HashMap<Bytes, u64>,
-    pub open: usize,
-    pub flying: &'a [Option<Flight>],
-    pub mails: &'a Door<u64>,
+    pub unfinished: usize,
+    pub pending: &'a [Option<PendingConnect>],
+    pub mail_indices: &'a Door<u64>,
     /// The destination of an endpoint, by its outside number.
-    pub groups: &'a dyn Fn(usize) -> u64,
+    pub destination_of: &'a dyn Fn(usize) -> u64,
     /// Bytes that the journal says what is owed takes.
-    pub on_file: u64,
-    pub taken: u64,
-    pub index: u64,
-    pub older: u64,
-    pub tally: &'a Tally,
+    pub journal_bytes: u64,
+    pub accepted: u64,
+    pub list_version: u64,
+    pub older_lists: u64,
+    pub counters: &'a AuditCounters,
 }
 
-struct Faults(Vec<String>);
+struct Findings(Vec<String>);
 
-impl Faults {
-    fn agree(&mut self, what: &str, kept: u64, counted: u64) {
-        if kept != counted {
-            self.0.push(format!("{what}: {kept} kept, {counted} counted"));
+impl Findings {
+    fn expect_equal(&mut self, what: &str, recorded: u64, counted: u64) {
+        if recorded != counted {
+            self.0.push(format!("{what}: {recorded} kept, {counted} counted"));
         }
     }
 
-    fn must(&mut self, holds: bool, words: impl FnOnce() -> String) {
+    fn check(&mut self, holds: bool, message: impl FnOnce() -> String) {
         if !holds {
-            self.0.push(words());
+            self.0.push(message());
         }
     }
 }
 
 /// What does not hold, in words; nothing where all does.
-pub fn faults(books: &Books) -> Vec<String> {
-    let mut faults = Faults(books.control.audit());
-    mails(books, &mut faults);
-    calls(books, &mut faults);
-    faults.agree("version of the list", books.index, books.tally.version);
-    faults.agree("lists of a lower version", books.older, books.tally.went_back);
+pub fn find_faults(state: &AuditedState) -> Vec<String> {
+    let mut faults = Findings(state.control.audit());
+    check_mails(state, &mut faults);
+    check_calls(state, &mut faults);
+    faults.expect_equal("version of the list", state.list_version, state.counters.list_version);
+    faults.expect_equal("lists of a lower version", state.older_lists, state.counters.older_lists);
     faults.0
 }
 
 /// Each mail that was taken has ended or is in hand, once, and on file.
-fn mails(books: &Books, faults: &mut Faults) {
-    let Books { control, owed, ids, tally, .. } = books;
-    let known = tally.found + books.taken;
-    faults.agree("mails taken and found", known, tally.ended + owed.len() as u64);
-    let open = owed.values().filter(|owed| owed.verdict.is_none()).count();
-    faults.agree("mails without an end", books.open as u64, open as u64);
-    faults.agree("mails without an end, by the decisions", control.open() as u64, open as u64);
-    faults.agree("indices of mails", books.mails.len() as u64, control.indices() as u64);
-    faults.agree("ids of mails in hand", ids.len() as u64, owed.len() as u64);
+fn check_mails(state: &AuditedState, faults: &mut Findings) {
+    let AuditedState { control, owed, ids, counters, .. } = state;
+    let total = counters.restored + state.accepted;
+    faults.expect_equal("mails taken and found", total, counters.ended + owed.len() as u64);
+    let unfinished = owed.values().filter(|owed| owed.verdict.is_none()).count();
+    faults.expect_equal("mails without an end", state.unfinished as u64, unfinished as u64);
+    faults.expect_equal("mails without an end, by the decisions", control.open() as u64, unfinished as u64);
+    faults.expect_equal("indices of mails", state.mail_indices.len() as u64, control.indices() as u64);
+    faults.expect_equal("ids of mails in hand", ids.len() as u64, owed.len() as u64);
     for (serial, owed) in *owed {
-        faults.must(ids.get(&owed.id) == Some(serial), || format!("mail {serial} is not known by its id"));
+        faults.check(ids.get(&owed.id) == Some(serial), || format!("mail {serial} is not known by its id"));
     }
-    faults.agree("bytes owed on file", books.on_file, owed.values().map(max_stored_size).sum());
+    faults.expect_equal("bytes owed on file", state.journal_bytes, owed.values().map(max_stored_size).sum());
 }
 
 /// Each connect that is out has its slot, its call, its record and an endpoint of its mail's destination.
-fn calls(books: &Books, faults: &mut Faults) {
-    let Books { control, owed, tally, .. } = books;
-    let out = || books.flying.iter().enumerate().filter_map(|(mail, flight)| Some((mail, flight.as_ref()?)));
-    faults.agree("connects out", out().count() as u64, tally.begun - tally.landed.min(tally.begun));
-    faults.agree("mails of calls out", control.mails_out() as u64, out().count() as u64);
+fn check_calls(state: &AuditedState, faults: &mut Findings) {
+    let AuditedState { control, owed, counters, .. } = state;
+    let pending =
+        || state.pending.iter().enumerate().filter_map(|(mail, connect)| Some((mail, connect.as_ref()?)));
+    faults.expect_equal(
+        "connects out",
+        pending().count() as u64,
+        counters.connects_started - counters.connects_ended.min(counters.connects_started),
+    );
+    faults.expect_equal("mails of calls out", control.mails_out() as u64, pending().count() as u64);
     // The slot of each call, and how many slots an endpoint and all have.
     let mut slots: BTreeMap<usize, usize> = BTreeMap::new();
-    let mut carried_by: BTreeMap<u64, usize> = BTreeMap::new();
+    let mut slot_of_call: BTreeMap<u64, usize> = BTreeMap::new();
     let mut recorded = 0;
-    for (mail, flight) in out() {
-        let &Flight { serial, endpoint, call, begun, .. } = flight;
-        let indexed = books.mails.outside(mail) == Some(&serial);
-        faults.must(indexed, || format!("mail {serial} is out and its index is another's"));
+    for (mail, connect) in pending() {
+        let &PendingConnect { serial, endpoint, call, begun, .. } = connect;
+        let indexed = state.mail_indices.outside(mail) == Some(&serial);
+        faults.check(indexed, || format!("mail {serial} is out and its index is another's"));
         let record = owed.get(&serial).map(|owed| owed.in_flight.is_some());
         recorded += usize::from(record == Some(true));
-        faults.must(record.is_none_or(|record| record == begun), || {
+        faults.check(record.is_none_or(|record| record == begun), || {
             let words = if begun { "out without a record" } else { "on record as out and not begun" };
             format!("mail {serial} is {words}")
         });
-        let (to, of) =
-            ((books.groups)(endpoint), owed.get(&serial).map_or((books.groups)(endpoint), |o| o.destination));
-        faults.must(to == of, || format!("mail {serial} of destination {of} is out to destination {to}"));
+        let actual = (state.destination_of)(endpoint);
+        let expected = owed.get(&serial).map_or(actual, |owed| owed.destination);
+        faults.check(actual == expected, || {
+            format!("mail {serial} of destination {expected} is out to destination {actual}")
+        });
         let Some((slot, at)) = control.flight(mail) else {
             faults.0.push(format!("mail {serial} is out and the decisions do not know it"));
             continue;
         };
-        faults.must(at == endpoint, || format!("mail {serial} is out to endpoint {endpoint}, not {at}"));
+        faults.check(at == endpoint, || format!("mail {serial} is out to endpoint {endpoint}, not {at}"));
         slots.insert(slot, at);
         // A call may be cut in two by its size; two are never made one.
-        let carrier = *carried_by.entry(call).or_insert(slot);
-        faults.must(carrier == slot, || format!("call {call} carries mails of slots {carrier} and {slot}"));
+        let first_slot = *slot_of_call.entry(call).or_insert(slot);
+        faults.check(first_slot == slot, || {
+            format!("call {call} carries mails of slots {first_slot} and {slot}")
+        });
     }
-    let marked = owed.values().filter(|owed| owed.in_flight.is_some()).count();
-    faults.agree("records of connects out", marked as u64, recorded as u64);
-    faults.agree("slots of connects out", control.slots_taken() as u64, slots.len() as u64);
-    let mut at: BTreeMap<usize, u64> = BTreeMap::new();
-    slots.values().for_each(|&endpoint| *at.entry(endpoint).or_default() += 1);
-    for (endpoint, calls) in at {
-        faults.agree("slots of an endpoint", control.calls_at(endpoint) as u64, calls);
+    let in_flight = owed.values().filter(|owed| owed.in_flight.is_some()).count();
+    faults.expect_equal("records of connects out", in_flight as u64, recorded as u64);
+    faults.expect_equal("slots of connects out", control.slots_taken() as u64, slots.len() as u64);
+    let mut calls_at: BTreeMap<usize, u64> = BTreeMap::new();
+    slots.values().for_each(|&endpoint| *calls_at.entry(endpoint).or_default() += 1);
+    for (endpoint, calls) in calls_at {
+        faults.expect_equal("slots of an endpoint", control.calls_at(endpoint) as u64, calls);
     }
-    let twice = out().map(|(_, flight)| flight.serial).collect::<BTreeSet<_>>().len();
-    faults.agree("mails out", out().count() as u64, twice as u64);
+    let distinct = pending().map(|(_, connect)| connect.serial).collect::<BTreeSet<_>>().len();
+    faults.expect_equal("mails out", pending().count() as u64, distinct as u64);
 }
 
-/// Where the file does not say of the mails in hand what the books say.
-pub fn file_faults(owed: &BTreeMap<u64, OwedMail>, found: &JournalContents) -> Vec<String> {
-    let mut faults = Faults(Vec::new());
-    faults.agree("mails on file", found.owed.len() as u64, owed.len() as u64);
+/// Where the file does not say of the mails in hand what the state says.
+pub fn find_file_faults(owed: &BTreeMap<u64, OwedMail>, journal: &JournalContents) -> Vec<String> {
+    let mut faults = Findings(Vec::new());
+    faults.expect_equal("mails on file", journal.owed.len() as u64, owed.len() as u64);
     for (serial, owed) in owed {
-        let Some(filed) = found.owed.get(serial) else {
+        let Some(on_file) = journal.owed.get(serial) else {
             faults.0.push(format!("mail {serial} is not on file"));
             continue;
         };
-        // After a restart the file still says "out" of what the books say "may have run" of.
-        let told = |owed: &OwedMail| (owed.connects, owed.verdict, owed.may_have_run.or(owed.in_flight));
-        let same = told(owed) == told(filed) && owed.terms == filed.terms;
-        faults.must(same, || format!("mail {serial} is otherwise on file"));
+        // After a restart the file still says "out" of what the state says "may have run" of.
+        let state = |owed: &OwedMail| (owed.connects, owed.verdict, owed.may_have_run.or(owed.in_flight));
+        let same = state(owed) == state(on_file) && owed.terms == on_file.terms;
+        faults.check(same, || format!("mail {serial} is otherwise on file"));
     }
     faults.0
 }
--- a/crates/courier/src/exchange.rs
+++ b/crates/courier/src/exchange.rs
@@ -19,7 +19,7 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::Notify;
 
-use crate::audit::{self, Books, Flight, Tally};
+use crate::audit::{self, AuditCounters, AuditedState, PendingConnect};
 use crate::discovery::{List, Listener};
 use crate::entries::Update;
 use crate::journal::{
@@ -254,9 +254,9 @@
     /// Endpoints by index.
     peers: Vec<Peer>,
     /// Connects that have no outcome yet, by the index of their mail.
-    flying: Vec<Option<Flight>>,
+    flying: Vec<Option<PendingConnect>>,
     /// What is to be left alone by what the module has not read yet.
-    hushed: Vec<audit::Unit>,
+    hushed: Vec<audit::LimitScope>,
     owed: BTreeMap<u64, OwedMail>,
     ids: HashMap<Bytes, u64>,
     rests: Vec<(Bytes, Time)>,
@@ -285,7 +285,7 @@
     index: u64,
     in_force: u64,
     /// What the audit counts beside the books.
-    tally: Tally,
+    tally: AuditCounters,
     pub counts: Counts,
     /// Which version of the settings is in force, and what came of others.
     pub versions: Versions,
@@ -422,7 +422,7 @@
             news,
             index: 0,
             in_force: 0,
-            tally: Tally { found: found.owed.len() as u64, ..Tally::default() },
+            tally: AuditCounters { restored: found.owed.len() as u64, ..AuditCounters::default() },
             counts: Counts::default(),
             versions: Versions::default(),
         };
@@ -741,7 +741,7 @@
             log::warn!("a list of version {} came after version {}", list.index, self.index);
         }
         self.index = list.index;
-        self.tally.listed(list.index);
+        self.tally.record_list_version(list.index);
         self.peers.iter_mut().filter(|_| list.whole).for_each(|peer| peer.ready = false);
         self.keeper.take_up(list);
         self.inputs.push(Input::ListBegin { whole: list.whole });
@@ -861,12 +861,13 @@
         let now = self.clock.now();
         let mail = self.mails.find(&serial);
         let started = mail.and_then(|mail| self.flying.get_mut(mail)?.take());
-        let (Some(mail), Some(Flight { endpoint, started, .. })) = (mail, started) else {
+        let (Some(mail), Some(PendingConnect { endpoint, requested_at: started, .. })) = (mail, started)
+        else {
             must!(self.counts.broken, false, "an outcome came for a connect that is not out");
             return;
         };
         let Seen { outcome, over, wait, load, kept } = seen;
-        self.tally.landed += 1;
+        self.tally.connects_ended += 1;
         if wait > Duration::ZERO {
             let unit = self.unit(endpoint);
             self.hushed.push(unit);
@@ -928,7 +929,7 @@
                 }
                 Action::FreeEndpoint(endpoint) => {
                     let left = std::mem::take(&mut self.peers[endpoint].place);
-                    self.tally.held.remove(&audit::Unit::Route(endpoint));
+                    self.tally.held_until.remove(&audit::LimitScope::Endpoint(endpoint));
                     let _ = self.orders.send(Order::LetGo(left));
                     self.endpoints.leave(endpoint);
                 }
@@ -953,7 +954,7 @@
             log::trace!(target: IN_FORCE, "list {} is in force", self.index);
         }
         self.turns += 1;
-        if cfg!(debug_assertions) || self.turns.is_multiple_of(audit::EVERY) {
+        if cfg!(debug_assertions) || self.turns.is_multiple_of(audit::INTERVAL_TURNS) {
             for fault in self.audit() {
                 must!(self.counts.broken, false, "the audit found: {fault}");
             }
@@ -963,29 +964,29 @@
     }
 
     /// What is limited, and told to wait, as one with this endpoint.
-    fn unit(&self, endpoint: usize) -> audit::Unit {
+    fn unit(&self, endpoint: usize) -> audit::LimitScope {
         let peer = &self.peers[endpoint];
         match self.apart.get((peer.kind as usize).min(self.apart.len() - 1)) {
-            Some(true) => audit::Unit::Route(endpoint),
-            _ => audit::Unit::Dest(peer.group),
+            Some(true) => audit::LimitScope::Endpoint(endpoint),
+            _ => audit::LimitScope::Destination(peer.group),
         }
     }
 
     /// What does not hold of the books, after a turn, in words.
     pub fn audit(&self) -> Vec<String> {
-        audit::faults(&Books {
+        audit::find_faults(&AuditedState {
             control: &self.control,
             owed: &self.owed,
             ids: &self.ids,
-            open: self.open,
-            flying: &self.flying,
-            mails: &self.mails,
-            groups: &|endpoint| self.peers[endpoint].group,
-            on_file: self.journal.owed_bytes(),
-            taken: self.counts.taken,
-            index: self.index,
-            older: self.counts.older,
-            tally: &self.tally,
+            unfinished: self.open,
+            pending: &self.flying,
+            mail_indices: &self.mails,
+            destination_of: &|endpoint| self.peers[endpoint].group,
+            journal_bytes: self.journal.owed_bytes(),
+            accepted: self.counts.taken,
+            list_version: self.index,
+            older_lists: self.counts.older,
+            counters: &self.tally,
         })
     }
 
@@ -1005,7 +1006,7 @@
             ("one id more", ..) => drop(self.ids.insert(Bytes::from_static(b"none"), 0)),
             ("bytes on file", ..) => self.journal.release(1),
             ("an index of a mail", ..) => drop(self.mails.enter(u64::MAX)),
-            ("an outcome", ..) => self.tally.landed += 1,
+            ("an outcome", ..) => self.tally.connects_ended += 1,
             ("a connect lost", Some(mail), _) => self.flying[mail] = None,
             ("a record lost", Some(mail), _) => {
                 let serial = self.flying[mail].map_or(0, |flight| flight.serial);
@@ -1044,7 +1045,7 @@
 
     /// What is owed in hand and is not so on file, in words.
     pub fn audit_file(&self, found: &JournalContents) -> Vec<String> {
-        audit::file_faults(&self.owed, found)
+        audit::find_file_faults(&self.owed, found)
     }
 
     /// A connect joins the round's call to its endpoint while that has room.
@@ -1058,7 +1059,7 @@
             self.flying.resize(mail + 1, None);
         }
         must!(self.counts.broken, self.flying[mail].is_none(), "a mail has two connects out at once");
-        self.tally.begun += 1;
+        self.tally.connects_started += 1;
         log::debug!(
             "mail {serial} for {}: connect to endpoint {endpoint}, {}",
             owed.destination,
@@ -1092,7 +1093,8 @@
             }
         }
         let call = self.counts.calls + at as u64;
-        self.flying[mail] = Some(Flight { serial, endpoint, call, started: self.last_turn, begun: false });
+        self.flying[mail] =
+            Some(PendingConnect { serial, endpoint, call, requested_at: self.last_turn, begun: false });
     }
 
     fn give_up(&mut self, mail: usize, verdict: Verdict) {
