--- a/crates/courier/src/audit.rs
+++ b/crates/courier/src/audit.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 use meadowhold::control::Control;
-use meadowhold::door::Door;
 use meadowhold::interface::Time;
+use meadowhold::interner::Interner;
 
 use crate::journal::{max_stored_size, JournalContents, OwedMail};
 
@@ -75,7 +75,7 @@
     pub ids: &'a HashMap<Bytes, u64>,
     pub unfinished: usize,
     pub pending: &'a [Option<PendingConnect>],
-    pub mail_indices: &'a Door<u64>,
+    pub mail_indices: &'a Interner<u64>,
     /// The destination of an endpoint, by its outside number.
     pub destination_of: &'a dyn Fn(usize) -> u64,
     /// Bytes that the journal says what is owed takes.
@@ -119,8 +119,16 @@
     faults.expect_equal("mails taken and found", total, counters.ended + owed.len() as u64);
     let unfinished = owed.values().filter(|owed| owed.verdict.is_none()).count();
     faults.expect_equal("mails without an end", state.unfinished as u64, unfinished as u64);
-    faults.expect_equal("mails without an end, by the decisions", control.open() as u64, unfinished as u64);
-    faults.expect_equal("indices of mails", state.mail_indices.len() as u64, control.indices() as u64);
+    faults.expect_equal(
+        "mails without an end, by the decisions",
+        control.open_mails() as u64,
+        unfinished as u64,
+    );
+    faults.expect_equal(
+        "indices of mails",
+        state.mail_indices.len() as u64,
+        control.mail_indices_in_use() as u64,
+    );
     faults.expect_equal("ids of mails in hand", ids.len() as u64, owed.len() as u64);
     for (serial, owed) in *owed {
         faults.check(ids.get(&owed.id) == Some(serial), || format!("mail {serial} is not known by its id"));
@@ -138,14 +146,14 @@
         pending().count() as u64,
         counters.connects_started - counters.connects_ended.min(counters.connects_started),
     );
-    faults.expect_equal("mails of calls out", control.mails_out() as u64, pending().count() as u64);
+    faults.expect_equal("mails of calls out", control.mails_in_flight() as u64, pending().count() as u64);
     // The slot of each call, and how many slots an endpoint and all have.
     let mut slots: BTreeMap<usize, usize> = BTreeMap::new();
     let mut slot_of_call: BTreeMap<u64, usize> = BTreeMap::new();
     let mut recorded = 0;
     for (mail, connect) in pending() {
         let &PendingConnect { serial, endpoint, call, begun, .. } = connect;
-        let indexed = state.mail_indices.outside(mail) == Some(&serial);
+        let indexed = state.mail_indices.id(mail) == Some(&serial);
         faults.check(indexed, || format!("mail {serial} is out and its index is another's"));
         let record = owed.get(&serial).map(|owed| owed.in_flight.is_some());
         recorded += usize::from(record == Some(true));
@@ -158,7 +166,7 @@
         faults.check(actual == expected, || {
             format!("mail {serial} of destination {expected} is out to destination {actual}")
         });
-        let Some((slot, at)) = control.flight(mail) else {
+        let Some((slot, at)) = control.call_of(mail) else {
             faults.0.push(format!("mail {serial} is out and the decisions do not know it"));
             continue;
         };
@@ -176,7 +184,7 @@
     let mut calls_at: BTreeMap<usize, u64> = BTreeMap::new();
     slots.values().for_each(|&endpoint| *calls_at.entry(endpoint).or_default() += 1);
     for (endpoint, calls) in calls_at {
-        faults.expect_equal("slots of an endpoint", control.calls_at(endpoint) as u64, calls);
+        faults.expect_equal("slots of an endpoint", control.calls_in_flight(endpoint) as u64, calls);
     }
     let distinct = pending().map(|(_, connect)| connect.serial).collect::<BTreeSet<_>>().len();
     faults.expect_equal("mails out", pending().count() as u64, distinct as u64);
--- a/crates/courier/src/journal.rs
+++ b/crates/courier/src/journal.rs
@@ -42,7 +42,8 @@
 
 impl ClassTerms {
     pub fn new(name: &str, class: &QueueClass) -> ClassTerms {
-        let QueueClass { effect, by_zone, window, in_turn, .. } = *class;
+        let QueueClass { effect, dedup_by_zone: by_zone, dedup_window: window, ordered: in_turn, .. } =
+            *class;
         let class = Bytes::copy_from_slice(name.as_bytes());
         ClassTerms { class, effect: Some(effect), by_zone, window, in_turn }
     }
@@ -68,9 +69,9 @@
     let effect = accepted.effect.unwrap_or(Effect::OnceOnly);
     let accepted_class = QueueClass {
         effect,
-        by_zone: accepted.by_zone,
-        window: accepted.window,
-        in_turn: accepted.in_turn,
+        dedup_by_zone: accepted.by_zone,
+        dedup_window: accepted.window,
+        ordered: accepted.in_turn,
         ..base
     };
     let mut restored = if same_name.is_some() {
@@ -78,15 +79,16 @@
     } else {
         accepted_class
     };
-    restored.in_turn |= owed.terms.effect.is_none() && !owed.item.is_empty();
+    restored.ordered |= owed.terms.effect.is_none() && !owed.item.is_empty();
     if classes.len() >= MAX_CLASSES {
         restored.effect = Effect::OnceOnly;
     }
     if restored.effect != Effect::Tagged {
-        (restored.by_zone, restored.window) = (base.by_zone, base.window);
+        (restored.dedup_by_zone, restored.dedup_window) = (base.dedup_by_zone, base.dedup_window);
     }
-    let rules = |c: &QueueClass| (c.effect, c.by_zone, c.window, c.in_turn, c.target, c.lifetime);
-    let worth = |c: &QueueClass| (c.importance, c.late_worth);
+    let rules =
+        |c: &QueueClass| (c.effect, c.dedup_by_zone, c.dedup_window, c.ordered, c.target_delay, c.lifetime);
+    let worth = |c: &QueueClass| (c.importance, c.expiry_importance);
     let same = |c: &QueueClass| rules(c) == rules(&restored) && worth(c) == worth(&restored);
     let index = classes.iter().position(same).unwrap_or(classes.len());
     if index == classes.len() {
@@ -97,17 +99,17 @@
 
 /// What both classes allow of a mail.
 fn stricter_of(a: &QueueClass, b: &QueueClass, without_key: bool) -> QueueClass {
-    let in_turn = a.in_turn || b.in_turn;
+    let in_turn = a.ordered || b.ordered;
     match (a.effect, b.effect) {
         (Effect::Tagged, Effect::Tagged) => {
-            let (by_zone, window) = (a.by_zone || b.by_zone, a.window.min(b.window));
-            QueueClass { by_zone, window, in_turn, ..a.clone() }
+            let (by_zone, window) = (a.dedup_by_zone || b.dedup_by_zone, a.dedup_window.min(b.dedup_window));
+            QueueClass { dedup_by_zone: by_zone, dedup_window: window, ordered: in_turn, ..a.clone() }
         }
         // Guards against repeats of what was taken on without a key.
         (Effect::Tagged, Effect::Redeliverable) | (Effect::Redeliverable, Effect::Tagged) if without_key => {
-            QueueClass { effect: Effect::OnceOnly, in_turn, ..a.clone() }
+            QueueClass { effect: Effect::OnceOnly, ordered: in_turn, ..a.clone() }
         }
-        (x, y) => QueueClass { in_turn, ..if x as u8 >= y as u8 { a } else { b }.clone() },
+        (x, y) => QueueClass { ordered: in_turn, ..if x as u8 >= y as u8 { a } else { b }.clone() },
     }
 }
 
