--- a/crates/courier/src/audit.rs
+++ b/crates/courier/src/audit.rs
@@ -200,7 +200,7 @@
             continue;
         };
         // After a restart the file still says "out" of what the state says "may have run" of.
-        let state = |owed: &OwedMail| (owed.connects, owed.verdict, owed.may_have_run.or(owed.in_flight));
+        let state = |owed: &OwedMail| (owed.connects, owed.verdict, owed.first_run.or(owed.in_flight));
         let same = state(owed) == state(on_file) && owed.terms == on_file.terms;
         faults.check(same, || format!("mail {serial} is otherwise on file"));
     }
--- a/crates/courier/src/command.rs
+++ b/crates/courier/src/command.rs
@@ -207,7 +207,7 @@
     let (found, unread) = loaded.map_err(|e| format!("the journal in {}: {e}", folder.display()))?;
     for owed in found.owed.values() {
         let id = String::from_utf8_lossy(&owed.id);
-        let state = match (owed.verdict, owed.in_flight, owed.may_have_run) {
+        let state = match (owed.verdict, owed.in_flight, owed.first_run) {
             (Some(verdict), ..) => format!("given up, notice not yet heard: {verdict:?}"),
             (_, Some(_), _) => "a connect is out".to_string(),
             (_, _, Some(_)) => "waits, may have run".to_string(),
--- a/crates/courier/src/exchange.rs
+++ b/crates/courier/src/exchange.rs
@@ -445,16 +445,16 @@
         }
         let mut mails = Vec::with_capacity(found.owed.len());
         let mut keys: HashMap<Bytes, u64> = HashMap::new();
-        self.rests = found.held_keys;
+        self.rests = found.keys_in_flight;
         for (serial, mut owed) in found.owed {
             // A connect that was out when the process ended may have run, and may be running.
             let out = owed.in_flight.take();
-            owed.may_have_run = owed.may_have_run.or(out);
+            owed.first_run = owed.first_run.or(out);
             // Guards against a clock that was set back: how long ago that was cannot be known.
-            owed.may_have_run = owed.may_have_run.map(|(at, zone)| (if at > now { 0 } else { at }, zone));
+            owed.first_run = owed.first_run.map(|(at, zone)| (if at > now { 0 } else { at }, zone));
             if out.is_some() && !owed.item.is_empty() {
                 self.rests.push((owed.item.clone(), now));
-                self.note(&Record::KeyHeld { item: &owed.item, since: now });
+                self.note(&Record::KeyInFlight { item: &owed.item, since: now });
             }
             self.ids.insert(owed.id.clone(), serial);
             match owed.verdict {
@@ -468,7 +468,7 @@
                     let next = keys.len() as u64;
                     let key = self.is_ordered(&owed).then(|| *keys.entry(owed.item.clone()).or_insert(next));
                     let importance = self.classes.classes[usize::from(owed.class)].importance;
-                    mails.push(backlog::Mail { serial, importance, due: owed.expires_at, key });
+                    mails.push(backlog::Mail { serial, importance, due: owed.deadline, key });
                 }
             }
             self.owed.insert(serial, owed);
@@ -512,10 +512,10 @@
             destination: self.dests.intern(owed.destination),
             class,
             key: ordered.then(|| self.keys.intern(owed.item.clone())),
-            submitted_at: owed.accepted_at,
-            deadline: owed.expires_at,
+            submitted_at: owed.submitted_at,
+            deadline: owed.deadline,
             connects_used: owed.connects as usize,
-            first_run: owed.may_have_run.map(|(at, zone)| (at, usize::from(zone))),
+            first_run: owed.first_run.map(|(at, zone)| (at, usize::from(zone))),
         }));
         self.notify.notify_one();
     }
@@ -542,15 +542,15 @@
             class: class as u16,
             terms: self.classes.terms[class].clone(),
             destination: offer.dest,
-            accepted_at: self.clock.now(),
-            expires_at: self.clock.now() + tenths(offer.lifetime),
+            submitted_at: self.clock.now(),
+            deadline: self.clock.now() + tenths(offer.lifetime),
             body: offer.body,
             ..OwedMail::default()
         };
         let serial = self.next_serial;
         log::debug!("mail {serial} for {} of class {class} has come", owed.destination);
         if self.open >= self.room
-            || self.control.would_reject(dest, class, owed.expires_at)
+            || self.control.would_reject(dest, class, owed.deadline)
             || !self.journal.has_room(&owed)
             || !self.note(&Record::Accepted { serial, owed: &owed })
         {
@@ -559,7 +559,7 @@
         }
         self.next_serial += 1;
         self.counts.taken += 1;
-        let (id, lifetime) = (String::from_utf8_lossy(&owed.id), owed.expires_at - owed.accepted_at);
+        let (id, lifetime) = (String::from_utf8_lossy(&owed.id), owed.deadline - owed.submitted_at);
         log::debug!("message {id} taken on as {serial}, {} ms", lifetime / 10);
         self.ids.insert(owed.id.clone(), serial);
         // Guards against a mail that overtakes one of its key which an earlier process took on.
@@ -805,7 +805,7 @@
     /// and the file has it from an earlier process.
     fn latest(&self, owed: &OwedMail) -> Time {
         let class = &self.classes.classes[usize::from(owed.class)];
-        match (owed.may_have_run, class.effect) {
+        match (owed.first_run, class.effect) {
             (None, _) | (_, Effect::Redeliverable) => Time::MAX,
             (Some((sent, _)), Effect::Tagged) => sent.saturating_add(class.dedup_window),
             (Some(_), Effect::OnceOnly) => 0,
@@ -884,7 +884,7 @@
         } else if let Some(owed) = self.owed.get_mut(&serial) {
             let sent = owed.in_flight.take();
             if sent.is_some() {
-                owed.may_have_run = owed.may_have_run.or(sent.filter(|_| ran));
+                owed.first_run = owed.first_run.or(sent.filter(|_| ran));
                 if rests && !owed.item.is_empty() {
                     self.rests.push((owed.item.clone(), now));
                 }
@@ -1083,7 +1083,7 @@
             key: owed.key.clone(),
             body: owed.body.clone(),
             until,
-            due: owed.expires_at,
+            due: owed.deadline,
             latest: self.latest(owed),
         };
         let peer = &self.peers[endpoint];
@@ -1121,7 +1121,7 @@
         owed.verdict = Some(verdict);
         self.journal.release(owed.body.len() as u64);
         owed.body.clear();
-        let (id, dest, left) = (owed.id.clone(), owed.destination, owed.expires_at.saturating_sub(now));
+        let (id, dest, left) = (owed.id.clone(), owed.destination, owed.deadline.saturating_sub(now));
         self.open -= 1;
         self.counts.given_up += 1;
         // Guards against a mail that is handed back, handed in anew, and sent by the next process all the same:
--- a/crates/courier/src/journal.rs
+++ b/crates/courier/src/journal.rs
@@ -35,17 +35,16 @@
     pub class: Bytes,
     /// `None`: on file before that was noted.
     pub effect: Option<Effect>,
-    pub by_zone: bool,
-    pub window: Time,
-    pub in_turn: bool,
+    pub dedup_by_zone: bool,
+    pub dedup_window: Time,
+    pub ordered: bool,
 }
 
 impl ClassTerms {
     pub fn new(name: &str, class: &QueueClass) -> ClassTerms {
-        let QueueClass { effect, dedup_by_zone: by_zone, dedup_window: window, ordered: in_turn, .. } =
-            *class;
+        let QueueClass { effect, dedup_by_zone, dedup_window, ordered, .. } = *class;
         let class = Bytes::copy_from_slice(name.as_bytes());
-        ClassTerms { class, effect: Some(effect), by_zone, window, in_turn }
+        ClassTerms { class, effect: Some(effect), dedup_by_zone, dedup_window, ordered }
     }
 }
 
@@ -69,9 +68,9 @@
     let effect = accepted.effect.unwrap_or(Effect::OnceOnly);
     let accepted_class = QueueClass {
         effect,
-        dedup_by_zone: accepted.by_zone,
-        dedup_window: accepted.window,
-        ordered: accepted.in_turn,
+        dedup_by_zone: accepted.dedup_by_zone,
+        dedup_window: accepted.dedup_window,
+        ordered: accepted.ordered,
         ..base
     };
     let mut restored = if same_name.is_some() {
@@ -99,17 +98,18 @@
 
 /// What both classes allow of a mail.
 fn stricter_of(a: &QueueClass, b: &QueueClass, without_key: bool) -> QueueClass {
-    let in_turn = a.ordered || b.ordered;
+    let ordered = a.ordered || b.ordered;
     match (a.effect, b.effect) {
         (Effect::Tagged, Effect::Tagged) => {
-            let (by_zone, window) = (a.dedup_by_zone || b.dedup_by_zone, a.dedup_window.min(b.dedup_window));
-            QueueClass { dedup_by_zone: by_zone, dedup_window: window, ordered: in_turn, ..a.clone() }
+            let (dedup_by_zone, dedup_window) =
+                (a.dedup_by_zone || b.dedup_by_zone, a.dedup_window.min(b.dedup_window));
+            QueueClass { dedup_by_zone, dedup_window, ordered, ..a.clone() }
         }
         // Guards against repeats of what was taken on without a key.
         (Effect::Tagged, Effect::Redeliverable) | (Effect::Redeliverable, Effect::Tagged) if without_key => {
-            QueueClass { effect: Effect::OnceOnly, ordered: in_turn, ..a.clone() }
+            QueueClass { effect: Effect::OnceOnly, ordered, ..a.clone() }
         }
-        (x, y) => QueueClass { ordered: in_turn, ..if x as u8 >= y as u8 { a } else { b }.clone() },
+        (x, y) => QueueClass { ordered, ..if x as u8 >= y as u8 { a } else { b }.clone() },
     }
 }
 
@@ -126,12 +126,12 @@
     pub terms: ClassTerms,
     pub destination: u64,
     /// When it was handed in; 0: on file before that was noted.
-    pub accepted_at: Time,
-    pub expires_at: Time,
+    pub submitted_at: Time,
+    pub deadline: Time,
     pub body: Bytes,
     pub connects: u32,
     /// The first connect that may have run.
-    pub may_have_run: Option<Sent>,
+    pub first_run: Option<Sent>,
     /// A connect that is out.
     pub in_flight: Option<Sent>,
     /// Given up: only the notice is owed.
@@ -141,7 +141,7 @@
 impl OwedMail {
     /// Its sends were to zones of which nothing is known any more.
     pub fn clear_zones(&mut self) {
-        [&mut self.may_have_run, &mut self.in_flight]
+        [&mut self.first_run, &mut self.in_flight]
             .into_iter()
             .flatten()
             .for_each(|sent| sent.1 = UNKNOWN_ZONE);
@@ -172,7 +172,7 @@
     Settled {
         serial: u64,
     },
-    KeyHeld {
+    KeyInFlight {
         item: &'a [u8],
         since: Time,
     },
@@ -187,7 +187,7 @@
 pub struct JournalContents {
     pub owed: BTreeMap<u64, OwedMail>,
     /// Keys of which a connect may be running still, and since when.
-    pub held_keys: Vec<(Bytes, Time)>,
+    pub keys_in_flight: Vec<(Bytes, Time)>,
     /// The zones by whose places sends name theirs.
     pub zones: Bytes,
 }
@@ -203,7 +203,7 @@
     pub const CONNECT_ENDED: u8 = 3;
     pub const GIVEN_UP: u8 = 4;
     pub const SETTLED: u8 = 5;
-    pub const KEY_HELD: u8 = 6;
+    pub const KEY_IN_FLIGHT: u8 = 6;
     pub const ACCEPTED_WITHOUT_TERMS: u8 = 7;
     pub const ACCEPTED: u8 = 8;
     pub const ZONES: u8 = 9;
@@ -257,18 +257,18 @@
         Record::Accepted { serial, owed } => {
             out.put_u8(code::ACCEPTED);
             out.put_u64(serial);
-            out.put_u64(owed.accepted_at);
+            out.put_u64(owed.submitted_at);
             [&owed.id, &owed.key, &owed.item].into_iter().for_each(|bytes| put_short_bytes(out, bytes));
             out.put_u16(owed.class);
-            let ClassTerms { class, effect, by_zone, window, in_turn } = &owed.terms;
+            let ClassTerms { class, effect, dedup_by_zone, dedup_window, ordered } = &owed.terms;
             put_short_bytes(out, class);
             out.put_u8(EFFECTS.iter().position(|known| known == effect).unwrap_or(0) as u8);
-            out.put_u8(u8::from(*by_zone) | u8::from(*in_turn) << 1);
-            out.put_u64(*window);
+            out.put_u8(u8::from(*dedup_by_zone) | u8::from(*ordered) << 1);
+            out.put_u64(*dedup_window);
             out.put_u64(owed.destination);
-            out.put_u64(owed.expires_at);
+            out.put_u64(owed.deadline);
             out.put_u32(owed.connects);
-            put_optional_sent(out, owed.may_have_run);
+            put_optional_sent(out, owed.first_run);
             put_optional_sent(out, owed.in_flight);
             out.extend_from_slice(&owed.body);
         }
@@ -296,8 +296,8 @@
             out.put_u8(code::SETTLED);
             out.put_u64(serial);
         }
-        Record::KeyHeld { item, since } => {
-            out.put_u8(code::KEY_HELD);
+        Record::KeyInFlight { item, since } => {
+            out.put_u8(code::KEY_IN_FLIGHT);
             out.put_u64(since);
             put_short_bytes(out, item);
         }
@@ -350,9 +350,9 @@
         Some(ClassTerms {
             class,
             effect,
-            by_zone: flags & 1 != 0,
-            in_turn: flags & 2 != 0,
-            window: self.u64()?,
+            dedup_by_zone: flags & 1 != 0,
+            ordered: flags & 2 != 0,
+            dedup_window: self.u64()?,
         })
     }
 
@@ -397,14 +397,14 @@
         let (record_type, serial) = (fields.u8()?, fields.u64()?);
         match record_type {
             code::ACCEPTED_WITHOUT_TIME | code::ACCEPTED_WITHOUT_TERMS | code::ACCEPTED => {
-                let accepted_at =
+                let submitted_at =
                     if record_type == code::ACCEPTED_WITHOUT_TIME { 0 } else { fields.u64()? };
                 let (id, key, item) = (fields.short_bytes()?, fields.short_bytes()?, fields.short_bytes()?);
                 let class = fields.u16()?;
                 let terms =
                     if record_type == code::ACCEPTED { fields.terms()? } else { ClassTerms::default() };
-                let (destination, expires_at, connects) = (fields.u64()?, fields.u64()?, fields.u32()?);
-                let (may_have_run, in_flight) = (fields.optional_sent()?, fields.optional_sent()?);
+                let (destination, deadline, connects) = (fields.u64()?, fields.u64()?, fields.u32()?);
+                let (first_run, in_flight) = (fields.optional_sent()?, fields.optional_sent()?);
                 let body = fields.0;
                 let verdict = None;
                 let owed = OwedMail {
@@ -414,11 +414,11 @@
                     class,
                     terms,
                     destination,
-                    accepted_at,
-                    expires_at,
+                    submitted_at,
+                    deadline,
                     body,
                     connects,
-                    may_have_run,
+                    first_run,
                     in_flight,
                     verdict,
                 };
@@ -429,16 +429,16 @@
                 let owed = self.owed.get_mut(&serial)?;
                 // Guards against a second restart that forgets the first: what was out then may have run.
                 let unresolved = owed.in_flight.replace(sent);
-                owed.may_have_run = owed.may_have_run.or(unresolved);
+                owed.first_run = owed.first_run.or(unresolved);
                 owed.connects += 1;
             }
             code::CONNECT_ENDED => {
                 let (flags, at) = (fields.u8()?, fields.u64()?);
                 let owed = self.owed.get_mut(&serial)?;
                 let possible_run = owed.in_flight.take().filter(|_| flags & 1 != 0);
-                owed.may_have_run = owed.may_have_run.or(possible_run);
+                owed.first_run = owed.first_run.or(possible_run);
                 if flags & 2 != 0 && !owed.item.is_empty() {
-                    self.held_keys.push((owed.item.clone(), at));
+                    self.keys_in_flight.push((owed.item.clone(), at));
                 }
             }
             code::GIVEN_UP => {
@@ -450,7 +450,7 @@
             // it would hide all that follows.
             code::SETTLED => drop(self.owed.remove(&serial)),
             // The place of the serial holds the time.
-            code::KEY_HELD => self.held_keys.push((fields.short_bytes()?, serial)),
+            code::KEY_IN_FLIGHT => self.keys_in_flight.push((fields.short_bytes()?, serial)),
             code::ZONES => {
                 let previous = std::mem::replace(&mut self.zones, fields.0);
                 if previous != self.zones {
@@ -504,7 +504,7 @@
             has_partial_tail: false,
             buffer: Vec::new(),
         };
-        if let Err(e) = journal.compact(&contents.owed, &contents.held_keys) {
+        if let Err(e) = journal.compact(&contents.owed, &contents.keys_in_flight) {
             log::warn!("the journal cannot be written anew at the start: {e}");
             // Guards against a full disk that keeps what is owed from its end: the old file still serves.
             let old =
@@ -572,11 +572,15 @@
     }
 
     /// Puts a fresh file of what is owed in the place of the old one.
-    pub fn compact(&mut self, owed: &BTreeMap<u64, OwedMail>, held_keys: &[(Bytes, Time)]) -> io::Result<()> {
+    pub fn compact(
+        &mut self,
+        owed: &BTreeMap<u64, OwedMail>,
+        keys_in_flight: &[(Bytes, Time)],
+    ) -> io::Result<()> {
         if self.lock.is_none() {
             self.lock = Some(lock_folder(&*self.files, &self.folder)?);
         }
-        let (file, size) = write_compacted(&*self.files, &self.folder, owed, held_keys, &self.zones)?;
+        let (file, size) = write_compacted(&*self.files, &self.folder, owed, keys_in_flight, &self.zones)?;
         (self.file, self.size, self.has_partial_tail) = (Some(file), size, false);
         Ok(())
     }
@@ -612,7 +616,7 @@
     files: &dyn FileSystem,
     folder: &Path,
     owed: &BTreeMap<u64, OwedMail>,
-    held_keys: &[(Bytes, Time)],
+    keys_in_flight: &[(Bytes, Time)],
     zones: &[u8],
 ) -> io::Result<(File, u64)> {
     let mut bytes = MAGIC.to_vec();
@@ -625,8 +629,8 @@
             encode(&mut bytes, &Record::GivenUp { serial, verdict });
         }
     }
-    for (item, since) in held_keys {
-        encode(&mut bytes, &Record::KeyHeld { item, since: *since });
+    for (item, since) in keys_in_flight {
+        encode(&mut bytes, &Record::KeyInFlight { item, since: *since });
     }
     let path = folder.join(NEW_FILE_NAME);
     // One that an earlier process left behind half written.
--- a/crates/courier/tests/journal.rs
+++ b/crates/courier/tests/journal.rs
@@ -17,8 +17,8 @@
         item,
         class: 1,
         destination: 7,
-        accepted_at: 30_000,
-        expires_at: 90_000,
+        submitted_at: 30_000,
+        deadline: 90_000,
         body,
         ..OwedMail::default()
     }
@@ -42,7 +42,7 @@
         Record::ConnectEnded { serial: 2, may_have_run: false, may_still_run: false, at: 610 },
         Record::ConnectStarted { serial: 1, sent: (700, 1) },
         Record::GivenUp { serial: 2, verdict: Verdict::Bounced(250) },
-        Record::KeyHeld { item: b"99", since: 720 },
+        Record::KeyInFlight { item: b"99", since: 720 },
         Record::Settled { serial: 1 },
         Record::GivenUp { serial: 2, verdict: Verdict::Dead },
     ];
@@ -61,13 +61,13 @@
     let states = written(&folder);
     let at = |i: usize, serial: u64| states[i].1.owed.get(&serial).cloned();
     assert_eq!(at(2, 1), Some(owed("a1", 3)));
-    assert_eq!(at(4, 2).map(|o| (o.in_flight, o.may_have_run, o.connects)), Some((Some((510, 0)), None, 1)));
-    assert_eq!(at(5, 1).map(|o| (o.in_flight, o.may_have_run)), Some((None, Some((500, 2)))));
-    assert_eq!(at(6, 2).map(|o| (o.in_flight, o.may_have_run)), Some((None, None)), "it never ran");
-    let again = at(7, 1).map(|o| (o.in_flight, o.may_have_run, o.connects));
+    assert_eq!(at(4, 2).map(|o| (o.in_flight, o.first_run, o.connects)), Some((Some((510, 0)), None, 1)));
+    assert_eq!(at(5, 1).map(|o| (o.in_flight, o.first_run)), Some((None, Some((500, 2)))));
+    assert_eq!(at(6, 2).map(|o| (o.in_flight, o.first_run)), Some((None, None)), "it never ran");
+    let again = at(7, 1).map(|o| (o.in_flight, o.first_run, o.connects));
     assert_eq!(again, Some((Some((700, 1)), Some((500, 2)), 2)), "the first send that may have run counts");
     assert_eq!(at(8, 2).unwrap().verdict, Some(Verdict::Bounced(250)));
-    let rests = |i: usize| states[i].1.held_keys.iter().map(|r| (r.0.to_vec(), r.1)).collect::<Vec<_>>();
+    let rests = |i: usize| states[i].1.keys_in_flight.iter().map(|r| (r.0.to_vec(), r.1)).collect::<Vec<_>>();
     assert_eq!(rests(10), [(b"7f3a".to_vec(), 600), (b"99".to_vec(), 720)]);
     assert_eq!((at(10, 1), at(11, 2).unwrap().verdict), (None, Some(Verdict::Dead)));
 }
@@ -83,7 +83,7 @@
     file.extend(&record);
     let size = file.len();
     let (found, good) = JournalContents::read(&file.into());
-    let old = OwedMail { item: Bytes::new(), accepted_at: 0, connects: 2, ..owed("a1", 3) };
+    let old = OwedMail { item: Bytes::new(), submitted_at: 0, connects: 2, ..owed("a1", 3) };
     assert_eq!((good, &found.owed[&9]), (size, &OwedMail { body: Bytes::from_static(b"xyz"), ..old }));
 }
 
@@ -103,7 +103,7 @@
         .append(&Record::ConnectEnded { serial: 1, may_have_run: false, may_still_run: false, at: 950 })
         .unwrap();
     let mail = JournalContents::read(&bytes(&folder)).0.owed[&1].clone();
-    assert_eq!((mail.may_have_run, mail.in_flight, mail.connects), (Some(sends[0]), None, 2));
+    assert_eq!((mail.first_run, mail.in_flight, mail.connects), (Some(sends[0]), None, 2));
 }
 
 #[test]
@@ -148,7 +148,7 @@
     drop(journal);
     let (_, found) = Journal::open(&folder.path, 3_000_000).unwrap();
     assert_eq!(found.owed, BTreeMap::new());
-    assert_eq!(found.held_keys.len(), 2, "rests outlast a file that is written anew");
+    assert_eq!(found.keys_in_flight.len(), 2, "rests outlast a file that is written anew");
     assert!(!folder.path.join("journal.new").exists());
 }
 
--- a/crates/courier/tests/start.rs
+++ b/crates/courier/tests/start.rs
@@ -191,9 +191,9 @@
             id: Bytes::from(format!("{mails:016}")),
             class: 0,
             destination: 7,
-            accepted_at: now,
+            submitted_at: now,
             // Of a hundred one has time left; the others pass their ends while no process runs.
-            expires_at: now + if mails % 100 == 0 { 300_000 } else { 10 },
+            deadline: now + if mails % 100 == 0 { 300_000 } else { 10 },
             body: Bytes::from_static(&[b'x'; 100]),
             ..OwedMail::default()
         };
