--- a/crates/courier/src/files.rs
+++ b/crates/courier/src/files.rs
@@ -1,27 +1,26 @@
-//! The file operations of a courier's journal, behind a trait, so that a test can make each of them fail.
+//! The file operations of the journal, behind a trait so that tests can make each of them fail.
 
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io::{self, ErrorKind, Write};
 use std::path::Path;
 
-/// What the journal does with files.
+/// The file operations that the journal needs.
 pub trait FileSystem {
     fn create_folder(&self, path: &Path) -> io::Result<()>;
 
-    /// Makes a file for a lock, or opens the one that is there, and locks it for as long as it is open.
+    /// Creates or opens a lock file and locks it for as long as it stays open.
     fn lock(&self, path: &Path) -> io::Result<File>;
 
     fn read(&self, path: &Path) -> io::Result<Vec<u8>>;
 
-    /// Makes a file that is not there yet, for appending.
+    /// Creates a file for appending; fails if it exists.
     fn create(&self, path: &Path) -> io::Result<File>;
 
-    /// Opens a file that is there, for appending.
+    /// Opens an existing file for appending.
     fn open(&self, path: &Path) -> io::Result<File>;
 
     fn append(&self, file: &mut File, bytes: &[u8]) -> io::Result<()>;
 
-    /// Cuts a file to this length.
     fn truncate(&self, file: &File, length: u64) -> io::Result<()>;
 
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
@@ -29,7 +28,7 @@
     fn remove(&self, path: &Path) -> io::Result<()>;
 }
 
-/// The files of the system.
+/// The file system of the operating system.
 pub struct OsFileSystem;
 
 impl FileSystem for OsFileSystem {
@@ -40,8 +39,10 @@
     fn lock(&self, path: &Path) -> io::Result<File> {
         let lock = File::create(path)?;
         match lock.try_lock() {
-            Err(TryLockError::WouldBlock) => return Err(io::Error::other("another courier has it open")),
-            Err(TryLockError::Error(e)) => log::warn!("the folder cannot be locked: {e}"),
+            Err(TryLockError::WouldBlock) => {
+                return Err(io::Error::other("another courier process has locked the folder"))
+            }
+            Err(TryLockError::Error(e)) => log::warn!("the state folder cannot be locked: {e}"),
             Ok(()) => {}
         }
         Ok(lock)
@@ -76,10 +77,10 @@
     }
 }
 
-/// Linux's number for an error of the device, which has no kind of its own.
+/// Linux's code for a device error; `ErrorKind` has no variant for it.
 const EIO: i32 = 5;
 
-/// Whether the same may go well later, with nothing changed in the configuration: no room, or a fault of the device.
+/// Whether a retry may succeed with an unchanged configuration: no space left, or a device error.
 pub fn is_transient(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::StorageFull | ErrorKind::QuotaExceeded)
         || error.raw_os_error() == Some(EIO)
--- a/crates/courier/src/journal.rs
+++ b/crates/courier/src/journal.rs
@@ -1,6 +1,6 @@
-//! The journal: what a courier has taken on, on file, so that it outlasts the process.
-//! One file of records, each with its length and checksum; what does not add up ends the reading. When it
-//! has grown, a file with only what is still owed takes its place by a rename.
+//! The journal: an append-only file of the mails that a courier has accepted, so that they survive the process.
+//! Each record has a length and a checksum; reading stops at the first invalid record. When the file has grown,
+//! it is compacted: a new file with only the mails still owed replaces it by a rename.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -13,27 +13,27 @@
 
 use crate::files::{is_transient, FileSystem, OsFileSystem};
 
-/// A send: when, and to which zone, by its place among those of the settings.
+/// The time of a send and its zone, as an index into the zones of the settings.
 pub type Sent = (Time, u16);
 
-/// A zone of which no later process can say which one it is: no endpoint is in it.
+/// Stands for a zone that a later process cannot identify. It matches no endpoint.
 pub const UNKNOWN_ZONE: u16 = u16::MAX;
 
-/// What goes to the platform about a mail that was given up.
+/// What the platform is told of a mail that was given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     Dead,
-    /// With a time to come back, in tenths of a millisecond; 0: none named.
+    /// With the time to wait before a retry, in tenths of a millisecond; 0 if none is given.
     Bounced(Time),
 }
 
-/// What a mail was taken on with, by the settings of then. Guards against a folder that other settings left: a
-/// place in their list of classes says nothing by today's.
+/// The rules of a mail's queue class when the mail was accepted. They are stored with the mail because a class
+/// index written under earlier settings may mean another class, or none, under the current ones.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClassTerms {
-    /// The name of its class.
+    /// The class name.
     pub class: Bytes,
-    /// `None`: on file before that was noted.
+    /// `None` if written by a version that did not store it.
     pub effect: Option<Effect>,
     pub dedup_by_zone: bool,
     pub dedup_window: Time,
@@ -48,13 +48,13 @@
     }
 }
 
-/// So many classes of the module at most stand for what other settings left. Guards against a file of nothing
-/// but classes, by a fault of ours or another's hand.
+/// Upper limit on queue classes, including those added for mails accepted under earlier settings. Bounds memory
+/// use if the journal names an unlimited number of classes, through a bug or tampering.
 pub const MAX_CLASSES: usize = 4096;
 
-/// The module's class by which a mail of an earlier process is held: today's of the same name, if that allows no
-/// more than what the mail was taken on with, else one more that allows only what both do. `current`: what the
-/// settings' classes stand for, the first of `classes`.
+/// The index in `classes` of the queue class for a mail restored from the journal: the current class of the same
+/// name if it is no more permissive than the rules the mail was accepted under, else an additional class that
+/// permits only what both do. `current` holds the rules of the settings' own classes, which come first in `classes`.
 pub fn class_for_restored(owed: &OwedMail, current: &[ClassTerms], classes: &mut Vec<QueueClass>) -> u16 {
     let accepted = &owed.terms;
     let same_name = match accepted.effect {
@@ -62,9 +62,9 @@
         None => Some(usize::from(owed.class)).filter(|&class| class < current.len()),
     };
     let same_effect = || current.iter().position(|terms| terms.effect == accepted.effect).unwrap_or_default();
-    // What a delay costs, and the like, is current's.
+    // Importance, target delay and lifetime are those of the current class.
     let base = classes[same_name.unwrap_or_else(same_effect)].clone();
-    // Guards against a second run of what was taken on when nobody noted what a repeat would do.
+    // If the effect was not stored, a repeat may do harm: the mail is sent once only.
     let effect = accepted.effect.unwrap_or(Effect::OnceOnly);
     let accepted_class = QueueClass {
         effect,
@@ -96,7 +96,7 @@
     index as u16
 }
 
-/// What both classes allow of a mail.
+/// The class that permits only what both classes permit.
 fn stricter_of(a: &QueueClass, b: &QueueClass, without_key: bool) -> QueueClass {
     let ordered = a.ordered || b.ordered;
     match (a.effect, b.effect) {
@@ -105,7 +105,7 @@
                 (a.dedup_by_zone || b.dedup_by_zone, a.dedup_window.min(b.dedup_window));
             QueueClass { dedup_by_zone, dedup_window, ordered, ..a.clone() }
         }
-        // Guards against repeats of what was taken on without a key.
+        // Without an idempotency key an endpoint cannot detect a repeat.
         (Effect::Tagged, Effect::Redeliverable) | (Effect::Redeliverable, Effect::Tagged) if without_key => {
             QueueClass { effect: Effect::OnceOnly, ordered, ..a.clone() }
         }
@@ -113,33 +113,33 @@
     }
 }
 
-/// A mail that is owed its end. Times are by the system's clock, in tenths of a millisecond.
+/// An accepted mail that is not settled yet. Times are by the system clock, in tenths of a millisecond.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OwedMail {
     pub id: Bytes,
-    /// The idempotency key; empty: none.
+    /// The idempotency key; empty if there is none.
     pub key: Bytes,
-    /// What the mail is about, in a queue class that keeps its order; empty: nothing.
+    /// The ordering key, in a queue class that keeps mails in order; empty if there is none.
     pub item: Bytes,
-    /// The module's class for it, by today's settings.
+    /// Index of its queue class in the decision settings, by the current settings.
     pub class: u16,
     pub terms: ClassTerms,
     pub destination: u64,
-    /// When it was handed in; 0: on file before that was noted.
+    /// When the client handed it in; 0 if written by a version that did not store it.
     pub submitted_at: Time,
     pub deadline: Time,
     pub body: Bytes,
     pub connects: u32,
     /// The first connect that may have run.
     pub first_run: Option<Sent>,
-    /// A connect that is out.
+    /// The connect without an outcome yet.
     pub in_flight: Option<Sent>,
-    /// Given up: only the notice is owed.
+    /// Set once the mail is given up: only the notice is still owed.
     pub verdict: Option<Verdict>,
 }
 
 impl OwedMail {
-    /// Its sends were to zones of which nothing is known any more.
+    /// Marks the zones of its sends as unknown.
     pub fn clear_zones(&mut self) {
         [&mut self.first_run, &mut self.in_flight]
             .into_iter()
@@ -158,7 +158,8 @@
         serial: u64,
         sent: Sent,
     },
-    /// The connect that was out has an outcome; `ran`: it may have run. `rests`: it may be running still.
+    /// The connect in flight has an outcome. `may_have_run`: the endpoint may have acted on it. `may_still_run`: it
+    /// may still be doing so.
     ConnectEnded {
         serial: u64,
         may_have_run: bool,
@@ -176,19 +177,19 @@
         item: &'a [u8],
         since: Time,
     },
-    /// The settings' zones, by whose places sends name theirs from here on; joined by commas.
+    /// The settings' zones, joined by commas. Zone indices in the records that follow refer to this list.
     Zones {
         names: &'a [u8],
     },
 }
 
-/// What a journal held at its opening.
+/// The state that the records of a journal add up to.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct JournalContents {
     pub owed: BTreeMap<u64, OwedMail>,
-    /// Keys of which a connect may be running still, and since when.
+    /// Ordering keys for which a connect may still be running, each with the time from which the ordering gap counts.
     pub keys_in_flight: Vec<(Bytes, Time)>,
-    /// The zones by whose places sends name theirs.
+    /// The zones, joined by commas, that zone indices refer to.
     pub zones: Bytes,
 }
 
@@ -211,30 +212,30 @@
 
 const HEADER_SIZE: usize = 8;
 const BLOCK_SIZE: u64 = 512;
-/// Parts of the allowance, in hundredths: what is owed may take so much, the file grows to so much before
-/// it is written anew. For that moment both files stand there; `memory` has what is beyond the two.
+/// Shares of the allowance in per cent: what the owed mails may take, and the size at which the file is compacted.
+/// During compaction both files exist; the file `memory` may use what the two leave.
 const OWED_PERCENT: u64 = 34;
 const FILE_PERCENT: u64 = 44;
 
 pub struct Journal {
     folder: PathBuf,
     files: Rc<dyn FileSystem>,
-    /// Held for as long as the journal is open. None: it could not be made yet, and nothing is written before.
+    /// Held while the journal is open. `None` if it could not be created yet; nothing is written before it is.
     lock: Option<File>,
-    /// None: it could not be written at the start, and is as soon as a record is to be noted and there is room.
+    /// `None` if it could not be written at the start; the next record to be written tries again.
     file: Option<File>,
     size: u64,
     allowance: u64,
-    /// Bytes that the mails owed would take in a fresh file.
+    /// Bytes that the owed mails would take after compaction.
     owed_bytes: u64,
-    /// What the file says of zones.
+    /// The zones last written to the file.
     zones: Bytes,
-    /// Part of a record may stand behind the file's last whole one.
+    /// The file may end in part of a record.
     has_partial_tail: bool,
     buffer: Vec<u8>,
 }
 
-/// Effects by their number on file.
+/// Effects, indexed by their number on file.
 const EFFECTS: [Option<Effect>; 4] =
     [None, Some(Effect::Redeliverable), Some(Effect::Tagged), Some(Effect::OnceOnly)];
 
@@ -313,13 +314,13 @@
     out[start + 4..start + HEADER_SIZE].copy_from_slice(&checksum.to_be_bytes());
 }
 
-/// What a mail takes in a fresh file, with its verdict, at most.
+/// Upper bound of the bytes that a mail and its verdict take in a compacted file.
 pub fn max_stored_size(owed: &OwedMail) -> u64 {
     let texts = [&owed.id, &owed.key, &owed.item, &owed.terms.class, &owed.body];
     (HEADER_SIZE + 104) as u64 + texts.iter().map(|text| text.len() as u64).sum::<u64>()
 }
 
-/// Reads fields off the front of a record; `None` where it is too short.
+/// Reads fields from the front of a record; `None` if it is too short.
 struct FieldReader(Bytes);
 
 impl FieldReader {
@@ -364,14 +365,14 @@
 }
 
 impl JournalContents {
-    /// What a folder's journal says, and how many of its last bytes cannot be read.
+    /// Reads a folder's journal. Also returns the number of bytes at its end that cannot be read.
     pub fn load(folder: &Path) -> io::Result<(JournalContents, usize)> {
         let bytes = Bytes::from(fs::read(folder.join(FILE_NAME))?);
         let (contents, valid_len) = JournalContents::read(&bytes);
         Ok((contents, bytes.len() - valid_len))
     }
 
-    /// What the bytes of a journal say, up to the first that do not add up; and how many those are.
+    /// Reads a journal up to the first invalid record. Also returns the length of the valid part.
     pub fn read(bytes: &Bytes) -> (JournalContents, usize) {
         let mut contents = JournalContents::default();
         if !bytes.starts_with(MAGIC) {
@@ -427,7 +428,8 @@
             code::CONNECT_STARTED => {
                 let sent = (fields.u64()?, fields.u16()?);
                 let owed = self.owed.get_mut(&serial)?;
-                // Guards against a second restart that forgets the first: what was out then may have run.
+                // A connect left in flight by an earlier process may have run. A new one must not hide that, also
+                // after several restarts.
                 let unresolved = owed.in_flight.replace(sent);
                 owed.first_run = owed.first_run.or(unresolved);
                 owed.connects += 1;
@@ -446,10 +448,10 @@
                 let verdict = if wait == u64::MAX { Verdict::Dead } else { Verdict::Bounced(wait) };
                 self.owed.get_mut(&serial)?.verdict = Some(verdict);
             }
-            // Guards against a whole record that speaks of a mail which is not there, as 0.2.0 could leave one:
-            // it would hide all that follows.
+            // An unknown mail is no error here: version 0.2.0 could leave such a record, and rejecting it would hide
+            // all records after it.
             code::SETTLED => drop(self.owed.remove(&serial)),
-            // The place of the serial holds the time.
+            // This record has the time in place of the serial.
             code::KEY_IN_FLIGHT => self.keys_in_flight.push((fields.short_bytes()?, serial)),
             code::ZONES => {
                 let previous = std::mem::replace(&mut self.zones, fields.0);
@@ -464,17 +466,17 @@
 }
 
 impl Journal {
-    /// Opens the folder's journal, or a new one, and tells what it held. It is written anew at once, so that
-    /// a torn tail is gone.
+    /// Opens the folder's journal, or creates one, and returns its contents. The file is compacted at once, which
+    /// also removes a partial record at its end.
     ///
     /// # Errors
-    /// Where what it holds cannot be read, another courier has it open, or the folder cannot be had for good. One whose
-    /// disk is full, or fails, is opened all the same: nothing is taken on before it can be written.
+    /// If the file cannot be read, another courier has it open, or the folder is unusable for a permanent reason. If
+    /// the disk is full or fails, the journal still opens, and no mail is accepted until it can be written.
     pub fn open(folder: &Path, allowance: u64) -> io::Result<(Journal, JournalContents)> {
         Journal::open_with(Rc::new(OsFileSystem), folder, allowance)
     }
 
-    /// The same on files of a test's own.
+    /// As `open`, on the given file system. Used by tests.
     pub fn open_with(
         files: Rc<dyn FileSystem>,
         folder: &Path,
@@ -505,8 +507,8 @@
             buffer: Vec::new(),
         };
         if let Err(e) = journal.compact(&contents.owed, &contents.keys_in_flight) {
-            log::warn!("the journal cannot be written anew at the start: {e}");
-            // Guards against a full disk that keeps what is owed from its end: the old file still serves.
+            log::warn!("journal compaction failed at the start: {e}");
+            // On a full disk the owed mails must still be processed: the old file stays in use.
             let old =
                 if valid_len > 0 && journal.lock.is_some() { journal.reopen_truncated() } else { Err(e) };
             journal.file = unless_transient(old)?;
@@ -514,7 +516,7 @@
         Ok((journal, contents))
     }
 
-    /// The folder that lasts, and the bytes that it may hold.
+    /// The state folder, and the bytes that its files may take.
     pub fn location(&self) -> (&Path, u64) {
         (&self.folder, self.allowance)
     }
@@ -523,12 +525,12 @@
         (self.allowance / 100 * percent).saturating_sub(BLOCK_SIZE)
     }
 
-    /// Whether one more mail may be taken on.
+    /// Whether the allowance leaves room for one more mail.
     pub fn has_room(&self, owed: &OwedMail) -> bool {
         self.owed_bytes + max_stored_size(owed) <= self.percent_of_allowance(OWED_PERCENT)
     }
 
-    /// Whether the file should be written anew before this record.
+    /// Whether the file should be compacted before this record is appended.
     pub fn needs_compaction(&self, record: &Record) -> bool {
         let added = if let Record::Accepted { owed, .. } = record { max_stored_size(owed) } else { 0 };
         self.file.is_none() || self.size + added > self.percent_of_allowance(FILE_PERCENT)
@@ -538,12 +540,12 @@
         self.buffer.clear();
         encode(&mut self.buffer, record);
         if self.size + self.buffer.len() as u64 > self.percent_of_allowance(FILE_PERCENT + 2) {
-            return Err(io::Error::new(io::ErrorKind::StorageFull, "the journal is full"));
+            return Err(io::Error::new(io::ErrorKind::StorageFull, "the journal has reached its size limit"));
         }
         let Some(file) = &mut self.file else {
-            return Err(io::Error::new(io::ErrorKind::StorageFull, "there is no journal yet"));
+            return Err(io::Error::new(io::ErrorKind::StorageFull, "the journal has not been created yet"));
         };
-        // Guards against half a record in the middle, behind which nothing would be read again.
+        // A partial record in the middle of the file would hide all records after it.
         if self.has_partial_tail {
             self.files.truncate(file, self.size)?;
             self.has_partial_tail = false;
@@ -561,17 +563,17 @@
         Ok(())
     }
 
-    /// Bytes that the mails owed would take in a fresh file, for audits.
+    /// Bytes that the owed mails would take after compaction, for the audit.
     pub fn owed_bytes(&self) -> u64 {
         self.owed_bytes
     }
 
-    /// So many bytes less are owed, once the file is written anew.
+    /// Subtracts bytes that the next compaction frees.
     pub fn release(&mut self, bytes: u64) {
         self.owed_bytes = self.owed_bytes.saturating_sub(bytes);
     }
 
-    /// Puts a fresh file of what is owed in the place of the old one.
+    /// Replaces the file by one with only what is still owed.
     pub fn compact(
         &mut self,
         owed: &BTreeMap<u64, OwedMail>,
@@ -585,7 +587,7 @@
         Ok(())
     }
 
-    /// The folder's journal as it stands, for appending behind what could be read of it.
+    /// Opens the existing file for appending and cuts it after its last valid record.
     fn reopen_truncated(&self) -> io::Result<File> {
         let file = self.files.open(&self.folder.join(FILE_NAME))?;
         self.files.truncate(&file, self.size)?;
@@ -593,25 +595,25 @@
     }
 }
 
-/// Nothing, with a line of the log, where it may go well later.
+/// Turns a transient error into `None` and logs it.
 fn unless_transient(result: io::Result<File>) -> io::Result<Option<File>> {
     match result {
         Err(e) if is_transient(&e) => {
-            log::warn!("nothing is taken on before the journal can be written: {e}");
+            log::warn!("no mail is accepted until the journal can be written: {e}");
             Ok(None)
         }
         result => result.map(Some),
     }
 }
 
-/// Guards against a second courier on the folder, which would put a file of its own in the place of ours.
+/// Locks the folder, so that no second courier replaces the journal by its own.
 fn lock_folder(files: &dyn FileSystem, folder: &Path) -> io::Result<File> {
     files.create_folder(folder)?;
     files.lock(&folder.join(LOCK_FILE_NAME))
 }
 
-/// Writes a file of what is owed and renames it to be the folder's journal; the file, for appending, and its
-/// size.
+/// Writes a file with only what is still owed and renames it to the folder's journal. Returns the file, open for
+/// appending, and its size.
 fn write_compacted(
     files: &dyn FileSystem,
     folder: &Path,
@@ -633,9 +635,9 @@
         encode(&mut bytes, &Record::KeyInFlight { item, since: *since });
     }
     let path = folder.join(NEW_FILE_NAME);
-    // One that an earlier process left behind half written.
+    // An earlier process may have left an unfinished one.
     let _ = files.remove(&path);
-    // Appending, so that a write that is cut back is followed by no gap.
+    // In append mode, a write that follows a truncation leaves no gap.
     let mut file = files.create(&path)?;
     let written = files.append(&mut file, &bytes).and_then(|()| files.rename(&path, &folder.join(FILE_NAME)));
     if let Err(e) = written {
--- a/crates/courier/tests/journal.rs
+++ b/crates/courier/tests/journal.rs
@@ -188,7 +188,7 @@
     let folder = Folder::new();
     let (journal, _) = Journal::open(&folder.path, 10_000).unwrap();
     let second = Journal::open(&folder.path, 10_000).err().unwrap();
-    assert_eq!(second.to_string(), "another courier has it open");
+    assert_eq!(second.to_string(), "another courier process has locked the folder");
     drop(journal);
     assert!(Journal::open(&folder.path, 10_000).is_ok());
 }
