--- a/crates/courier/tests/audit.rs
+++ b/crates/courier/tests/audit.rs
@@ -491,23 +491,23 @@
 fn each_book_that_is_spoilt_is_found() {
     // (what is spoilt, words of the audit)
     let rows = [
-        ("taken", "mails taken and found: 61 kept, 60 counted"),
-        ("ended", "mails taken and found: 60 kept, 61 counted"),
-        ("open mails", "mails without an end: 61 kept, 60 counted"),
-        ("an id", "mail 1 is not known by its id"),
-        ("one id more", "ids of mails in hand: 61 kept, 60 counted"),
-        ("bytes on file", "bytes owed on file: "),
-        ("an index of a mail", "indices of mails: 61 kept, 60 counted"),
-        ("an outcome", "connects out: "),
-        ("a connect lost", "mails of calls out: "),
-        ("a record lost", "is out without a record"),
-        ("a record too many", "records of connects out: "),
-        ("an endpoint", "is out to endpoint "),
-        ("a group", "is out to destination "),
-        ("a mail twice", "mails out: "),
+        ("taken", "mails accepted and restored: 61 kept, 60 counted"),
+        ("ended", "mails accepted and restored: 60 kept, 61 counted"),
+        ("open mails", "mails not given up: 61 kept, 60 counted"),
+        ("an id", "mail 1 is not found by its id"),
+        ("one id more", "ids of owed mails: 61 kept, 60 counted"),
+        ("bytes on file", "journal bytes of owed mails: "),
+        ("an index of a mail", "mail indices: 61 kept, 60 counted"),
+        ("an outcome", "pending connects: "),
+        ("a connect lost", "mails of calls in flight: "),
+        ("a record lost", "is in flight without a record"),
+        ("a record too many", "records of connects in flight: "),
+        ("an endpoint", "is in flight to endpoint "),
+        ("a group", "is in flight to destination "),
+        ("a mail twice", "mails in flight: "),
         ("two calls made one", "call 0 carries mails of slots "),
-        ("a version", "version of the list: 5 kept, 6 counted"),
-        ("an older list", "lists of a lower version: 1 kept, 0 counted"),
+        ("a version", "list version: 5 kept, 6 counted"),
+        ("an older list", "lists with a lower version: 1 kept, 0 counted"),
         ("slots", "slots taken: "),
         ("calls to a destination", "calls out to destination "),
         ("calls to an endpoint", "calls out to endpoint "),
@@ -545,7 +545,7 @@
 #[cfg(any(debug_assertions, feature = "spoil"))]
 #[test]
 fn what_the_audit_finds_is_told_by_the_exchange() {
-    is_told(&mut busy(), "the audit found: mails taken and found: 61 kept, 60 counted", |day| {
+    is_told(&mut busy(), "the audit found: mails accepted and restored: 61 kept, 60 counted", |day| {
         assert!(day.exchange.spoil("taken"));
         (0..256).for_each(|_| day.exchange.turn());
     });
