--- a/crates/courier/src/audit.rs
+++ b/crates/courier/src/audit.rs
@@ -40,7 +40,7 @@
 pub struct AuditCounters {
     /// Mails left by an earlier process, and mails that are settled.
     pub restored: u64,
-    pub ended: u64,
+    pub settled: u64,
     /// Connects requested, and connects with an outcome.
     pub connects_started: u64,
     pub connects_ended: u64,
@@ -115,7 +115,7 @@
 fn check_mails(state: &AuditedState, faults: &mut Findings) {
     let AuditedState { control, owed, ids, counters, .. } = state;
     let total = counters.restored + state.accepted;
-    faults.expect_equal("mails accepted and restored", total, counters.ended + owed.len() as u64);
+    faults.expect_equal("mails accepted and restored", total, counters.settled + owed.len() as u64);
     let unfinished = owed.values().filter(|owed| owed.verdict.is_none()).count();
     faults.expect_equal("mails not given up", state.unfinished as u64, unfinished as u64);
     faults.expect_equal(
--- a/crates/courier/src/exchange.rs
+++ b/crates/courier/src/exchange.rs
@@ -670,7 +670,7 @@
         self.note(&Record::Settled { serial });
         if let Some(owed) = self.owed.remove(&serial) {
             self.ids.remove(&owed.id);
-            self.tally.ended += 1;
+            self.tally.settled += 1;
             self.journal.release(max_stored_size(&owed));
             self.open -= usize::from(owed.verdict.is_none());
         }
@@ -1009,7 +1009,7 @@
         let first = self.owed.keys().next().copied();
         match (what, flight, first) {
             ("taken", ..) => self.counts.taken += 1,
-            ("ended", ..) => self.tally.ended += 1,
+            ("ended", ..) => self.tally.settled += 1,
             ("open mails", ..) => self.open += 1,
             ("an id", _, Some(first)) => {
                 let id = self.owed[&first].id.clone();
--- a/crates/courier/tests/audit.rs
+++ b/crates/courier/tests/audit.rs
@@ -37,8 +37,8 @@
 
 /// A courier's exchange, with all that is round it played by chance: clients, endpoints, the list, other couriers, the
 /// platform, time and the process's end.
-struct Day {
-    chance: fastrand::Rng,
+struct RandomRun {
+    rng: fastrand::Rng,
     now: Time,
     folder: Folder,
     exchange: Exchange,
@@ -46,20 +46,20 @@
     notices: UnboundedReceiver<Notice>,
     /// Calls that wait for their connection, and letters whose call has begun.
     waiting: Vec<Call>,
-    out: Vec<Letter>,
+    in_flight: Vec<Letter>,
     /// Told of as silent; what came of them may turn out yet.
-    silent: Vec<u64>,
+    unanswered: Vec<u64>,
     owed_notices: Vec<u64>,
     entries: BTreeMap<String, Value>,
     index: u64,
-    old_lines: Vec<List>,
+    old_lists: Vec<List>,
     ids: u64,
     broken: u64,
     taken: u64,
     begun: u64,
     restarts: u64,
     turns: u32,
-    turning: Duration,
+    turn_time: Duration,
 }
 
 fn text(text: &str) -> Bytes {
@@ -78,93 +78,92 @@
     (exchange, orders, notices)
 }
 
-impl Day {
-    fn new(seed: u64) -> Day {
+impl RandomRun {
+    fn new(seed: u64) -> RandomRun {
         let (folder, now) = (Folder::new(), START);
         let (exchange, orders, notices) = open(&folder, now);
-        let mut day = Day {
-            chance: fastrand::Rng::with_seed(seed),
+        let mut run = RandomRun {
+            rng: fastrand::Rng::with_seed(seed),
             now,
             folder,
             exchange,
             orders,
             notices,
             waiting: Vec::new(),
-            out: Vec::new(),
-            silent: Vec::new(),
+            in_flight: Vec::new(),
+            unanswered: Vec::new(),
             owed_notices: Vec::new(),
             entries: BTreeMap::new(),
             index: 1,
-            old_lines: Vec::new(),
+            old_lists: Vec::new(),
             ids: 0,
             broken: 0,
             taken: 0,
             begun: 0,
             restarts: 0,
             turns: 0,
-            turning: Duration::ZERO,
+            turn_time: Duration::ZERO,
         };
         for name in ["e0", "e1", "e2", "e3", "e4"] {
-            day.change(name, "SERVING");
+            run.change_entry(name, "SERVING");
         }
-        day.list(true);
-        day
+        run.send_list(true);
+        run
     }
 
     /// An entry's kind follows from its destination, as everywhere; the second kind's calls carry ten.
-    fn change(&mut self, name: &str, status: &str) {
+    fn change_entry(&mut self, name: &str, status: &str) {
         let group = name.as_bytes()[1] % 3;
         let kind = ["single", "many", "single"][usize::from(group)];
         // Now and then it has moved, or turns up at another destination.
-        let group = if self.chance.u8(..60) == 0 { 3 } else { group };
-        let port = if self.chance.u8(..8) == 0 { self.chance.u8(1..9) } else { 9 };
+        let group = if self.rng.u8(..60) == 0 { 3 } else { group };
+        let port = if self.rng.u8(..8) == 0 { self.rng.u8(1..9) } else { 9 };
         let entry = json!({"name": name, "address": format!("127.0.0.1:{port}"), "zone": "a", "type": kind,
             "group": group, "status": status, "weight": 100.0, "since_ms": 0});
         self.entries.insert(name.to_string(), entry);
         self.index += 1;
     }
 
-    fn list(&mut self, whole: bool) {
-        let some = self.entries.values().filter(|_| whole || self.chance.u8(..3) == 0).cloned();
+    fn send_list(&mut self, whole: bool) {
+        let some = self.entries.values().filter(|_| whole || self.rng.u8(..3) == 0).cloned();
         let some: Vec<Value> = some.collect();
         let list = json!({"index": self.index, "snapshot": whole, "endpoints": some});
         let list: List = serde_json::from_value(list).unwrap();
         self.exchange.listed(&list);
-        self.old_lines.push(list);
+        self.old_lists.push(list);
     }
 
-    fn some_change(&mut self) {
-        let name = format!("e{}", self.chance.u8(..9));
-        let status = ["SERVING", "SERVING", "SERVING", "DRAINING", "DELETED"][self.chance.usize(..5)];
-        match self.chance.u8(..12) {
+    fn change_list(&mut self) {
+        let name = format!("e{}", self.rng.u8(..9));
+        let status = ["SERVING", "SERVING", "SERVING", "DRAINING", "DELETED"][self.rng.usize(..5)];
+        match self.rng.u8(..12) {
             0 => drop(self.entries.remove(&name)),
-            _ => self.change(&name, status),
+            _ => self.change_entry(&name, status),
         }
-        let whole = self.chance.u8(..6) == 0;
-        self.list(whole);
+        let whole = self.rng.u8(..6) == 0;
+        self.send_list(whole);
         // Lines of other days come late, and another agent's whole list with versions of its own.
-        if self.chance.u8(..4) == 0 && !self.old_lines.is_empty() {
-            let old = self.old_lines[self.chance.usize(..self.old_lines.len())].clone();
+        if self.rng.u8(..4) == 0 && !self.old_lists.is_empty() {
+            let old = self.old_lists[self.rng.usize(..self.old_lists.len())].clone();
             self.exchange.listed(&old);
         }
     }
 
     fn offer(&mut self) {
-        self.ids += u64::from(self.chance.u8(..8) > 0); // else the same once more
-        let class = CLASSES[self.chance.usize(..4)];
+        self.ids += u64::from(self.rng.u8(..8) > 0); // else the same once more
+        let class = CLASSES[self.rng.usize(..4)];
         let offer = Offer {
             id: text(&self.ids.to_string()),
             key: Bytes::new(),
-            item: text(["0000", "7f3a", "9b1f"][self.chance.usize(..3)]),
+            item: text(["0000", "7f3a", "9b1f"][self.rng.usize(..3)]),
             class: text(class),
-            dest: self.chance.u64(..4),
-            lifetime: Duration::from_millis(self.chance.u64(1..4000)),
-            body: vec![b'x'; self.chance.usize(..300) * if self.chance.u8(..20) == 0 { 100 } else { 1 }]
-                .into(),
+            dest: self.rng.u64(..4),
+            lifetime: Duration::from_millis(self.rng.u64(1..4000)),
+            body: vec![b'x'; self.rng.usize(..300) * if self.rng.u8(..20) == 0 { 100 } else { 1 }].into(),
         };
         if let Answer::Taken(serial) = self.exchange.hand_in(offer) {
             self.taken += 1;
-            if self.chance.u8(..20) == 0 {
+            if self.rng.u8(..20) == 0 {
                 self.exchange.hangup(serial);
             }
         }
@@ -174,37 +173,37 @@
         if self.waiting.is_empty() {
             return;
         }
-        let mut call = self.waiting.swap_remove(self.chance.usize(..self.waiting.len()));
+        let mut call = self.waiting.swap_remove(self.rng.usize(..self.waiting.len()));
         let letters = std::mem::take(&mut call.letters);
-        if self.chance.u8(..10) == 0 {
+        if self.rng.u8(..10) == 0 {
             let unreached = Seen::only(Outcome::Unreached);
             return letters.iter().for_each(|letter| self.exchange.seen(letter.serial, unreached.clone()));
         }
         let going = self.exchange.begin(&call, letters);
         self.begun += going.len() as u64;
-        self.out.extend(going);
+        self.in_flight.extend(going);
     }
 
     fn outcome(&mut self) {
-        if self.out.is_empty() {
+        if self.in_flight.is_empty() {
             return;
         }
-        let letter = self.out.swap_remove(self.chance.usize(..self.out.len()));
-        let any = OUTCOMES[self.chance.usize(..9)];
-        let outcome = if self.chance.bool() { Outcome::Relayed } else { any };
-        let wait = if outcome == Outcome::Refused { self.chance.u64(..1500) } else { 0 };
-        let over = outcome == Outcome::Relayed || outcome == Outcome::Unsent && self.chance.bool();
-        let (wait, kept) = (Duration::from_millis(wait), self.chance.bool());
+        let letter = self.in_flight.swap_remove(self.rng.usize(..self.in_flight.len()));
+        let any = OUTCOMES[self.rng.usize(..9)];
+        let outcome = if self.rng.bool() { Outcome::Relayed } else { any };
+        let wait = if outcome == Outcome::Refused { self.rng.u64(..1500) } else { 0 };
+        let over = outcome == Outcome::Relayed || outcome == Outcome::Unsent && self.rng.bool();
+        let (wait, kept) = (Duration::from_millis(wait), self.rng.bool());
         self.exchange.seen(letter.serial, Seen { over, wait, kept, ..Seen::only(outcome) });
         if outcome == Outcome::Silent {
-            self.silent.push(letter.serial);
+            self.unanswered.push(letter.serial);
         }
     }
 
     fn turn(&mut self) {
         let start = Instant::now();
         self.exchange.turn();
-        (self.turns, self.turning) = (self.turns + 1, self.turning + start.elapsed());
+        (self.turns, self.turn_time) = (self.turns + 1, self.turn_time + start.elapsed());
         while let Ok(order) = self.orders.try_recv() {
             self.waiting.extend(if let Order::Call(call) = order { Some(call) } else { None });
         }
@@ -217,7 +216,7 @@
         }
     }
 
-    fn pass(&mut self, time: Time) {
+    fn advance(&mut self, time: Time) {
         self.now += time;
         self.exchange.clock = Clock::still(self.now);
     }
@@ -230,33 +229,33 @@
         let in_hand = self.exchange.in_hand();
         let next = Folder::new();
         fs::copy(self.folder.path.join("journal"), next.path.join("journal")).unwrap();
-        let away = self.chance.u64(..SECOND);
-        self.pass(away);
+        let away = self.rng.u64(..SECOND);
+        self.advance(away);
         (self.exchange, self.orders, self.notices) = open(&next, self.now);
         self.folder = next;
         assert_eq!(self.exchange.in_hand(), in_hand);
-        [&mut self.silent, &mut self.owed_notices].into_iter().for_each(Vec::clear);
-        (self.waiting, self.out) = (Vec::new(), Vec::new());
+        [&mut self.unanswered, &mut self.owed_notices].into_iter().for_each(Vec::clear);
+        (self.waiting, self.in_flight) = (Vec::new(), Vec::new());
         self.restarts += 1;
-        self.list(true);
+        self.send_list(true);
     }
 
     fn step(&mut self) {
-        match self.chance.u16(..1000) {
+        match self.rng.u16(..1000) {
             0..250 => self.offer(),
             250..450 => self.begin(),
             450..650 => self.outcome(),
             650..900 => {
                 self.turn();
-                let time = if self.chance.u8(..50) == 0 { 5000 } else { 30 };
-                let time = self.chance.u64(..time);
-                self.pass(time);
+                let time = if self.rng.u8(..50) == 0 { 5000 } else { 30 };
+                let time = self.rng.u64(..time);
+                self.advance(time);
             }
-            900..940 => self.some_change(),
+            900..940 => self.change_list(),
             940..960 => {
-                let news = [PeerNote::Down, PeerNote::Recovered, PeerNote::Refusing(self.chance.u64(..9000))]
-                    [self.chance.usize(..3)];
-                let name = format!("e{}", self.chance.u8(..9));
+                let news = [PeerNote::Down, PeerNote::Recovered, PeerNote::Refusing(self.rng.u64(..9000))]
+                    [self.rng.usize(..3)];
+                let name = format!("e{}", self.rng.u8(..9));
                 self.exchange.heard(name.as_bytes(), news);
             }
             960..980 => {
@@ -264,11 +263,11 @@
                 told.into_iter().for_each(|serial| self.exchange.told(serial));
             }
             980..990 => {
-                let late = self.silent.pop();
+                let late = self.unanswered.pop();
                 late.into_iter().for_each(|serial| self.exchange.relayed_late(serial));
             }
             990..996 => {
-                let gone = self.out.first().map(|letter| letter.serial);
+                let gone = self.in_flight.first().map(|letter| letter.serial);
                 gone.into_iter().for_each(|serial| self.exchange.hangup(serial));
             }
             996..998 => {
@@ -291,43 +290,43 @@
 #[test]
 #[ignore = "a measurement: run it alone, in a release build"]
 fn what_the_audit_costs() {
-    let (mut turns, mut turning, mut looks, mut looking) = (0, Duration::ZERO, 0, Duration::ZERO);
+    let (mut turns, mut turn_time, mut audits, mut audit_time) = (0, Duration::ZERO, 0, Duration::ZERO);
     for seed in seeds() {
-        let mut day = Day::new(seed);
+        let mut run = RandomRun::new(seed);
         for _ in 0..6000 {
-            day.step();
+            run.step();
             let start = Instant::now();
-            std::hint::black_box(day.exchange.audit());
-            (looks, looking) = (looks + 1, looking + start.elapsed());
+            std::hint::black_box(run.exchange.audit());
+            (audits, audit_time) = (audits + 1, audit_time + start.elapsed());
         }
-        (turns, turning) = (turns + day.turns, turning + day.turning);
+        (turns, turn_time) = (turns + run.turns, turn_time + run.turn_time);
     }
     println!(
         "{:.0} turns a second; a turn takes {:?}, an audit {:?}",
-        f64::from(turns) / turning.as_secs_f64(),
-        turning / turns,
-        looking / looks
+        f64::from(turns) / turn_time.as_secs_f64(),
+        turn_time / turns,
+        audit_time / audits
     );
 }
 
 #[test]
-fn the_audit_finds_nothing_in_days_of_random_load_and_faults() {
+fn the_audit_finds_nothing_under_random_load_and_faults() {
     let (mut taken, mut begun, mut restarts, mut days) = (0, 0, 0, 0);
     for seed in seeds() {
         println!("seed {seed}"); // shown where it fails
-        let mut day = Day::new(seed);
-        (0..6000).for_each(|_| day.step());
-        day.broken += day.exchange.counts.broken;
-        assert_eq!(day.broken, 0);
-        (taken, begun) = (taken + day.taken, begun + day.begun);
-        (restarts, days) = (restarts + day.restarts, days + 1);
+        let mut run = RandomRun::new(seed);
+        (0..6000).for_each(|_| run.step());
+        run.broken += run.exchange.counts.broken;
+        assert_eq!(run.broken, 0);
+        (taken, begun) = (taken + run.taken, begun + run.begun);
+        (restarts, days) = (restarts + run.restarts, days + 1);
     }
     println!("{days} days: {taken} mails taken, {begun} connects begun, {restarts} restarts");
     assert!(taken > 800 * days && begun > 500 * days && restarts > 7 * days);
 }
 
 /// Hands in mails 1 to `many` for the first destination, and takes up their calls in a turn.
-fn handed_in(day: &mut Day, class: &str, many: usize) -> Vec<Call> {
+fn submit_and_take_calls(run: &mut RandomRun, class: &str, many: usize) -> Vec<Call> {
     for i in 0..many {
         let offer = Offer {
             id: text(&format!("m{i}")),
@@ -338,28 +337,28 @@
             lifetime: Duration::from_secs(4),
             body: Bytes::from_static(b"x"),
         };
-        assert!(matches!(day.exchange.hand_in(offer), Answer::Taken(_)));
+        assert!(matches!(run.exchange.hand_in(offer), Answer::Taken(_)));
     }
-    day.turn();
-    std::mem::take(&mut day.waiting)
+    run.turn();
+    std::mem::take(&mut run.waiting)
 }
 
 /// A courier with one endpoint at the first destination.
-fn alone() -> Day {
-    let mut day = Day::new(1);
+fn with_one_endpoint() -> RandomRun {
+    let mut run = RandomRun::new(1);
     let entry = json!({"name": "e0", "group": 0, "type": "single", "zone": "a", "status": "SERVING", "weight": 9000.0});
     let list = json!({"index": 7, "snapshot": true, "endpoints": [entry]});
-    day.exchange.listed(&serde_json::from_value(list).unwrap());
-    day
+    run.exchange.listed(&serde_json::from_value(list).unwrap());
+    run
 }
 
 #[test]
-fn what_was_told_holds_for_calls_that_begin_before_the_next_turn() {
+fn waits_notes_and_list_changes_apply_to_calls_that_begin_before_the_next_turn() {
     for told in ["wait", "note", "drain", "gone", "nothing"] {
-        let mut day = alone();
-        let calls = handed_in(&mut day, "once", 2);
+        let mut run = with_one_endpoint();
+        let calls = submit_and_take_calls(&mut run, "once", 2);
         let [first, second] = &calls[..] else { panic!("{calls:?}") };
-        assert_eq!(day.exchange.begin(first, first.letters.clone()).len(), 1);
+        assert_eq!(run.exchange.begin(first, first.letters.clone()).len(), 1);
         let changed = |status: &str| {
             let entry = json!({"name": "e0", "group": 0, "type": "single", "zone": "a", "status": status});
             serde_json::from_value::<List>(json!({"index": 8, "snapshot": false, "endpoints": [entry]}))
@@ -368,38 +367,38 @@
         match told {
             "wait" => {
                 let wait = Duration::from_secs(1);
-                day.exchange.seen(first.letters[0].serial, Seen { wait, ..Seen::only(Outcome::Refused) });
+                run.exchange.seen(first.letters[0].serial, Seen { wait, ..Seen::only(Outcome::Refused) });
             }
-            "note" => day.exchange.heard(b"e0", PeerNote::Refusing(SECOND)),
-            "drain" => day.exchange.listed(&changed("DRAINING")),
+            "note" => run.exchange.heard(b"e0", PeerNote::Refusing(SECOND)),
+            "drain" => run.exchange.listed(&changed("DRAINING")),
             "gone" => {
                 let whole = json!({"index": 8, "snapshot": true, "endpoints": []});
-                day.exchange.listed(&serde_json::from_value(whole).unwrap());
+                run.exchange.listed(&serde_json::from_value(whole).unwrap());
             }
             _ => {}
         }
         // No turn in between.
-        let going = day.exchange.begin(second, second.letters.clone()).len();
+        let going = run.exchange.begin(second, second.letters.clone()).len();
         assert_eq!(going, usize::from(told == "nothing"), "{told}");
-        day.turn();
-        assert_eq!((day.exchange.in_hand(), day.exchange.counts.broken), (2, 0), "{told}");
+        run.turn();
+        assert_eq!((run.exchange.in_hand(), run.exchange.counts.broken), (2, 0), "{told}");
     }
 }
 
 #[test]
-fn a_mail_whose_client_goes_between_its_outcome_and_the_next_turn_is_given_up_by_nobody() {
-    let mut day = Day::new(1);
-    let calls = handed_in(&mut day, "once", 1);
-    let letter = day.exchange.begin(&calls[0], calls[0].letters.clone()).remove(0);
-    day.exchange.seen(letter.serial, Seen::only(Outcome::Broken));
-    day.exchange.hangup(letter.serial);
-    day.turn();
-    assert_eq!((day.exchange.in_hand(), day.exchange.counts.broken, day.owed_notices.len()), (0, 0, 0));
+fn a_mail_whose_client_leaves_between_its_outcome_and_the_next_turn_is_not_given_up() {
+    let mut run = RandomRun::new(1);
+    let calls = submit_and_take_calls(&mut run, "once", 1);
+    let letter = run.exchange.begin(&calls[0], calls[0].letters.clone()).remove(0);
+    run.exchange.seen(letter.serial, Seen::only(Outcome::Broken));
+    run.exchange.hangup(letter.serial);
+    run.turn();
+    assert_eq!((run.exchange.in_hand(), run.exchange.counts.broken, run.owed_notices.len()), (0, 0, 0));
 }
 
 #[test]
 fn lists_of_a_lower_version_are_counted() {
-    let mut day = Day::new(1);
+    let mut run = RandomRun::new(1);
     let list = |index: u64, snapshot: bool, status: &str| {
         let entry = json!({"name": "e0", "group": 0, "type": "single", "zone": "a", "status": status});
         let list = json!({"index": index, "snapshot": snapshot, "endpoints": [entry]});
@@ -416,22 +415,22 @@
         (6, false, "DRAINING", 0, 4),
     ];
     for (version, whole, status, calls, older) in rows {
-        day.exchange.listed(&list(version, whole, status));
-        let begun = handed_in(&mut day, "again", 1);
-        assert_eq!((begun.len(), day.exchange.counts.older), (calls, older), "{version} {status}");
+        run.exchange.listed(&list(version, whole, status));
+        let begun = submit_and_take_calls(&mut run, "again", 1);
+        assert_eq!((begun.len(), run.exchange.counts.older), (calls, older), "{version} {status}");
         for letter in begun.iter().flat_map(|call| &call.letters) {
-            day.exchange.seen(letter.serial, Seen { over: true, ..Seen::only(Outcome::Unsent) });
+            run.exchange.seen(letter.serial, Seen { over: true, ..Seen::only(Outcome::Unsent) });
         }
-        let left: Vec<u64> = JournalContents::load(&day.folder.path).unwrap().0.owed.into_keys().collect();
-        left.into_iter().for_each(|serial| day.exchange.hangup(serial));
-        day.turn();
-        assert_eq!(day.exchange.in_hand(), 0);
+        let left: Vec<u64> = JournalContents::load(&run.folder.path).unwrap().0.owed.into_keys().collect();
+        left.into_iter().for_each(|serial| run.exchange.hangup(serial));
+        run.turn();
+        assert_eq!(run.exchange.in_hand(), 0);
     }
 }
 
 #[test]
-fn calls_of_two_slots_to_one_endpoint_are_never_made_one() {
-    let mut day = Day::new(1);
+fn calls_of_two_slots_to_one_endpoint_are_never_merged() {
+    let mut run = RandomRun::new(1);
     // Ten go in a call; some are so big that the first call is cut, and then has room for more in number.
     for i in 0..20 {
         let offer = Offer {
@@ -443,26 +442,26 @@
             lifetime: Duration::from_secs(4),
             body: vec![b'x'; if i % 3 == 0 { 30_000 } else { 9 }].into(),
         };
-        assert!(matches!(day.exchange.hand_in(offer), Answer::Taken(_)));
+        assert!(matches!(run.exchange.hand_in(offer), Answer::Taken(_)));
     }
-    day.exchange.listed(
+    run.exchange.listed(
         &serde_json::from_value(json!({"index": 7, "snapshot": true, "endpoints": [
         {"name": "e1", "group": 1, "type": "many", "zone": "a", "status": "SERVING", "weight": 9000.0}]}))
         .unwrap(),
     );
-    day.turn();
+    run.turn();
     let mails = |slot: usize| -> usize {
-        day.waiting.iter().filter(|call| call.slot == slot).map(|call| call.letters.len()).sum()
+        run.waiting.iter().filter(|call| call.slot == slot).map(|call| call.letters.len()).sum()
     };
     assert_eq!([mails(0), mails(1)], [10, 10]);
-    assert!(day.waiting.len() > 2, "cut by size");
-    assert_eq!(day.exchange.audit(), Vec::<String>::new());
+    assert!(run.waiting.len() > 2, "cut by size");
+    assert_eq!(run.exchange.audit(), Vec::<String>::new());
 }
 
 /// A courier with mails parked and calls out, some of keys and some of several mails, after a turn.
 #[cfg(any(debug_assertions, feature = "spoil"))]
-fn busy() -> Day {
-    let mut day = Day::new(1);
+fn with_calls_in_flight() -> RandomRun {
+    let mut run = RandomRun::new(1);
     for i in 0..60 {
         let class = CLASSES[i % 4];
         let offer = Offer {
@@ -474,16 +473,16 @@
             lifetime: Duration::from_secs(4),
             body: vec![b'x'; 9].into(),
         };
-        assert!(matches!(day.exchange.hand_in(offer), Answer::Taken(_)));
+        assert!(matches!(run.exchange.hand_in(offer), Answer::Taken(_)));
     }
-    day.turn();
-    for call in std::mem::take(&mut day.waiting) {
+    run.turn();
+    for call in std::mem::take(&mut run.waiting) {
         let letters = call.letters.clone();
-        day.out.extend(day.exchange.begin(&call, letters));
+        run.in_flight.extend(run.exchange.begin(&call, letters));
     }
-    assert!(day.out.len() > 3 && day.exchange.in_hand() > day.out.len());
-    assert_eq!(day.exchange.audit(), Vec::<String>::new());
-    day
+    assert!(run.in_flight.len() > 3 && run.exchange.in_hand() > run.in_flight.len());
+    assert_eq!(run.exchange.audit(), Vec::<String>::new());
+    run
 }
 
 #[cfg(any(debug_assertions, feature = "spoil"))]
@@ -519,9 +518,9 @@
         ("a mail's destination", "is out to destination "),
     ];
     for (what, words) in rows {
-        let mut day = busy();
-        assert!(day.exchange.spoil(what), "{what}");
-        let faults = day.exchange.audit();
+        let mut run = with_calls_in_flight();
+        assert!(run.exchange.spoil(what), "{what}");
+        let faults = run.exchange.audit();
         println!("{what}: {faults:?}");
         assert!(faults.iter().any(|fault| fault.contains(words)), "{what}: {faults:?}");
     }
@@ -529,39 +528,43 @@
 
 /// Debug builds stop at what is broken; release builds count it.
 #[cfg(any(debug_assertions, feature = "spoil"))]
-fn is_told(day: &mut Day, words: &str, act: impl FnOnce(&mut Day)) {
-    let done = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| act(day)));
+fn assert_reported(run: &mut RandomRun, words: &str, act: impl FnOnce(&mut RandomRun)) {
+    let done = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| act(run)));
     match done {
-        Ok(()) => assert!(!cfg!(debug_assertions) && day.exchange.counts.broken > 0, "{words}"),
-        Err(said) => {
-            let said = said.downcast_ref::<String>().cloned().unwrap_or_else(|| {
-                said.downcast_ref::<&str>().map_or(String::new(), |said| said.to_string())
+        Ok(()) => assert!(!cfg!(debug_assertions) && run.exchange.counts.broken > 0, "{words}"),
+        Err(payload) => {
+            let message = payload.downcast_ref::<String>().cloned().unwrap_or_else(|| {
+                payload.downcast_ref::<&str>().map_or(String::new(), |text| text.to_string())
             });
-            assert!(cfg!(debug_assertions) && said.contains(words), "{words}: {said}");
+            assert!(cfg!(debug_assertions) && message.contains(words), "{words}: {message}");
         }
     }
 }
 
 #[cfg(any(debug_assertions, feature = "spoil"))]
 #[test]
-fn what_the_audit_finds_is_told_by_the_exchange() {
-    is_told(&mut busy(), "the audit found: mails accepted and restored: 61 kept, 60 counted", |day| {
-        assert!(day.exchange.spoil("taken"));
-        (0..256).for_each(|_| day.exchange.turn());
-    });
-    is_told(&mut alone(), "a call begins before a told wait is over", |day| {
-        let calls = handed_in(day, "once", 2);
-        assert_eq!(day.exchange.begin(&calls[0], calls[0].letters.clone()).len(), 1);
-        assert!(day.exchange.spoil("a told wait"));
-        day.exchange.begin(&calls[1], calls[1].letters.clone());
+fn the_exchange_reports_audit_findings() {
+    assert_reported(
+        &mut with_calls_in_flight(),
+        "the audit found: mails accepted and restored: 61 kept, 60 counted",
+        |run| {
+            assert!(run.exchange.spoil("taken"));
+            (0..256).for_each(|_| run.exchange.turn());
+        },
+    );
+    assert_reported(&mut with_one_endpoint(), "a call begins before a told wait is over", |run| {
+        let calls = submit_and_take_calls(run, "once", 2);
+        assert_eq!(run.exchange.begin(&calls[0], calls[0].letters.clone()).len(), 1);
+        assert!(run.exchange.spoil("a told wait"));
+        run.exchange.begin(&calls[1], calls[1].letters.clone());
     });
-    is_told(&mut alone(), "a call begins with a connect that is not out", |day| {
-        let calls = handed_in(day, "once", 1);
-        (0..2).for_each(|_| drop(day.exchange.begin(&calls[0], calls[0].letters.clone())));
+    assert_reported(&mut with_one_endpoint(), "a call begins with a connect that is not out", |run| {
+        let calls = submit_and_take_calls(run, "once", 1);
+        (0..2).for_each(|_| drop(run.exchange.begin(&calls[0], calls[0].letters.clone())));
     });
-    is_told(&mut busy(), "an outcome came for a connect that is not out", |day| {
-        let serial = day.out[0].serial;
-        (0..2).for_each(|_| day.exchange.seen(serial, Seen::only(Outcome::Broken)));
+    assert_reported(&mut with_calls_in_flight(), "an outcome came for a connect that is not out", |run| {
+        let serial = run.in_flight[0].serial;
+        (0..2).for_each(|_| run.exchange.seen(serial, Seen::only(Outcome::Broken)));
     });
 }
 
@@ -575,13 +578,13 @@
 }
 
 impl Process {
-    fn start(platform: &Platform, hears: [SocketAddr; 3], i: usize) -> Process {
+    fn start(platform: &Platform, peer_addresses: [SocketAddr; 3], i: usize) -> Process {
         let (listen, folder) = (own_address(), Folder::new());
         let mut config = config(platform, listen);
-        let others: Vec<String> = (0..3).filter(|&o| o != i).map(|o| hears[o].to_string()).collect();
+        let others: Vec<String> = (0..3).filter(|&o| o != i).map(|o| peer_addresses[o].to_string()).collect();
         config["settings"]["Limits"]["MayTell"] = json!(true);
         config["settings"]["NInstances"] = json!(3);
-        config["peers"] = json!({"listen": hears[i].to_string(), "others": others});
+        config["peers"] = json!({"listen": peer_addresses[i].to_string(), "others": others});
         let child = Process::spawn(&folder, &config, 0);
         let process = Process { listen, folder, config, child, started: 0 };
         process.ready();
@@ -589,9 +592,9 @@
     }
 
     fn spawn(folder: &Folder, config: &Value, started: usize) -> Child {
-        let said = File::create(folder.path.join(format!("said{started}"))).unwrap();
+        let log = File::create(folder.path.join(format!("log{started}"))).unwrap();
         let mut command = command(folder, config, "serve");
-        command.env("RUST_LOG", "info").stderr(said).stdin(Stdio::null()).spawn().unwrap()
+        command.env("RUST_LOG", "info").stderr(log).stdin(Stdio::null()).spawn().unwrap()
     }
 
     fn ready(&self) {
@@ -602,7 +605,7 @@
 
     /// Ends by itself, or at once; in both cases it had not ended before, and said nothing of what must not be.
     fn end(&mut self, killed: bool) {
-        assert!(self.child.try_wait().unwrap().is_none(), "it has ended: {}", self.said());
+        assert!(self.child.try_wait().unwrap().is_none(), "it has ended: {}", self.log());
         if killed {
             self.child.kill().unwrap();
         } else {
@@ -611,16 +614,16 @@
             until("its end", || self.child.try_wait().unwrap().is_some());
         }
         let well = self.child.wait().unwrap().success();
-        let said = self.said();
-        assert!(!said.contains("ERROR") && !said.contains("panicked"), "{said}");
+        let log = self.log();
+        assert!(!log.contains("ERROR") && !log.contains("panicked"), "{log}");
         if !killed {
-            let last = said.lines().last().unwrap_or_default();
-            assert!(well && last.contains("has ended") && last.contains("broken: 0"), "{said}");
+            let last = log.lines().last().unwrap_or_default();
+            assert!(well && last.contains("has ended") && last.contains("broken: 0"), "{log}");
         }
     }
 
-    fn said(&self) -> String {
-        fs::read_to_string(self.folder.path.join(format!("said{}", self.started))).unwrap()
+    fn log(&self) -> String {
+        fs::read_to_string(self.folder.path.join(format!("log{}", self.started))).unwrap()
     }
 
     fn restart(&mut self) {
@@ -638,12 +641,12 @@
 }
 
 #[test]
-fn the_last_line_of_each_of_three_couriers_among_kills_says_that_nothing_is_broken() {
+fn three_couriers_that_are_killed_and_restarted_report_no_broken_rule() {
     let seed = 5;
     println!("seed {seed}");
-    let mut chance = fastrand::Rng::with_seed(seed);
+    let mut rng = fastrand::Rng::with_seed(seed);
     let platform = Platform::new();
-    let script = |chance: &mut fastrand::Rng| -> Vec<Reply> {
+    let script = |rng: &mut fastrand::Rng| -> Vec<Reply> {
         let replies = [
             OK,
             Reply::Status(500, ""),
@@ -655,37 +658,35 @@
             Reply::After(200, Box::new(OK)),
             Reply::Raw("HTTP/1.1 20"),
         ];
-        let one = |_| if chance.bool() { OK } else { replies[chance.usize(..9)].clone() };
+        let one = |_| if rng.bool() { OK } else { replies[rng.usize(..9)].clone() };
         (0..200).map(one).collect()
     };
-    let ends: Vec<Endpoint> = (0..4).map(|_| Endpoint::new(&script(&mut chance))).collect();
+    let ends: Vec<Endpoint> = (0..4).map(|_| Endpoint::new(&script(&mut rng))).collect();
     let list = |i: usize, status: &str| {
         let (kind, dest) = [("single", 7), ("many", 8)][i % 2];
         platform.list(&format!("e{i}"), ends[i].address, kind, dest, status);
     };
     (0..4).for_each(|i| list(i, "SERVING"));
-    let hears = [0; 3].map(|_| own_address());
-    let mut couriers = [0, 1, 2].map(|i| Process::start(&platform, hears, i));
+    let peer_addresses = [0; 3].map(|_| own_address());
+    let mut couriers = [0, 1, 2].map(|i| Process::start(&platform, peer_addresses, i));
     let mut taken = 0;
     for step in 0..60 {
-        let courier = &mut couriers[chance.usize(..3)];
-        match chance.u8(..20) {
+        let courier = &mut couriers[rng.usize(..3)];
+        match rng.u8(..20) {
             0..=13 => {
                 let Ok(mut client) = Client::connect(courier.listen) else { panic!("it has ended") };
-                for n in 0..chance.usize(1..12) {
-                    let class = CLASSES[chance.usize(..4)];
-                    let more = format!("d={},k=77", chance.u32(50..2500));
+                for n in 0..rng.usize(1..12) {
+                    let class = CLASSES[rng.usize(..4)];
+                    let more = format!("d={},k=77", rng.u32(50..2500));
                     let mut mail = put(["0", "7f3a"][n % 2], &format!("{step}-{n}"), class, &more, b"hello");
-                    if chance.bool() {
+                    if rng.bool() {
                         let at = mail.windows(6).position(|six| six == b"dest=7").unwrap();
                         mail[at + 5] = b'8';
                     }
                     taken += usize::from(client.say(&mail) == "+OK");
                 }
             }
-            14..=16 => {
-                list(chance.usize(..4), ["SERVING", "SERVING", "DRAINING", "DELETED"][chance.usize(..4)])
-            }
+            14..=16 => list(rng.usize(..4), ["SERVING", "SERVING", "DRAINING", "DELETED"][rng.usize(..4)]),
             17..=18 => {
                 courier.end(true);
                 courier.restart();
--- a/crates/courier/tests/crash_points.rs
+++ b/crates/courier/tests/crash_points.rs
@@ -22,27 +22,27 @@
 
 const ALLOWANCE: u64 = 3_000_000;
 
-fn size(folder: &Folder) -> usize {
+fn journal_size(folder: &Folder) -> usize {
     fs::metadata(folder.path.join("journal")).unwrap().len() as usize
 }
 
 /// What had happened, and how long the file was, when it was promised or sent.
-struct Day {
+struct RecordedRun {
     folder: Folder,
     /// The length from which a message is owed its end, and that at which nothing more is owed.
     owed: BTreeMap<&'static str, (usize, usize)>,
     /// The lengths at which its attempts began, and when the last could not have run after all.
     begun: Vec<(&'static str, usize)>,
-    never: BTreeMap<&'static str, usize>,
-    handed_back: BTreeMap<&'static str, usize>,
+    never_ran: BTreeMap<&'static str, usize>,
+    given_up_at: BTreeMap<&'static str, usize>,
 }
 
 /// A day of one process: served, refused and sent again, broken, given up untried, given up and told of, hung up.
-fn day() -> Day {
+fn recorded_run() -> RecordedRun {
     let folder = Folder::new();
     let mut process = Process::start(&folder, ALLOWANCE, START, None);
     let (mut owed, mut begun) = (BTreeMap::new(), Vec::new());
-    let (mut never, mut handed_back) = (BTreeMap::new(), BTreeMap::new());
+    let (mut never_ran, mut given_up_at) = (BTreeMap::new(), BTreeMap::new());
     let rows: [(&str, &str, &[Outcome]); 6] = [
         ("served", "once", &[Outcome::Relayed]),
         ("refused", "once", &[Outcome::Unreached, Outcome::Relayed]),
@@ -53,16 +53,16 @@
     ];
     for (dest, (id, class, outcomes)) in (0..).zip(rows) {
         assert!(matches!(process.put(id, class, dest), Answer::Taken(_)));
-        owed.insert(id, (size(&folder), usize::MAX));
+        owed.insert(id, (journal_size(&folder), usize::MAX));
         for (i, &outcome) in outcomes.iter().enumerate() {
             let call = process.call().unwrap();
             // Whatever is cut off behind this length, its bytes may go out now.
             assert!(process.begin(&call));
-            begun.push((id, size(&folder)));
+            begun.push((id, journal_size(&folder)));
             let serial = call.letters[0].serial;
             process.exchange.seen(serial, Seen::only(outcome));
             if outcome == Outcome::Unreached && i == 0 {
-                never.insert(id, size(&folder));
+                never_ran.insert(id, journal_size(&folder));
             }
             if outcome == Outcome::Silent {
                 process.exchange.relayed_late(serial);
@@ -76,28 +76,28 @@
         if id == "out" {
             let call = process.call().unwrap();
             assert!(process.begin(&call));
-            begun.push((id, size(&folder)));
+            begun.push((id, journal_size(&folder)));
         } else {
-            owed.get_mut(id).unwrap().1 = size(&folder);
+            owed.get_mut(id).unwrap().1 = journal_size(&folder);
         }
     }
     // Untried until its time is over: handed back, and not heard of yet.
     let call = {
         assert!(matches!(process.put("untried", "once", 9), Answer::Taken(_)));
-        owed.insert("untried", (size(&folder), usize::MAX));
+        owed.insert("untried", (journal_size(&folder), usize::MAX));
         process.pass(5 * SECOND);
         process.calls()
     };
     assert!(call.is_empty());
     assert_eq!(process.ends().len(), 1);
-    handed_back.insert("untried", size(&folder));
-    Day { folder, owed, begun, never, handed_back }
+    given_up_at.insert("untried", journal_size(&folder));
+    RecordedRun { folder, owed, begun, never_ran, given_up_at }
 }
 
 #[test]
-fn whichever_byte_of_the_journal_was_the_last_one_nothing_owed_is_dropped_and_nothing_runs_twice() {
-    let day = day();
-    let whole = fs::read(day.folder.path.join("journal")).unwrap();
+fn a_journal_cut_at_any_byte_loses_no_owed_mail_and_repeats_no_once_only_mail() {
+    let run = recorded_run();
+    let whole = fs::read(run.folder.path.join("journal")).unwrap();
     let next = Folder::new();
     for cut in 0..=whole.len() {
         fs::write(next.path.join("journal"), &whole[..cut]).unwrap();
@@ -107,20 +107,20 @@
         let (sent, ends) = process.play(SECOND, Outcome::Relayed);
         let mut settled: BTreeSet<&str> = sent.iter().map(String::as_str).collect();
         settled.extend(ends.iter().map(|(id, _)| id.as_str()));
-        for (id, &(from, to)) in &day.owed {
+        for (id, &(from, to)) in &run.owed {
             let owed = from <= cut && cut < to;
             assert!(!owed || settled.contains(id), "cut at {cut}: {id} gets no end");
         }
         for id in ["served", "refused", "broken", "out"] {
-            let after = day.never.get(id).copied().unwrap_or(0);
-            let last = day.begun.iter().rfind(|(begun, _)| *begun == id).map(|&(_, at)| at);
-            let first = day.begun.iter().find(|(begun, _)| *begun == id).map(|&(_, at)| at);
+            let after = run.never_ran.get(id).copied().unwrap_or(0);
+            let last = run.begun.iter().rfind(|(begun, _)| *begun == id).map(|&(_, at)| at);
+            let first = run.begun.iter().find(|(begun, _)| *begun == id).map(|&(_, at)| at);
             // Its attempt is on file, and not known to have come to nothing.
             let ran = first.is_some_and(|at| at <= cut && cut < after) || last.is_some_and(|at| at <= cut);
             let times = sent.iter().filter(|sent| *sent == id).count();
             assert!(times <= usize::from(!ran), "cut at {cut}: {id} is sent {times} times");
         }
-        for (id, &at) in &day.handed_back {
+        for (id, &at) in &run.given_up_at {
             assert!(cut < at || !sent.iter().any(|sent| sent == id), "cut at {cut}: {id} was handed back");
         }
         let ended: BTreeSet<&String> = ends.iter().map(|(id, _)| id).collect();
@@ -131,22 +131,22 @@
 }
 
 /// Nothing can be written anew on this folder's disk.
-fn fill(folder: &Folder) {
+fn block_compaction(folder: &Folder) {
     fs::create_dir(folder.path.join("journal.new")).unwrap();
 }
 
-fn empty(folder: &Folder) {
+fn unblock_compaction(folder: &Folder) {
     fs::remove_dir(folder.path.join("journal.new")).unwrap();
 }
 
 /// A process with 40 messages untried, on a disk that has just become full to its last bytes.
-fn full(folder: &Folder) -> Process {
+fn process_on_full_disk(folder: &Folder) -> Process {
     let mut process = Process::start(folder, 100_000, START, None);
     let spare: Vec<Answer> = (0..20).map(|i| process.put(&format!("spare-{i}"), "once", 1)).collect();
     for i in 0..40 {
         assert!(matches!(process.put(&format!("kept-{i}"), "once", i % 10), Answer::Taken(_)));
     }
-    fill(folder);
+    block_compaction(folder);
     let mut gone = 0;
     while let Answer::Taken(serial) = process.put(&format!("gone-{gone}"), "once", 1) {
         process.exchange.hangup(serial);
@@ -162,15 +162,15 @@
 }
 
 #[test]
-fn on_a_full_disk_nothing_is_taken_on_no_call_begins_and_nothing_is_handed_back_that_may_still_be_sent() {
+fn on_a_full_disk_no_mail_is_accepted_no_call_begins_and_no_bounced_mail_is_sent_later() {
     let folder = Folder::new();
-    let mut process = full(&folder);
+    let mut process = process_on_full_disk(&folder);
     let (sent, told) = process.play(2 * SECOND, Outcome::Relayed);
     assert!(sent.is_empty(), "a call begins without its record");
     assert!(!told.is_empty(), "its attempts are used up");
     assert_eq!(process.put("more", "once", 1), Answer::Busy);
     drop(process);
-    empty(&folder);
+    unblock_compaction(&folder);
     let mut next = Process::start(&folder, 100_000, START + 3 * SECOND, None);
     let (sent, _) = next.play(SECOND, Outcome::Relayed);
     assert!(told.iter().any(|(id, _)| sent.contains(id)), "the file does not say that it was given up");
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_start_on_a_full_disk_gives_what_is_owed_its_end() {
+fn owed_mails_are_settled_after_a_start_on_a_full_disk() {
     for torn in [0, 1, 7] {
         let folder = Folder::new();
         let mut process = Process::start(&folder, ALLOWANCE, START, None);
@@ -197,7 +197,7 @@
         let mut bytes = fs::read(&path).unwrap();
         bytes.extend(&[0, 0, 0, 9, 1, 2, 3][..torn]);
         fs::write(&path, bytes).unwrap();
-        fill(&folder);
+        block_compaction(&folder);
         let mut next = Process::start(&folder, ALLOWANCE, START + SECOND, None);
         let (sent, ends) = next.play(SECOND, Outcome::Error);
         assert_eq!(sent, ["untried"], "{torn}");
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn no_repeat_begins_once_its_key_may_be_forgotten_however_long_it_waited_for_a_connection() {
+fn no_repeat_begins_after_the_dedup_window_even_if_its_connection_was_slow() {
     for restart in [false, true] {
         // (milliseconds from the first attempt to the turn that decides on the repeat, those that its connection
         // takes, whether it begins)
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn after_a_clock_that_was_set_back_no_repeat_is_held_to_be_early() {
+fn after_the_clock_is_set_back_a_tagged_mail_is_not_repeated() {
     let folder = Folder::new();
     let mut process = Process::start(&folder, ALLOWANCE, START + 10 * SECOND, None);
     assert!(matches!(process.put("01", "tagged", 1), Answer::Taken(_)));
@@ -258,26 +258,26 @@
 }
 
 /// A courier whose files can grow to so many kilobytes only; a write beyond fails after a part of it.
-struct Cramped(Child);
+struct FileSizeLimited(Child);
 
-impl Drop for Cramped {
+impl Drop for FileSizeLimited {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-fn cramped(folder: &Folder, config: &serde_json::Value) -> Cramped {
+fn start_with_file_size_limit(folder: &Folder, config: &serde_json::Value) -> FileSizeLimited {
     let plain = command(folder, config, "serve");
     let mut shell = Command::new("/bin/bash");
     let limits = "trap '' XFSZ; ulimit -S -f 4; exec \"$0\" serve";
     shell.env_clear().arg("-c").arg(limits).arg(plain.get_program());
     shell.envs(plain.get_envs().filter_map(|(name, value)| Some((name, value?))));
-    Cramped(shell.spawn().unwrap())
+    FileSizeLimited(shell.spawn().unwrap())
 }
 
 #[test]
-fn a_disk_that_is_full_in_the_middle_of_any_record_leaves_whole_ones() {
+fn a_disk_that_fills_up_within_a_record_leaves_only_whole_records() {
     // So many bytes more or less, and the file's last ones belong to another record, or to another part of it.
     let runs: Vec<_> = (0..8)
         .map(|run| {
@@ -286,7 +286,7 @@
                 platform.list("e1", endpoint.address, "single", 7, "SERVING");
                 let (folder, listen) = (Folder::new(), own_address());
                 let config = config(&platform, listen);
-                let process = cramped(&folder, &config);
+                let process = start_with_file_size_limit(&folder, &config);
                 answers(listen);
                 let mut client = Client::connect(listen).unwrap();
                 let (mut taken, mut busy) = (Vec::new(), 0);
@@ -310,7 +310,7 @@
                     taken.push(id);
                 }
                 drop(process);
-                let mut courier = Restarted::new(&folder, &config, listen);
+                let mut courier = RestartedCourier::new(&folder, &config, listen);
                 until("all ends", || courier.owes_nothing());
                 courier.end();
                 let (calls, notices) = (endpoint.ids(), platform.notices());
@@ -328,13 +328,17 @@
 }
 
 /// The next process on a folder.
-struct Restarted<'a>(&'a Folder, &'a serde_json::Value, Child);
+struct RestartedCourier<'a>(&'a Folder, &'a serde_json::Value, Child);
 
-impl<'a> Restarted<'a> {
-    fn new(folder: &'a Folder, config: &'a serde_json::Value, listen: std::net::SocketAddr) -> Restarted<'a> {
+impl<'a> RestartedCourier<'a> {
+    fn new(
+        folder: &'a Folder,
+        config: &'a serde_json::Value,
+        listen: std::net::SocketAddr,
+    ) -> RestartedCourier<'a> {
         let child = command(folder, config, "serve").spawn().unwrap();
         answers(listen);
-        Restarted(folder, config, child)
+        RestartedCourier(folder, config, child)
     }
 
     fn owes_nothing(&self) -> bool {
@@ -348,20 +352,20 @@
     }
 }
 
-impl Drop for Restarted<'_> {
+impl Drop for RestartedCourier<'_> {
     fn drop(&mut self) {
         self.end();
     }
 }
 
 /// A discovery that takes connections and says nothing.
-fn silent() -> (std::net::SocketAddr, TcpListener) {
+fn unresponsive_discovery() -> (std::net::SocketAddr, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     (listener.local_addr().unwrap(), listener)
 }
 
 #[test]
-fn asked_to_end_in_its_recovery_it_leaves_nothing_undone_and_nothing_done_twice() {
+fn a_shutdown_during_recovery_loses_no_mail_and_repeats_none() {
     let platform = Platform::new();
     let slow = Endpoint::new(&[Reply::After(9000, Box::new(OK))]);
     let endpoint = Endpoint::new(&[]);
@@ -378,7 +382,7 @@
     // Discovery says nothing now, and the configuration names both as ready.
     platform.list("e1", endpoint.address, "single", 7, "SERVING");
     platform.list("e2", slow.address, "single", 8, "SERVING");
-    let (address, listener) = silent();
+    let (address, listener) = unresponsive_discovery();
     courier.config["known"] = platform.known();
     courier.config["known"]["index"] = json!(1000);
     courier.config["discovery"] = json!(address.to_string());
@@ -398,7 +402,7 @@
 }
 
 #[test]
-fn killed_in_its_end_with_calls_out_it_sends_again_only_what_may_run_again() {
+fn a_kill_during_shutdown_repeats_only_mails_that_may_be_repeated() {
     let late = Reply::After(9000, Box::new(OK));
     let (platform, endpoints) =
         (Platform::new(), [(); 3].map(|()| Endpoint::new(std::slice::from_ref(&late))));
@@ -422,12 +426,12 @@
 }
 
 #[test]
-fn killed_with_a_notice_on_its_way_it_tells_it_once_more() {
+fn a_notice_in_flight_at_a_kill_is_sent_again() {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&[Reply::Break]));
     platform.list("e1", endpoint.address, "single", 7, "SERVING");
     let mut courier = Courier::start(&platform, |_| {});
     // From here on notices go where they are read and never answered.
-    let (address, listener) = silent();
+    let (address, listener) = unresponsive_discovery();
     let mut config = courier.config.clone();
     config["discovery"] = json!(address.to_string());
     let told = thread::spawn(move || {
--- a/crates/courier/tests/descriptors.rs
+++ b/crates/courier/tests/descriptors.rs
@@ -12,10 +12,10 @@
 use common::{command, output, own_address, put, until, Client, Endpoint, Folder, Platform, Reply, OK};
 use serde_json::json;
 
-const LATE: &str = "d=8000";
+const LONG_LIFETIME: &str = "d=8000";
 
 /// Runs a command with so many descriptors at most.
-fn short_of_descriptors(command: &Command, most: usize) -> Child {
+fn with_descriptor_limit(command: &Command, most: usize) -> Child {
     let mut shell = Command::new("sh");
     shell.arg("-c").arg(format!("ulimit -n {most}; exec \"$0\" \"$@\"")).arg(command.get_program());
     shell.args(command.get_args()).env_clear();
@@ -28,7 +28,7 @@
 }
 
 /// Discovery that is down: of its agent only the notices are answered. The bodies that came with them.
-fn silent_agent() -> (SocketAddr, Arc<Mutex<String>>) {
+fn unresponsive_discovery() -> (SocketAddr, Arc<Mutex<String>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let notices: Arc<Mutex<String>> = Arc::default();
@@ -46,38 +46,38 @@
 }
 
 #[test]
-fn with_the_fewest_sockets_idle_clients_and_silent_discovery_everything_goes_on() {
-    let (platform, fewest) = (Platform::new(), 64);
+fn mails_are_delivered_with_the_minimum_of_sockets_idle_clients_and_unresponsive_discovery() {
+    let (platform, min_sockets) = (Platform::new(), 64);
     let slow = Endpoint::new(&vec![Reply::After(1500, Box::new(OK)); 16]);
     platform.list("e1", slow.address, "single", 7, "SERVING");
     let other = Endpoint::new(&[]);
     platform.list("e2", other.address, "single", 8, "SERVING");
     platform.list("e3", own_address(), "single", 9, "DRAINING");
-    let (agent, notices) = silent_agent();
+    let (agent, notices) = unresponsive_discovery();
     let (folder, listen) = (Folder::new(), own_address());
     let mut config = common::config(&platform, listen);
-    config["limits"]["sockets"] = json!(fewest);
+    config["limits"]["sockets"] = json!(min_sockets);
     config["settings"]["FamilyInfo"]["Slots"] = json!(32);
     config["discovery"] = json!(agent.to_string());
     // The system holds it to them, too.
-    let mut child = short_of_descriptors(&command(&folder, &config, "serve"), fewest);
+    let mut child = with_descriptor_limit(&command(&folder, &config, "serve"), min_sockets);
     common::answers(listen);
     let id = child.id();
     let open = || fs::read_dir(format!("/proc/{id}/fd")).unwrap().count();
     let mut idle: Vec<TcpStream> = Vec::new();
-    let mut more = |many: usize| {
+    let mut connect_idle = |many: usize| {
         idle.extend((0..many).map(|_| TcpStream::connect(listen).unwrap()));
     };
-    more(60);
+    connect_idle(60);
     // All connections that calls may have are out.
     for i in 0..16 {
-        assert_eq!(Client::connect(listen).unwrap().put(&format!("s{i}"), "once", LATE), "+OK");
+        assert_eq!(Client::connect(listen).unwrap().put(&format!("s{i}"), "once", LONG_LIFETIME), "+OK");
     }
     until("calls on all connections", || slow.connections().1 >= 9);
-    more(60);
+    connect_idle(60);
     let mut most = 0;
     for i in 0..5 {
-        more(20);
+        connect_idle(20);
         let asked = Instant::now();
         let said =
             Client::connect(listen).unwrap().say(&put("0", &format!("n{i}"), "once", "d=200,dest=9", b"x"));
@@ -87,15 +87,15 @@
         most = most.max(open());
         until("its notice", || notices.lock().unwrap().contains(&format!("\"n{i}\"")));
     }
-    assert!(most <= fewest, "{most}");
-    more(60);
-    assert_eq!(Client::connect(listen).unwrap().put("c1", "once", LATE), "+OK");
+    assert!(most <= min_sockets, "{most}");
+    connect_idle(60);
+    assert_eq!(Client::connect(listen).unwrap().put("c1", "once", LONG_LIFETIME), "+OK");
     // And the list is heard as soon as there is one.
     config["discovery"] = json!(platform.address.to_string());
     fs::write(folder.path.join("config.json"), config.to_string()).unwrap();
     signal(&child, "-HUP");
     until("a watch", || platform.told.lock().unwrap().watches > 0);
-    more(60);
+    connect_idle(60);
     platform.list("e9", other.address, "single", 10, "SERVING");
     until("a destination that is new", || {
         let said = Client::connect(listen).unwrap().say(&put("0", "new", "once", "d=4000,dest=10", b"x"));
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn too_few_sockets_are_one_plain_message() {
+fn an_invalid_socket_limit_is_reported_in_one_line() {
     let platform = Platform::new();
     for (few, words) in
         [(json!(63), "under 64"), (json!(0), "under 64"), (json!(-1), "sockets"), (json!(1e30), "sockets")]
--- a/crates/courier/tests/restart.rs
+++ b/crates/courier/tests/restart.rs
@@ -16,9 +16,9 @@
 use common::{command, own_address, put, until, Client, Courier, Endpoint, Folder, Platform, Reply, OK};
 use serde_json::{json, Value};
 
-const LATE: &str = "d=8000";
+const LONG_LIFETIME: &str = "d=8000";
 
-fn world(script: &[Reply]) -> (Platform, Endpoint, Courier) {
+fn courier_with_endpoint(script: &[Reply]) -> (Platform, Endpoint, Courier) {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(script));
     platform.list("e1", endpoint.address, "single", 7, "SERVING");
     let courier = Courier::start(&platform, |_| {});
@@ -26,7 +26,7 @@
 }
 
 /// Asks a courier to end, and comes back once it has begun to: an idle client was moved off.
-fn asked_to_end(courier: &Courier) -> Instant {
+fn begin_shutdown(courier: &Courier) -> Instant {
     let mut idle = courier.client();
     assert_eq!(idle.say(b"PING\r\n"), "+PONG");
     let asked = Instant::now();
@@ -35,21 +35,25 @@
     asked
 }
 
-fn pass(since: Instant, ms: u64) {
+fn sleep_until(since: Instant, ms: u64) {
     thread::sleep((since + Duration::from_millis(ms)).saturating_duration_since(Instant::now()));
 }
 
 #[test]
-fn who_waits_in_the_line_when_no_more_are_accepted_is_served() {
-    let (platform, endpoint, mut courier) = world(&[]);
-    let asked = asked_to_end(&courier);
+fn clients_in_the_accept_queue_are_served_when_the_listener_closes() {
+    let (platform, endpoint, mut courier) = courier_with_endpoint(&[]);
+    let asked = begin_shutdown(&courier);
     // Stopped over the moment at which it closes its door, it finds them all in the system's line.
     courier.signal("-STOP");
     let mut waiting: Vec<Client> = (0..20).map(|_| courier.client()).collect();
     for (i, client) in waiting.iter_mut().enumerate() {
-        client.stream.get_mut().write_all(&put("0", &format!("{i:02}"), "once", LATE, b"x")).unwrap();
+        client
+            .stream
+            .get_mut()
+            .write_all(&put("0", &format!("{i:02}"), "once", LONG_LIFETIME, b"x"))
+            .unwrap();
     }
-    pass(asked, 700);
+    sleep_until(asked, 700);
     courier.signal("-CONT");
     for (i, client) in waiting.iter_mut().enumerate() {
         assert_eq!((client.line(), client.line()), ("+OK".into(), String::new()), "{i}");
@@ -64,16 +68,16 @@
 
 #[test]
 fn no_connection_is_moved_off_over_a_request_that_waits() {
-    let (_platform, endpoint, mut courier) = world(&[]);
-    asked_to_end(&courier);
+    let (_platform, endpoint, mut courier) = courier_with_endpoint(&[]);
+    begin_shutdown(&courier);
     let mut client = courier.client();
     // Both requests are there before the courier reads on.
     courier.signal("-STOP");
     // The first fills what is read at a time; the second then still lies in the system.
-    let empty = put("0", "01", "once", LATE, b"").len();
-    let first = put("0", "01", "once", LATE, &vec![b'x'; 4096 - empty - 3]);
+    let empty = put("0", "01", "once", LONG_LIFETIME, b"").len();
+    let first = put("0", "01", "once", LONG_LIFETIME, &vec![b'x'; 4096 - empty - 3]);
     assert_eq!(first.len(), 4096);
-    let second = put("0", "02", "once", LATE, b"x");
+    let second = put("0", "02", "once", LONG_LIFETIME, b"x");
     client.stream.get_mut().write_all(&[first, second].concat()).unwrap();
     courier.signal("-CONT");
     assert_eq!((client.line(), client.line(), client.line()), ("+OK".into(), "+OK".into(), String::new()));
@@ -84,15 +88,15 @@
 }
 
 #[test]
-fn with_nothing_in_hand_it_stays_for_those_who_came_last() {
-    let (_platform, endpoint, mut courier) = world(&[]);
-    let asked = asked_to_end(&courier);
+fn a_shutdown_with_no_mails_owed_still_serves_the_last_clients_to_connect() {
+    let (_platform, endpoint, mut courier) = courier_with_endpoint(&[]);
+    let asked = begin_shutdown(&courier);
     let (mut silent, mut slow) = (courier.client(), courier.client());
-    pass(asked, 700);
-    let late = put("0", "slow", "once", LATE, b"x");
+    sleep_until(asked, 700);
+    let late = put("0", "slow", "once", LONG_LIFETIME, b"x");
     slow.stream.get_mut().write_all(&late[..20]).unwrap();
-    pass(asked, 900);
-    assert_eq!(silent.put("silent", "once", LATE), "+OK");
+    sleep_until(asked, 900);
+    assert_eq!(silent.put("silent", "once", LONG_LIFETIME), "+OK");
     assert_eq!(slow.say(&late[20..]), "+OK");
     until("the end", || courier.ended().is_some());
     assert!(asked.elapsed() < Duration::from_millis(3700), "the platform kills then");
@@ -100,13 +104,13 @@
 }
 
 #[test]
-fn who_never_pauses_is_told_the_end_before_the_exit() {
-    let (_platform, _endpoint, mut courier) = world(&[]);
+fn a_client_that_never_pauses_sees_the_end_of_stream_before_the_exit() {
+    let (_platform, _endpoint, mut courier) = courier_with_endpoint(&[]);
     let client = courier.client();
     let mut writes = client.stream.get_ref().try_clone().unwrap();
     // Commands without a gap: something always lies unread.
     let writer = thread::spawn(move || while writes.write_all(&b"PING\r\n".repeat(500)).is_ok() {});
-    let asked = asked_to_end(&courier);
+    let asked = begin_shutdown(&courier);
     let (mut client, mut answers, mut line) = (client, 0, String::new());
     let end = loop {
         line.clear();
@@ -125,14 +129,14 @@
 }
 
 #[test]
-fn a_mail_taken_after_the_last_call_began_is_the_next_process_s() {
-    let (platform, endpoint, mut courier) = world(&[]);
-    let asked = asked_to_end(&courier);
+fn a_mail_accepted_after_the_last_call_began_is_left_to_the_next_process() {
+    let (platform, endpoint, mut courier) = courier_with_endpoint(&[]);
+    let asked = begin_shutdown(&courier);
     let mut slow = courier.client();
-    let late = put("0", "late", "once", LATE, b"x");
-    pass(asked, 2100);
+    let late = put("0", "late", "once", LONG_LIFETIME, b"x");
+    sleep_until(asked, 2100);
     slow.stream.get_mut().write_all(&late[..20]).unwrap();
-    pass(asked, 2700);
+    sleep_until(asked, 2700);
     assert_eq!((slow.say(&late[20..]), slow.line()), ("+OK".into(), String::new()));
     until("the end", || courier.ended().is_some());
     assert_eq!((endpoint.calls().len(), courier.owes_nothing()), (0, false));
@@ -142,13 +146,14 @@
 }
 
 #[test]
-fn signals_during_an_end_do_not_cut_it_short_and_notices_follow_discovery() {
-    let (old, endpoint, mut courier) = world(&[Reply::After(900, Box::new(OK)), Reply::Status(500, "")]);
+fn signals_do_not_shorten_a_shutdown_and_notices_follow_a_changed_discovery() {
+    let (old, endpoint, mut courier) =
+        courier_with_endpoint(&[Reply::After(900, Box::new(OK)), Reply::Status(500, "")]);
     let new = Platform::new();
     old.told.lock().unwrap().refuse = usize::MAX;
     let mut client = courier.client();
     for (id, calls) in [("01", 1), ("02", 2)] {
-        assert_eq!(client.put(id, "once", LATE), "+OK");
+        assert_eq!(client.put(id, "once", LONG_LIFETIME), "+OK");
         until("its call", || endpoint.calls().len() == calls);
     }
     let mut config = courier.config.clone();
@@ -165,7 +170,7 @@
 }
 
 #[test]
-fn what_is_out_or_not_yet_heard_of_at_the_exit_is_the_next_process_s() {
+fn calls_in_flight_and_undelivered_notices_at_the_exit_are_left_to_the_next_process() {
     // Given up while the platform hears nothing, and two that are out for longer than the exit waits.
     let late = Reply::After(6000, Box::new(OK));
     let (platform, replies) = (Platform::new(), [Reply::Status(500, ""), late.clone(), late]);
@@ -195,14 +200,14 @@
 }
 
 /// Ticks of processor time that a process has used, a hundred a second.
-fn ticks(id: u32) -> u64 {
+fn cpu_ticks(id: u32) -> u64 {
     let stat = fs::read_to_string(format!("/proc/{id}/stat")).unwrap();
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
     fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
 }
 
 #[test]
-fn while_it_waits_for_what_is_out_it_uses_no_processor_time() {
+fn waiting_for_calls_in_flight_uses_no_processor_time() {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&[Reply::After(6000, Box::new(OK))]));
     platform.list("e1", endpoint.address, "single", 7, "SERVING");
     let (folder, listen) = (Folder::new(), own_address());
@@ -213,30 +218,30 @@
     until("its call", || !endpoint.calls().is_empty());
     let asked = Instant::now();
     assert!(Command::new("kill").args(["-TERM", &child.id().to_string()]).status().unwrap().success());
-    pass(asked, 2700);
-    let before = ticks(child.id());
-    pass(asked, 3200);
+    sleep_until(asked, 2700);
+    let before = cpu_ticks(child.id());
+    sleep_until(asked, 3200);
     // Before it is reaped, its figures stay even if it has ended.
-    let used = ticks(child.id()) - before;
+    let used = cpu_ticks(child.id()) - before;
     until("the end", || child.try_wait().unwrap().is_some());
     assert!(used < 10, "{used} ticks of 50");
 }
 
 /// What a request came to.
-enum Heard {
+enum Response {
     Answer(String),
     /// The other side has ended.
     End,
     Reset,
 }
 
-fn ask(client: &mut Client, request: &[u8]) -> Heard {
+fn send_request(client: &mut Client, request: &[u8]) -> Response {
     let mut line = String::new();
     let asked = client.stream.get_mut().write_all(request).and_then(|()| client.stream.read_line(&mut line));
     match asked {
-        Ok(0) => Heard::End,
-        Ok(_) => Heard::Answer(line.trim_end().to_string()),
-        Err(_) => Heard::Reset,
+        Ok(0) => Response::End,
+        Ok(_) => Response::Answer(line.trim_end().to_string()),
+        Err(_) => Response::Reset,
     }
 }
 
@@ -251,23 +256,23 @@
 
 /// What clients saw of the couriers.
 #[derive(Default)]
-struct Ledger {
+struct Observations {
     /// By id: class and courier.
     taken: BTreeMap<String, (&'static str, usize)>,
     /// Requests that a planned end crossed, by courier.
     crossed: [usize; 5],
-    wrong: Vec<String>,
+    violations: Vec<String>,
 }
 
 /// A client that sends on its connection for as long as that stays open, and then opens another at a courier
 /// that the front still names.
-fn sends(
+fn run_client(
     name: usize,
     listens: &[SocketAddr],
     named: &[AtomicBool],
     lost: &[AtomicUsize],
     until: &AtomicBool,
-    ledger: &Mutex<Ledger>,
+    observations: &Mutex<Observations>,
 ) {
     let mut open: Option<(usize, Client, usize, usize)> = None;
     let (mut turn, mut sent, mut again) = (name, 0, false);
@@ -287,39 +292,41 @@
         let class = ["once", "again", "tagged"][sent % 3];
         let id = format!("{name:02}-{sent:05}");
         sent += 1;
-        let heard = ask(client, &put("0", &id, class, &format!("{LATE},k={id}"), b"x"));
+        let response = send_request(client, &put("0", &id, class, &format!("{LONG_LIFETIME},k={id}"), b"x"));
         // Reset by a kill, or opened while there was nobody: nothing is known of it.
         // An odd number stands from just before a kill to the start: one opened in between says nothing either.
         let killed = *kills % 2 == 1 || lost[*courier].load(Ordering::SeqCst) != *kills;
-        let mut ledger = ledger.lock().unwrap();
-        match heard {
-            Heard::Answer(answer) => {
+        let mut observations = observations.lock().unwrap();
+        match response {
+            Response::Answer(answer) => {
                 *answers += 1;
                 again = false;
                 match &answer[..] {
-                    "+OK" => drop(ledger.taken.insert(id, (class, *courier))),
+                    "+OK" => drop(observations.taken.insert(id, (class, *courier))),
                     "-BUSY" => {}
-                    _ => ledger.wrong.push(format!("{id}: {answer}")),
+                    _ => observations.violations.push(format!("{id}: {answer}")),
                 }
             }
             _ if killed => open = None,
-            Heard::End if *answers > 0 && !again => {
-                ledger.crossed[*courier] += 1;
+            Response::End if *answers > 0 && !again => {
+                observations.crossed[*courier] += 1;
                 (open, again) = (None, true);
             }
-            Heard::End | Heard::Reset => {
-                let reset = matches!(heard, Heard::Reset);
-                ledger.wrong.push(format!("{id} at {courier}: no answer after {answers}, reset: {reset}"));
+            Response::End | Response::Reset => {
+                let reset = matches!(response, Response::Reset);
+                observations
+                    .violations
+                    .push(format!("{id} at {courier}: no answer after {answers}, reset: {reset}"));
                 open = None;
             }
         }
-        drop(ledger);
+        drop(observations);
         thread::sleep(Duration::from_millis(10));
     }
 }
 
 #[test]
-fn a_fleet_restarted_in_turn_answers_every_request_and_ends_every_mail_once() {
+fn rolling_restarts_answer_every_request_and_settle_every_mail_once() {
     let (platform, endpoints) = (Platform::new(), [Endpoint::new(&[]), Endpoint::new(&[])]);
     for (name, endpoint) in ["e1", "e2"].iter().zip(&endpoints) {
         platform.list(name, endpoint.address, "single", 7, "SERVING");
@@ -329,11 +336,11 @@
     let listens: Vec<_> = couriers.iter().map(|courier| courier.listen).collect();
     let named: Vec<AtomicBool> = (0..5).map(|_| AtomicBool::new(true)).collect();
     let lost: Vec<AtomicUsize> = (0..5).map(|_| AtomicUsize::new(0)).collect();
-    let (over, ledger) = (AtomicBool::new(false), Mutex::<Ledger>::default());
+    let (over, observations) = (AtomicBool::new(false), Mutex::<Observations>::default());
     thread::scope(|scope| {
         for name in 0..12 {
-            let (listens, named, lost, over, ledger) = (&listens, &named, &lost, &over, &ledger);
-            scope.spawn(move || sends(name, listens, named, lost, over, ledger));
+            let (listens, named, lost, over, observations) = (&listens, &named, &lost, &over, &observations);
+            scope.spawn(move || run_client(name, listens, named, lost, over, observations));
         }
         let restarts: Vec<_> = couriers
             .iter_mut()
@@ -346,7 +353,7 @@
                     // Every second one by SIGKILL alone, and the last of all in the middle of its end.
                     if i % 2 == 0 {
                         courier.signal("-TERM");
-                        pass(asked, 300);
+                        sleep_until(asked, 300);
                         named.store(false, Ordering::Relaxed);
                         if i < 4 {
                             until("the end", || courier.ended().is_some());
@@ -368,16 +375,16 @@
     for courier in &couriers {
         until("each mail's end", || courier.owes_nothing());
     }
-    let ledger = ledger.into_inner().unwrap();
-    assert_eq!(ledger.wrong, Vec::<String>::new());
-    assert!(ledger.crossed.iter().sum::<usize>() <= 6, "{:?}", ledger.crossed);
-    assert!(ledger.taken.len() > 300, "{}", ledger.taken.len());
+    let observations = observations.into_inner().unwrap();
+    assert_eq!(observations.violations, Vec::<String>::new());
+    assert!(observations.crossed.iter().sum::<usize>() <= 6, "{:?}", observations.crossed);
+    assert!(observations.taken.len() > 300, "{}", observations.taken.len());
     let (mut calls, mut ends) = (BTreeMap::<String, usize>::new(), BTreeMap::<String, String>::new());
     for id in endpoints.iter().flat_map(Endpoint::ids) {
         *calls.entry(id).or_default() += 1;
     }
     ends.extend(platform.notices());
-    for (id, (class, courier)) in &ledger.taken {
+    for (id, (class, courier)) in &observations.taken {
         let (calls, end) = (calls.get(id).copied().unwrap_or(0), ends.get(id).map(String::as_str));
         let killed = courier % 2 == 1 || *courier == 4;
         let holds = match (*class, calls, end) {
@@ -406,16 +413,16 @@
     };
     let mut courier = Courier::start(&platform, patient);
     let mut client = courier.client();
-    assert_eq!(client.put("first", "again", LATE), "+OK");
+    assert_eq!(client.put("first", "again", LONG_LIFETIME), "+OK");
     // Two attempts that found nobody: it is held to be out.
     thread::sleep(Duration::from_millis(1500));
     // The next process begins its calls 4.3 s after the signal.
     assert_eq!(client.put("short", "again", "d=4000"), "+OK");
-    assert_eq!(client.put("long", "again", LATE), "+OK");
-    let asked = asked_to_end(&courier);
+    assert_eq!(client.put("long", "again", LONG_LIFETIME), "+OK");
+    let asked = begin_shutdown(&courier);
     // The decisions have had their turn by then.
-    pass(asked, 100);
-    let answers = [("d=3500", "-BUSY"), (LATE, "+OK")];
+    sleep_until(asked, 100);
+    let answers = [("d=3500", "-BUSY"), (LONG_LIFETIME, "+OK")];
     for (i, (time, answer)) in answers.into_iter().enumerate() {
         assert_eq!(courier.client().put(&format!("after{i}"), "again", time), answer);
     }
--- a/crates/courier/tests/start.rs
+++ b/crates/courier/tests/start.rs
@@ -14,7 +14,7 @@
 use serde_json::{json, Value};
 
 /// Classes by importance, and that only one call is out at a time: the order of calls is the order of offering.
-fn by_importance(config: &mut Value) {
+fn one_slot_and_importance_by_class(config: &mut Value) {
     config["settings"]["FamilyInfo"]["Slots"] = json!(1);
     for (class, worth) in [("once", 8.0), ("tagged", 4.0), ("again", 1.0)] {
         let profiles = config["settings"]["Profiles"].as_array_mut().unwrap();
@@ -26,14 +26,14 @@
 }
 
 #[test]
-fn killed_three_times_in_its_start_it_loses_nothing_and_repeats_no_once_only_mail() {
+fn three_kills_during_the_start_lose_no_mail_and_repeat_no_once_only_mail() {
     // Slow enough that a kill finds a call out and others waiting.
     let slow: Vec<Reply> = (0..64).map(|_| Reply::After(40, Box::new(OK))).collect();
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&slow));
-    let away = common::own_address();
+    let closed_address = common::own_address();
     // While the mails are handed in, nobody is there: all of them are owed.
-    platform.list("e1", away, "single", 7, "SERVING");
-    let mut courier = Courier::start(&platform, by_importance);
+    platform.list("e1", closed_address, "single", 7, "SERVING");
+    let mut courier = Courier::start(&platform, one_slot_and_importance_by_class);
     let mut class_of = HashMap::new();
     let mut client = courier.client();
     // Least important first: the order in which they were taken is the wrong one.
@@ -66,12 +66,15 @@
     let times = |id: &str| calls.iter().filter(|call| *call == id).count();
     let notices = platform.notices();
     for (id, class) in &class_of {
-        let (called, told) = (times(id), notices.iter().filter(|n| n.0 == *id).count());
-        assert!(called + told >= 1, "{id} is lost");
+        let (called, notified) = (times(id), notices.iter().filter(|n| n.0 == *id).count());
+        assert!(called + notified >= 1, "{id} is lost");
         match *class {
             // One whose call was out at a kill may have run: it does not go again, and its client hears so.
-            "once" => assert!(called <= 1 && told <= 1, "{id} went {called} times, {told} notices"),
-            _ => assert!((1..=4).contains(&called) && told == 0, "{id}: {called} calls, {told} notices"),
+            "once" => assert!(called <= 1 && notified <= 1, "{id} went {called} times, {notified} notices"),
+            _ => assert!(
+                (1..=4).contains(&called) && notified == 0,
+                "{id}: {called} calls, {notified} notices"
+            ),
         }
     }
     assert!(notices.iter().all(|n| n.1 == "dead"), "{notices:?}");
@@ -89,7 +92,7 @@
 }
 
 #[test]
-fn a_mail_of_the_same_key_does_not_overtake_one_that_is_still_to_be_offered() {
+fn a_new_mail_does_not_overtake_a_restored_mail_of_the_same_key() {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&[]));
     platform.list("e1", common::own_address(), "single", 7, "SERVING");
     let mut courier = Courier::start(&platform, |config| {
@@ -116,10 +119,10 @@
 }
 
 #[test]
-fn what_passed_its_end_while_the_courier_was_down_has_its_notice_at_once() {
+fn a_mail_that_expired_while_the_courier_was_down_is_given_up_at_once() {
     let platform = Platform::new();
     platform.list("e1", common::own_address(), "single", 7, "SERVING");
-    let mut courier = Courier::start(&platform, by_importance);
+    let mut courier = Courier::start(&platform, one_slot_and_importance_by_class);
     let mut client = courier.client();
     let handed_in = Instant::now();
     assert_eq!(client.put("late", "again", "d=300"), "+OK");
@@ -135,10 +138,10 @@
 }
 
 #[test]
-fn with_discovery_out_a_start_goes_on_by_the_list_that_was_kept() {
+fn without_discovery_a_start_uses_the_saved_list() {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&[]));
-    let nobody = common::own_address();
-    platform.list("e1", nobody, "single", 7, "SERVING");
+    let closed_address = common::own_address();
+    platform.list("e1", closed_address, "single", 7, "SERVING");
     // What the configuration knows stays as old as this.
     let mut courier = Courier::start(&platform, |_| {});
     platform.list("e1", endpoint.address, "single", 7, "SERVING");
@@ -149,7 +152,7 @@
         String::from_utf8_lossy(&text).contains(&here)
     });
     courier.kill();
-    courier.config["discovery"] = json!(nobody.to_string());
+    courier.config["discovery"] = json!(closed_address.to_string());
     courier.restart();
     assert_eq!(courier.client().put("9b1f", "again", "d=3000"), "+OK");
     until("the call", || endpoint.ids() == ["9b1f"]);
@@ -167,7 +170,7 @@
 }
 
 #[test]
-fn with_a_full_journal_and_silent_discovery_it_is_soon_ready_and_tries_what_it_found() {
+fn a_full_journal_and_unresponsive_discovery_do_not_hold_up_a_start() {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&[]));
     platform.list("e1", endpoint.address, "single", 7, "SERVING");
     let agent = TcpListener::bind("127.0.0.1:0").unwrap();
