--- a/crates/courier/tests/audit.rs
+++ b/crates/courier/tests/audit.rs
@@ -1,4 +1,4 @@
-//! The audit: it finds nothing in days of random load and random faults, and each book that is spoilt.
+//! The audit finds nothing under random load and faults, and finds each inconsistency that is introduced on purpose.
 
 mod common;
 
@@ -20,7 +20,7 @@
 use serde_json::{json, Value};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 
-/// A process's start, in the module's time.
+/// Time of the first start, by the clock of the decisions.
 const START: Time = 1_700_000_000 * SECOND;
 const CLASSES: [&str; 4] = ["again", "tagged", "once", "turns"];
 const OUTCOMES: [Outcome; 9] = [
@@ -35,8 +35,8 @@
     Outcome::Unsent,
 ];
 
-/// A courier's exchange, with all that is round it played by chance: clients, endpoints, the list, other couriers, the
-/// platform, time and the process's end.
+/// A courier's exchange in a random environment: clients, endpoints, the list, other couriers, the platform, time and
+/// restarts.
 struct RandomRun {
     rng: fastrand::Rng,
     now: Time,
@@ -44,10 +44,10 @@
     exchange: Exchange,
     orders: UnboundedReceiver<Order>,
     notices: UnboundedReceiver<Notice>,
-    /// Calls that wait for their connection, and letters whose call has begun.
+    /// Calls that wait for a connection, and mails whose call has begun.
     waiting: Vec<Call>,
     in_flight: Vec<Letter>,
-    /// Told of as silent; what came of them may turn out yet.
+    /// Mails reported as silent, whose real outcome may still arrive.
     unanswered: Vec<u64>,
     owed_notices: Vec<u64>,
     entries: BTreeMap<String, Value>,
@@ -111,11 +111,11 @@
         run
     }
 
-    /// An entry's kind follows from its destination, as everywhere; the second kind's calls carry ten.
+    /// The kind of an endpoint follows from its destination; calls of the second kind carry up to ten mails.
     fn change_entry(&mut self, name: &str, status: &str) {
         let group = name.as_bytes()[1] % 3;
         let kind = ["single", "many", "single"][usize::from(group)];
-        // Now and then it has moved, or turns up at another destination.
+        // Occasionally it moves to another destination or has another address.
         let group = if self.rng.u8(..60) == 0 { 3 } else { group };
         let port = if self.rng.u8(..8) == 0 { self.rng.u8(1..9) } else { 9 };
         let entry = json!({"name": name, "address": format!("127.0.0.1:{port}"), "zone": "a", "type": kind,
@@ -142,7 +142,7 @@
         }
         let whole = self.rng.u8(..6) == 0;
         self.send_list(whole);
-        // Lines of other days come late, and another agent's whole list with versions of its own.
+        // Old changes arrive late, as do whole lists of an agent with other versions.
         if self.rng.u8(..4) == 0 && !self.old_lists.is_empty() {
             let old = self.old_lists[self.rng.usize(..self.old_lists.len())].clone();
             self.exchange.listed(&old);
@@ -150,7 +150,7 @@
     }
 
     fn offer(&mut self) {
-        self.ids += u64::from(self.rng.u8(..8) > 0); // else the same once more
+        self.ids += u64::from(self.rng.u8(..8) > 0); // else a repeat of the same id
         let class = CLASSES[self.rng.usize(..4)];
         let offer = Offer {
             id: text(&self.ids.to_string()),
@@ -210,7 +210,7 @@
         while let Ok(notice) = self.notices.try_recv() {
             self.owed_notices.push(notice.serial);
         }
-        // In debug builds the exchange itself has looked, and has stopped the test.
+        // In debug builds the exchange runs the audit itself and panics on a finding.
         if !cfg!(debug_assertions) {
             assert_eq!(self.exchange.audit(), Vec::<String>::new());
         }
@@ -221,7 +221,7 @@
         self.exchange.clock = Clock::still(self.now);
     }
 
-    /// The process is gone, and another has its folder: what was out is lost to it.
+    /// A new process takes over the folder; the outcomes of calls in flight are lost.
     fn restart(&mut self) {
         self.broken += self.exchange.counts.broken;
         let found = JournalContents::load(&self.folder.path).unwrap().0;
@@ -279,7 +279,7 @@
     }
 }
 
-/// Two that found faults and eight more, or as many as `AUDIT_SEEDS` says.
+/// Two seeds that found faults and eight more, or as many as `AUDIT_SEEDS` says.
 fn seeds() -> Vec<u64> {
     match std::env::var("AUDIT_SEEDS").ok().and_then(|seeds| seeds.parse().ok()) {
         Some(many) => (1..=many).collect(),
@@ -311,21 +311,21 @@
 
 #[test]
 fn the_audit_finds_nothing_under_random_load_and_faults() {
-    let (mut taken, mut begun, mut restarts, mut days) = (0, 0, 0, 0);
+    let (mut taken, mut begun, mut restarts, mut runs) = (0, 0, 0, 0);
     for seed in seeds() {
-        println!("seed {seed}"); // shown where it fails
+        println!("seed {seed}"); // shown on failure
         let mut run = RandomRun::new(seed);
         (0..6000).for_each(|_| run.step());
         run.broken += run.exchange.counts.broken;
         assert_eq!(run.broken, 0);
         (taken, begun) = (taken + run.taken, begun + run.begun);
-        (restarts, days) = (restarts + run.restarts, days + 1);
+        (restarts, runs) = (restarts + run.restarts, runs + 1);
     }
-    println!("{days} days: {taken} mails taken, {begun} connects begun, {restarts} restarts");
-    assert!(taken > 800 * days && begun > 500 * days && restarts > 7 * days);
+    println!("{runs} runs: {taken} mails accepted, {begun} connects begun, {restarts} restarts");
+    assert!(taken > 800 * runs && begun > 500 * runs && restarts > 7 * runs);
 }
 
-/// Hands in mails 1 to `many` for the first destination, and takes up their calls in a turn.
+/// Hands in `many` mails for the first destination, runs a turn and returns their calls.
 fn submit_and_take_calls(run: &mut RandomRun, class: &str, many: usize) -> Vec<Call> {
     for i in 0..many {
         let offer = Offer {
@@ -343,7 +343,7 @@
     std::mem::take(&mut run.waiting)
 }
 
-/// A courier with one endpoint at the first destination.
+/// A courier whose list has a single endpoint, of the first destination.
 fn with_one_endpoint() -> RandomRun {
     let mut run = RandomRun::new(1);
     let entry = json!({"name": "e0", "group": 0, "type": "single", "zone": "a", "status": "SERVING", "weight": 9000.0});
@@ -377,7 +377,7 @@
             }
             _ => {}
         }
-        // No turn in between.
+        // Without a turn in between.
         let going = run.exchange.begin(second, second.letters.clone()).len();
         assert_eq!(going, usize::from(told == "nothing"), "{told}");
         run.turn();
@@ -404,7 +404,7 @@
         let list = json!({"index": index, "snapshot": snapshot, "endpoints": [entry]});
         serde_json::from_value::<List>(list).unwrap()
     };
-    // (version, whole, what it says of the one endpoint, whether a call goes, lists of a lower version so far)
+    // (version, whole list, status of the endpoint, calls that begin, lists with a lower version so far)
     let rows = [
         (20, true, "SERVING", 1, 0),
         (19, false, "DRAINING", 0, 1),
@@ -431,7 +431,7 @@
 #[test]
 fn calls_of_two_slots_to_one_endpoint_are_never_merged() {
     let mut run = RandomRun::new(1);
-    // Ten go in a call; some are so big that the first call is cut, and then has room for more in number.
+    // A call takes ten mails. Some are so big that the first call is split and then has room for more mails by number.
     for i in 0..20 {
         let offer = Offer {
             id: text(&format!("m{i}")),
@@ -454,11 +454,11 @@
         run.waiting.iter().filter(|call| call.slot == slot).map(|call| call.letters.len()).sum()
     };
     assert_eq!([mails(0), mails(1)], [10, 10]);
-    assert!(run.waiting.len() > 2, "cut by size");
+    assert!(run.waiting.len() > 2, "a call is split by size");
     assert_eq!(run.exchange.audit(), Vec::<String>::new());
 }
 
-/// A courier with mails parked and calls out, some of keys and some of several mails, after a turn.
+/// A courier after a turn, with waiting mails and with calls in flight, some with ordering keys, some with several mails.
 #[cfg(any(debug_assertions, feature = "spoil"))]
 fn with_calls_in_flight() -> RandomRun {
     let mut run = RandomRun::new(1);
@@ -488,7 +488,7 @@
 #[cfg(any(debug_assertions, feature = "spoil"))]
 #[test]
 fn each_book_that_is_spoilt_is_found() {
-    // (what is spoilt, words of the audit)
+    // (what is corrupted, text of the finding)
     let rows = [
         ("taken", "mails accepted and restored: 61 kept, 60 counted"),
         ("ended", "mails accepted and restored: 60 kept, 61 counted"),
@@ -526,7 +526,7 @@
     }
 }
 
-/// Debug builds stop at what is broken; release builds count it.
+/// Debug builds panic on a broken rule; release builds count it.
 #[cfg(any(debug_assertions, feature = "spoil"))]
 fn assert_reported(run: &mut RandomRun, words: &str, act: impl FnOnce(&mut RandomRun)) {
     let done = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| act(run)));
@@ -568,7 +568,7 @@
     });
 }
 
-/// A courier's process; what it says goes to a file of its own.
+/// A courier process that logs to a file of its own.
 struct Process {
     listen: SocketAddr,
     folder: Folder,
@@ -603,15 +603,15 @@
         });
     }
 
-    /// Ends by itself, or at once; in both cases it had not ended before, and said nothing of what must not be.
+    /// Ends the process by SIGKILL or SIGTERM. It must not have exited before, and its log must have no error.
     fn end(&mut self, killed: bool) {
-        assert!(self.child.try_wait().unwrap().is_none(), "it has ended: {}", self.log());
+        assert!(self.child.try_wait().unwrap().is_none(), "the courier has exited: {}", self.log());
         if killed {
             self.child.kill().unwrap();
         } else {
             let id = self.child.id().to_string();
             assert!(Command::new("kill").args(["-TERM", &id]).status().unwrap().success());
-            until("its end", || self.child.try_wait().unwrap().is_some());
+            until("exit of the courier", || self.child.try_wait().unwrap().is_some());
         }
         let well = self.child.wait().unwrap().success();
         let log = self.log();
@@ -674,7 +674,9 @@
         let courier = &mut couriers[rng.usize(..3)];
         match rng.u8(..20) {
             0..=13 => {
-                let Ok(mut client) = Client::connect(courier.listen) else { panic!("it has ended") };
+                let Ok(mut client) = Client::connect(courier.listen) else {
+                    panic!("the courier has exited")
+                };
                 for n in 0..rng.usize(1..12) {
                     let class = CLASSES[rng.usize(..4)];
                     let more = format!("d={},k=77", rng.u32(50..2500));
@@ -698,7 +700,7 @@
         }
     }
     let started: Vec<usize> = couriers.iter().map(|courier| courier.started).collect();
-    println!("{taken} mails taken, restarts {started:?}");
+    println!("{taken} mails accepted, restarts {started:?}");
     assert!(taken > 100 && started.iter().sum::<usize>() > 4);
     couriers.iter_mut().for_each(|courier| courier.end(false));
 }
--- a/crates/courier/tests/crash_points.rs
+++ b/crates/courier/tests/crash_points.rs
@@ -1,5 +1,5 @@
-//! What a process that ended at any instant leaves, and what the next makes of it: the journal cut at every byte, a disk
-//! that is full at each record, and real processes killed or asked to end where it hurts most.
+//! Recovery after a process that ended at an arbitrary instant: a journal cut at every byte, a disk that is full at each
+//! record, and real processes killed or shut down at critical moments.
 
 mod common;
 #[path = "common/process.rs"]
@@ -26,25 +26,26 @@
     fs::metadata(folder.path.join("journal")).unwrap().len() as usize
 }
 
-/// What had happened, and how long the file was, when it was promised or sent.
+/// A journal, and its length at each event of the run that wrote it.
 struct RecordedRun {
     folder: Folder,
-    /// The length from which a message is owed its end, and that at which nothing more is owed.
+    /// For each mail, the length from which it is owed and the length from which it is settled.
     owed: BTreeMap<&'static str, (usize, usize)>,
-    /// The lengths at which its attempts began, and when the last could not have run after all.
+    /// The lengths at which connects began, and those at which it was known that the connect had not run.
     begun: Vec<(&'static str, usize)>,
     never_ran: BTreeMap<&'static str, usize>,
     given_up_at: BTreeMap<&'static str, usize>,
 }
 
-/// A day of one process: served, refused and sent again, broken, given up untried, given up and told of, hung up.
+/// Runs one process with mails that are relayed, unreached and sent again, broken, retried after an error, relayed late,
+/// in flight at the end, and given up untried.
 fn recorded_run() -> RecordedRun {
     let folder = Folder::new();
     let mut process = Process::start(&folder, ALLOWANCE, START, None);
     let (mut owed, mut begun) = (BTreeMap::new(), Vec::new());
     let (mut never_ran, mut given_up_at) = (BTreeMap::new(), BTreeMap::new());
     let rows: [(&str, &str, &[Outcome]); 6] = [
-        ("served", "once", &[Outcome::Relayed]),
+        ("relayed", "once", &[Outcome::Relayed]),
         ("refused", "once", &[Outcome::Unreached, Outcome::Relayed]),
         ("broken", "once", &[Outcome::Broken]),
         ("again", "again", &[Outcome::Error, Outcome::Relayed]),
@@ -56,7 +57,7 @@
         owed.insert(id, (journal_size(&folder), usize::MAX));
         for (i, &outcome) in outcomes.iter().enumerate() {
             let call = process.call().unwrap();
-            // Whatever is cut off behind this length, its bytes may go out now.
+            // From this length on the mail may have been sent.
             assert!(process.begin(&call));
             begun.push((id, journal_size(&folder)));
             let serial = call.letters[0].serial;
@@ -81,7 +82,7 @@
             owed.get_mut(id).unwrap().1 = journal_size(&folder);
         }
     }
-    // Untried until its time is over: handed back, and not heard of yet.
+    // Not tried within its lifetime: given up, with the notice not yet delivered.
     let call = {
         assert!(matches!(process.put("untried", "once", 9), Answer::Taken(_)));
         owed.insert("untried", (journal_size(&folder), usize::MAX));
@@ -101,7 +102,7 @@
     let next = Folder::new();
     for cut in 0..=whole.len() {
         fs::write(next.path.join("journal"), &whole[..cut]).unwrap();
-        // Left half written at the same moment.
+        // A compaction that was cut off at the same time.
         fs::write(next.path.join("journal.new"), &whole[..cut / 2]).unwrap();
         let mut process = Process::start(&next, ALLOWANCE, START + SECOND, None);
         let (sent, ends) = process.play(SECOND, Outcome::Relayed);
@@ -109,28 +110,31 @@
         settled.extend(ends.iter().map(|(id, _)| id.as_str()));
         for (id, &(from, to)) in &run.owed {
             let owed = from <= cut && cut < to;
-            assert!(!owed || settled.contains(id), "cut at {cut}: {id} gets no end");
+            assert!(!owed || settled.contains(id), "cut at {cut}: {id} is lost");
         }
-        for id in ["served", "refused", "broken", "out"] {
+        for id in ["relayed", "refused", "broken", "out"] {
             let after = run.never_ran.get(id).copied().unwrap_or(0);
             let last = run.begun.iter().rfind(|(begun, _)| *begun == id).map(|&(_, at)| at);
             let first = run.begun.iter().find(|(begun, _)| *begun == id).map(|&(_, at)| at);
-            // Its attempt is on file, and not known to have come to nothing.
+            // A connect is on file, and it is not known that it did not run.
             let ran = first.is_some_and(|at| at <= cut && cut < after) || last.is_some_and(|at| at <= cut);
             let times = sent.iter().filter(|sent| *sent == id).count();
             assert!(times <= usize::from(!ran), "cut at {cut}: {id} is sent {times} times");
         }
         for (id, &at) in &run.given_up_at {
-            assert!(cut < at || !sent.iter().any(|sent| sent == id), "cut at {cut}: {id} was handed back");
+            assert!(
+                cut < at || !sent.iter().any(|sent| sent == id),
+                "cut at {cut}: {id} was sent after it was given up"
+            );
         }
         let ended: BTreeSet<&String> = ends.iter().map(|(id, _)| id).collect();
-        assert_eq!(ended.len(), ends.len(), "one end each");
+        assert_eq!(ended.len(), ends.len(), "one notice for each mail");
         drop(process);
         fs::remove_file(next.path.join("journal")).unwrap();
     }
 }
 
-/// Nothing can be written anew on this folder's disk.
+/// Makes compaction fail, as on a full disk: a folder has the name of the new file.
 fn block_compaction(folder: &Folder) {
     fs::create_dir(folder.path.join("journal.new")).unwrap();
 }
@@ -139,7 +143,7 @@
     fs::remove_dir(folder.path.join("journal.new")).unwrap();
 }
 
-/// A process with 40 messages untried, on a disk that has just become full to its last bytes.
+/// A process with 40 untried mails on a disk that has no space left for any record.
 fn process_on_full_disk(folder: &Folder) -> Process {
     let mut process = Process::start(folder, 100_000, START, None);
     let spare: Vec<Answer> = (0..20).map(|i| process.put(&format!("spare-{i}"), "once", 1)).collect();
@@ -153,7 +157,7 @@
         gone += 1;
     }
     assert!((100..2000).contains(&gone), "{gone}");
-    // Smaller records fill what a message has left.
+    // Smaller records fill the space that is too small for a mail.
     for answer in spare {
         let Answer::Taken(serial) = answer else { panic!("{answer:?}") };
         process.exchange.hangup(serial);
@@ -166,17 +170,20 @@
     let folder = Folder::new();
     let mut process = process_on_full_disk(&folder);
     let (sent, told) = process.play(2 * SECOND, Outcome::Relayed);
-    assert!(sent.is_empty(), "a call begins without its record");
-    assert!(!told.is_empty(), "its attempts are used up");
+    assert!(sent.is_empty(), "a call began without a journal record");
+    assert!(!told.is_empty(), "mails are given up after the maximum number of connects");
     assert_eq!(process.put("more", "once", 1), Answer::Busy);
     drop(process);
     unblock_compaction(&folder);
     let mut next = Process::start(&folder, 100_000, START + 3 * SECOND, None);
     let (sent, _) = next.play(SECOND, Outcome::Relayed);
-    assert!(told.iter().any(|(id, _)| sent.contains(id)), "the file does not say that it was given up");
-    // Whoever hears of a bounce hands its message in anew.
+    assert!(
+        told.iter().any(|(id, _)| sent.contains(id)),
+        "a verdict that could not be written is not on file"
+    );
+    // A client hands in a bounced mail again, so a bounced mail must not be sent from the journal.
     let twice = told.iter().find(|(id, verdict)| *verdict != Verdict::Dead && sent.contains(id));
-    assert_eq!(twice, None, "handed back, and sent all the same");
+    assert_eq!(twice, None, "bounced, and sent all the same");
 }
 
 #[test]
@@ -192,7 +199,7 @@
             }
         }
         drop(process);
-        // A record that was being written.
+        // Part of a record, left by a write that was interrupted.
         let path = folder.path.join("journal");
         let mut bytes = fs::read(&path).unwrap();
         bytes.extend(&[0, 0, 0, 9, 1, 2, 3][..torn]);
@@ -203,7 +210,7 @@
         assert_eq!(sent, ["untried"], "{torn}");
         assert_eq!(ends.iter().map(|(id, _)| id.as_str()).collect::<Vec<_>>(), ["out", "untried"], "{torn}");
         drop(next);
-        // What was noted behind the cut is read.
+        // Records that were appended after the truncation are read.
         let mut last = Process::start(&folder, ALLOWANCE, START + 2 * SECOND, None);
         let (sent, ends) = last.play(SECOND, Outcome::Relayed);
         assert_eq!((sent.len(), ends.len()), (0, 2), "{torn}");
@@ -213,8 +220,8 @@
 #[test]
 fn no_repeat_begins_after_the_dedup_window_even_if_its_connection_was_slow() {
     for restart in [false, true] {
-        // (milliseconds from the first attempt to the turn that decides on the repeat, those that its connection
-        // takes, whether it begins)
+        // (milliseconds from the first connect to the decision to repeat it, milliseconds until the repeat has a
+        // connection, whether the repeat begins)
         for (decided, connected, begins) in
             [(800, 150, true), (800, 199, true), (800, 200, false), (850, 400, false)]
         {
@@ -222,7 +229,7 @@
             let mut process = Process::start(&folder, ALLOWANCE, START, Some(1_000_000));
             assert!(matches!(process.put("01", "tagged", 1), Answer::Taken(_)));
             let first = process.call().unwrap();
-            // The first one's connection took its time too: it is from then that it may have run.
+            // The first connect waited for a connection as well: the window starts when it was sent.
             process.pass(300);
             assert!(process.begin(&first));
             let sent = process.now;
@@ -234,7 +241,7 @@
                 process.exchange.seen(first.letters[0].serial, Seen::only(Outcome::Silent));
             }
             let repeat = process.calls().pop().unwrap();
-            assert_eq!(repeat.letters[0].latest, sent + SECOND, "the last byte's latest time");
+            assert_eq!(repeat.letters[0].latest, sent + SECOND, "the latest time for the last byte");
             let mut letters = repeat.letters.clone();
             letters[0].until = Time::MAX;
             process.pass(connected * 10);
@@ -257,7 +264,7 @@
     assert_eq!((sent, ends.len()), (vec![], 1));
 }
 
-/// A courier whose files can grow to so many kilobytes only; a write beyond fails after a part of it.
+/// A courier with a limit of a few kilobytes on the size of its files; a write across the limit is a partial one.
 struct FileSizeLimited(Child);
 
 impl Drop for FileSizeLimited {
@@ -278,7 +285,7 @@
 
 #[test]
 fn a_disk_that_fills_up_within_a_record_leaves_only_whole_records() {
-    // So many bytes more or less, and the file's last ones belong to another record, or to another part of it.
+    // Bodies of different lengths place the limit in different records and at different offsets within them.
     let runs: Vec<_> = (0..8)
         .map(|run| {
             thread::spawn(move || {
@@ -300,7 +307,7 @@
                     }
                 }
                 assert!(taken.len() > 3 && busy > 3, "{run}: {} {busy}", taken.len());
-                // The disk has room again.
+                // Lift the limit.
                 let mut raise = Command::new("prlimit");
                 raise.args(["--pid", &process.0.id().to_string(), "--fsize=unlimited"]);
                 assert!(raise.status().unwrap().success());
@@ -311,7 +318,7 @@
                 }
                 drop(process);
                 let mut courier = RestartedCourier::new(&folder, &config, listen);
-                until("all ends", || courier.owes_nothing());
+                until("settling of all mails", || courier.owes_nothing());
                 courier.end();
                 let (calls, notices) = (endpoint.ids(), platform.notices());
                 for id in &taken {
@@ -320,14 +327,14 @@
                     assert!(runs <= 1 && runs + ends > 0, "{id}: {runs} calls, {ends} notices");
                 }
                 let refused = calls.iter().filter(|id| !taken.contains(id)).count();
-                assert_eq!(refused, 0, "what was refused is not sent");
+                assert_eq!(refused, 0, "a mail that was not accepted was sent");
             })
         })
         .collect();
     runs.into_iter().for_each(|run| run.join().unwrap());
 }
 
-/// The next process on a folder.
+/// The next process on the same folder.
 struct RestartedCourier<'a>(&'a Folder, &'a serde_json::Value, Child);
 
 impl<'a> RestartedCourier<'a> {
@@ -358,7 +365,7 @@
     }
 }
 
-/// A discovery that takes connections and says nothing.
+/// A discovery server that accepts connections and never answers.
 fn unresponsive_discovery() -> (std::net::SocketAddr, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     (listener.local_addr().unwrap(), listener)
@@ -369,7 +376,7 @@
     let platform = Platform::new();
     let slow = Endpoint::new(&[Reply::After(9000, Box::new(OK))]);
     let endpoint = Endpoint::new(&[]);
-    // Known, and wanting nothing yet: what is handed in stays untried.
+    // The endpoints are known but draining, so the mails stay untried.
     platform.list("e1", endpoint.address, "single", 7, "DRAINING");
     platform.list("e2", slow.address, "single", 8, "DRAINING");
     let mut courier = Courier::start(&platform, |_| {});
@@ -379,22 +386,22 @@
     }
     assert_eq!(client.put("out", "once", "dest=8,d=20000"), "+OK");
     courier.kill();
-    // Discovery says nothing now, and the configuration names both as ready.
+    // Discovery does not answer now, and the configuration lists both endpoints as serving.
     platform.list("e1", endpoint.address, "single", 7, "SERVING");
     platform.list("e2", slow.address, "single", 8, "SERVING");
     let (address, listener) = unresponsive_discovery();
     courier.config["known"] = platform.known();
     courier.config["known"]["index"] = json!(1000);
     courier.config["discovery"] = json!(address.to_string());
-    // It is asked to end as soon as it asks for the list: no call can have begun.
+    // SIGTERM arrives as soon as the courier asks for the list, before any call can begin.
     let asked = thread::spawn(move || (listener.accept().unwrap(), listener));
     courier.restart();
     let _held = asked.join().unwrap();
     courier.signal("-TERM");
-    until("the end", || courier.ended().is_some());
+    until("exit of the courier", || courier.ended().is_some());
     courier.config["discovery"] = json!(platform.address.to_string());
     courier.restart();
-    until("all ends", || courier.owes_nothing());
+    until("settling of all mails", || courier.owes_nothing());
     let mut ids = endpoint.ids();
     ids.sort();
     assert_eq!(ids, ["01", "02", "03", "04"]);
@@ -413,15 +420,15 @@
     let mut client = courier.client();
     for (i, class) in ["once", "again", "tagged"].iter().enumerate() {
         assert_eq!(client.put(class, class, &format!("d=20000,k=5c0f,dest={}", 7 + i)), "+OK");
-        until("its call", || !endpoints[i].calls().is_empty());
+        until("the call", || !endpoints[i].calls().is_empty());
     }
     courier.signal("-TERM");
-    assert_eq!(client.line(), "", "it has begun to end");
+    assert_eq!(client.line(), "", "shutdown has begun");
     courier.kill();
     courier.restart();
-    until("all ends", || courier.owes_nothing());
-    assert_eq!(endpoints[0].calls().len(), 1, "it must not run twice");
-    assert!(endpoints[1..].iter().all(|endpoint| endpoint.calls().len() > 1), "they may");
+    until("settling of all mails", || courier.owes_nothing());
+    assert_eq!(endpoints[0].calls().len(), 1, "a once-only mail was repeated");
+    assert!(endpoints[1..].iter().all(|endpoint| endpoint.calls().len() > 1), "the others are repeated");
     assert_eq!(platform.notices(), [("once".to_string(), "dead".to_string())]);
 }
 
@@ -430,7 +437,7 @@
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&[Reply::Break]));
     platform.list("e1", endpoint.address, "single", 7, "SERVING");
     let mut courier = Courier::start(&platform, |_| {});
-    // From here on notices go where they are read and never answered.
+    // From here on notices are read and never answered.
     let (address, listener) = unresponsive_discovery();
     let mut config = courier.config.clone();
     config["discovery"] = json!(address.to_string());
@@ -453,7 +460,7 @@
     courier.kill();
     assert_eq!(platform.notices(), []);
     courier.restart();
-    until("its end", || courier.owes_nothing());
+    until("settling of the mail", || courier.owes_nothing());
     assert_eq!(platform.notices(), [("01".to_string(), "dead".to_string())]);
     assert_eq!(endpoint.calls().len(), 1);
 }
--- a/crates/courier/tests/descriptors.rs
+++ b/crates/courier/tests/descriptors.rs
@@ -1,4 +1,4 @@
-//! A courier with as few descriptors as its configuration allows, or as its system leaves it.
+//! A courier with the minimum of file descriptors, by its configuration and by the system limit.
 
 mod common;
 
@@ -14,7 +14,7 @@
 
 const LONG_LIFETIME: &str = "d=8000";
 
-/// Runs a command with so many descriptors at most.
+/// Runs a command with a limit on open file descriptors.
 fn with_descriptor_limit(command: &Command, most: usize) -> Child {
     let mut shell = Command::new("sh");
     shell.arg("-c").arg(format!("ulimit -n {most}; exec \"$0\" \"$@\"")).arg(command.get_program());
@@ -27,7 +27,7 @@
     assert!(Command::new("kill").args([name, &child.id().to_string()]).status().unwrap().success());
 }
 
-/// Discovery that is down: of its agent only the notices are answered. The bodies that came with them.
+/// A discovery agent that answers notices only, not requests for the list. Returns its address and the notices received.
 fn unresponsive_discovery() -> (SocketAddr, Arc<Mutex<String>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -38,7 +38,7 @@
             heard.lock().unwrap().push_str(std::str::from_utf8(&request.body).unwrap());
             return write!(out, "HTTP/1.1 204 X\r\n\r\n").is_ok();
         }
-        // Until the courier has closed the connection.
+        // Keep the connection until the courier closes it.
         let _ = out.try_clone().unwrap().read(&mut [0]);
         false
     });
@@ -59,7 +59,7 @@
     config["limits"]["sockets"] = json!(min_sockets);
     config["settings"]["FamilyInfo"]["Slots"] = json!(32);
     config["discovery"] = json!(agent.to_string());
-    // The system holds it to them, too.
+    // The system enforces the same limit.
     let mut child = with_descriptor_limit(&command(&folder, &config, "serve"), min_sockets);
     common::answers(listen);
     let id = child.id();
@@ -69,7 +69,7 @@
         idle.extend((0..many).map(|_| TcpStream::connect(listen).unwrap()));
     };
     connect_idle(60);
-    // All connections that calls may have are out.
+    // Use up all connections that calls may have.
     for i in 0..16 {
         assert_eq!(Client::connect(listen).unwrap().put(&format!("s{i}"), "once", LONG_LIFETIME), "+OK");
     }
@@ -82,34 +82,34 @@
         let said =
             Client::connect(listen).unwrap().say(&put("0", &format!("n{i}"), "once", "d=200,dest=9", b"x"));
         assert_eq!(said, "+OK");
-        // Before, seconds: each idle client was ended before the first descriptor was free.
+        // This once took seconds: all idle clients were closed before the first descriptor was freed.
         assert!(asked.elapsed() < Duration::from_secs(3), "{:?}", asked.elapsed());
         most = most.max(open());
-        until("its notice", || notices.lock().unwrap().contains(&format!("\"n{i}\"")));
+        until("the notice", || notices.lock().unwrap().contains(&format!("\"n{i}\"")));
     }
     assert!(most <= min_sockets, "{most}");
     connect_idle(60);
     assert_eq!(Client::connect(listen).unwrap().put("c1", "once", LONG_LIFETIME), "+OK");
-    // And the list is heard as soon as there is one.
+    // Once discovery answers, the list is received.
     config["discovery"] = json!(platform.address.to_string());
     fs::write(folder.path.join("config.json"), config.to_string()).unwrap();
     signal(&child, "-HUP");
     until("a watch", || platform.told.lock().unwrap().watches > 0);
     connect_idle(60);
     platform.list("e9", other.address, "single", 10, "SERVING");
-    until("a destination that is new", || {
+    until("a new destination", || {
         let said = Client::connect(listen).unwrap().say(&put("0", "new", "once", "d=4000,dest=10", b"x"));
         said == "+OK"
     });
     let owed = || String::from_utf8(command(&folder, &config, "owed").output().unwrap().stdout).unwrap();
-    until("each mail's end", || owed().starts_with("0 mails owed; 0 bytes"));
+    until("settling of all mails", || owed().starts_with("0 mails owed; 0 bytes"));
     let mut ids = slow.ids();
     ids.sort();
     ids.dedup();
     assert_eq!((ids.len(), other.ids()), (17, vec!["new".to_string()]));
     signal(&child, "-TERM");
     drop(idle);
-    until("the end", || child.try_wait().unwrap().is_some());
+    until("exit of the courier", || child.try_wait().unwrap().is_some());
 }
 
 #[test]
--- a/crates/courier/tests/disk.rs
+++ b/crates/courier/tests/disk.rs
@@ -1,4 +1,4 @@
-//! A state folder that fails: with no room, or with an error of the device, at each file operation of the journal.
+//! A full disk or a device error at each file operation of the journal.
 
 mod common;
 #[path = "common/process.rs"]
@@ -18,18 +18,18 @@
 use meadowhold_courier::journal::Journal;
 use process::{Process, START};
 
-/// Small: the file is written anew again and again.
+/// Small, so that the journal is compacted often.
 const ALLOWANCE: u64 = 22_000;
-/// By the system's numbers: no room, and an error of the device.
+/// ENOSPC and EIO.
 const ERROR_CODES: [i32; 2] = [28, 5];
 
-/// The system's files, of which operations fail from one on, for so many.
+/// The real file system, with a range of operations that fail, counted from the first one.
 struct FailingFileSystem {
     operations: Cell<u32>,
     fail_from: Cell<u32>,
     fail_count: Cell<u32>,
     error_code: i32,
-    /// Half of what is appended still gets there.
+    /// A failing append still writes the first half of its bytes.
     partial_writes: bool,
 }
 
@@ -65,7 +65,7 @@
     }
 
     fn read(&self, path: &Path) -> io::Result<Vec<u8>> {
-        // What cannot be read is no matter of room: `a_start_with_an_unreadable_journal_fails`.
+        // Never fails: read errors are not transient, see `a_start_with_an_unreadable_journal_fails`.
         OsFileSystem.read(path)
     }
 
@@ -99,12 +99,12 @@
     }
 
     fn remove(&self, path: &Path) -> io::Result<()> {
-        // Nobody hears of its failure.
+        // Never fails: the journal ignores errors of removal.
         OsFileSystem.remove(path)
     }
 }
 
-/// What is put on the folder's file and answered `+OK`, by one process.
+/// Hands in mails of two classes and adds those that were accepted to `taken`.
 fn submit(process: &mut Process, taken: &mut BTreeSet<String>, name: &str, many: u64) {
     for i in 0..many {
         let (id, class) = (format!("{name}{i}"), ["again", "once"][i as usize % 2]);
@@ -114,13 +114,14 @@
     }
 }
 
-/// A process on failing files does not end by them, takes on again when the fault is over, and what was answered `+OK`
-/// is sent or ended, by it or the next one; nothing that must run once is sent twice.
+/// Runs a process on a failing file system, then a second one on a working file system. The first must not end by
+/// itself and must accept mails again after the repair. Each accepted mail must be sent or given up by one of the two,
+/// and no once-only mail may be sent twice.
 fn assert_no_mail_is_lost(folder: &Folder, files: &Rc<FailingFileSystem>, mut taken: BTreeSet<String>) {
     let case =
         format!("from {} for {}, error {}", files.fail_from.get(), files.fail_count.get(), files.error_code);
     let journal = Journal::open_with(files.clone(), &folder.path, ALLOWANCE);
-    let journal = journal.unwrap_or_else(|e| panic!("{case}: the start ends with {e}"));
+    let journal = journal.unwrap_or_else(|e| panic!("{case}: the start failed with {e}"));
     let mut process = Process::with(journal, START + SECOND, None);
     submit(&mut process, &mut taken, "early", 20);
     let (mut sent, mut ends) = process.play(SECOND / 10, Outcome::Relayed);
@@ -128,7 +129,7 @@
     files.repair();
     let before = taken.len();
     submit(&mut process, &mut taken, "after", 4);
-    assert_eq!(taken.len(), before + 4, "{case}: no intake though the fault is over");
+    assert_eq!(taken.len(), before + 4, "{case}: mails are not accepted after the repair");
     drop(process);
     let mut next = Process::start(folder, ALLOWANCE, START + 2 * SECOND, None);
     let (sent_next, ends_next) = next.play(5 * SECOND, Outcome::Relayed);
@@ -137,22 +138,22 @@
     let ended = ends.into_iter().map(|(id, _)| id);
     let over: BTreeSet<String> = sent.iter().cloned().chain(ended).collect();
     let lost: Vec<&String> = taken.difference(&over).collect();
-    assert!(lost.is_empty(), "{case}: {lost:?} were answered +OK and have no end");
+    assert!(lost.is_empty(), "{case}: {lost:?} were accepted and are lost");
     let is_once =
         |id: &&String| id.trim_start_matches(char::is_alphabetic).parse::<u64>().is_ok_and(|i| i % 2 == 1);
     let once: Vec<&String> = sent.iter().filter(is_once).collect();
     let different: BTreeSet<&&String> = once.iter().collect();
-    assert_eq!(once.len(), different.len(), "{case}: a once-only message was sent twice");
+    assert_eq!(once.len(), different.len(), "{case}: a once-only mail was sent twice");
 }
 
-/// How many operations one process takes where none fails.
+/// The number of file operations of a process when none fails.
 fn count_operations(folder: &Folder) -> u32 {
     let files = FailingFileSystem::new(0, 0, 0, false);
     assert_no_mail_is_lost(folder, &files, BTreeSet::new());
     files.operations.get()
 }
 
-/// Guards against a courier that ends by itself, as one did on a full disk, and against messages lost by one that does not.
+/// A courier once ended by itself on a full disk. One that keeps running must not lose mails instead.
 #[test]
 fn failing_file_operations_in_a_first_run_lose_no_mail_and_do_not_end_the_process() {
     let all = count_operations(&Folder::new());
@@ -190,7 +191,7 @@
     }
 }
 
-/// What is owed is not known then: nothing may be answered, and the operator reads why.
+/// The owed mails are unknown then: the courier must not serve, and the operator must see the reason.
 #[test]
 fn a_start_with_an_unreadable_journal_fails() {
     let folder = Folder::new();
--- a/crates/courier/tests/journal.rs
+++ b/crates/courier/tests/journal.rs
@@ -1,4 +1,4 @@
-//! The journal: what it holds after a cut, a flipped byte, a rename that never came; and its size.
+//! The journal after a truncation, a flipped byte or an unfinished compaction, and its size limits.
 
 mod common;
 
@@ -28,7 +28,7 @@
     fs::read(folder.path.join("journal")).unwrap().into()
 }
 
-/// A journal of every kind of record, with what was owed after each.
+/// Writes a journal with every type of record. Returns its length and contents after each record.
 fn journal_with_every_record(folder: &Folder) -> Vec<(usize, JournalContents)> {
     let (mut journal, found) = Journal::open(&folder.path, 3_000_000).unwrap();
     assert_eq!(found, JournalContents::default());
@@ -63,9 +63,13 @@
     assert_eq!(at(2, 1), Some(owed_mail("a1", 3)));
     assert_eq!(at(4, 2).map(|o| (o.in_flight, o.first_run, o.connects)), Some((Some((510, 0)), None, 1)));
     assert_eq!(at(5, 1).map(|o| (o.in_flight, o.first_run)), Some((None, Some((500, 2)))));
-    assert_eq!(at(6, 2).map(|o| (o.in_flight, o.first_run)), Some((None, None)), "it never ran");
+    assert_eq!(at(6, 2).map(|o| (o.in_flight, o.first_run)), Some((None, None)), "the connect did not run");
     let again = at(7, 1).map(|o| (o.in_flight, o.first_run, o.connects));
-    assert_eq!(again, Some((Some((700, 1)), Some((500, 2)), 2)), "the first send that may have run counts");
+    assert_eq!(
+        again,
+        Some((Some((700, 1)), Some((500, 2)), 2)),
+        "the first connect that may have run is kept"
+    );
     assert_eq!(at(8, 2).unwrap().verdict, Some(Verdict::Bounced(250)));
     let keys_in_flight =
         |i: usize| states[i].1.keys_in_flight.iter().map(|r| (r.0.to_vec(), r.1)).collect::<Vec<_>>();
@@ -75,7 +79,7 @@
 
 #[test]
 fn a_mail_written_by_an_earlier_version_is_still_owed() {
-    // As version 0.2 wrote it: no time of arrival.
+    // A record of version 0.2, which has no time of submission.
     let mut record = vec![1, 0, 0, 0, 0, 0, 0, 0, 9, 0, 2, b'a', b'1', 0, 0, 0, 0, 0, 1];
     record.extend(7u64.to_be_bytes().iter().chain(&90_000u64.to_be_bytes()).chain(&2u32.to_be_bytes()));
     record.extend([0; 22].iter().chain(b"xyz"));
@@ -141,7 +145,7 @@
     let mut torn = journal_bytes(&folder).to_vec();
     torn.truncate(torn.len() - 3);
     fs::write(folder.path.join("journal"), torn).unwrap();
-    // A process that ended between writing a fresh file and its rename.
+    // Left by a process that ended between writing the compacted file and renaming it.
     fs::write(folder.path.join("journal.new"), b"meadowhold journal 1\nhalf").unwrap();
     let (mut journal, found) = Journal::open(&folder.path, 3_000_000).unwrap();
     assert_eq!(found.owed[&2].verdict, Some(Verdict::Bounced(250)));
@@ -149,7 +153,7 @@
     drop(journal);
     let (_, found) = Journal::open(&folder.path, 3_000_000).unwrap();
     assert_eq!(found.owed, BTreeMap::new());
-    assert_eq!(found.keys_in_flight.len(), 2, "rests outlast a file that is written anew");
+    assert_eq!(found.keys_in_flight.len(), 2, "keys in flight are kept by compaction");
     assert!(!folder.path.join("journal.new").exists());
 }
 
@@ -162,12 +166,12 @@
         let mail = owed_mail(&serial.to_string(), 400 + serial as usize % 700);
         if journal.needs_compaction(&Record::Accepted { serial, owed: &mail }) {
             journal.compact(&owing, &[]).unwrap();
-            // Both files stood there for a moment.
+            // During compaction both files exist.
             most = most.max(allowance * 44 / 100 + journal_bytes(&folder).len() as u64);
         }
         if !journal.has_room(&mail) {
             refused += 1;
-            // The oldest ends.
+            // Settle the oldest mail to make room.
             let (serial, oldest): (u64, OwedMail) = owing.pop_first().unwrap();
             journal.release(meadowhold_courier::journal::max_stored_size(&oldest));
             journal.append(&Record::Settled { serial }).unwrap();
@@ -181,7 +185,7 @@
     assert!(most < allowance * 85 / 100, "{most}");
     drop(journal);
     let (_, found) = Journal::open(&folder.path, allowance).unwrap();
-    assert_eq!(found.owed, owing, "nothing owed is lost by writing the file anew");
+    assert_eq!(found.owed, owing, "compaction loses no owed mail");
 }
 
 #[test]
--- a/crates/courier/tests/restart.rs
+++ b/crates/courier/tests/restart.rs
@@ -1,5 +1,5 @@
-//! Restarts under open connections: whoever has written a request whole gets its answer, or finds that the
-//! connection was closed between requests; what was taken on gets its end from this process or the next.
+//! Restarts with open client connections: a client that has written a complete request gets an answer, or finds the
+//! connection closed between requests. Accepted mails are settled by this process or the next.
 
 mod common;
 
@@ -25,13 +25,13 @@
     (platform, endpoint, courier)
 }
 
-/// Asks a courier to end, and comes back once it has begun to: an idle client was moved off.
+/// Sends SIGTERM and waits until the shutdown has begun, which is when an idle client is disconnected.
 fn begin_shutdown(courier: &Courier) -> Instant {
     let mut idle = courier.client();
     assert_eq!(idle.say(b"PING\r\n"), "+PONG");
     let asked = Instant::now();
     courier.signal("-TERM");
-    assert_eq!(idle.line(), "", "an idle client is moved off");
+    assert_eq!(idle.line(), "", "an idle client is disconnected");
     asked
 }
 
@@ -43,7 +43,7 @@
 fn clients_in_the_accept_queue_are_served_when_the_listener_closes() {
     let (platform, endpoint, mut courier) = courier_with_endpoint(&[]);
     let asked = begin_shutdown(&courier);
-    // Stopped over the moment at which it closes its door, it finds them all in the system's line.
+    // The process is stopped while it would close its listener, so it finds all clients in the accept queue.
     courier.signal("-STOP");
     let mut waiting: Vec<Client> = (0..20).map(|_| courier.client()).collect();
     for (i, client) in waiting.iter_mut().enumerate() {
@@ -58,7 +58,7 @@
     for (i, client) in waiting.iter_mut().enumerate() {
         assert_eq!((client.line(), client.line()), ("+OK".into(), String::new()), "{i}");
     }
-    until("the end", || courier.ended().is_some());
+    until("exit of the courier", || courier.ended().is_some());
     assert!(Client::connect(courier.listen).is_err());
     let mut ids = endpoint.ids();
     ids.sort();
@@ -71,9 +71,9 @@
     let (_platform, endpoint, mut courier) = courier_with_endpoint(&[]);
     begin_shutdown(&courier);
     let mut client = courier.client();
-    // Both requests are there before the courier reads on.
+    // Both requests arrive before the courier reads again.
     courier.signal("-STOP");
-    // The first fills what is read at a time; the second then still lies in the system.
+    // The first request fills the courier's read buffer, so the second is still in the socket's receive buffer.
     let empty = put("0", "01", "once", LONG_LIFETIME, b"").len();
     let first = put("0", "01", "once", LONG_LIFETIME, &vec![b'x'; 4096 - empty - 3]);
     assert_eq!(first.len(), 4096);
@@ -81,7 +81,7 @@
     client.stream.get_mut().write_all(&[first, second].concat()).unwrap();
     courier.signal("-CONT");
     assert_eq!((client.line(), client.line(), client.line()), ("+OK".into(), "+OK".into(), String::new()));
-    until("the end", || courier.ended().is_some());
+    until("exit of the courier", || courier.ended().is_some());
     let mut ids = endpoint.ids();
     ids.sort();
     assert_eq!(ids, ["01", "02"]);
@@ -98,8 +98,8 @@
     sleep_until(asked, 900);
     assert_eq!(silent.put("silent", "once", LONG_LIFETIME), "+OK");
     assert_eq!(slow.say(&late[20..]), "+OK");
-    until("the end", || courier.ended().is_some());
-    assert!(asked.elapsed() < Duration::from_millis(3700), "the platform kills then");
+    until("exit of the courier", || courier.ended().is_some());
+    assert!(asked.elapsed() < Duration::from_millis(3700), "the platform sends SIGKILL by then");
     assert_eq!((endpoint.calls().len(), courier.owes_nothing()), (2, true));
 }
 
@@ -108,7 +108,7 @@
     let (_platform, _endpoint, mut courier) = courier_with_endpoint(&[]);
     let client = courier.client();
     let mut writes = client.stream.get_ref().try_clone().unwrap();
-    // Commands without a gap: something always lies unread.
+    // Commands without a pause, so that unread input is always pending.
     let writer = thread::spawn(move || while writes.write_all(&b"PING\r\n".repeat(500)).is_ok() {});
     let asked = begin_shutdown(&courier);
     let (mut client, mut answers, mut line) = (client, 0, String::new());
@@ -125,7 +125,7 @@
     writer.join().unwrap();
     assert!(alive && end.is_ok_and(|end| end < Duration::from_millis(3400)), "{end:?}");
     assert!(answers > 1000, "{answers}");
-    until("the end", || courier.ended().is_some());
+    until("exit of the courier", || courier.ended().is_some());
 }
 
 #[test]
@@ -138,10 +138,10 @@
     slow.stream.get_mut().write_all(&late[..20]).unwrap();
     sleep_until(asked, 2700);
     assert_eq!((slow.say(&late[20..]), slow.line()), ("+OK".into(), String::new()));
-    until("the end", || courier.ended().is_some());
+    until("exit of the courier", || courier.ended().is_some());
     assert_eq!((endpoint.calls().len(), courier.owes_nothing()), (0, false));
     courier.restart();
-    until("its end", || courier.owes_nothing());
+    until("settling of the mail", || courier.owes_nothing());
     assert_eq!((endpoint.ids(), platform.notices()), (vec!["late".to_string()], vec![]));
 }
 
@@ -154,16 +154,16 @@
     let mut client = courier.client();
     for (id, calls) in [("01", 1), ("02", 2)] {
         assert_eq!(client.put(id, "once", LONG_LIFETIME), "+OK");
-        until("its call", || endpoint.calls().len() == calls);
+        until("the call", || endpoint.calls().len() == calls);
     }
     let mut config = courier.config.clone();
     config["discovery"] = json!(new.address.to_string());
     courier.signal("-TERM");
-    assert_eq!(client.line(), "", "moved off");
+    assert_eq!(client.line(), "", "the client is disconnected");
     courier.signal("-TERM");
     courier.reconfigure(&config.to_string());
     courier.signal("-INT");
-    until("the end", || courier.ended().is_some());
+    until("exit of the courier", || courier.ended().is_some());
     assert!(courier.ended().unwrap().success());
     assert_eq!((new.notices(), old.notices()), (vec![("02".into(), "dead".into())], vec![]));
     assert_eq!((endpoint.ids(), courier.owes_nothing()), (vec!["01".into(), "02".into()], true));
@@ -171,7 +171,7 @@
 
 #[test]
 fn calls_in_flight_and_undelivered_notices_at_the_exit_are_left_to_the_next_process() {
-    // Given up while the platform hears nothing, and two that are out for longer than the exit waits.
+    // One mail is given up while the platform rejects notices; two calls take longer than the shutdown waits.
     let late = Reply::After(6000, Box::new(OK));
     let (platform, replies) = (Platform::new(), [Reply::Status(500, ""), late.clone(), late]);
     platform.told.lock().unwrap().refuse = usize::MAX;
@@ -183,23 +183,23 @@
     let mut client = courier.client();
     for (i, (id, class)) in [("dead", "once"), ("out", "once"), ("again", "again")].iter().enumerate() {
         assert_eq!(client.put(id, class, &format!("d=20000,dest={}", 7 + i)), "+OK");
-        until("its call", || !endpoints[i].calls().is_empty());
+        until("the call", || !endpoints[i].calls().is_empty());
     }
     let asked = Instant::now();
     courier.signal("-TERM");
-    until("the end", || courier.ended().is_some());
-    assert!(asked.elapsed() < Duration::from_millis(3700), "the platform kills then");
+    until("exit of the courier", || courier.ended().is_some());
+    assert!(asked.elapsed() < Duration::from_millis(3700), "the platform sends SIGKILL by then");
     platform.told.lock().unwrap().refuse = 0;
     courier.restart();
-    until("all ends", || courier.owes_nothing());
+    until("settling of all mails", || courier.owes_nothing());
     let mut notices = platform.notices();
     notices.sort();
     assert_eq!(notices, ["dead", "out"].map(|id| (id.to_string(), "dead".to_string())));
     assert_eq!([&endpoints[0], &endpoints[1]].map(|endpoint| endpoint.calls().len()), [1, 1]);
-    assert!(endpoints[2].calls().len() > 1, "it may run again");
+    assert!(endpoints[2].calls().len() > 1, "a redeliverable mail is sent again");
 }
 
-/// Ticks of processor time that a process has used, a hundred a second.
+/// Processor time used by a process, in ticks of 10 ms.
 fn cpu_ticks(id: u32) -> u64 {
     let stat = fs::read_to_string(format!("/proc/{id}/stat")).unwrap();
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
@@ -212,25 +212,25 @@
     platform.list("e1", endpoint.address, "single", 7, "SERVING");
     let (folder, listen) = (Folder::new(), own_address());
     let mut child = command(&folder, &common::config(&platform, listen), "serve").spawn().unwrap();
-    until("its mail", || {
+    until("acceptance of the mail", || {
         Client::connect(listen).is_ok_and(|mut client| client.put("01", "once", "d=20000") == "+OK")
     });
-    until("its call", || !endpoint.calls().is_empty());
+    until("the call", || !endpoint.calls().is_empty());
     let asked = Instant::now();
     assert!(Command::new("kill").args(["-TERM", &child.id().to_string()]).status().unwrap().success());
     sleep_until(asked, 2700);
     let before = cpu_ticks(child.id());
     sleep_until(asked, 3200);
-    // Before it is reaped, its figures stay even if it has ended.
+    // The figures of an exited process remain readable until it is reaped.
     let used = cpu_ticks(child.id()) - before;
-    until("the end", || child.try_wait().unwrap().is_some());
+    until("exit of the courier", || child.try_wait().unwrap().is_some());
     assert!(used < 10, "{used} ticks of 50");
 }
 
-/// What a request came to.
+/// The result of a request.
 enum Response {
     Answer(String),
-    /// The other side has ended.
+    /// End of stream.
     End,
     Reset,
 }
@@ -245,7 +245,7 @@
     }
 }
 
-/// Whether a connection was closed between requests.
+/// Whether the courier has closed the connection between requests.
 fn is_closed(client: &Client) -> bool {
     let stream = client.stream.get_ref();
     stream.set_nonblocking(true).unwrap();
@@ -254,18 +254,18 @@
     !matches!(seen, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// What clients saw of the couriers.
+/// What the clients observed.
 #[derive(Default)]
 struct Observations {
-    /// By id: class and courier.
+    /// Accepted mails by id, with class and courier.
     taken: BTreeMap<String, (&'static str, usize)>,
-    /// Requests that a planned end crossed, by courier.
+    /// Requests that were sent while a planned shutdown closed the connection, by courier.
     crossed: [usize; 5],
     violations: Vec<String>,
 }
 
-/// A client that sends on its connection for as long as that stays open, and then opens another at a courier
-/// that the front still names.
+/// A client that sends on its connection until that is closed, and then connects to another courier that is still
+/// announced in `named`.
 fn run_client(
     name: usize,
     listens: &[SocketAddr],
@@ -293,8 +293,8 @@
         let id = format!("{name:02}-{sent:05}");
         sent += 1;
         let response = send_request(client, &put("0", &id, class, &format!("{LONG_LIFETIME},k={id}"), b"x"));
-        // Reset by a kill, or opened while there was nobody: nothing is known of it.
-        // An odd number stands from just before a kill to the start: one opened in between says nothing either.
+        // A connection cut by a kill, or opened while the courier was down, proves nothing. The counter is odd from just
+        // before a kill until the restart; a connection opened in that time proves nothing either.
         let killed = *kills % 2 == 1 || lost[*courier].load(Ordering::SeqCst) != *kills;
         let mut observations = observations.lock().unwrap();
         match response {
@@ -350,14 +350,17 @@
                 scope.spawn(move || {
                     thread::sleep(Duration::from_millis(300 + 400 * i as u64));
                     let asked = Instant::now();
-                    // Every second one by SIGKILL alone, and the last of all in the middle of its end.
+                    // Odd couriers get SIGKILL only; the last one gets it in the middle of its shutdown.
                     if i % 2 == 0 {
                         courier.signal("-TERM");
                         sleep_until(asked, 300);
                         named.store(false, Ordering::Relaxed);
                         if i < 4 {
-                            until("the end", || courier.ended().is_some());
-                            assert!(asked.elapsed() < Duration::from_millis(3700), "the platform kills then");
+                            until("exit of the courier", || courier.ended().is_some());
+                            assert!(
+                                asked.elapsed() < Duration::from_millis(3700),
+                                "the platform sends SIGKILL by then"
+                            );
                         }
                     }
                     lost.fetch_add(usize::from(i % 2 == 1 || i == 4), Ordering::SeqCst);
@@ -373,7 +376,7 @@
         over.store(true, Ordering::Relaxed);
     });
     for courier in &couriers {
-        until("each mail's end", || courier.owes_nothing());
+        until("settling of all mails", || courier.owes_nothing());
     }
     let observations = observations.into_inner().unwrap();
     assert_eq!(observations.violations, Vec::<String>::new());
@@ -388,25 +391,25 @@
         let (calls, end) = (calls.get(id).copied().unwrap_or(0), ends.get(id).map(String::as_str));
         let killed = courier % 2 == 1 || *courier == 4;
         let holds = match (*class, calls, end) {
-            // The connect was on file at the kill, whether or not its bytes had left.
+            // The connect was on file at the kill, so it may have run whether or not its bytes were sent.
             ("once", 0 | 1, Some("dead")) => killed,
             ("once", calls, end) => (calls, end) == (1, None),
             (_, calls, end) => calls > 0 && end.is_none(),
         };
         assert!(holds, "{id} {class} at {courier}: {calls} calls, {end:?}");
     }
-    // Taken or not, nothing once-only runs twice.
+    // No once-only mail runs twice, whether or not its client got an answer.
     let twice = calls.iter().filter(|(id, &calls)| calls > 1 && id[3..].parse::<usize>().unwrap() % 3 == 0);
     assert_eq!(twice.collect::<Vec<_>>(), vec![]);
 }
 
-/// Guards against messages that are answered `+OK` round a planned end, and end untried over it.
+/// A mail accepted around a planned shutdown must not expire untried in the time until the next process begins its calls.
 #[test]
 fn a_planned_end_takes_on_and_keeps_only_what_can_still_be_tried() {
     let platform = Platform::new();
-    // Nobody listens there.
+    // An address at which nothing listens.
     platform.list("e1", own_address(), "single", 7, "SERVING");
-    // Attempts enough, and pauses between them.
+    // Enough connects, with pauses between them.
     let patient = |config: &mut Value| {
         config["settings"]["Limits"]["MaxAttempts"] = json!(64);
         config["settings"]["Rules"]["ColdUs"] = json!(6_000_000);
@@ -414,21 +417,21 @@
     let mut courier = Courier::start(&platform, patient);
     let mut client = courier.client();
     assert_eq!(client.put("first", "again", LONG_LIFETIME), "+OK");
-    // Two attempts that found nobody: it is held to be out.
+    // After two connects without a connection the endpoint counts as down.
     thread::sleep(Duration::from_millis(1500));
-    // The next process begins its calls 4.3 s after the signal.
+    // The next process begins its calls 4.3 s after SIGTERM, so the short lifetime ends before.
     assert_eq!(client.put("short", "again", "d=4000"), "+OK");
     assert_eq!(client.put("long", "again", LONG_LIFETIME), "+OK");
     let asked = begin_shutdown(&courier);
-    // The decisions have had their turn by then.
+    // By then the decisions have taken a turn.
     sleep_until(asked, 100);
     let answers = [("d=3500", "-BUSY"), (LONG_LIFETIME, "+OK")];
     for (i, (time, answer)) in answers.into_iter().enumerate() {
         assert_eq!(courier.client().put(&format!("after{i}"), "again", time), answer);
     }
     assert_eq!(platform.notices(), []);
-    until("the end", || courier.ended().is_some());
-    assert!(asked.elapsed() < Duration::from_millis(3700), "the platform kills then");
+    until("exit of the courier", || courier.ended().is_some());
+    assert!(asked.elapsed() < Duration::from_millis(3700), "the platform sends SIGKILL by then");
     assert_eq!(platform.notices(), [("short".to_string(), "bounced".to_string())]);
     let owed = courier.owed();
     assert!(
--- a/crates/courier/tests/start.rs
+++ b/crates/courier/tests/start.rs
@@ -1,4 +1,4 @@
-//! A courier that is killed again and again in the middle of its start, with mails owed.
+//! Starts with mails owed: repeated kills, the order of restored mails, and missing discovery.
 
 mod common;
 
@@ -13,7 +13,7 @@
 use meadowhold_courier::journal::{Journal, OwedMail, Record};
 use serde_json::{json, Value};
 
-/// Classes by importance, and that only one call is out at a time: the order of calls is the order of offering.
+/// One slot, so that calls go out in the order in which mails are offered, and a different importance for each class.
 fn one_slot_and_importance_by_class(config: &mut Value) {
     config["settings"]["FamilyInfo"]["Slots"] = json!(1);
     for (class, worth) in [("once", 8.0), ("tagged", 4.0), ("again", 1.0)] {
@@ -27,20 +27,20 @@
 
 #[test]
 fn three_kills_during_the_start_lose_no_mail_and_repeat_no_once_only_mail() {
-    // Slow enough that a kill finds a call out and others waiting.
+    // Slow enough that each kill finds a call in flight and other mails waiting.
     let slow: Vec<Reply> = (0..64).map(|_| Reply::After(40, Box::new(OK))).collect();
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&slow));
     let closed_address = common::own_address();
-    // While the mails are handed in, nobody is there: all of them are owed.
+    // No endpoint listens while the mails are handed in, so all of them stay owed.
     platform.list("e1", closed_address, "single", 7, "SERVING");
     let mut courier = Courier::start(&platform, one_slot_and_importance_by_class);
     let mut class_of = HashMap::new();
     let mut client = courier.client();
-    // Least important first: the order in which they were taken is the wrong one.
+    // Least important first, so that the order of acceptance differs from the order of importance.
     for (class, letter) in [("again", "a"), ("tagged", "t"), ("once", "x")] {
         for i in 0..6 {
             let id = format!("{letter}{i}");
-            // Ends fall as they are taken: within a class, too, the last one goes first.
+            // Each has an earlier deadline than the one before, so within a class the last one goes first.
             let text = format!("d={},k=k{id}", 29_000 - 1000 * i);
             assert_eq!(client.say(&put("00", &id, class, &text, b"hello")), "+OK");
             class_of.insert(id, class);
@@ -53,14 +53,14 @@
     let mut seen_before = 0;
     for kill in 1..=3 {
         courier.restart();
-        // In the middle: some have gone out, more have not.
+        // Some mails have been sent and others not.
         until("calls after a start", || endpoint.calls().len() >= seen_before + 2);
         courier.kill();
         seen_before = endpoint.calls().len();
-        assert!(seen_before < owed, "kill {kill} came in the middle of the start");
+        assert!(seen_before < owed, "kill {kill} came after the start was complete");
     }
     courier.restart();
-    until("the end of all that is owed", || courier.owes_nothing());
+    until("settling of all mails", || courier.owes_nothing());
 
     let calls = endpoint.ids();
     let times = |id: &str| calls.iter().filter(|call| *call == id).count();
@@ -69,8 +69,8 @@
         let (called, notified) = (times(id), notices.iter().filter(|n| n.0 == *id).count());
         assert!(called + notified >= 1, "{id} is lost");
         match *class {
-            // One whose call was out at a kill may have run: it does not go again, and its client hears so.
-            "once" => assert!(called <= 1 && notified <= 1, "{id} went {called} times, {notified} notices"),
+            // A mail in flight at a kill may have run: it is not sent again, and a notice says so.
+            "once" => assert!(called <= 1 && notified <= 1, "{id}: {called} calls, {notified} notices"),
             _ => assert!(
                 (1..=4).contains(&called) && notified == 0,
                 "{id}: {called} calls, {notified} notices"
@@ -79,7 +79,7 @@
     }
     assert!(notices.iter().all(|n| n.1 == "dead"), "{notices:?}");
 
-    // By importance, and by the end within a class. What was out at a kill may go again, first of its class.
+    // The order is by importance, then by deadline. A mail in flight at a kill may be sent again, first of its class.
     let mut first = Vec::new();
     for id in &calls {
         if !first.contains(id) {
@@ -99,7 +99,7 @@
         config["settings"]["Rules"]["TurnGapUs"] = json!(1000);
     });
     let mut client = courier.client();
-    // Many others, so that the backlog of the next start is long, and one with a key that goes last.
+    // Many other mails, so that the next start has a long backlog, and one with an ordering key that goes last.
     for i in 0..30 {
         assert_eq!(client.put(&format!("p{i}"), "again", "d=3000"), "+OK");
     }
@@ -110,7 +110,7 @@
     courier.restart();
     let came = Instant::now();
     assert_eq!(courier.client().say(&put("7f3a", "second", "turns", "d=4000", b"hello")), "+OK");
-    until("all ends", || courier.owes_nothing());
+    until("settling of all mails", || courier.owes_nothing());
     assert!(came.elapsed() < Duration::from_secs(4));
     let ids = endpoint.ids();
     let place = |id: &str| ids.iter().position(|seen| seen == id);
@@ -130,11 +130,11 @@
         assert_eq!(client.put(&format!("p{i}"), "once", "d=20000"), "+OK");
     }
     courier.kill();
-    until("the end of its time", || handed_in.elapsed() > Duration::from_millis(320));
+    until("expiry of the mail", || handed_in.elapsed() > Duration::from_millis(320));
     courier.restart();
     let ready = Instant::now();
-    until("its notice", || platform.notices().iter().any(|n| n.0 == "late"));
-    assert!(ready.elapsed() < Duration::from_millis(1500), "overdue");
+    until("the notice", || platform.notices().iter().any(|n| n.0 == "late"));
+    assert!(ready.elapsed() < Duration::from_millis(1500), "the notice is overdue");
 }
 
 #[test]
@@ -142,12 +142,12 @@
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&[]));
     let closed_address = common::own_address();
     platform.list("e1", closed_address, "single", 7, "SERVING");
-    // What the configuration knows stays as old as this.
+    // The list in the configuration keeps this address.
     let mut courier = Courier::start(&platform, |_| {});
     platform.list("e1", endpoint.address, "single", 7, "SERVING");
     let file = courier.folder.path.join("state").join("memory");
     let here = endpoint.address.to_string();
-    until("the list on file", || {
+    until("the saved list", || {
         let text = std::fs::read(&file).unwrap_or_default();
         String::from_utf8_lossy(&text).contains(&here)
     });
@@ -156,14 +156,14 @@
     courier.restart();
     assert_eq!(courier.client().put("9b1f", "again", "d=3000"), "+OK");
     until("the call", || endpoint.ids() == ["9b1f"]);
-    // Cut short, the file is passed over, and the start goes by the configuration's list.
+    // A truncated file is ignored, and the start uses the list of the configuration.
     courier.kill();
     let text = std::fs::read(&file).unwrap();
     std::fs::write(&file, &text[..text.len() - 1]).unwrap();
     courier.restart();
     assert_eq!(courier.client().put("late", "again", "d=500"), "+OK");
-    // Its notice is heard by nobody: discovery is out.
-    until("an end by the old list", || {
+    // The notice stays undelivered, since discovery is down.
+    until("giving up by the old list", || {
         courier.owed().contains("late destination 7 connects") && courier.owed().contains("given up")
     });
     assert_eq!(endpoint.ids(), ["9b1f"]);
@@ -175,7 +175,7 @@
     platform.list("e1", endpoint.address, "single", 7, "SERVING");
     let agent = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = agent.local_addr().unwrap();
-    // It takes what is asked and says nothing; notices are heard as ever.
+    // It reads requests for the list and never answers; notices are answered.
     common::serve(agent, |request, out| {
         if request.target == "/v1/notices" {
             return write!(out, "HTTP/1.1 204 X\r\n\r\n").is_ok();
@@ -195,7 +195,7 @@
             class: 0,
             destination: 7,
             submitted_at: now,
-            // Of a hundred one has time left; the others pass their ends while no process runs.
+            // One in a hundred has time left; the others expire while no process runs.
             deadline: now + if mails % 100 == 0 { 300_000 } else { 10 },
             body: Bytes::from_static(&[b'x'; 100]),
             ..OwedMail::default()
