--- a/crates/courier/tests/audit.rs
+++ b/crates/courier/tests/audit.rs
@@ -14,7 +14,9 @@
 };
 use meadowhold::interface::{Outcome, PeerNote, Time, SECOND};
 use meadowhold_courier::discovery::List;
-use meadowhold_courier::exchange::{Answer, Call, Clock, Exchange, Letter, Notice, Offer, Order, Seen};
+use meadowhold_courier::exchange::{
+    Answer, Call, CallMail, Clock, ConnectReport, Exchange, Notice, Offer, Order,
+};
 use meadowhold_courier::journal::{Journal, JournalContents};
 use meadowhold_settings::decode_json;
 use serde_json::{json, Value};
@@ -46,7 +48,7 @@
     notices: UnboundedReceiver<Notice>,
     /// Calls that wait for a connection, and mails whose call has begun.
     waiting: Vec<Call>,
-    in_flight: Vec<Letter>,
+    in_flight: Vec<CallMail>,
     /// Mails reported as silent, whose real outcome may still arrive.
     unanswered: Vec<u64>,
     owed_notices: Vec<u64>,
@@ -155,9 +157,9 @@
         let offer = Offer {
             id: text(&self.ids.to_string()),
             key: Bytes::new(),
-            item: text(["0000", "7f3a", "9b1f"][self.rng.usize(..3)]),
+            order_key: text(["0000", "7f3a", "9b1f"][self.rng.usize(..3)]),
             class: text(class),
-            dest: self.rng.u64(..4),
+            destination: self.rng.u64(..4),
             lifetime: Duration::from_millis(self.rng.u64(1..4000)),
             body: vec![b'x'; self.rng.usize(..300) * if self.rng.u8(..20) == 0 { 100 } else { 1 }].into(),
         };
@@ -174,12 +176,12 @@
             return;
         }
         let mut call = self.waiting.swap_remove(self.rng.usize(..self.waiting.len()));
-        let letters = std::mem::take(&mut call.letters);
+        let mails = std::mem::take(&mut call.mails);
         if self.rng.u8(..10) == 0 {
-            let unreached = Seen::only(Outcome::Unreached);
-            return letters.iter().for_each(|letter| self.exchange.seen(letter.serial, unreached.clone()));
+            let unreached = ConnectReport::of(Outcome::Unreached);
+            return mails.iter().for_each(|mail| self.exchange.connect_ended(mail.serial, unreached.clone()));
         }
-        let going = self.exchange.begin(&call, letters);
+        let going = self.exchange.begin(&call, mails);
         self.begun += going.len() as u64;
         self.in_flight.extend(going);
     }
@@ -188,15 +190,16 @@
         if self.in_flight.is_empty() {
             return;
         }
-        let letter = self.in_flight.swap_remove(self.rng.usize(..self.in_flight.len()));
+        let mail = self.in_flight.swap_remove(self.rng.usize(..self.in_flight.len()));
         let any = OUTCOMES[self.rng.usize(..9)];
         let outcome = if self.rng.bool() { Outcome::Relayed } else { any };
         let wait = if outcome == Outcome::Refused { self.rng.u64(..1500) } else { 0 };
         let over = outcome == Outcome::Relayed || outcome == Outcome::Unsent && self.rng.bool();
         let (wait, kept) = (Duration::from_millis(wait), self.rng.bool());
-        self.exchange.seen(letter.serial, Seen { over, wait, kept, ..Seen::only(outcome) });
+        self.exchange
+            .connect_ended(mail.serial, ConnectReport { over, wait, kept, ..ConnectReport::of(outcome) });
         if outcome == Outcome::Silent {
-            self.unanswered.push(letter.serial);
+            self.unanswered.push(mail.serial);
         }
     }
 
@@ -256,18 +259,18 @@
                 let news = [PeerNote::Down, PeerNote::Recovered, PeerNote::Refusing(self.rng.u64(..9000))]
                     [self.rng.usize(..3)];
                 let name = format!("e{}", self.rng.u8(..9));
-                self.exchange.heard(name.as_bytes(), news);
+                self.exchange.note_received(name.as_bytes(), news);
             }
             960..980 => {
                 let told = self.owed_notices.pop();
-                told.into_iter().for_each(|serial| self.exchange.told(serial));
+                told.into_iter().for_each(|serial| self.exchange.notice_accepted(serial));
             }
             980..990 => {
                 let late = self.unanswered.pop();
                 late.into_iter().for_each(|serial| self.exchange.relayed_late(serial));
             }
             990..996 => {
-                let gone = self.in_flight.first().map(|letter| letter.serial);
+                let gone = self.in_flight.first().map(|mail| mail.serial);
                 gone.into_iter().for_each(|serial| self.exchange.hangup(serial));
             }
             996..998 => {
@@ -331,9 +334,9 @@
         let offer = Offer {
             id: text(&format!("m{i}")),
             key: Bytes::new(),
-            item: text("0000"),
+            order_key: text("0000"),
             class: text(class),
-            dest: 0,
+            destination: 0,
             lifetime: Duration::from_secs(4),
             body: Bytes::from_static(b"x"),
         };
@@ -358,7 +361,7 @@
         let mut run = with_one_endpoint();
         let calls = submit_and_take_calls(&mut run, "once", 2);
         let [first, second] = &calls[..] else { panic!("{calls:?}") };
-        assert_eq!(run.exchange.begin(first, first.letters.clone()).len(), 1);
+        assert_eq!(run.exchange.begin(first, first.mails.clone()).len(), 1);
         let changed = |status: &str| {
             let entry = json!({"name": "e0", "group": 0, "type": "single", "zone": "a", "status": status});
             serde_json::from_value::<List>(json!({"index": 8, "snapshot": false, "endpoints": [entry]}))
@@ -367,9 +370,12 @@
         match told {
             "wait" => {
                 let wait = Duration::from_secs(1);
-                run.exchange.seen(first.letters[0].serial, Seen { wait, ..Seen::only(Outcome::Refused) });
+                run.exchange.connect_ended(
+                    first.mails[0].serial,
+                    ConnectReport { wait, ..ConnectReport::of(Outcome::Refused) },
+                );
             }
-            "note" => run.exchange.heard(b"e0", PeerNote::Refusing(SECOND)),
+            "note" => run.exchange.note_received(b"e0", PeerNote::Refusing(SECOND)),
             "drain" => run.exchange.listed(&changed("DRAINING")),
             "gone" => {
                 let whole = json!({"index": 8, "snapshot": true, "endpoints": []});
@@ -378,7 +384,7 @@
             _ => {}
         }
         // Without a turn in between.
-        let going = run.exchange.begin(second, second.letters.clone()).len();
+        let going = run.exchange.begin(second, second.mails.clone()).len();
         assert_eq!(going, usize::from(told == "nothing"), "{told}");
         run.turn();
         assert_eq!((run.exchange.in_hand(), run.exchange.counts.broken), (2, 0), "{told}");
@@ -389,9 +395,9 @@
 fn a_mail_whose_client_leaves_between_its_outcome_and_the_next_turn_is_not_given_up() {
     let mut run = RandomRun::new(1);
     let calls = submit_and_take_calls(&mut run, "once", 1);
-    let letter = run.exchange.begin(&calls[0], calls[0].letters.clone()).remove(0);
-    run.exchange.seen(letter.serial, Seen::only(Outcome::Broken));
-    run.exchange.hangup(letter.serial);
+    let mail = run.exchange.begin(&calls[0], calls[0].mails.clone()).remove(0);
+    run.exchange.connect_ended(mail.serial, ConnectReport::of(Outcome::Broken));
+    run.exchange.hangup(mail.serial);
     run.turn();
     assert_eq!((run.exchange.in_hand(), run.exchange.counts.broken, run.owed_notices.len()), (0, 0, 0));
 }
@@ -418,8 +424,11 @@
         run.exchange.listed(&list(version, whole, status));
         let begun = submit_and_take_calls(&mut run, "again", 1);
         assert_eq!((begun.len(), run.exchange.counts.older), (calls, older), "{version} {status}");
-        for letter in begun.iter().flat_map(|call| &call.letters) {
-            run.exchange.seen(letter.serial, Seen { over: true, ..Seen::only(Outcome::Unsent) });
+        for mail in begun.iter().flat_map(|call| &call.mails) {
+            run.exchange.connect_ended(
+                mail.serial,
+                ConnectReport { over: true, ..ConnectReport::of(Outcome::Unsent) },
+            );
         }
         let left: Vec<u64> = JournalContents::load(&run.folder.path).unwrap().0.owed.into_keys().collect();
         left.into_iter().for_each(|serial| run.exchange.hangup(serial));
@@ -436,9 +445,9 @@
         let offer = Offer {
             id: text(&format!("m{i}")),
             key: Bytes::new(),
-            item: text("0000"),
+            order_key: text("0000"),
             class: text("again"),
-            dest: 1,
+            destination: 1,
             lifetime: Duration::from_secs(4),
             body: vec![b'x'; if i % 3 == 0 { 30_000 } else { 9 }].into(),
         };
@@ -451,7 +460,7 @@
     );
     run.turn();
     let mails = |slot: usize| -> usize {
-        run.waiting.iter().filter(|call| call.slot == slot).map(|call| call.letters.len()).sum()
+        run.waiting.iter().filter(|call| call.slot == slot).map(|call| call.mails.len()).sum()
     };
     assert_eq!([mails(0), mails(1)], [10, 10]);
     assert!(run.waiting.len() > 2, "a call is split by size");
@@ -467,9 +476,9 @@
         let offer = Offer {
             id: text(&format!("m{i}")),
             key: Bytes::new(),
-            item: text("7f3a"),
+            order_key: text("7f3a"),
             class: text(class),
-            dest: i as u64 % 3,
+            destination: i as u64 % 3,
             lifetime: Duration::from_secs(4),
             body: vec![b'x'; 9].into(),
         };
@@ -477,8 +486,8 @@
     }
     run.turn();
     for call in std::mem::take(&mut run.waiting) {
-        let letters = call.letters.clone();
-        run.in_flight.extend(run.exchange.begin(&call, letters));
+        let mails = call.mails.clone();
+        run.in_flight.extend(run.exchange.begin(&call, mails));
     }
     assert!(run.in_flight.len() > 3 && run.exchange.in_hand() > run.in_flight.len());
     assert_eq!(run.exchange.audit(), Vec::<String>::new());
@@ -554,17 +563,17 @@
     );
     assert_reported(&mut with_one_endpoint(), "a call begins before a told wait is over", |run| {
         let calls = submit_and_take_calls(run, "once", 2);
-        assert_eq!(run.exchange.begin(&calls[0], calls[0].letters.clone()).len(), 1);
+        assert_eq!(run.exchange.begin(&calls[0], calls[0].mails.clone()).len(), 1);
         assert!(run.exchange.spoil("a told wait"));
-        run.exchange.begin(&calls[1], calls[1].letters.clone());
+        run.exchange.begin(&calls[1], calls[1].mails.clone());
     });
     assert_reported(&mut with_one_endpoint(), "a call begins with a connect that is not out", |run| {
         let calls = submit_and_take_calls(run, "once", 1);
-        (0..2).for_each(|_| drop(run.exchange.begin(&calls[0], calls[0].letters.clone())));
+        (0..2).for_each(|_| drop(run.exchange.begin(&calls[0], calls[0].mails.clone())));
     });
     assert_reported(&mut with_calls_in_flight(), "an outcome came for a connect that is not out", |run| {
         let serial = run.in_flight[0].serial;
-        (0..2).for_each(|_| run.exchange.seen(serial, Seen::only(Outcome::Broken)));
+        (0..2).for_each(|_| run.exchange.connect_ended(serial, ConnectReport::of(Outcome::Broken)));
     });
 }
 
