--- a/crates/courier/src/exchange.rs
+++ b/crates/courier/src/exchange.rs
@@ -458,9 +458,9 @@
             owed.first_run = owed.first_run.or(out);
             // Guards against a clock that was set back: how long ago that was cannot be known.
             owed.first_run = owed.first_run.map(|(at, zone)| (if at > now { 0 } else { at }, zone));
-            if out.is_some() && !owed.item.is_empty() {
-                self.rests.push((owed.item.clone(), now));
-                self.append_record(&Record::KeyInFlight { item: &owed.item, since: now });
+            if out.is_some() && !owed.order_key.is_empty() {
+                self.rests.push((owed.order_key.clone(), now));
+                self.append_record(&Record::KeyInFlight { order_key: &owed.order_key, since: now });
             }
             self.ids.insert(owed.id.clone(), serial);
             match owed.verdict {
@@ -472,7 +472,8 @@
                 None => {
                     self.open += 1;
                     let next = keys.len() as u64;
-                    let key = self.is_ordered(&owed).then(|| *keys.entry(owed.item.clone()).or_insert(next));
+                    let key =
+                        self.is_ordered(&owed).then(|| *keys.entry(owed.order_key.clone()).or_insert(next));
                     let importance = self.classes.classes[usize::from(owed.class)].importance;
                     mails.push(backlog::Mail { serial, importance, due: owed.deadline, key });
                 }
@@ -494,7 +495,7 @@
 
     /// Whether a mail keeps its order among those of its key.
     fn is_ordered(&self, owed: &OwedMail) -> bool {
-        !owed.item.is_empty() && self.classes.classes[usize::from(owed.class)].ordered
+        !owed.order_key.is_empty() && self.classes.classes[usize::from(owed.class)].ordered
     }
 
     /// What an earlier process took on and is to be offered by now goes to the module.
@@ -517,7 +518,7 @@
             mail,
             destination: self.destinations.intern(owed.destination),
             class,
-            key: ordered.then(|| self.order_keys.intern(owed.item.clone())),
+            key: ordered.then(|| self.order_keys.intern(owed.order_key.clone())),
             submitted_at: owed.submitted_at,
             deadline: owed.deadline,
             connects_used: owed.connects as usize,
@@ -544,7 +545,7 @@
         let owed = OwedMail {
             id: offer.id,
             key: offer.key,
-            item: if ordered { offer.order_key } else { Bytes::new() },
+            order_key: if ordered { offer.order_key } else { Bytes::new() },
             class: class as u16,
             terms: self.classes.terms[class].clone(),
             destination: offer.destination,
@@ -569,7 +570,7 @@
         log::debug!("message {id} taken on as {serial}, {} ms", lifetime / 10);
         self.ids.insert(owed.id.clone(), serial);
         // Guards against a mail that overtakes one of its key which an earlier process took on.
-        let same = |old: u64| self.owed.get(&old).is_some_and(|old| old.item == owed.item);
+        let same = |old: u64| self.owed.get(&old).is_some_and(|old| old.order_key == owed.order_key);
         if self.is_ordered(&owed) && self.backlog.waiting().any(same) {
             self.submit_backlog(Time::MAX);
         }
@@ -901,8 +902,8 @@
             let sent = owed.in_flight.take();
             if sent.is_some() {
                 owed.first_run = owed.first_run.or(sent.filter(|_| ran));
-                if rests && !owed.item.is_empty() {
-                    self.rests.push((owed.item.clone(), now));
+                if rests && !owed.order_key.is_empty() {
+                    self.rests.push((owed.order_key.clone(), now));
                 }
                 self.append_record(&Record::ConnectEnded {
                     serial,
--- a/crates/courier/src/journal.rs
+++ b/crates/courier/src/journal.rs
@@ -78,7 +78,7 @@
     } else {
         accepted_class
     };
-    restored.ordered |= owed.terms.effect.is_none() && !owed.item.is_empty();
+    restored.ordered |= owed.terms.effect.is_none() && !owed.order_key.is_empty();
     if classes.len() >= MAX_CLASSES {
         restored.effect = Effect::OnceOnly;
     }
@@ -120,7 +120,7 @@
     /// The idempotency key; empty if there is none.
     pub key: Bytes,
     /// The ordering key, in a queue class that keeps mails in order; empty if there is none.
-    pub item: Bytes,
+    pub order_key: Bytes,
     /// Index of its queue class in the decision settings, by the current settings.
     pub class: u16,
     pub terms: ClassTerms,
@@ -174,7 +174,7 @@
         serial: u64,
     },
     KeyInFlight {
-        item: &'a [u8],
+        order_key: &'a [u8],
         since: Time,
     },
     /// The settings' zones, joined by commas. Zone indices in the records that follow refer to this list.
@@ -259,7 +259,7 @@
             out.put_u8(code::ACCEPTED);
             out.put_u64(serial);
             out.put_u64(owed.submitted_at);
-            [&owed.id, &owed.key, &owed.item].into_iter().for_each(|bytes| put_short_bytes(out, bytes));
+            [&owed.id, &owed.key, &owed.order_key].into_iter().for_each(|bytes| put_short_bytes(out, bytes));
             out.put_u16(owed.class);
             let ClassTerms { class, effect, dedup_by_zone, dedup_window, ordered } = &owed.terms;
             put_short_bytes(out, class);
@@ -297,10 +297,10 @@
             out.put_u8(code::SETTLED);
             out.put_u64(serial);
         }
-        Record::KeyInFlight { item, since } => {
+        Record::KeyInFlight { order_key, since } => {
             out.put_u8(code::KEY_IN_FLIGHT);
             out.put_u64(since);
-            put_short_bytes(out, item);
+            put_short_bytes(out, order_key);
         }
         Record::Zones { names } => {
             out.put_u8(code::ZONES);
@@ -316,7 +316,7 @@
 
 /// Upper bound of the bytes that a mail and its verdict take in a compacted file.
 pub fn max_stored_size(owed: &OwedMail) -> u64 {
-    let texts = [&owed.id, &owed.key, &owed.item, &owed.terms.class, &owed.body];
+    let texts = [&owed.id, &owed.key, &owed.order_key, &owed.terms.class, &owed.body];
     (HEADER_SIZE + 104) as u64 + texts.iter().map(|text| text.len() as u64).sum::<u64>()
 }
 
@@ -400,7 +400,8 @@
             code::ACCEPTED_WITHOUT_TIME | code::ACCEPTED_WITHOUT_TERMS | code::ACCEPTED => {
                 let submitted_at =
                     if record_type == code::ACCEPTED_WITHOUT_TIME { 0 } else { fields.u64()? };
-                let (id, key, item) = (fields.short_bytes()?, fields.short_bytes()?, fields.short_bytes()?);
+                let (id, key, order_key) =
+                    (fields.short_bytes()?, fields.short_bytes()?, fields.short_bytes()?);
                 let class = fields.u16()?;
                 let terms =
                     if record_type == code::ACCEPTED { fields.terms()? } else { ClassTerms::default() };
@@ -411,7 +412,7 @@
                 let owed = OwedMail {
                     id,
                     key,
-                    item,
+                    order_key,
                     class,
                     terms,
                     destination,
@@ -439,8 +440,8 @@
                 let owed = self.owed.get_mut(&serial)?;
                 let possible_run = owed.in_flight.take().filter(|_| flags & 1 != 0);
                 owed.first_run = owed.first_run.or(possible_run);
-                if flags & 2 != 0 && !owed.item.is_empty() {
-                    self.keys_in_flight.push((owed.item.clone(), at));
+                if flags & 2 != 0 && !owed.order_key.is_empty() {
+                    self.keys_in_flight.push((owed.order_key.clone(), at));
                 }
             }
             code::GIVEN_UP => {
@@ -631,8 +632,8 @@
             encode(&mut bytes, &Record::GivenUp { serial, verdict });
         }
     }
-    for (item, since) in keys_in_flight {
-        encode(&mut bytes, &Record::KeyInFlight { item, since: *since });
+    for (order_key, since) in keys_in_flight {
+        encode(&mut bytes, &Record::KeyInFlight { order_key, since: *since });
     }
     let path = folder.join(NEW_FILE_NAME);
     // An earlier process may have left an unfinished one.
--- a/crates/courier/tests/crash_points.rs
+++ b/crates/courier/tests/crash_points.rs
@@ -169,20 +169,20 @@
 fn on_a_full_disk_no_mail_is_accepted_no_call_begins_and_no_bounced_mail_is_sent_later() {
     let folder = Folder::new();
     let mut process = process_on_full_disk(&folder);
-    let (sent, told) = process.play(2 * SECOND, Outcome::Relayed);
+    let (sent, ends) = process.play(2 * SECOND, Outcome::Relayed);
     assert!(sent.is_empty(), "a call began without a journal record");
-    assert!(!told.is_empty(), "mails are given up after the maximum number of connects");
+    assert!(!ends.is_empty(), "mails are given up after the maximum number of connects");
     assert_eq!(process.put("more", "once", 1), Answer::Busy);
     drop(process);
     unblock_compaction(&folder);
     let mut next = Process::start(&folder, 100_000, START + 3 * SECOND, None);
     let (sent, _) = next.play(SECOND, Outcome::Relayed);
     assert!(
-        told.iter().any(|(id, _)| sent.contains(id)),
+        ends.iter().any(|(id, _)| sent.contains(id)),
         "a verdict that could not be written is not on file"
     );
     // A client hands in a bounced mail again, so a bounced mail must not be sent from the journal.
-    let twice = told.iter().find(|(id, verdict)| *verdict != Verdict::Dead && sent.contains(id));
+    let twice = ends.iter().find(|(id, verdict)| *verdict != Verdict::Dead && sent.contains(id));
     assert_eq!(twice, None, "bounced, and sent all the same");
 }
 
--- a/crates/courier/tests/journal.rs
+++ b/crates/courier/tests/journal.rs
@@ -10,11 +10,11 @@
 use meadowhold_courier::journal::{Journal, JournalContents, OwedMail, Record, Verdict};
 
 fn owed_mail(id: &str, body: usize) -> OwedMail {
-    let (id, item) = (Bytes::copy_from_slice(id.as_bytes()), Bytes::from_static(b"7f3a"));
+    let (id, order_key) = (Bytes::copy_from_slice(id.as_bytes()), Bytes::from_static(b"7f3a"));
     let body = vec![b'x'; body].into();
     OwedMail {
         id,
-        item,
+        order_key,
         class: 1,
         destination: 7,
         submitted_at: 30_000,
@@ -42,7 +42,7 @@
         Record::ConnectEnded { serial: 2, may_have_run: false, may_still_run: false, at: 610 },
         Record::ConnectStarted { serial: 1, sent: (700, 1) },
         Record::GivenUp { serial: 2, verdict: Verdict::Bounced(250) },
-        Record::KeyInFlight { item: b"99", since: 720 },
+        Record::KeyInFlight { order_key: b"99", since: 720 },
         Record::Settled { serial: 1 },
         Record::GivenUp { serial: 2, verdict: Verdict::Dead },
     ];
@@ -88,7 +88,7 @@
     file.extend(&record);
     let size = file.len();
     let (found, valid_len) = JournalContents::read(&file.into());
-    let old = OwedMail { item: Bytes::new(), submitted_at: 0, connects: 2, ..owed_mail("a1", 3) };
+    let old = OwedMail { order_key: Bytes::new(), submitted_at: 0, connects: 2, ..owed_mail("a1", 3) };
     assert_eq!((valid_len, &found.owed[&9]), (size, &OwedMail { body: Bytes::from_static(b"xyz"), ..old }));
 }
 
--- a/crates/courier/tests/restart.rs
+++ b/crates/courier/tests/restart.rs
@@ -260,17 +260,17 @@
     /// Accepted mails by id, with class and courier.
     taken: BTreeMap<String, (&'static str, usize)>,
     /// Requests that were sent while a planned shutdown closed the connection, by courier.
-    crossed: [usize; 5],
+    interrupted: [usize; 5],
     violations: Vec<String>,
 }
 
 /// A client that sends on its connection until that is closed, and then connects to another courier that is still
-/// announced in `named`.
+/// announced in `announced`.
 fn run_client(
     name: usize,
     listens: &[SocketAddr],
-    named: &[AtomicBool],
-    lost: &[AtomicUsize],
+    announced: &[AtomicBool],
+    kill_counts: &[AtomicUsize],
     until: &AtomicBool,
     observations: &Mutex<Observations>,
 ) {
@@ -283,8 +283,8 @@
         let Some((courier, client, kills, answers)) = &mut open else {
             turn += 1;
             let courier = turn % listens.len();
-            if named[courier].load(Ordering::Relaxed) {
-                let kills = lost[courier].load(Ordering::SeqCst);
+            if announced[courier].load(Ordering::Relaxed) {
+                let kills = kill_counts[courier].load(Ordering::SeqCst);
                 open = Client::connect(listens[courier]).ok().map(|client| (courier, client, kills, 0));
             }
             continue;
@@ -295,7 +295,7 @@
         let response = send_request(client, &put("0", &id, class, &format!("{LONG_LIFETIME},k={id}"), b"x"));
         // A connection cut by a kill, or opened while the courier was down, proves nothing. The counter is odd from just
         // before a kill until the restart; a connection opened in that time proves nothing either.
-        let killed = *kills % 2 == 1 || lost[*courier].load(Ordering::SeqCst) != *kills;
+        let killed = *kills % 2 == 1 || kill_counts[*courier].load(Ordering::SeqCst) != *kills;
         let mut observations = observations.lock().unwrap();
         match response {
             Response::Answer(answer) => {
@@ -309,7 +309,7 @@
             }
             _ if killed => open = None,
             Response::End if *answers > 0 && !again => {
-                observations.crossed[*courier] += 1;
+                observations.interrupted[*courier] += 1;
                 (open, again) = (None, true);
             }
             Response::End | Response::Reset => {
@@ -334,19 +334,20 @@
     let room = |config: &mut Value| config["settings"]["Limits"]["MaxOpen"] = json!(10_000);
     let mut couriers: Vec<Courier> = (0..5).map(|_| Courier::start(&platform, room)).collect();
     let listens: Vec<_> = couriers.iter().map(|courier| courier.listen).collect();
-    let named: Vec<AtomicBool> = (0..5).map(|_| AtomicBool::new(true)).collect();
-    let lost: Vec<AtomicUsize> = (0..5).map(|_| AtomicUsize::new(0)).collect();
+    let announced: Vec<AtomicBool> = (0..5).map(|_| AtomicBool::new(true)).collect();
+    let kill_counts: Vec<AtomicUsize> = (0..5).map(|_| AtomicUsize::new(0)).collect();
     let (over, observations) = (AtomicBool::new(false), Mutex::<Observations>::default());
     thread::scope(|scope| {
         for name in 0..12 {
-            let (listens, named, lost, over, observations) = (&listens, &named, &lost, &over, &observations);
-            scope.spawn(move || run_client(name, listens, named, lost, over, observations));
+            let (listens, announced, kill_counts, over, observations) =
+                (&listens, &announced, &kill_counts, &over, &observations);
+            scope.spawn(move || run_client(name, listens, announced, kill_counts, over, observations));
         }
         let restarts: Vec<_> = couriers
             .iter_mut()
             .enumerate()
             .map(|(i, courier)| {
-                let (named, lost) = (&named[i], &lost[i]);
+                let (announced, kill_counts) = (&announced[i], &kill_counts[i]);
                 scope.spawn(move || {
                     thread::sleep(Duration::from_millis(300 + 400 * i as u64));
                     let asked = Instant::now();
@@ -354,7 +355,7 @@
                     if i % 2 == 0 {
                         courier.signal("-TERM");
                         sleep_until(asked, 300);
-                        named.store(false, Ordering::Relaxed);
+                        announced.store(false, Ordering::Relaxed);
                         if i < 4 {
                             until("exit of the courier", || courier.ended().is_some());
                             assert!(
@@ -363,12 +364,12 @@
                             );
                         }
                     }
-                    lost.fetch_add(usize::from(i % 2 == 1 || i == 4), Ordering::SeqCst);
+                    kill_counts.fetch_add(usize::from(i % 2 == 1 || i == 4), Ordering::SeqCst);
                     courier.kill();
                     thread::sleep(Duration::from_millis(600));
                     courier.restart();
-                    lost.fetch_add(usize::from(i % 2 == 1 || i == 4), Ordering::SeqCst);
-                    named.store(true, Ordering::Relaxed);
+                    kill_counts.fetch_add(usize::from(i % 2 == 1 || i == 4), Ordering::SeqCst);
+                    announced.store(true, Ordering::Relaxed);
                 })
             })
             .collect();
@@ -380,7 +381,7 @@
     }
     let observations = observations.into_inner().unwrap();
     assert_eq!(observations.violations, Vec::<String>::new());
-    assert!(observations.crossed.iter().sum::<usize>() <= 6, "{:?}", observations.crossed);
+    assert!(observations.interrupted.iter().sum::<usize>() <= 6, "{:?}", observations.interrupted);
     assert!(observations.taken.len() > 300, "{}", observations.taken.len());
     let (mut calls, mut ends) = (BTreeMap::<String, usize>::new(), BTreeMap::<String, String>::new());
     for id in endpoints.iter().flat_map(Endpoint::ids) {
