--- a/crates/courier/tests/audit.rs
+++ b/crates/courier/tests/audit.rs
@@ -171,7 +171,7 @@
         }
     }
 
-    fn begin(&mut self) {
+    fn begin_call(&mut self) {
         if self.waiting.is_empty() {
             return;
         }
@@ -186,7 +186,7 @@
         self.in_flight.extend(going);
     }
 
-    fn outcome(&mut self) {
+    fn end_connect(&mut self) {
         if self.in_flight.is_empty() {
             return;
         }
@@ -246,8 +246,8 @@
     fn step(&mut self) {
         match self.rng.u16(..1000) {
             0..250 => self.offer(),
-            250..450 => self.begin(),
-            450..650 => self.outcome(),
+            250..450 => self.begin_call(),
+            450..650 => self.end_connect(),
             650..900 => {
                 self.turn();
                 let time = if self.rng.u8(..50) == 0 { 5000 } else { 30 };
@@ -262,8 +262,8 @@
                 self.exchange.note_received(name.as_bytes(), news);
             }
             960..980 => {
-                let told = self.owed_notices.pop();
-                told.into_iter().for_each(|serial| self.exchange.notice_accepted(serial));
+                let accepted = self.owed_notices.pop();
+                accepted.into_iter().for_each(|serial| self.exchange.notice_accepted(serial));
             }
             980..990 => {
                 let late = self.unanswered.pop();
@@ -357,7 +357,7 @@
 
 #[test]
 fn waits_notes_and_list_changes_apply_to_calls_that_begin_before_the_next_turn() {
-    for told in ["wait", "note", "drain", "gone", "nothing"] {
+    for event in ["wait", "note", "drain", "gone", "nothing"] {
         let mut run = with_one_endpoint();
         let calls = submit_and_take_calls(&mut run, "once", 2);
         let [first, second] = &calls[..] else { panic!("{calls:?}") };
@@ -367,7 +367,7 @@
             serde_json::from_value::<List>(json!({"index": 8, "snapshot": false, "endpoints": [entry]}))
                 .unwrap()
         };
-        match told {
+        match event {
             "wait" => {
                 let wait = Duration::from_secs(1);
                 run.exchange.connect_ended(
@@ -385,9 +385,9 @@
         }
         // Without a turn in between.
         let going = run.exchange.begin(second, second.mails.clone()).len();
-        assert_eq!(going, usize::from(told == "nothing"), "{told}");
+        assert_eq!(going, usize::from(event == "nothing"), "{event}");
         run.turn();
-        assert_eq!((run.exchange.in_hand(), run.exchange.counts.broken), (2, 0), "{told}");
+        assert_eq!((run.exchange.in_hand(), run.exchange.counts.broken), (2, 0), "{event}");
     }
 }
 
@@ -670,10 +670,10 @@
         let one = |_| if rng.bool() { OK } else { replies[rng.usize(..9)].clone() };
         (0..200).map(one).collect()
     };
-    let ends: Vec<Endpoint> = (0..4).map(|_| Endpoint::new(&script(&mut rng))).collect();
+    let endpoints: Vec<Endpoint> = (0..4).map(|_| Endpoint::new(&script(&mut rng))).collect();
     let list = |i: usize, status: &str| {
-        let (kind, dest) = [("single", 7), ("many", 8)][i % 2];
-        platform.list(&format!("e{i}"), ends[i].address, kind, dest, status);
+        let (kind, destination) = [("single", 7), ("many", 8)][i % 2];
+        platform.list(&format!("e{i}"), endpoints[i].address, kind, destination, status);
     };
     (0..4).for_each(|i| list(i, "SERVING"));
     let peer_addresses = [0; 3].map(|_| own_address());
--- a/crates/courier/tests/crash_points.rs
+++ b/crates/courier/tests/crash_points.rs
@@ -52,8 +52,8 @@
         ("late", "turns", &[Outcome::Silent]),
         ("out", "once", &[]),
     ];
-    for (dest, (id, class, outcomes)) in (0..).zip(rows) {
-        assert!(matches!(process.put(id, class, dest), Answer::Taken(_)));
+    for (destination, (id, class, outcomes)) in (0..).zip(rows) {
+        assert!(matches!(process.put(id, class, destination), Answer::Taken(_)));
         owed.insert(id, (journal_size(&folder), usize::MAX));
         for (i, &outcome) in outcomes.iter().enumerate() {
             let call = process.call().unwrap();
@@ -191,8 +191,8 @@
     for torn in [0, 1, 7] {
         let folder = Folder::new();
         let mut process = Process::start(&folder, ALLOWANCE, START, None);
-        for (id, dest) in [("out", 1), ("untried", 2)] {
-            assert!(matches!(process.put(id, "once", dest), Answer::Taken(_)));
+        for (id, destination) in [("out", 1), ("untried", 2)] {
+            assert!(matches!(process.put(id, "once", destination), Answer::Taken(_)));
             if id == "out" {
                 let call = process.call().unwrap();
                 assert!(process.begin(&call));
@@ -322,7 +322,7 @@
                 courier.end();
                 let (calls, notices) = (endpoint.ids(), platform.notices());
                 for id in &taken {
-                    let ends = notices.iter().filter(|(told, _)| told == id).count();
+                    let ends = notices.iter().filter(|(notified, _)| notified == id).count();
                     let runs = calls.iter().filter(|call| *call == id).count();
                     assert!(runs <= 1 && runs + ends > 0, "{id}: {runs} calls, {ends} notices");
                 }
@@ -441,7 +441,7 @@
     let (address, listener) = unresponsive_discovery();
     let mut config = courier.config.clone();
     config["discovery"] = json!(address.to_string());
-    let told = thread::spawn(move || {
+    let notice_server = thread::spawn(move || {
         let mut held = Vec::new();
         for stream in listener.incoming().flatten() {
             let mut reader = std::io::BufReader::new(stream.try_clone().unwrap());
@@ -456,7 +456,7 @@
     });
     courier.reconfigure(&config.to_string());
     assert_eq!(courier.client().put("01", "once", "d=8000"), "+OK");
-    let _held = told.join().unwrap();
+    let _held = notice_server.join().unwrap();
     courier.kill();
     assert_eq!(platform.notices(), []);
     courier.restart();
