--- a/crates/courier/tests/restart.rs
+++ b/crates/courier/tests/restart.rs
@@ -265,7 +265,7 @@
 }
 
 /// A client that sends on its connection until that is closed, and then connects to another courier that is still
-/// announced in `announced`.
+/// announced.
 fn run_client(
     name: usize,
     listens: &[SocketAddr],
