--- a/crates/courier/src/audit.rs
+++ b/crates/courier/src/audit.rs
@@ -1,5 +1,5 @@
-//! The audit: what must hold of a courier's books after a turn, counted another way than they are kept. It
-//! changes nothing and decides nothing; what does not hold comes back in words, and whoever asked counts it.
+//! Consistency checks on a courier's state after a turn: each figure that the courier maintains is counted again in
+//! an independent way. The audit changes nothing; it returns one message for each violation, and the caller counts them.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -8,184 +8,210 @@
 use meadowhold::interface::Time;
 use meadowhold::interner::Interner;
 
-use crate::journal::{weight, Found, Owed};
+use crate::journal::{max_stored_size, JournalContents, OwedMail};
 
-/// In release builds the audit runs after every so-manieth turn: it looks at all mails and all endpoints.
-pub const EVERY: u64 = 256;
+/// In release builds the audit runs once in this many turns only, since it visits all mails and all endpoints.
+pub const INTERVAL_TURNS: u64 = 256;
 
-/// A connect that was asked for and has no outcome yet.
+/// A connect that was requested and has no outcome yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Flight {
-    /// Of its mail.
+pub struct PendingConnect {
+    /// The serial number of its mail.
     pub serial: u64,
     pub endpoint: usize,
-    /// Number of the call that it travels with; calls are numbered from the start of the process.
+    /// The call that it is part of; calls are numbered from the start of the process.
     pub call: u64,
-    /// When it was asked for.
-    pub started: Time,
-    /// Its call's first byte may have gone out.
+    pub requested_at: Time,
+    /// The first byte of its call may have been sent.
     pub begun: bool,
 }
 
-/// What is limited, and told to wait, on its own.
+/// What has a limit of its own and can be told to wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Unit {
-    /// A destination, by its outside number.
-    Dest(u64),
-    /// An endpoint that is a route apart, by its index.
-    Route(usize),
+pub enum LimitScope {
+    /// A destination, by its number in the list.
+    Destination(u64),
+    /// An endpoint of a kind with limits per endpoint, by its index.
+    Endpoint(usize),
 }
 
-/// What is counted beside the books, event by event.
+/// Counters that follow the events, independent of the state that the audit checks against them.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
-    /// Mails that an earlier process had left, and mails of which nothing is owed any more.
-    pub found: u64,
-    pub ended: u64,
-    /// Connects asked for, and outcomes.
-    pub begun: u64,
-    pub landed: u64,
-    /// Until when a unit was told to be left alone.
-    pub held: BTreeMap<Unit, Time>,
-    /// Versions of the list as they came: the last one, and how often it was lower than the one before.
-    pub version: u64,
-    pub went_back: u64,
+pub struct AuditCounters {
+    /// Mails left by an earlier process, and mails that are settled.
+    pub restored: u64,
+    pub settled: u64,
+    /// Connects requested, and connects with an outcome.
+    pub connects_started: u64,
+    pub connects_ended: u64,
+    /// Until when no call may begin within a scope.
+    pub held_until: BTreeMap<LimitScope, Time>,
+    /// The latest list version received, and how often a version was lower than the one before it.
+    pub list_version: u64,
+    pub older_lists: u64,
 }
 
-impl Tally {
-    pub fn listed(&mut self, version: u64) {
-        self.went_back += u64::from(version < self.version);
-        self.version = version;
+impl AuditCounters {
+    pub fn record_list_version(&mut self, version: u64) {
+        self.older_lists += u64::from(version < self.list_version);
+        self.list_version = version;
     }
 
-    pub fn hold(&mut self, unit: Unit, until: Time) {
-        let held = self.held.entry(unit).or_default();
+    pub fn hold(&mut self, scope: LimitScope, until: Time) {
+        let held = self.held_until.entry(scope).or_default();
         *held = until.max(*held);
     }
 
-    pub fn is_held(&self, unit: Unit, now: Time) -> bool {
-        self.held.get(&unit).is_some_and(|&until| now < until)
+    pub fn is_held(&self, scope: LimitScope, now: Time) -> bool {
+        self.held_until.get(&scope).is_some_and(|&until| now < until)
     }
 }
 
-/// The books that are looked at, between two turns: all that was seen has been told to the decisions.
-pub struct Books<'a> {
+/// The state to be audited, taken between two turns, when the decisions have received all events.
+pub struct AuditedState<'a> {
     pub control: &'a Control,
-    pub owed: &'a BTreeMap<u64, Owed>,
+    pub owed: &'a BTreeMap<u64, OwedMail>,
     pub ids: &'a HashMap<Bytes, u64>,
-    pub open: usize,
-    pub flying: &'a [Option<Flight>],
-    pub mails: &'a Interner<u64>,
-    /// The destination of an endpoint, by its outside number.
-    pub groups: &'a dyn Fn(usize) -> u64,
-    /// Bytes that the journal says what is owed takes.
-    pub on_file: u64,
-    pub taken: u64,
-    pub index: u64,
-    pub older: u64,
-    pub tally: &'a Tally,
+    pub unfinished: usize,
+    pub pending: &'a [Option<PendingConnect>],
+    pub mail_indices: &'a Interner<u64>,
+    /// Maps an endpoint index to the number of its destination.
+    pub destination_of: &'a dyn Fn(usize) -> u64,
+    /// Bytes of owed mails, according to the journal.
+    pub journal_bytes: u64,
+    pub accepted: u64,
+    pub list_version: u64,
+    pub older_lists: u64,
+    pub counters: &'a AuditCounters,
 }
 
-struct Faults(Vec<String>);
+struct Findings(Vec<String>);
 
-impl Faults {
-    fn agree(&mut self, what: &str, kept: u64, counted: u64) {
-        if kept != counted {
-            self.0.push(format!("{what}: {kept} kept, {counted} counted"));
+impl Findings {
+    fn expect_equal(&mut self, what: &str, recorded: u64, counted: u64) {
+        if recorded != counted {
+            self.0.push(format!("{what}: {recorded} kept, {counted} counted"));
         }
     }
 
-    fn must(&mut self, holds: bool, words: impl FnOnce() -> String) {
+    fn check(&mut self, holds: bool, message: impl FnOnce() -> String) {
         if !holds {
-            self.0.push(words());
+            self.0.push(message());
         }
     }
 }
 
-/// What does not hold, in words; nothing where all does.
-pub fn faults(books: &Books) -> Vec<String> {
-    let mut faults = Faults(books.control.audit());
-    mails(books, &mut faults);
-    calls(books, &mut faults);
-    faults.agree("version of the list", books.index, books.tally.version);
-    faults.agree("lists of a lower version", books.older, books.tally.went_back);
+/// Returns one message for each violation; none if the state is consistent.
+pub fn find_faults(state: &AuditedState) -> Vec<String> {
+    let mut faults = Findings(state.control.audit());
+    check_mails(state, &mut faults);
+    check_calls(state, &mut faults);
+    faults.expect_equal("list version", state.list_version, state.counters.list_version);
+    faults.expect_equal("lists with a lower version", state.older_lists, state.counters.older_lists);
     faults.0
 }
 
-/// Each mail that was taken has ended or is in hand, once, and on file.
-fn mails(books: &Books, faults: &mut Faults) {
-    let Books { control, owed, ids, tally, .. } = books;
-    let known = tally.found + books.taken;
-    faults.agree("mails taken and found", known, tally.ended + owed.len() as u64);
-    let open = owed.values().filter(|owed| owed.verdict.is_none()).count();
-    faults.agree("mails without an end", books.open as u64, open as u64);
-    faults.agree("mails without an end, by the decisions", control.open_mails() as u64, open as u64);
-    faults.agree("indices of mails", books.mails.len() as u64, control.mail_indices_in_use() as u64);
-    faults.agree("ids of mails in hand", ids.len() as u64, owed.len() as u64);
+/// Each accepted mail is either settled, or held exactly once and on file.
+fn check_mails(state: &AuditedState, faults: &mut Findings) {
+    let AuditedState { control, owed, ids, counters, .. } = state;
+    let total = counters.restored + state.accepted;
+    faults.expect_equal("mails accepted and restored", total, counters.settled + owed.len() as u64);
+    let unfinished = owed.values().filter(|owed| owed.verdict.is_none()).count();
+    faults.expect_equal("mails not given up", state.unfinished as u64, unfinished as u64);
+    faults.expect_equal(
+        "mails not given up, in the decisions",
+        control.open_mails() as u64,
+        unfinished as u64,
+    );
+    faults.expect_equal(
+        "mail indices",
+        state.mail_indices.len() as u64,
+        control.mail_indices_in_use() as u64,
+    );
+    faults.expect_equal("ids of owed mails", ids.len() as u64, owed.len() as u64);
     for (serial, owed) in *owed {
-        faults.must(ids.get(&owed.id) == Some(serial), || format!("mail {serial} is not known by its id"));
+        faults.check(ids.get(&owed.id) == Some(serial), || format!("mail {serial} is not found by its id"));
     }
-    faults.agree("bytes owed on file", books.on_file, owed.values().map(weight).sum());
+    faults.expect_equal(
+        "journal bytes of owed mails",
+        state.journal_bytes,
+        owed.values().map(max_stored_size).sum(),
+    );
 }
 
-/// Each connect that is out has its slot, its call, its record and an endpoint of its mail's destination.
-fn calls(books: &Books, faults: &mut Faults) {
-    let Books { control, owed, tally, .. } = books;
-    let out = || books.flying.iter().enumerate().filter_map(|(mail, flight)| Some((mail, flight.as_ref()?)));
-    faults.agree("connects out", out().count() as u64, tally.begun - tally.landed.min(tally.begun));
-    faults.agree("mails of calls out", control.mails_in_flight() as u64, out().count() as u64);
-    // The slot of each call, and how many slots an endpoint and all have.
+/// Each pending connect has a slot, a call, a journal record if it has begun, and an endpoint of its mail's destination.
+fn check_calls(state: &AuditedState, faults: &mut Findings) {
+    let AuditedState { control, owed, counters, .. } = state;
+    let pending =
+        || state.pending.iter().enumerate().filter_map(|(mail, connect)| Some((mail, connect.as_ref()?)));
+    faults.expect_equal(
+        "pending connects",
+        pending().count() as u64,
+        counters.connects_started - counters.connects_ended.min(counters.connects_started),
+    );
+    faults.expect_equal(
+        "mails of calls in flight",
+        control.mails_in_flight() as u64,
+        pending().count() as u64,
+    );
+    // The endpoint of each slot, and the slot of each call.
     let mut slots: BTreeMap<usize, usize> = BTreeMap::new();
-    let mut carried_by: BTreeMap<u64, usize> = BTreeMap::new();
+    let mut slot_of_call: BTreeMap<u64, usize> = BTreeMap::new();
     let mut recorded = 0;
-    for (mail, flight) in out() {
-        let &Flight { serial, endpoint, call, begun, .. } = flight;
-        let indexed = books.mails.id(mail) == Some(&serial);
-        faults.must(indexed, || format!("mail {serial} is out and its index is another's"));
-        let record = owed.get(&serial).map(|owed| owed.out.is_some());
+    for (mail, connect) in pending() {
+        let &PendingConnect { serial, endpoint, call, begun, .. } = connect;
+        let indexed = state.mail_indices.id(mail) == Some(&serial);
+        faults.check(indexed, || format!("mail {serial} is in flight and its index belongs to another mail"));
+        let record = owed.get(&serial).map(|owed| owed.in_flight.is_some());
         recorded += usize::from(record == Some(true));
-        faults.must(record.is_none_or(|record| record == begun), || {
-            let words = if begun { "out without a record" } else { "on record as out and not begun" };
-            format!("mail {serial} is {words}")
+        faults.check(record.is_none_or(|record| record == begun), || {
+            let state =
+                if begun { "in flight without a record" } else { "recorded as in flight but has not begun" };
+            format!("mail {serial} is {state}")
+        });
+        let actual = (state.destination_of)(endpoint);
+        let expected = owed.get(&serial).map_or(actual, |owed| owed.destination);
+        faults.check(actual == expected, || {
+            format!("mail {serial} of destination {expected} is in flight to destination {actual}")
         });
-        let (to, of) =
-            ((books.groups)(endpoint), owed.get(&serial).map_or((books.groups)(endpoint), |o| o.dest));
-        faults.must(to == of, || format!("mail {serial} of destination {of} is out to destination {to}"));
         let Some((slot, at)) = control.call_of(mail) else {
-            faults.0.push(format!("mail {serial} is out and the decisions do not know it"));
+            faults.0.push(format!("mail {serial} is in flight but not in the decisions"));
             continue;
         };
-        faults.must(at == endpoint, || format!("mail {serial} is out to endpoint {endpoint}, not {at}"));
+        faults
+            .check(at == endpoint, || format!("mail {serial} is in flight to endpoint {endpoint}, not {at}"));
         slots.insert(slot, at);
-        // A call may be cut in two by its size; two are never made one.
-        let carrier = *carried_by.entry(call).or_insert(slot);
-        faults.must(carrier == slot, || format!("call {call} carries mails of slots {carrier} and {slot}"));
+        // A slot may have several calls, as a call is split by size; a call never has several slots.
+        let first_slot = *slot_of_call.entry(call).or_insert(slot);
+        faults.check(first_slot == slot, || {
+            format!("call {call} carries mails of slots {first_slot} and {slot}")
+        });
     }
-    let marked = owed.values().filter(|owed| owed.out.is_some()).count();
-    faults.agree("records of connects out", marked as u64, recorded as u64);
-    faults.agree("slots of connects out", control.slots_taken() as u64, slots.len() as u64);
-    let mut at: BTreeMap<usize, u64> = BTreeMap::new();
-    slots.values().for_each(|&endpoint| *at.entry(endpoint).or_default() += 1);
-    for (endpoint, calls) in at {
-        faults.agree("slots of an endpoint", control.calls_in_flight(endpoint) as u64, calls);
+    let in_flight = owed.values().filter(|owed| owed.in_flight.is_some()).count();
+    faults.expect_equal("records of connects in flight", in_flight as u64, recorded as u64);
+    faults.expect_equal("slots of pending connects", control.slots_taken() as u64, slots.len() as u64);
+    let mut calls_at: BTreeMap<usize, u64> = BTreeMap::new();
+    slots.values().for_each(|&endpoint| *calls_at.entry(endpoint).or_default() += 1);
+    for (endpoint, calls) in calls_at {
+        faults.expect_equal("calls at an endpoint", control.calls_in_flight(endpoint) as u64, calls);
     }
-    let twice = out().map(|(_, flight)| flight.serial).collect::<BTreeSet<_>>().len();
-    faults.agree("mails out", out().count() as u64, twice as u64);
+    let distinct = pending().map(|(_, connect)| connect.serial).collect::<BTreeSet<_>>().len();
+    faults.expect_equal("mails in flight", pending().count() as u64, distinct as u64);
 }
 
-/// Where the file does not say of the mails in hand what the books say.
-pub fn file_faults(owed: &BTreeMap<u64, Owed>, found: &Found) -> Vec<String> {
-    let mut faults = Faults(Vec::new());
-    faults.agree("mails on file", found.owed.len() as u64, owed.len() as u64);
+/// Returns one message for each owed mail of which the journal file and the state in memory disagree.
+pub fn find_file_faults(owed: &BTreeMap<u64, OwedMail>, journal: &JournalContents) -> Vec<String> {
+    let mut faults = Findings(Vec::new());
+    faults.expect_equal("mails on file", journal.owed.len() as u64, owed.len() as u64);
     for (serial, owed) in owed {
-        let Some(filed) = found.owed.get(serial) else {
+        let Some(on_file) = journal.owed.get(serial) else {
             faults.0.push(format!("mail {serial} is not on file"));
             continue;
         };
-        // After a restart the file still says "out" of what the books say "may have run" of.
-        let told = |owed: &Owed| (owed.connects, owed.verdict, owed.ran.or(owed.out));
-        let same = told(owed) == told(filed) && owed.terms == filed.terms;
-        faults.must(same, || format!("mail {serial} is otherwise on file"));
+        // After a restart the file still has a connect in flight that the state has as one that may have run.
+        let state = |owed: &OwedMail| (owed.connects, owed.verdict, owed.first_run.or(owed.in_flight));
+        let same = state(owed) == state(on_file) && owed.terms == on_file.terms;
+        faults.check(same, || format!("mail {serial} differs from its record on file"));
     }
     faults.0
 }
--- a/crates/courier/src/exchange.rs
+++ b/crates/courier/src/exchange.rs
@@ -20,10 +20,13 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::Notify;
 
-use crate::audit::{self, Books, Flight, Tally};
+use crate::audit::{self, AuditCounters, AuditedState, PendingConnect};
 use crate::discovery::{List, Listener};
 use crate::entries::Update;
-use crate::journal::{held_as, weight, Found, Journal, Owed, Record, Sent, Terms, Verdict, NO_ZONE};
+use crate::journal::{
+    class_for_restored, max_stored_size, ClassTerms, Journal, JournalContents, OwedMail, Record, Sent,
+    Verdict, UNKNOWN_ZONE,
+};
 use crate::memory::{deployment, Keeper};
 use crate::numbers::Classes;
 use crate::{http, must};
@@ -262,10 +265,10 @@
     /// Endpoints by their index in `endpoint_names`.
     endpoints: Vec<EndpointState>,
     /// Connects in flight, by the index of their mail.
-    connects_out: Vec<Option<Flight>>,
+    connects_out: Vec<Option<PendingConnect>>,
     /// Units that are to be left alone by inputs that the decision module has not read yet.
-    paused_units: Vec<audit::Unit>,
-    owed: BTreeMap<u64, Owed>,
+    paused_units: Vec<audit::LimitScope>,
+    owed: BTreeMap<u64, OwedMail>,
     ids: HashMap<Bytes, u64>,
     rests: Vec<(Bytes, Time)>,
     /// Restored mails that have not been submitted to the decision module yet.
@@ -293,7 +296,7 @@
     index: u64,
     in_force: u64,
     /// Independent counts for the audit.
-    tally: Tally,
+    tally: AuditCounters,
     pub counts: Counts,
     /// The version of the settings in force, and rejected ones.
     pub versions: Versions,
@@ -338,10 +341,10 @@
     fn zone(&mut self, text: &str) -> usize {
         let zone = normalized_name(text);
         let at = self.zones.iter().position(|known| *known == zone).unwrap_or(self.zones.len());
-        if at == self.zones.len() && at < usize::from(NO_ZONE) {
+        if at == self.zones.len() && at < usize::from(UNKNOWN_ZONE) {
             self.zones.push(zone);
         }
-        at.min(usize::from(NO_ZONE))
+        at.min(usize::from(UNKNOWN_ZONE))
     }
 
     /// Reads the limit from a load report.
@@ -357,7 +360,7 @@
 impl Exchange {
     pub fn new(
         decoded: Decoded,
-        (journal, found): (Journal, Found),
+        (journal, found): (Journal, JournalContents),
         orders: UnboundedSender<Order>,
         notices: UnboundedSender<Notice>,
         notes: Option<UnboundedSender<(Bytes, PeerNote)>>,
@@ -369,7 +372,7 @@
     pub fn with_clock(
         clock: Clock,
         decoded: Decoded,
-        (journal, mut found): (Journal, Found),
+        (journal, mut found): (Journal, JournalContents),
         orders: UnboundedSender<Order>,
         notices: UnboundedSender<Notice>,
         notes: Option<UnboundedSender<(Bytes, PeerNote)>>,
@@ -384,19 +387,20 @@
             mut kinds,
             ..
         } = decoded;
-        let current: Vec<Terms> =
-            classes.iter().zip(&settings.classes).map(|(name, class)| Terms::new(name, class)).collect();
+        let current: Vec<ClassTerms> =
+            classes.iter().zip(&settings.classes).map(|(name, class)| ClassTerms::new(name, class)).collect();
         let mut terms = current.clone();
         for owed in found.owed.values_mut() {
-            owed.class = held_as(owed, &current, &mut settings.classes);
+            owed.class = class_for_restored(owed, &current, &mut settings.classes);
             let more = settings.classes.iter().skip(terms.len());
-            let more = more.map(|class| Terms { class: owed.terms.class.clone(), ..Terms::new("", class) });
+            let more = more
+                .map(|class| ClassTerms { class: owed.terms.class.clone(), ..ClassTerms::new("", class) });
             terms.extend(more.collect::<Vec<_>>());
         }
         let by_name = classes.into_iter().enumerate().map(|(i, class)| (Bytes::from(class), i)).collect();
         // The decision module has at least one kind.
         kinds.resize(settings.kinds.len(), String::new());
-        let (folder, allowance) = journal.place();
+        let (folder, allowance) = journal.location();
         let mut exchange = Exchange {
             keeper: Keeper::new(folder, allowance, deployment),
             names: NameTable {
@@ -444,7 +448,7 @@
             notes,
             index: 0,
             in_force: 0,
-            tally: Tally { found: found.owed.len() as u64, ..Tally::default() },
+            tally: AuditCounters { restored: found.owed.len() as u64, ..AuditCounters::default() },
             counts: Counts::default(),
             versions: Versions::default(),
         };
@@ -454,14 +458,14 @@
 
     /// Restores the mails of an earlier process, in the order of acceptance, or by importance and then
     /// deadline.
-    fn restore(&mut self, mut found: Found) {
+    fn restore(&mut self, mut found: JournalContents) {
         let now = self.clock.now();
         // If zones are named or numbered differently now, the zone of an earlier connect is unknown. A repeat
         // must not go to a zone where its key is not known.
         let zones = Bytes::from(self.names.zones.join(","));
         let known = found.zones == zones;
         if !known {
-            found.owed.values_mut().for_each(Owed::forget_zones);
+            found.owed.values_mut().for_each(OwedMail::clear_zones);
         }
         // Zone numbers that are not in the journal are not used: connects are then recorded without a zone.
         if known || self.append_record(&Record::Zones { names: &zones }) {
@@ -469,16 +473,16 @@
         }
         let mut mails = Vec::with_capacity(found.owed.len());
         let mut keys: HashMap<Bytes, u64> = HashMap::new();
-        self.rests = found.rests;
+        self.rests = found.keys_in_flight;
         for (serial, mut owed) in found.owed {
             // A connect in flight when the process ended may have run, and may still be running.
-            let out = owed.out.take();
-            owed.ran = owed.ran.or(out);
+            let out = owed.in_flight.take();
+            owed.first_run = owed.first_run.or(out);
             // If the clock was set back, the time of the connect is unknown.
-            owed.ran = owed.ran.map(|(at, zone)| (if at > now { 0 } else { at }, zone));
-            if out.is_some() && !owed.item.is_empty() {
-                self.rests.push((owed.item.clone(), now));
-                self.append_record(&Record::Rest { item: &owed.item, since: now });
+            owed.first_run = owed.first_run.map(|(at, zone)| (if at > now { 0 } else { at }, zone));
+            if out.is_some() && !owed.order_key.is_empty() {
+                self.rests.push((owed.order_key.clone(), now));
+                self.append_record(&Record::KeyInFlight { order_key: &owed.order_key, since: now });
             }
             self.ids.insert(owed.id.clone(), serial);
             match owed.verdict {
@@ -490,9 +494,10 @@
                 None => {
                     self.open_mails += 1;
                     let next = keys.len() as u64;
-                    let key = self.is_ordered(&owed).then(|| *keys.entry(owed.item.clone()).or_insert(next));
+                    let key =
+                        self.is_ordered(&owed).then(|| *keys.entry(owed.order_key.clone()).or_insert(next));
                     let importance = self.classes.classes[usize::from(owed.class)].importance;
-                    mails.push(backlog::Mail { serial, importance, deadline: owed.due, key });
+                    mails.push(backlog::Mail { serial, importance, deadline: owed.deadline, key });
                 }
             }
             self.owed.insert(serial, owed);
@@ -511,8 +516,8 @@
     }
 
     /// Whether a mail is kept in order with the others of its key.
-    fn is_ordered(&self, owed: &Owed) -> bool {
-        !owed.item.is_empty() && self.classes.classes[usize::from(owed.class)].ordered
+    fn is_ordered(&self, owed: &OwedMail) -> bool {
+        !owed.order_key.is_empty() && self.classes.classes[usize::from(owed.class)].ordered
     }
 
     /// Submits the restored mails that are due by now to the decision module.
@@ -527,19 +532,19 @@
     }
 
     /// Submits a mail to the decision module.
-    fn submit(&mut self, serial: u64, owed: &Owed) {
+    fn submit(&mut self, serial: u64, owed: &OwedMail) {
         let class = usize::from(owed.class);
         let ordered = self.is_ordered(owed);
         let mail = self.mail_serials.intern(serial);
         self.inputs.push(Input::AcceptedMail(AcceptedMail {
             mail,
-            destination: self.destinations.intern(owed.dest),
+            destination: self.destinations.intern(owed.destination),
             class,
-            key: ordered.then(|| self.order_keys.intern(owed.item.clone())),
-            submitted_at: owed.since,
-            deadline: owed.due,
+            key: ordered.then(|| self.order_keys.intern(owed.order_key.clone())),
+            submitted_at: owed.submitted_at,
+            deadline: owed.deadline,
             connects_used: owed.connects as usize,
-            first_run: owed.ran.map(|(at, zone)| (at, usize::from(zone))),
+            first_run: owed.first_run.map(|(at, zone)| (at, usize::from(zone))),
         }));
         self.notify.notify_one();
     }
@@ -559,35 +564,35 @@
             return Answer::Known;
         }
         let ordered = self.classes.classes[class].ordered && offer.order_key.iter().any(|&b| b != b'0');
-        let owed = Owed {
+        let owed = OwedMail {
             id: offer.id,
             key: offer.key,
-            item: if ordered { offer.order_key } else { Bytes::new() },
+            order_key: if ordered { offer.order_key } else { Bytes::new() },
             class: class as u16,
             terms: self.classes.terms[class].clone(),
-            dest: offer.destination,
-            since: self.clock.now(),
-            due: self.clock.now() + to_time(offer.lifetime),
+            destination: offer.destination,
+            submitted_at: self.clock.now(),
+            deadline: self.clock.now() + to_time(offer.lifetime),
             body: offer.body,
-            ..Owed::default()
+            ..OwedMail::default()
         };
         let serial = self.next_serial;
-        log::debug!("mail {serial} of class {class} for destination {} received", owed.dest);
+        log::debug!("mail {serial} of class {class} for destination {} received", owed.destination);
         if self.open_mails >= self.max_open
-            || self.control.would_reject(dest, class, owed.due)
+            || self.control.would_reject(dest, class, owed.deadline)
             || !self.journal.has_room(&owed)
-            || !self.append_record(&Record::Taken { serial, owed: &owed })
+            || !self.append_record(&Record::Accepted { serial, owed: &owed })
         {
             self.counts.busy += 1;
             return Answer::Busy;
         }
         self.next_serial += 1;
         self.counts.taken += 1;
-        let (id, lifetime) = (String::from_utf8_lossy(&owed.id), owed.due - owed.since);
+        let (id, lifetime) = (String::from_utf8_lossy(&owed.id), owed.deadline - owed.submitted_at);
         log::debug!("message {id} accepted as mail {serial}, lifetime {} ms", lifetime / 10);
         self.ids.insert(owed.id.clone(), serial);
         // A restored mail of the same key must not be overtaken.
-        let same = |old: u64| self.owed.get(&old).is_some_and(|old| old.item == owed.item);
+        let same = |old: u64| self.owed.get(&old).is_some_and(|old| old.order_key == owed.order_key);
         if self.is_ordered(&owed) && self.backlog.waiting().any(same) {
             self.submit_backlog(Time::MAX);
         }
@@ -662,7 +667,7 @@
 
     /// Appends a record to the journal; false if it could not be written.
     fn append_record(&mut self, record: &Record) -> bool {
-        if self.journal.is_grown(record) {
+        if self.journal.needs_compaction(record) {
             self.drop_elapsed_rests();
             self.counts.compactions += 1;
             if let Err(e) = self.journal.compact(&self.owed, &self.rests) {
@@ -693,11 +698,11 @@
         // Recorded before the mail is removed. Otherwise a compaction triggered by this record would write a
         // journal with a record of a mail that it does not contain. If the record cannot be written the mail
         // is restored after a restart, as one that may have run.
-        self.append_record(&Record::Over { serial });
+        self.append_record(&Record::Settled { serial });
         if let Some(owed) = self.owed.remove(&serial) {
             self.ids.remove(&owed.id);
-            self.tally.ended += 1;
-            self.journal.shrink(weight(&owed));
+            self.tally.settled += 1;
+            self.journal.release(max_stored_size(&owed));
             self.open_mails -= usize::from(owed.verdict.is_none());
         }
     }
@@ -772,7 +777,7 @@
             log::warn!("list version {} is lower than the earlier version {}", list.index, self.index);
         }
         self.index = list.index;
-        self.tally.listed(list.index);
+        self.tally.record_list_version(list.index);
         self.endpoints.iter_mut().filter(|_| list.whole).for_each(|peer| peer.ready = false);
         self.keeper.take_up(list);
         self.inputs.push(Input::ListBegin { complete: list.whole });
@@ -794,7 +799,7 @@
                 Some(endpoint) => endpoint,
             };
             let incarnation = self.next_incarnation;
-            let on_file = if zone < self.names.zones_in_journal { zone as u16 } else { NO_ZONE };
+            let on_file = if zone < self.names.zones_in_journal { zone as u16 } else { UNKNOWN_ZONE };
             let (zone_on_file, kind_of) = (on_file, kind as u32);
             let new = EndpointState {
                 incarnation,
@@ -838,9 +843,9 @@
     /// Until when the last byte of a mail's call may be sent. A repeat must arrive while its key is still
     /// known, counted from the first connect that may have run, also across a wait for a connection or a
     /// restart.
-    fn send_deadline(&self, owed: &Owed) -> Time {
+    fn send_deadline(&self, owed: &OwedMail) -> Time {
         let class = &self.classes.classes[usize::from(owed.class)];
-        match (owed.ran, class.effect) {
+        match (owed.first_run, class.effect) {
             (None, _) | (_, Effect::Redeliverable) => Time::MAX,
             (Some((sent, _)), Effect::Tagged) => sent.saturating_add(class.dedup_window),
             (Some(_), Effect::OnceOnly) => 0,
@@ -866,10 +871,10 @@
             let owed = self.owed.contains_key(&serial);
             // A mail may have expired while its call waited for a connection.
             let in_time = now < carried.until.min(carried.latest);
-            if may && owed && in_time && self.append_record(&Record::Out { serial, sent }) {
+            if may && owed && in_time && self.append_record(&Record::ConnectStarted { serial, sent }) {
                 let owed = self.owed.get_mut(&serial);
                 owed.into_iter().for_each(|owed| {
-                    owed.out = Some(sent);
+                    owed.in_flight = Some(sent);
                     owed.connects += 1;
                 });
                 let flight =
@@ -902,12 +907,13 @@
         let now = self.clock.now();
         let mail = self.mail_serials.get(&serial);
         let started = mail.and_then(|mail| self.connects_out.get_mut(mail)?.take());
-        let (Some(mail), Some(Flight { endpoint, started, .. })) = (mail, started) else {
+        let (Some(mail), Some(PendingConnect { endpoint, requested_at: started, .. })) = (mail, started)
+        else {
             must!(self.counts.broken, false, "an outcome came for a connect that is not out");
             return;
         };
         let ConnectReport { outcome, finished, retry_after, load, reused_connection } = report;
-        self.tally.landed += 1;
+        self.tally.connects_ended += 1;
         if retry_after > Duration::ZERO {
             let unit = self.unit(endpoint);
             self.paused_units.push(unit);
@@ -918,13 +924,18 @@
         if finished {
             self.finish(serial);
         } else if let Some(owed) = self.owed.get_mut(&serial) {
-            let sent = owed.out.take();
+            let sent = owed.in_flight.take();
             if sent.is_some() {
-                owed.ran = owed.ran.or(sent.filter(|_| ran));
-                if rests && !owed.item.is_empty() {
-                    self.rests.push((owed.item.clone(), now));
+                owed.first_run = owed.first_run.or(sent.filter(|_| ran));
+                if rests && !owed.order_key.is_empty() {
+                    self.rests.push((owed.order_key.clone(), now));
                 }
-                self.append_record(&Record::Back { serial, ran, rests, at: now });
+                self.append_record(&Record::ConnectEnded {
+                    serial,
+                    may_have_run: ran,
+                    may_still_run: rests,
+                    at: now,
+                });
             }
         }
         log::debug!(
@@ -980,7 +991,7 @@
                 }
                 Action::FreeEndpoint(endpoint) => {
                     let left = std::mem::take(&mut self.endpoints[endpoint].incarnation);
-                    self.tally.held.remove(&audit::Unit::Route(endpoint));
+                    self.tally.held_until.remove(&audit::LimitScope::Endpoint(endpoint));
                     let _ = self.orders.send(Order::CloseIdle(left));
                     self.endpoint_names.release(endpoint);
                 }
@@ -1005,7 +1016,7 @@
             log::trace!(target: IN_FORCE, "list {} is in force", self.index);
         }
         self.turns += 1;
-        if cfg!(debug_assertions) || self.turns.is_multiple_of(audit::EVERY) {
+        if cfg!(debug_assertions) || self.turns.is_multiple_of(audit::INTERVAL_TURNS) {
             for fault in self.audit() {
                 must!(self.counts.broken, false, "the audit found: {fault}");
             }
@@ -1015,29 +1026,29 @@
     }
 
     /// The unit of limits and waits that an endpoint belongs to.
-    fn unit(&self, endpoint: usize) -> audit::Unit {
+    fn unit(&self, endpoint: usize) -> audit::LimitScope {
         let peer = &self.endpoints[endpoint];
         match self.limited_alone.get((peer.kind as usize).min(self.limited_alone.len() - 1)) {
-            Some(true) => audit::Unit::Route(endpoint),
-            _ => audit::Unit::Dest(peer.destination),
+            Some(true) => audit::LimitScope::Endpoint(endpoint),
+            _ => audit::LimitScope::Destination(peer.destination),
         }
     }
 
     /// Checks the invariants between two turns and describes each violation.
     pub fn audit(&self) -> Vec<String> {
-        audit::faults(&Books {
+        audit::find_faults(&AuditedState {
             control: &self.control,
             owed: &self.owed,
             ids: &self.ids,
-            open: self.open_mails,
-            flying: &self.connects_out,
-            mails: &self.mail_serials,
-            groups: &|endpoint| self.endpoints[endpoint].destination,
-            on_file: self.journal.live(),
-            taken: self.counts.taken,
-            index: self.index,
-            older: self.counts.older,
-            tally: &self.tally,
+            unfinished: self.open_mails,
+            pending: &self.connects_out,
+            mail_indices: &self.mail_serials,
+            destination_of: &|endpoint| self.endpoints[endpoint].destination,
+            journal_bytes: self.journal.owed_bytes(),
+            accepted: self.counts.taken,
+            list_version: self.index,
+            older_lists: self.counts.older,
+            counters: &self.tally,
         })
     }
 
@@ -1049,24 +1060,24 @@
         let first = self.owed.keys().next().copied();
         match (what, flight, first) {
             ("taken", ..) => self.counts.taken += 1,
-            ("ended", ..) => self.tally.ended += 1,
+            ("ended", ..) => self.tally.settled += 1,
             ("open mails", ..) => self.open_mails += 1,
             ("an id", _, Some(first)) => {
                 let id = self.owed[&first].id.clone();
                 self.ids.insert(id, first + 1);
             }
             ("one id more", ..) => drop(self.ids.insert(Bytes::from_static(b"none"), 0)),
-            ("bytes on file", ..) => self.journal.shrink(1),
+            ("bytes on file", ..) => self.journal.release(1),
             ("an index of a mail", ..) => drop(self.mail_serials.intern(u64::MAX)),
-            ("an outcome", ..) => self.tally.landed += 1,
+            ("an outcome", ..) => self.tally.connects_ended += 1,
             ("a connect lost", Some(mail), _) => self.connects_out[mail] = None,
             ("a record lost", Some(mail), _) => {
                 let serial = self.connects_out[mail].map_or(0, |flight| flight.serial);
-                self.owed.get_mut(&serial).into_iter().for_each(|owed| owed.out = None);
+                self.owed.get_mut(&serial).into_iter().for_each(|owed| owed.in_flight = None);
             }
             ("a record too many", _, Some(_)) => {
-                let parked = self.owed.values_mut().find(|owed| owed.out.is_none());
-                parked.into_iter().for_each(|owed| owed.out = Some((1, 0)));
+                let parked = self.owed.values_mut().find(|owed| owed.in_flight.is_none());
+                parked.into_iter().for_each(|owed| owed.in_flight = Some((1, 0)));
             }
             ("an endpoint", Some(mail), _) => {
                 let other = |e: usize| if e == 0 { 1 } else { 0 };
@@ -1096,8 +1107,8 @@
     }
 
     /// Describes each difference between the mails in hand and those in the journal.
-    pub fn audit_file(&self, found: &Found) -> Vec<String> {
-        audit::file_faults(&self.owed, found)
+    pub fn audit_file(&self, found: &JournalContents) -> Vec<String> {
+        audit::find_file_faults(&self.owed, found)
     }
 
     /// Adds a connect to this turn's call in the same slot, or starts a new call if that one is full.
@@ -1118,10 +1129,10 @@
             self.connects_out.resize(mail + 1, None);
         }
         must!(self.counts.broken, self.connects_out[mail].is_none(), "a mail has two connects in flight");
-        self.tally.begun += 1;
+        self.tally.connects_started += 1;
         log::debug!(
             "mail {serial} for destination {}: connect to endpoint {endpoint}, timeout {}",
-            owed.dest,
+            owed.destination,
             until - self.last_turn
         );
         let carried = CallMail {
@@ -1130,7 +1141,7 @@
             key: owed.key.clone(),
             body: owed.body.clone(),
             until,
-            due: owed.due,
+            due: owed.deadline,
             latest: self.send_deadline(owed),
         };
         let peer = &self.endpoints[endpoint];
@@ -1153,7 +1164,7 @@
         }
         let call = self.counts.calls + at as u64;
         self.connects_out[mail] =
-            Some(Flight { serial, endpoint, call, started: self.last_turn, begun: false });
+            Some(PendingConnect { serial, endpoint, call, requested_at: self.last_turn, begun: false });
     }
 
     fn give_up(&mut self, mail: usize, verdict: Verdict) {
@@ -1166,9 +1177,9 @@
         };
         must!(self.counts.broken, owed.verdict.is_none(), "a mail was given up twice");
         owed.verdict = Some(verdict);
-        self.journal.shrink(owed.body.len() as u64);
+        self.journal.release(owed.body.len() as u64);
         owed.body.clear();
-        let (id, dest, left) = (owed.id.clone(), owed.dest, owed.due.saturating_sub(now));
+        let (id, dest, left) = (owed.id.clone(), owed.destination, owed.deadline.saturating_sub(now));
         self.open_mails -= 1;
         self.counts.given_up += 1;
         // A mail that is handed back may be submitted elsewhere, so a later process must not send it too:
--- a/crates/courier/src/journal.rs
+++ b/crates/courier/src/journal.rs
@@ -1,6 +1,6 @@
-//! The journal: what a courier has taken on, on file, so that it outlasts the process.
-//! One file of records, each with its length and checksum; what does not add up ends the reading. When it
-//! has grown, a file with only what is still owed takes its place by a rename.
+//! The journal: an append-only file of the mails that a courier has accepted, so that they survive the process.
+//! Each record has a length and a checksum; reading stops at the first invalid record. When the file has grown,
+//! it is compacted: a new file with only the mails still owed replaces it by a rename.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -11,298 +11,319 @@
 use bytes::{Buf, BufMut, Bytes};
 use meadowhold::interface::{Effect, QueueClass, Time};
 
-use crate::files::{may_pass, Files, System};
+use crate::files::{is_transient, FileSystem, OsFileSystem};
 
-/// A send: when, and to which zone, by its place among those of the settings.
+/// The time of a send and its zone, as an index into the zones of the settings.
 pub type Sent = (Time, u16);
 
-/// A zone of which no later process can say which one it is: no endpoint is in it.
-pub const NO_ZONE: u16 = u16::MAX;
+/// Stands for a zone that a later process cannot identify. It matches no endpoint.
+pub const UNKNOWN_ZONE: u16 = u16::MAX;
 
-/// What goes to the platform about a mail that was given up.
+/// What the platform is told of a mail that was given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     Dead,
-    /// With a time to come back, in tenths of a millisecond; 0: none named.
+    /// With the time to wait before a retry, in tenths of a millisecond; 0 if none is given.
     Bounced(Time),
 }
 
-/// What a mail was taken on with, by the settings of then. Guards against a folder that other settings left: a
-/// place in their list of classes says nothing by today's.
+/// The rules of a mail's queue class when the mail was accepted. They are stored with the mail because a class
+/// index written under earlier settings may mean another class, or none, under the current ones.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Terms {
-    /// The name of its class.
+pub struct ClassTerms {
+    /// The class name.
     pub class: Bytes,
-    /// `None`: on file before that was noted.
+    /// `None` if written by a version that did not store it.
     pub effect: Option<Effect>,
-    pub by_zone: bool,
-    pub window: Time,
-    pub in_turn: bool,
+    pub dedup_by_zone: bool,
+    pub dedup_window: Time,
+    pub ordered: bool,
 }
 
-impl Terms {
-    pub fn new(name: &str, class: &QueueClass) -> Terms {
-        let QueueClass { effect, dedup_by_zone: by_zone, dedup_window: window, ordered: in_turn, .. } =
-            *class;
+impl ClassTerms {
+    pub fn new(name: &str, class: &QueueClass) -> ClassTerms {
+        let QueueClass { effect, dedup_by_zone, dedup_window, ordered, .. } = *class;
         let class = Bytes::copy_from_slice(name.as_bytes());
-        Terms { class, effect: Some(effect), by_zone, window, in_turn }
+        ClassTerms { class, effect: Some(effect), dedup_by_zone, dedup_window, ordered }
     }
 }
 
-/// So many classes of the module at most stand for what other settings left. Guards against a file of nothing
-/// but classes, by a fault of ours or another's hand.
-pub const MOST_CLASSES: usize = 4096;
-
-/// The module's class by which a mail of an earlier process is held: today's of the same name, if that allows no
-/// more than what the mail was taken on with, else one more that allows only what both do. `today`: what the
-/// settings' classes stand for, the first of `classes`.
-pub fn held_as(owed: &Owed, today: &[Terms], classes: &mut Vec<QueueClass>) -> u16 {
-    let own = &owed.terms;
-    let named = match own.effect {
-        Some(_) => today.iter().position(|terms| terms.class == own.class),
-        None => Some(usize::from(owed.class)).filter(|&class| class < today.len()),
+/// Upper limit on queue classes, including those added for mails accepted under earlier settings. Bounds memory
+/// use if the journal names an unlimited number of classes, through a bug or tampering.
+pub const MAX_CLASSES: usize = 4096;
+
+/// The index in `classes` of the queue class for a mail restored from the journal: the current class of the same
+/// name if it is no more permissive than the rules the mail was accepted under, else an additional class that
+/// permits only what both do. `current` holds the rules of the settings' own classes, which come first in `classes`.
+pub fn class_for_restored(owed: &OwedMail, current: &[ClassTerms], classes: &mut Vec<QueueClass>) -> u16 {
+    let accepted = &owed.terms;
+    let same_name = match accepted.effect {
+        Some(_) => current.iter().position(|terms| terms.class == accepted.class),
+        None => Some(usize::from(owed.class)).filter(|&class| class < current.len()),
     };
-    let alike = || today.iter().position(|terms| terms.effect == own.effect).unwrap_or_default();
-    // What a delay costs, and the like, is today's.
-    let base = classes[named.unwrap_or_else(alike)].clone();
-    // Guards against a second run of what was taken on when nobody noted what a repeat would do.
-    let effect = own.effect.unwrap_or(Effect::OnceOnly);
-    let own = QueueClass {
+    let same_effect = || current.iter().position(|terms| terms.effect == accepted.effect).unwrap_or_default();
+    // Importance, target delay and lifetime are those of the current class.
+    let base = classes[same_name.unwrap_or_else(same_effect)].clone();
+    // If the effect was not stored, a repeat may do harm: the mail is sent once only.
+    let effect = accepted.effect.unwrap_or(Effect::OnceOnly);
+    let accepted_class = QueueClass {
         effect,
-        dedup_by_zone: own.by_zone,
-        dedup_window: own.window,
-        ordered: own.in_turn,
+        dedup_by_zone: accepted.dedup_by_zone,
+        dedup_window: accepted.dedup_window,
+        ordered: accepted.ordered,
         ..base
     };
-    let mut held = if named.is_some() { stricter(&own, &base, owed.key.is_empty()) } else { own };
-    held.ordered |= owed.terms.effect.is_none() && !owed.item.is_empty();
-    if classes.len() >= MOST_CLASSES {
-        held.effect = Effect::OnceOnly;
+    let mut restored = if same_name.is_some() {
+        stricter_of(&accepted_class, &base, owed.key.is_empty())
+    } else {
+        accepted_class
+    };
+    restored.ordered |= owed.terms.effect.is_none() && !owed.order_key.is_empty();
+    if classes.len() >= MAX_CLASSES {
+        restored.effect = Effect::OnceOnly;
     }
-    if held.effect != Effect::Tagged {
-        (held.dedup_by_zone, held.dedup_window) = (base.dedup_by_zone, base.dedup_window);
+    if restored.effect != Effect::Tagged {
+        (restored.dedup_by_zone, restored.dedup_window) = (base.dedup_by_zone, base.dedup_window);
     }
     let rules =
         |c: &QueueClass| (c.effect, c.dedup_by_zone, c.dedup_window, c.ordered, c.target_delay, c.lifetime);
     let worth = |c: &QueueClass| (c.importance, c.expiry_importance);
-    let same = |c: &QueueClass| rules(c) == rules(&held) && worth(c) == worth(&held);
-    let at = classes.iter().position(same).unwrap_or(classes.len());
-    if at == classes.len() {
-        classes.push(held);
+    let same = |c: &QueueClass| rules(c) == rules(&restored) && worth(c) == worth(&restored);
+    let index = classes.iter().position(same).unwrap_or(classes.len());
+    if index == classes.len() {
+        classes.push(restored);
     }
-    at as u16
+    index as u16
 }
 
-/// What both classes allow of a mail.
-fn stricter(a: &QueueClass, b: &QueueClass, keyless: bool) -> QueueClass {
-    let in_turn = a.ordered || b.ordered;
+/// The class that permits only what both classes permit.
+fn stricter_of(a: &QueueClass, b: &QueueClass, without_key: bool) -> QueueClass {
+    let ordered = a.ordered || b.ordered;
     match (a.effect, b.effect) {
         (Effect::Tagged, Effect::Tagged) => {
-            let (by_zone, window) = (a.dedup_by_zone || b.dedup_by_zone, a.dedup_window.min(b.dedup_window));
-            QueueClass { dedup_by_zone: by_zone, dedup_window: window, ordered: in_turn, ..a.clone() }
+            let (dedup_by_zone, dedup_window) =
+                (a.dedup_by_zone || b.dedup_by_zone, a.dedup_window.min(b.dedup_window));
+            QueueClass { dedup_by_zone, dedup_window, ordered, ..a.clone() }
         }
-        // Guards against repeats of what was taken on without a key.
-        (Effect::Tagged, Effect::Redeliverable) | (Effect::Redeliverable, Effect::Tagged) if keyless => {
-            QueueClass { effect: Effect::OnceOnly, ordered: in_turn, ..a.clone() }
+        // Without an idempotency key an endpoint cannot detect a repeat.
+        (Effect::Tagged, Effect::Redeliverable) | (Effect::Redeliverable, Effect::Tagged) if without_key => {
+            QueueClass { effect: Effect::OnceOnly, ordered, ..a.clone() }
         }
-        (x, y) => QueueClass { ordered: in_turn, ..if x as u8 >= y as u8 { a } else { b }.clone() },
+        (x, y) => QueueClass { ordered, ..if x as u8 >= y as u8 { a } else { b }.clone() },
     }
 }
 
-/// A mail that is owed its end. Times are by the system's clock, in tenths of a millisecond.
+/// An accepted mail that is not settled yet. Times are by the system clock, in tenths of a millisecond.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Owed {
+pub struct OwedMail {
     pub id: Bytes,
-    /// The idempotency key; empty: none.
+    /// The idempotency key; empty if there is none.
     pub key: Bytes,
-    /// What the mail is about, in a queue class that keeps its order; empty: nothing.
-    pub item: Bytes,
-    /// The module's class for it, by today's settings.
+    /// The ordering key, in a queue class that keeps mails in order; empty if there is none.
+    pub order_key: Bytes,
+    /// Index of its queue class in the decision settings, by the current settings.
     pub class: u16,
-    pub terms: Terms,
-    pub dest: u64,
-    /// When it was handed in; 0: on file before that was noted.
-    pub since: Time,
-    pub due: Time,
+    pub terms: ClassTerms,
+    pub destination: u64,
+    /// When the client handed it in; 0 if written by a version that did not store it.
+    pub submitted_at: Time,
+    pub deadline: Time,
     pub body: Bytes,
     pub connects: u32,
     /// The first connect that may have run.
-    pub ran: Option<Sent>,
-    /// A connect that is out.
-    pub out: Option<Sent>,
-    /// Given up: only the notice is owed.
+    pub first_run: Option<Sent>,
+    /// The connect without an outcome yet.
+    pub in_flight: Option<Sent>,
+    /// Set once the mail is given up: only the notice is still owed.
     pub verdict: Option<Verdict>,
 }
 
-impl Owed {
-    /// Its sends were to zones of which nothing is known any more.
-    pub fn forget_zones(&mut self) {
-        [&mut self.ran, &mut self.out].into_iter().flatten().for_each(|sent| sent.1 = NO_ZONE);
+impl OwedMail {
+    /// Marks the zones of its sends as unknown.
+    pub fn clear_zones(&mut self) {
+        [&mut self.first_run, &mut self.in_flight]
+            .into_iter()
+            .flatten()
+            .for_each(|sent| sent.1 = UNKNOWN_ZONE);
     }
 }
 
 #[derive(Debug, PartialEq)]
 pub enum Record<'a> {
-    Taken {
+    Accepted {
         serial: u64,
-        owed: &'a Owed,
+        owed: &'a OwedMail,
     },
-    Out {
+    ConnectStarted {
         serial: u64,
         sent: Sent,
     },
-    /// The connect that was out has an outcome; `ran`: it may have run. `rests`: it may be running still.
-    Back {
+    /// The connect in flight has an outcome. `may_have_run`: the endpoint may have acted on it. `may_still_run`: it
+    /// may still be doing so.
+    ConnectEnded {
         serial: u64,
-        ran: bool,
-        rests: bool,
+        may_have_run: bool,
+        may_still_run: bool,
         at: Time,
     },
     GivenUp {
         serial: u64,
         verdict: Verdict,
     },
-    Over {
+    Settled {
         serial: u64,
     },
-    Rest {
-        item: &'a [u8],
+    KeyInFlight {
+        order_key: &'a [u8],
         since: Time,
     },
-    /// The settings' zones, by whose places sends name theirs from here on; joined by commas.
+    /// The settings' zones, joined by commas. Zone indices in the records that follow refer to this list.
     Zones {
         names: &'a [u8],
     },
 }
 
-/// What a journal held at its opening.
+/// The state that the records of a journal add up to.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Found {
-    pub owed: BTreeMap<u64, Owed>,
-    /// Keys of which a connect may be running still, and since when.
-    pub rests: Vec<(Bytes, Time)>,
-    /// The zones by whose places sends name theirs.
+pub struct JournalContents {
+    pub owed: BTreeMap<u64, OwedMail>,
+    /// Ordering keys for which a connect may still be running, each with the time from which the ordering gap counts.
+    pub keys_in_flight: Vec<(Bytes, Time)>,
+    /// The zones, joined by commas, that zone indices refer to.
     pub zones: Bytes,
 }
 
-const NAME: &str = "journal";
-const FRESH: &str = "journal.new";
-const LOCK: &str = "lock";
+const FILE_NAME: &str = "journal";
+const NEW_FILE_NAME: &str = "journal.new";
+const LOCK_FILE_NAME: &str = "lock";
 const MAGIC: &[u8] = b"meadowhold journal 1\n";
-const HEADER: usize = 8;
-const BLOCK: u64 = 512;
-/// Parts of the allowance, in hundredths: what is owed may take so much, the file grows to so much before
-/// it is written anew. For that moment both files stand there; `memory` has what is beyond the two.
-const OWED_PART: u64 = 34;
-const FILE_PART: u64 = 44;
+/// Record types by their number on file. 1 and 7 were written by earlier versions and are only read.
+mod code {
+    pub const ACCEPTED_WITHOUT_TIME: u8 = 1;
+    pub const CONNECT_STARTED: u8 = 2;
+    pub const CONNECT_ENDED: u8 = 3;
+    pub const GIVEN_UP: u8 = 4;
+    pub const SETTLED: u8 = 5;
+    pub const KEY_IN_FLIGHT: u8 = 6;
+    pub const ACCEPTED_WITHOUT_TERMS: u8 = 7;
+    pub const ACCEPTED: u8 = 8;
+    pub const ZONES: u8 = 9;
+}
+
+const HEADER_SIZE: usize = 8;
+const BLOCK_SIZE: u64 = 512;
+/// Shares of the allowance in per cent: what the owed mails may take, and the size at which the file is compacted.
+/// During compaction both files exist; the file `memory` may use what the two leave.
+const OWED_PERCENT: u64 = 34;
+const FILE_PERCENT: u64 = 44;
 
 pub struct Journal {
     folder: PathBuf,
-    files: Rc<dyn Files>,
-    /// Held for as long as the journal is open. None: it could not be made yet, and nothing is written before.
+    files: Rc<dyn FileSystem>,
+    /// Held while the journal is open. `None` if it could not be created yet; nothing is written before it is.
     lock: Option<File>,
-    /// None: it could not be written at the start, and is as soon as a record is to be noted and there is room.
+    /// `None` if it could not be written at the start; the next record to be written tries again.
     file: Option<File>,
     size: u64,
     allowance: u64,
-    /// Bytes that the mails owed would take in a fresh file.
-    live: u64,
-    /// What the file says of zones.
+    /// Bytes that the owed mails would take after compaction.
+    owed_bytes: u64,
+    /// The zones last written to the file.
     zones: Bytes,
-    /// Part of a record may stand behind the file's last whole one.
-    torn: bool,
+    /// The file may end in part of a record.
+    has_partial_tail: bool,
     buffer: Vec<u8>,
 }
 
-/// Effects by their number on file.
+/// Effects, indexed by their number on file.
 const EFFECTS: [Option<Effect>; 4] =
     [None, Some(Effect::Redeliverable), Some(Effect::Tagged), Some(Effect::OnceOnly)];
 
-fn short(out: &mut Vec<u8>, bytes: &[u8]) {
+fn put_short_bytes(out: &mut Vec<u8>, bytes: &[u8]) {
     out.put_u16(bytes.len() as u16);
     out.extend_from_slice(bytes);
 }
 
-fn maybe(out: &mut Vec<u8>, sent: Option<Sent>) {
+fn put_optional_sent(out: &mut Vec<u8>, sent: Option<Sent>) {
     out.put_u8(u8::from(sent.is_some()));
     let (at, zone) = sent.unwrap_or_default();
     out.put_u64(at);
     out.put_u16(zone);
 }
 
-fn write(out: &mut Vec<u8>, record: &Record) {
+fn encode(out: &mut Vec<u8>, record: &Record) {
     let start = out.len();
-    out.extend_from_slice(&[0; HEADER]);
+    out.extend_from_slice(&[0; HEADER_SIZE]);
     match *record {
-        Record::Taken { serial, owed } => {
-            out.put_u8(8);
+        Record::Accepted { serial, owed } => {
+            out.put_u8(code::ACCEPTED);
             out.put_u64(serial);
-            out.put_u64(owed.since);
-            [&owed.id, &owed.key, &owed.item].into_iter().for_each(|bytes| short(out, bytes));
+            out.put_u64(owed.submitted_at);
+            [&owed.id, &owed.key, &owed.order_key].into_iter().for_each(|bytes| put_short_bytes(out, bytes));
             out.put_u16(owed.class);
-            let Terms { class, effect, by_zone, window, in_turn } = &owed.terms;
-            short(out, class);
+            let ClassTerms { class, effect, dedup_by_zone, dedup_window, ordered } = &owed.terms;
+            put_short_bytes(out, class);
             out.put_u8(EFFECTS.iter().position(|known| known == effect).unwrap_or(0) as u8);
-            out.put_u8(u8::from(*by_zone) | u8::from(*in_turn) << 1);
-            out.put_u64(*window);
-            out.put_u64(owed.dest);
-            out.put_u64(owed.due);
+            out.put_u8(u8::from(*dedup_by_zone) | u8::from(*ordered) << 1);
+            out.put_u64(*dedup_window);
+            out.put_u64(owed.destination);
+            out.put_u64(owed.deadline);
             out.put_u32(owed.connects);
-            maybe(out, owed.ran);
-            maybe(out, owed.out);
+            put_optional_sent(out, owed.first_run);
+            put_optional_sent(out, owed.in_flight);
             out.extend_from_slice(&owed.body);
         }
-        Record::Out { serial, sent } => {
-            out.put_u8(2);
+        Record::ConnectStarted { serial, sent } => {
+            out.put_u8(code::CONNECT_STARTED);
             out.put_u64(serial);
             out.put_u64(sent.0);
             out.put_u16(sent.1);
         }
-        Record::Back { serial, ran, rests, at } => {
-            out.put_u8(3);
+        Record::ConnectEnded { serial, may_have_run, may_still_run, at } => {
+            out.put_u8(code::CONNECT_ENDED);
             out.put_u64(serial);
-            out.put_u8(u8::from(ran) | u8::from(rests) << 1);
+            out.put_u8(u8::from(may_have_run) | u8::from(may_still_run) << 1);
             out.put_u64(at);
         }
         Record::GivenUp { serial, verdict } => {
-            out.put_u8(4);
+            out.put_u8(code::GIVEN_UP);
             out.put_u64(serial);
             match verdict {
                 Verdict::Dead => out.put_u64(u64::MAX),
                 Verdict::Bounced(wait) => out.put_u64(wait),
             }
         }
-        Record::Over { serial } => {
-            out.put_u8(5);
+        Record::Settled { serial } => {
+            out.put_u8(code::SETTLED);
             out.put_u64(serial);
         }
-        Record::Rest { item, since } => {
-            out.put_u8(6);
+        Record::KeyInFlight { order_key, since } => {
+            out.put_u8(code::KEY_IN_FLIGHT);
             out.put_u64(since);
-            short(out, item);
+            put_short_bytes(out, order_key);
         }
         Record::Zones { names } => {
-            out.put_u8(9);
+            out.put_u8(code::ZONES);
             out.put_u64(0);
             out.extend_from_slice(names);
         }
     }
-    let length = (out.len() - start - HEADER) as u32;
-    let sum = crc32fast::hash(&out[start + HEADER..]);
+    let length = (out.len() - start - HEADER_SIZE) as u32;
+    let checksum = crc32fast::hash(&out[start + HEADER_SIZE..]);
     out[start..start + 4].copy_from_slice(&length.to_be_bytes());
-    out[start + 4..start + HEADER].copy_from_slice(&sum.to_be_bytes());
+    out[start + 4..start + HEADER_SIZE].copy_from_slice(&checksum.to_be_bytes());
 }
 
-/// What a mail takes in a fresh file, with its verdict, at most.
-pub fn weight(owed: &Owed) -> u64 {
-    let texts = [&owed.id, &owed.key, &owed.item, &owed.terms.class, &owed.body];
-    (HEADER + 104) as u64 + texts.iter().map(|text| text.len() as u64).sum::<u64>()
+/// Upper bound of the bytes that a mail and its verdict take in a compacted file.
+pub fn max_stored_size(owed: &OwedMail) -> u64 {
+    let texts = [&owed.id, &owed.key, &owed.order_key, &owed.terms.class, &owed.body];
+    (HEADER_SIZE + 104) as u64 + texts.iter().map(|text| text.len() as u64).sum::<u64>()
 }
 
-/// Reads fields off the front of a record; `None` where it is too short.
-struct Fields(Bytes);
+/// Reads fields from the front of a record; `None` if it is too short.
+struct FieldReader(Bytes);
 
-impl Fields {
+impl FieldReader {
     fn u8(&mut self) -> Option<u8> {
         self.0.try_get_u8().ok()
     }
@@ -319,101 +340,124 @@
         self.0.try_get_u64().ok()
     }
 
-    fn short(&mut self) -> Option<Bytes> {
+    fn short_bytes(&mut self) -> Option<Bytes> {
         let length = usize::from(self.u16()?);
         (length <= self.0.len()).then(|| self.0.split_to(length))
     }
 
-    fn terms(&mut self) -> Option<Terms> {
-        let (class, effect, flags) = (self.short()?, self.u8()?, self.u8()?);
+    fn terms(&mut self) -> Option<ClassTerms> {
+        let (class, effect, flags) = (self.short_bytes()?, self.u8()?, self.u8()?);
         let effect = *EFFECTS.get(usize::from(effect))?;
-        Some(Terms { class, effect, by_zone: flags & 1 != 0, in_turn: flags & 2 != 0, window: self.u64()? })
+        Some(ClassTerms {
+            class,
+            effect,
+            dedup_by_zone: flags & 1 != 0,
+            ordered: flags & 2 != 0,
+            dedup_window: self.u64()?,
+        })
     }
 
-    fn maybe(&mut self) -> Option<Option<Sent>> {
-        let is = self.u8()? != 0;
+    fn optional_sent(&mut self) -> Option<Option<Sent>> {
+        let is_present = self.u8()? != 0;
         let sent = (self.u64()?, self.u16()?);
-        Some(is.then_some(sent))
+        Some(is_present.then_some(sent))
     }
 }
 
-impl Found {
-    /// What a folder's journal says, and how many of its last bytes cannot be read.
-    pub fn load(folder: &Path) -> io::Result<(Found, usize)> {
-        let bytes = Bytes::from(fs::read(folder.join(NAME))?);
-        let (found, good) = Found::read(&bytes);
-        Ok((found, bytes.len() - good))
+impl JournalContents {
+    /// Reads a folder's journal. Also returns the number of bytes at its end that cannot be read.
+    pub fn load(folder: &Path) -> io::Result<(JournalContents, usize)> {
+        let bytes = Bytes::from(fs::read(folder.join(FILE_NAME))?);
+        let (contents, valid_len) = JournalContents::read(&bytes);
+        Ok((contents, bytes.len() - valid_len))
     }
 
-    /// What the bytes of a journal say, up to the first that do not add up; and how many those are.
-    pub fn read(bytes: &Bytes) -> (Found, usize) {
-        let mut found = Found::default();
+    /// Reads a journal up to the first invalid record. Also returns the length of the valid part.
+    pub fn read(bytes: &Bytes) -> (JournalContents, usize) {
+        let mut contents = JournalContents::default();
         if !bytes.starts_with(MAGIC) {
-            return (found, 0);
+            return (contents, 0);
         }
-        let mut at = MAGIC.len();
-        while let Some(mut header) = bytes.get(at..at + HEADER) {
-            let (length, sum) = (header.get_u32() as usize, header.get_u32());
-            let Some(end) = (at + HEADER).checked_add(length).filter(|&end| end <= bytes.len()) else {
+        let mut offset = MAGIC.len();
+        while let Some(mut header) = bytes.get(offset..offset + HEADER_SIZE) {
+            let (length, checksum) = (header.get_u32() as usize, header.get_u32());
+            let Some(end) = (offset + HEADER_SIZE).checked_add(length).filter(|&end| end <= bytes.len())
+            else {
                 break;
             };
-            let record = bytes.slice(at + HEADER..end);
-            if crc32fast::hash(&record) != sum || found.apply(Fields(record)).is_none() {
+            let record = bytes.slice(offset + HEADER_SIZE..end);
+            if crc32fast::hash(&record) != checksum || contents.apply(FieldReader(record)).is_none() {
                 break;
             }
-            at = end;
+            offset = end;
         }
-        (found, at)
-    }
-
-    fn apply(&mut self, mut f: Fields) -> Option<()> {
-        let (code, serial) = (f.u8()?, f.u64()?);
-        match code {
-            // The first two are how earlier versions had it.
-            1 | 7 | 8 => {
-                let since = if code == 1 { 0 } else { f.u64()? };
-                let (id, key, item) = (f.short()?, f.short()?, f.short()?);
-                let class = f.u16()?;
-                let terms = if code == 8 { f.terms()? } else { Terms::default() };
-                let (dest, due, connects) = (f.u64()?, f.u64()?, f.u32()?);
-                let (ran, out) = (f.maybe()?, f.maybe()?);
-                let body = f.0;
+        (contents, offset)
+    }
+
+    fn apply(&mut self, mut fields: FieldReader) -> Option<()> {
+        let (record_type, serial) = (fields.u8()?, fields.u64()?);
+        match record_type {
+            code::ACCEPTED_WITHOUT_TIME | code::ACCEPTED_WITHOUT_TERMS | code::ACCEPTED => {
+                let submitted_at =
+                    if record_type == code::ACCEPTED_WITHOUT_TIME { 0 } else { fields.u64()? };
+                let (id, key, order_key) =
+                    (fields.short_bytes()?, fields.short_bytes()?, fields.short_bytes()?);
+                let class = fields.u16()?;
+                let terms =
+                    if record_type == code::ACCEPTED { fields.terms()? } else { ClassTerms::default() };
+                let (destination, deadline, connects) = (fields.u64()?, fields.u64()?, fields.u32()?);
+                let (first_run, in_flight) = (fields.optional_sent()?, fields.optional_sent()?);
+                let body = fields.0;
                 let verdict = None;
-                let owed =
-                    Owed { id, key, item, class, terms, dest, since, due, body, connects, ran, out, verdict };
+                let owed = OwedMail {
+                    id,
+                    key,
+                    order_key,
+                    class,
+                    terms,
+                    destination,
+                    submitted_at,
+                    deadline,
+                    body,
+                    connects,
+                    first_run,
+                    in_flight,
+                    verdict,
+                };
                 self.owed.insert(serial, owed);
             }
-            2 => {
-                let sent = (f.u64()?, f.u16()?);
+            code::CONNECT_STARTED => {
+                let sent = (fields.u64()?, fields.u16()?);
                 let owed = self.owed.get_mut(&serial)?;
-                // Guards against a second restart that forgets the first: what was out then may have run.
-                let lost = owed.out.replace(sent);
-                owed.ran = owed.ran.or(lost);
+                // A connect left in flight by an earlier process may have run. A new one must not hide that, also
+                // after several restarts.
+                let unresolved = owed.in_flight.replace(sent);
+                owed.first_run = owed.first_run.or(unresolved);
                 owed.connects += 1;
             }
-            3 => {
-                let (flags, at) = (f.u8()?, f.u64()?);
+            code::CONNECT_ENDED => {
+                let (flags, at) = (fields.u8()?, fields.u64()?);
                 let owed = self.owed.get_mut(&serial)?;
-                let sent = owed.out.take().filter(|_| flags & 1 != 0);
-                owed.ran = owed.ran.or(sent);
-                if flags & 2 != 0 && !owed.item.is_empty() {
-                    self.rests.push((owed.item.clone(), at));
+                let possible_run = owed.in_flight.take().filter(|_| flags & 1 != 0);
+                owed.first_run = owed.first_run.or(possible_run);
+                if flags & 2 != 0 && !owed.order_key.is_empty() {
+                    self.keys_in_flight.push((owed.order_key.clone(), at));
                 }
             }
-            4 => {
-                let wait = f.u64()?;
+            code::GIVEN_UP => {
+                let wait = fields.u64()?;
                 let verdict = if wait == u64::MAX { Verdict::Dead } else { Verdict::Bounced(wait) };
                 self.owed.get_mut(&serial)?.verdict = Some(verdict);
             }
-            // Guards against a whole record that speaks of a mail which is not there, as 0.2.0 could leave one:
-            // it would hide all that follows.
-            5 => drop(self.owed.remove(&serial)),
-            // The place of the serial holds the time.
-            6 => self.rests.push((f.short()?, serial)),
-            9 => {
-                let before = std::mem::replace(&mut self.zones, f.0);
-                if before != self.zones {
-                    self.owed.values_mut().for_each(Owed::forget_zones);
+            // An unknown mail is no error here: version 0.2.0 could leave such a record, and rejecting it would hide
+            // all records after it.
+            code::SETTLED => drop(self.owed.remove(&serial)),
+            // This record has the time in place of the serial.
+            code::KEY_IN_FLIGHT => self.keys_in_flight.push((fields.short_bytes()?, serial)),
+            code::ZONES => {
+                let previous = std::mem::replace(&mut self.zones, fields.0);
+                if previous != self.zones {
+                    self.owed.values_mut().for_each(OwedMail::clear_zones);
                 }
             }
             _ => return None,
@@ -423,168 +467,180 @@
 }
 
 impl Journal {
-    /// Opens the folder's journal, or a new one, and tells what it held. It is written anew at once, so that
-    /// a torn tail is gone.
+    /// Opens the folder's journal, or creates one, and returns its contents. The file is compacted at once, which
+    /// also removes a partial record at its end.
     ///
     /// # Errors
-    /// Where what it holds cannot be read, another courier has it open, or the folder cannot be had for good. One whose
-    /// disk is full, or fails, is opened all the same: nothing is taken on before it can be written.
-    pub fn open(folder: &Path, allowance: u64) -> io::Result<(Journal, Found)> {
-        Journal::open_with(Rc::new(System), folder, allowance)
-    }
-
-    /// The same on files of a test's own.
-    pub fn open_with(files: Rc<dyn Files>, folder: &Path, allowance: u64) -> io::Result<(Journal, Found)> {
-        let lock = passing(take_lock(&*files, folder))?;
-        let bytes = match files.read(&folder.join(NAME)) {
+    /// If the file cannot be read, another courier has it open, or the folder is unusable for a permanent reason. If
+    /// the disk is full or fails, the journal still opens, and no mail is accepted until it can be written.
+    pub fn open(folder: &Path, allowance: u64) -> io::Result<(Journal, JournalContents)> {
+        Journal::open_with(Rc::new(OsFileSystem), folder, allowance)
+    }
+
+    /// As `open`, on the given file system. Used by tests.
+    pub fn open_with(
+        files: Rc<dyn FileSystem>,
+        folder: &Path,
+        allowance: u64,
+    ) -> io::Result<(Journal, JournalContents)> {
+        let lock = unless_transient(lock_folder(&*files, folder))?;
+        let bytes = match files.read(&folder.join(FILE_NAME)) {
             Err(e) if e.kind() == io::ErrorKind::NotFound => Bytes::new(),
             read => Bytes::from(read?),
         };
-        let (found, good) = Found::read(&bytes);
-        if good < bytes.len() {
-            log::warn!("the journal's last {} bytes cannot be read and are passed over", bytes.len() - good);
+        let (contents, valid_len) = JournalContents::read(&bytes);
+        if valid_len < bytes.len() {
+            log::warn!(
+                "the journal's last {} bytes cannot be read and are passed over",
+                bytes.len() - valid_len
+            );
         }
         let mut journal = Journal {
             folder: folder.to_path_buf(),
             files,
             lock,
             file: None,
-            size: good as u64,
+            size: valid_len as u64,
             allowance,
-            live: found.owed.values().map(weight).sum(),
-            zones: found.zones.clone(),
-            torn: false,
+            owed_bytes: contents.owed.values().map(max_stored_size).sum(),
+            zones: contents.zones.clone(),
+            has_partial_tail: false,
             buffer: Vec::new(),
         };
-        if let Err(e) = journal.compact(&found.owed, &found.rests) {
-            log::warn!("the journal cannot be written anew at the start: {e}");
-            // Guards against a full disk that keeps what is owed from its end: the old file still serves.
-            let old = if good > 0 && journal.lock.is_some() { journal.cut_old() } else { Err(e) };
-            journal.file = passing(old)?;
+        if let Err(e) = journal.compact(&contents.owed, &contents.keys_in_flight) {
+            log::warn!("journal compaction failed at the start: {e}");
+            // On a full disk the owed mails must still be processed: the old file stays in use.
+            let old =
+                if valid_len > 0 && journal.lock.is_some() { journal.reopen_truncated() } else { Err(e) };
+            journal.file = unless_transient(old)?;
         }
-        Ok((journal, found))
+        Ok((journal, contents))
     }
 
-    /// The folder that lasts, and the bytes that it may hold.
-    pub fn place(&self) -> (&Path, u64) {
+    /// The state folder, and the bytes that its files may take.
+    pub fn location(&self) -> (&Path, u64) {
         (&self.folder, self.allowance)
     }
 
-    fn part(&self, hundredths: u64) -> u64 {
-        (self.allowance / 100 * hundredths).saturating_sub(BLOCK)
+    fn percent_of_allowance(&self, percent: u64) -> u64 {
+        (self.allowance / 100 * percent).saturating_sub(BLOCK_SIZE)
     }
 
-    /// Whether one more mail may be taken on.
-    pub fn has_room(&self, owed: &Owed) -> bool {
-        self.live + weight(owed) <= self.part(OWED_PART)
+    /// Whether the allowance leaves room for one more mail.
+    pub fn has_room(&self, owed: &OwedMail) -> bool {
+        self.owed_bytes + max_stored_size(owed) <= self.percent_of_allowance(OWED_PERCENT)
     }
 
-    /// Whether the file should be written anew before this record.
-    pub fn is_grown(&self, record: &Record) -> bool {
-        let more = if let Record::Taken { owed, .. } = record { weight(owed) } else { 0 };
-        self.file.is_none() || self.size + more > self.part(FILE_PART)
+    /// Whether the file should be compacted before this record is appended.
+    pub fn needs_compaction(&self, record: &Record) -> bool {
+        let added = if let Record::Accepted { owed, .. } = record { max_stored_size(owed) } else { 0 };
+        self.file.is_none() || self.size + added > self.percent_of_allowance(FILE_PERCENT)
     }
 
     pub fn append(&mut self, record: &Record) -> io::Result<()> {
         self.buffer.clear();
-        write(&mut self.buffer, record);
-        if self.size + self.buffer.len() as u64 > self.part(FILE_PART + 2) {
-            return Err(io::Error::new(io::ErrorKind::StorageFull, "the journal is full"));
+        encode(&mut self.buffer, record);
+        if self.size + self.buffer.len() as u64 > self.percent_of_allowance(FILE_PERCENT + 2) {
+            return Err(io::Error::new(io::ErrorKind::StorageFull, "the journal has reached its size limit"));
         }
         let Some(file) = &mut self.file else {
-            return Err(io::Error::new(io::ErrorKind::StorageFull, "there is no journal yet"));
+            return Err(io::Error::new(io::ErrorKind::StorageFull, "the journal has not been created yet"));
         };
-        // Guards against half a record in the middle, behind which nothing would be read again.
-        if self.torn {
-            self.files.cut(file, self.size)?;
-            self.torn = false;
+        // A partial record in the middle of the file would hide all records after it.
+        if self.has_partial_tail {
+            self.files.truncate(file, self.size)?;
+            self.has_partial_tail = false;
         }
         if let Err(e) = self.files.append(file, &self.buffer) {
-            self.torn = self.files.cut(file, self.size).is_err();
+            self.has_partial_tail = self.files.truncate(file, self.size).is_err();
             return Err(e);
         }
         self.size += self.buffer.len() as u64;
         match record {
-            Record::Taken { owed, .. } => self.live += weight(owed),
+            Record::Accepted { owed, .. } => self.owed_bytes += max_stored_size(owed),
             Record::Zones { names } => self.zones = Bytes::copy_from_slice(names),
             _ => {}
         }
         Ok(())
     }
 
-    /// Bytes that the mails owed would take in a fresh file, for audits.
-    pub fn live(&self) -> u64 {
-        self.live
+    /// Bytes that the owed mails would take after compaction, for the audit.
+    pub fn owed_bytes(&self) -> u64 {
+        self.owed_bytes
     }
 
-    /// So many bytes less are owed, once the file is written anew.
-    pub fn shrink(&mut self, bytes: u64) {
-        self.live = self.live.saturating_sub(bytes);
+    /// Subtracts bytes that the next compaction frees.
+    pub fn release(&mut self, bytes: u64) {
+        self.owed_bytes = self.owed_bytes.saturating_sub(bytes);
     }
 
-    /// Puts a fresh file of what is owed in the place of the old one.
-    pub fn compact(&mut self, owed: &BTreeMap<u64, Owed>, rests: &[(Bytes, Time)]) -> io::Result<()> {
+    /// Replaces the file by one with only what is still owed.
+    pub fn compact(
+        &mut self,
+        owed: &BTreeMap<u64, OwedMail>,
+        keys_in_flight: &[(Bytes, Time)],
+    ) -> io::Result<()> {
         if self.lock.is_none() {
-            self.lock = Some(take_lock(&*self.files, &self.folder)?);
+            self.lock = Some(lock_folder(&*self.files, &self.folder)?);
         }
-        let (file, size) = write_anew(&*self.files, &self.folder, owed, rests, &self.zones)?;
-        (self.file, self.size, self.torn) = (Some(file), size, false);
+        let (file, size) = write_compacted(&*self.files, &self.folder, owed, keys_in_flight, &self.zones)?;
+        (self.file, self.size, self.has_partial_tail) = (Some(file), size, false);
         Ok(())
     }
 
-    /// The folder's journal as it stands, for appending behind what could be read of it.
-    fn cut_old(&self) -> io::Result<File> {
-        let file = self.files.open(&self.folder.join(NAME))?;
-        self.files.cut(&file, self.size)?;
+    /// Opens the existing file for appending and cuts it after its last valid record.
+    fn reopen_truncated(&self) -> io::Result<File> {
+        let file = self.files.open(&self.folder.join(FILE_NAME))?;
+        self.files.truncate(&file, self.size)?;
         Ok(file)
     }
 }
 
-/// Nothing, with a line of the log, where it may go well later.
-fn passing(made: io::Result<File>) -> io::Result<Option<File>> {
-    match made {
-        Err(e) if may_pass(&e) => {
-            log::warn!("nothing is taken on before the journal can be written: {e}");
+/// Turns a transient error into `None` and logs it.
+fn unless_transient(result: io::Result<File>) -> io::Result<Option<File>> {
+    match result {
+        Err(e) if is_transient(&e) => {
+            log::warn!("no mail is accepted until the journal can be written: {e}");
             Ok(None)
         }
-        made => made.map(Some),
+        result => result.map(Some),
     }
 }
 
-/// Guards against a second courier on the folder, which would put a file of its own in the place of ours.
-fn take_lock(files: &dyn Files, folder: &Path) -> io::Result<File> {
+/// Locks the folder, so that no second courier replaces the journal by its own.
+fn lock_folder(files: &dyn FileSystem, folder: &Path) -> io::Result<File> {
     files.create_folder(folder)?;
-    files.lock(&folder.join(LOCK))
+    files.lock(&folder.join(LOCK_FILE_NAME))
 }
 
-/// Writes a file of what is owed and renames it to be the folder's journal; the file, for appending, and its
-/// size.
-fn write_anew(
-    files: &dyn Files,
+/// Writes a file with only what is still owed and renames it to the folder's journal. Returns the file, open for
+/// appending, and its size.
+fn write_compacted(
+    files: &dyn FileSystem,
     folder: &Path,
-    owed: &BTreeMap<u64, Owed>,
-    rests: &[(Bytes, Time)],
+    owed: &BTreeMap<u64, OwedMail>,
+    keys_in_flight: &[(Bytes, Time)],
     zones: &[u8],
 ) -> io::Result<(File, u64)> {
     let mut bytes = MAGIC.to_vec();
     if !zones.is_empty() {
-        write(&mut bytes, &Record::Zones { names: zones });
+        encode(&mut bytes, &Record::Zones { names: zones });
     }
     for (&serial, owed) in owed {
-        write(&mut bytes, &Record::Taken { serial, owed });
+        encode(&mut bytes, &Record::Accepted { serial, owed });
         if let Some(verdict) = owed.verdict {
-            write(&mut bytes, &Record::GivenUp { serial, verdict });
+            encode(&mut bytes, &Record::GivenUp { serial, verdict });
         }
     }
-    for (item, since) in rests {
-        write(&mut bytes, &Record::Rest { item, since: *since });
+    for (order_key, since) in keys_in_flight {
+        encode(&mut bytes, &Record::KeyInFlight { order_key, since: *since });
     }
-    let path = folder.join(FRESH);
-    // One that an earlier process left behind half written.
+    let path = folder.join(NEW_FILE_NAME);
+    // An earlier process may have left an unfinished one.
     let _ = files.remove(&path);
-    // Appending, so that a write that is cut back is followed by no gap.
+    // In append mode, a write that follows a truncation leaves no gap.
     let mut file = files.create(&path)?;
-    let written = files.append(&mut file, &bytes).and_then(|()| files.rename(&path, &folder.join(NAME)));
+    let written = files.append(&mut file, &bytes).and_then(|()| files.rename(&path, &folder.join(FILE_NAME)));
     if let Err(e) = written {
         let _ = files.remove(&path);
         return Err(e);
--- a/crates/courier/src/numbers.rs
+++ b/crates/courier/src/numbers.rs
@@ -6,14 +6,14 @@
 use bytes::Bytes;
 use meadowhold::interface::QueueClass;
 
-use crate::journal::{Terms, MOST_CLASSES};
+use crate::journal::{ClassTerms, MAX_CLASSES};
 
 /// The queue classes of the decision module, by number.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Classes {
     pub classes: Vec<QueueClass>,
     /// The terms under which mails of each class are accepted.
-    pub terms: Vec<Terms>,
+    pub terms: Vec<ClassTerms>,
     /// The classes that mails can be submitted with now.
     pub by_name: HashMap<Bytes, usize>,
 }
@@ -58,7 +58,7 @@
             claimed.insert(number);
             next.set(number, name, class);
         }
-        if next.classes.len() > MOST_CLASSES {
+        if next.classes.len() > MAX_CLASSES {
             return Err("are too many with those that still have messages");
         }
         for number in (0..next.classes.len()).filter(|number| !claimed.contains(number)) {
@@ -74,7 +74,7 @@
     }
 
     fn set(&mut self, number: usize, name: &str, class: &QueueClass) {
-        let terms = Terms::new(name, class);
+        let terms = ClassTerms::new(name, class);
         self.by_name.insert(terms.class.clone(), number);
         if number == self.classes.len() {
             self.classes.push(class.clone());
--- a/crates/courier/tests/crash_points.rs
+++ b/crates/courier/tests/crash_points.rs
@@ -1,5 +1,5 @@
-//! What a process that ended at any instant leaves, and what the next makes of it: the journal cut at every byte, a disk
-//! that is full at each record, and real processes killed or asked to end where it hurts most.
+//! Recovery after a process that ended at an arbitrary instant: a journal cut at every byte, a disk that is full at each
+//! record, and real processes killed or shut down at critical moments.
 
 mod common;
 #[path = "common/process.rs"]
@@ -22,47 +22,48 @@
 
 const ALLOWANCE: u64 = 3_000_000;
 
-fn size(folder: &Folder) -> usize {
+fn journal_size(folder: &Folder) -> usize {
     fs::metadata(folder.path.join("journal")).unwrap().len() as usize
 }
 
-/// What had happened, and how long the file was, when it was promised or sent.
-struct Day {
+/// A journal, and its length at each event of the run that wrote it.
+struct RecordedRun {
     folder: Folder,
-    /// The length from which a message is owed its end, and that at which nothing more is owed.
+    /// For each mail, the length from which it is owed and the length from which it is settled.
     owed: BTreeMap<&'static str, (usize, usize)>,
-    /// The lengths at which its attempts began, and when the last could not have run after all.
+    /// The lengths at which connects began, and those at which it was known that the connect had not run.
     begun: Vec<(&'static str, usize)>,
-    never: BTreeMap<&'static str, usize>,
-    handed_back: BTreeMap<&'static str, usize>,
+    never_ran: BTreeMap<&'static str, usize>,
+    given_up_at: BTreeMap<&'static str, usize>,
 }
 
-/// A day of one process: served, refused and sent again, broken, given up untried, given up and told of, hung up.
-fn day() -> Day {
+/// Runs one process with mails that are relayed, unreached and sent again, broken, retried after an error, relayed late,
+/// in flight at the end, and given up untried.
+fn recorded_run() -> RecordedRun {
     let folder = Folder::new();
     let mut process = Process::start(&folder, ALLOWANCE, START, None);
     let (mut owed, mut begun) = (BTreeMap::new(), Vec::new());
-    let (mut never, mut handed_back) = (BTreeMap::new(), BTreeMap::new());
+    let (mut never_ran, mut given_up_at) = (BTreeMap::new(), BTreeMap::new());
     let rows: [(&str, &str, &[Outcome]); 6] = [
-        ("served", "once", &[Outcome::Relayed]),
+        ("relayed", "once", &[Outcome::Relayed]),
         ("refused", "once", &[Outcome::Unreached, Outcome::Relayed]),
         ("broken", "once", &[Outcome::Broken]),
         ("again", "again", &[Outcome::Error, Outcome::Relayed]),
         ("late", "turns", &[Outcome::Silent]),
         ("out", "once", &[]),
     ];
-    for (dest, (id, class, outcomes)) in (0..).zip(rows) {
-        assert!(matches!(process.put(id, class, dest), Answer::Taken(_)));
-        owed.insert(id, (size(&folder), usize::MAX));
+    for (destination, (id, class, outcomes)) in (0..).zip(rows) {
+        assert!(matches!(process.put(id, class, destination), Answer::Taken(_)));
+        owed.insert(id, (journal_size(&folder), usize::MAX));
         for (i, &outcome) in outcomes.iter().enumerate() {
             let call = process.call().unwrap();
-            // Whatever is cut off behind this length, its bytes may go out now.
+            // From this length on the mail may have been sent.
             assert!(process.begin(&call));
-            begun.push((id, size(&folder)));
+            begun.push((id, journal_size(&folder)));
             let serial = call.mails[0].serial;
             process.exchange.connect_ended(serial, ConnectReport::of(outcome));
             if outcome == Outcome::Unreached && i == 0 {
-                never.insert(id, size(&folder));
+                never_ran.insert(id, journal_size(&folder));
             }
             if outcome == Outcome::Silent {
                 process.exchange.relayed_late(serial);
@@ -76,84 +77,87 @@
         if id == "out" {
             let call = process.call().unwrap();
             assert!(process.begin(&call));
-            begun.push((id, size(&folder)));
+            begun.push((id, journal_size(&folder)));
         } else {
-            owed.get_mut(id).unwrap().1 = size(&folder);
+            owed.get_mut(id).unwrap().1 = journal_size(&folder);
         }
     }
-    // Untried until its time is over: handed back, and not heard of yet.
+    // Not tried within its lifetime: given up, with the notice not yet delivered.
     let call = {
         assert!(matches!(process.put("untried", "once", 9), Answer::Taken(_)));
-        owed.insert("untried", (size(&folder), usize::MAX));
+        owed.insert("untried", (journal_size(&folder), usize::MAX));
         process.pass(5 * SECOND);
         process.calls()
     };
     assert!(call.is_empty());
     assert_eq!(process.ends().len(), 1);
-    handed_back.insert("untried", size(&folder));
-    Day { folder, owed, begun, never, handed_back }
+    given_up_at.insert("untried", journal_size(&folder));
+    RecordedRun { folder, owed, begun, never_ran, given_up_at }
 }
 
 #[test]
-fn whichever_byte_of_the_journal_was_the_last_one_nothing_owed_is_dropped_and_nothing_runs_twice() {
-    let day = day();
-    let whole = fs::read(day.folder.path.join("journal")).unwrap();
+fn a_journal_cut_at_any_byte_loses_no_owed_mail_and_repeats_no_once_only_mail() {
+    let run = recorded_run();
+    let whole = fs::read(run.folder.path.join("journal")).unwrap();
     let next = Folder::new();
     for cut in 0..=whole.len() {
         fs::write(next.path.join("journal"), &whole[..cut]).unwrap();
-        // Left half written at the same moment.
+        // A compaction that was cut off at the same time.
         fs::write(next.path.join("journal.new"), &whole[..cut / 2]).unwrap();
         let mut process = Process::start(&next, ALLOWANCE, START + SECOND, None);
         let (sent, ends) = process.play(SECOND, Outcome::Relayed);
         let mut settled: BTreeSet<&str> = sent.iter().map(String::as_str).collect();
         settled.extend(ends.iter().map(|(id, _)| id.as_str()));
-        for (id, &(from, to)) in &day.owed {
+        for (id, &(from, to)) in &run.owed {
             let owed = from <= cut && cut < to;
-            assert!(!owed || settled.contains(id), "cut at {cut}: {id} gets no end");
+            assert!(!owed || settled.contains(id), "cut at {cut}: {id} is lost");
         }
-        for id in ["served", "refused", "broken", "out"] {
-            let after = day.never.get(id).copied().unwrap_or(0);
-            let last = day.begun.iter().rfind(|(begun, _)| *begun == id).map(|&(_, at)| at);
-            let first = day.begun.iter().find(|(begun, _)| *begun == id).map(|&(_, at)| at);
-            // Its attempt is on file, and not known to have come to nothing.
+        for id in ["relayed", "refused", "broken", "out"] {
+            let after = run.never_ran.get(id).copied().unwrap_or(0);
+            let last = run.begun.iter().rfind(|(begun, _)| *begun == id).map(|&(_, at)| at);
+            let first = run.begun.iter().find(|(begun, _)| *begun == id).map(|&(_, at)| at);
+            // A connect is on file, and it is not known that it did not run.
             let ran = first.is_some_and(|at| at <= cut && cut < after) || last.is_some_and(|at| at <= cut);
             let times = sent.iter().filter(|sent| *sent == id).count();
             assert!(times <= usize::from(!ran), "cut at {cut}: {id} is sent {times} times");
         }
-        for (id, &at) in &day.handed_back {
-            assert!(cut < at || !sent.iter().any(|sent| sent == id), "cut at {cut}: {id} was handed back");
+        for (id, &at) in &run.given_up_at {
+            assert!(
+                cut < at || !sent.iter().any(|sent| sent == id),
+                "cut at {cut}: {id} was sent after it was given up"
+            );
         }
         let ended: BTreeSet<&String> = ends.iter().map(|(id, _)| id).collect();
-        assert_eq!(ended.len(), ends.len(), "one end each");
+        assert_eq!(ended.len(), ends.len(), "one notice for each mail");
         drop(process);
         fs::remove_file(next.path.join("journal")).unwrap();
     }
 }
 
-/// Nothing can be written anew on this folder's disk.
-fn fill(folder: &Folder) {
+/// Makes compaction fail, as on a full disk: a folder has the name of the new file.
+fn block_compaction(folder: &Folder) {
     fs::create_dir(folder.path.join("journal.new")).unwrap();
 }
 
-fn empty(folder: &Folder) {
+fn unblock_compaction(folder: &Folder) {
     fs::remove_dir(folder.path.join("journal.new")).unwrap();
 }
 
-/// A process with 40 messages untried, on a disk that has just become full to its last bytes.
-fn full(folder: &Folder) -> Process {
+/// A process with 40 untried mails on a disk that has no space left for any record.
+fn process_on_full_disk(folder: &Folder) -> Process {
     let mut process = Process::start(folder, 100_000, START, None);
     let spare: Vec<Answer> = (0..20).map(|i| process.put(&format!("spare-{i}"), "once", 1)).collect();
     for i in 0..40 {
         assert!(matches!(process.put(&format!("kept-{i}"), "once", i % 10), Answer::Taken(_)));
     }
-    fill(folder);
+    block_compaction(folder);
     let mut gone = 0;
     while let Answer::Taken(serial) = process.put(&format!("gone-{gone}"), "once", 1) {
         process.exchange.client_gone(serial);
         gone += 1;
     }
     assert!((100..2000).contains(&gone), "{gone}");
-    // Smaller records fill what a message has left.
+    // Smaller records fill the space that is too small for a mail.
     for answer in spare {
         let Answer::Taken(serial) = answer else { panic!("{answer:?}") };
         process.exchange.client_gone(serial);
@@ -162,48 +166,51 @@
 }
 
 #[test]
-fn on_a_full_disk_nothing_is_taken_on_no_call_begins_and_nothing_is_handed_back_that_may_still_be_sent() {
+fn on_a_full_disk_no_mail_is_accepted_no_call_begins_and_no_bounced_mail_is_sent_later() {
     let folder = Folder::new();
-    let mut process = full(&folder);
-    let (sent, told) = process.play(2 * SECOND, Outcome::Relayed);
-    assert!(sent.is_empty(), "a call begins without its record");
-    assert!(!told.is_empty(), "its attempts are used up");
+    let mut process = process_on_full_disk(&folder);
+    let (sent, ends) = process.play(2 * SECOND, Outcome::Relayed);
+    assert!(sent.is_empty(), "a call began without a journal record");
+    assert!(!ends.is_empty(), "mails are given up after the maximum number of connects");
     assert_eq!(process.put("more", "once", 1), Answer::Busy);
     drop(process);
-    empty(&folder);
+    unblock_compaction(&folder);
     let mut next = Process::start(&folder, 100_000, START + 3 * SECOND, None);
     let (sent, _) = next.play(SECOND, Outcome::Relayed);
-    assert!(told.iter().any(|(id, _)| sent.contains(id)), "the file does not say that it was given up");
-    // Whoever hears of a bounce hands its message in anew.
-    let twice = told.iter().find(|(id, verdict)| *verdict != Verdict::Dead && sent.contains(id));
-    assert_eq!(twice, None, "handed back, and sent all the same");
+    assert!(
+        ends.iter().any(|(id, _)| sent.contains(id)),
+        "a verdict that could not be written is not on file"
+    );
+    // A client hands in a bounced mail again, so a bounced mail must not be sent from the journal.
+    let twice = ends.iter().find(|(id, verdict)| *verdict != Verdict::Dead && sent.contains(id));
+    assert_eq!(twice, None, "bounced, and sent all the same");
 }
 
 #[test]
-fn a_start_on_a_full_disk_gives_what_is_owed_its_end() {
+fn owed_mails_are_settled_after_a_start_on_a_full_disk() {
     for torn in [0, 1, 7] {
         let folder = Folder::new();
         let mut process = Process::start(&folder, ALLOWANCE, START, None);
-        for (id, dest) in [("out", 1), ("untried", 2)] {
-            assert!(matches!(process.put(id, "once", dest), Answer::Taken(_)));
+        for (id, destination) in [("out", 1), ("untried", 2)] {
+            assert!(matches!(process.put(id, "once", destination), Answer::Taken(_)));
             if id == "out" {
                 let call = process.call().unwrap();
                 assert!(process.begin(&call));
             }
         }
         drop(process);
-        // A record that was being written.
+        // Part of a record, left by a write that was interrupted.
         let path = folder.path.join("journal");
         let mut bytes = fs::read(&path).unwrap();
         bytes.extend(&[0, 0, 0, 9, 1, 2, 3][..torn]);
         fs::write(&path, bytes).unwrap();
-        fill(&folder);
+        block_compaction(&folder);
         let mut next = Process::start(&folder, ALLOWANCE, START + SECOND, None);
         let (sent, ends) = next.play(SECOND, Outcome::Error);
         assert_eq!(sent, ["untried"], "{torn}");
         assert_eq!(ends.iter().map(|(id, _)| id.as_str()).collect::<Vec<_>>(), ["out", "untried"], "{torn}");
         drop(next);
-        // What was noted behind the cut is read.
+        // Records that were appended after the truncation are read.
         let mut last = Process::start(&folder, ALLOWANCE, START + 2 * SECOND, None);
         let (sent, ends) = last.play(SECOND, Outcome::Relayed);
         assert_eq!((sent.len(), ends.len()), (0, 2), "{torn}");
@@ -211,10 +218,10 @@
 }
 
 #[test]
-fn no_repeat_begins_once_its_key_may_be_forgotten_however_long_it_waited_for_a_connection() {
+fn no_repeat_begins_after_the_dedup_window_even_if_its_connection_was_slow() {
     for restart in [false, true] {
-        // (milliseconds from the first attempt to the turn that decides on the repeat, those that its connection
-        // takes, whether it begins)
+        // (milliseconds from the first connect to the decision to repeat it, milliseconds until the repeat has a
+        // connection, whether the repeat begins)
         for (decided, connected, begins) in
             [(800, 150, true), (800, 199, true), (800, 200, false), (850, 400, false)]
         {
@@ -222,7 +229,7 @@
             let mut process = Process::start(&folder, ALLOWANCE, START, Some(1_000_000));
             assert!(matches!(process.put("01", "tagged", 1), Answer::Taken(_)));
             let first = process.call().unwrap();
-            // The first one's connection took its time too: it is from then that it may have run.
+            // The first connect waited for a connection as well: the window starts when it was sent.
             process.pass(300);
             assert!(process.begin(&first));
             let sent = process.now;
@@ -234,7 +241,7 @@
                 process.exchange.connect_ended(first.mails[0].serial, ConnectReport::of(Outcome::Silent));
             }
             let repeat = process.calls().pop().unwrap();
-            assert_eq!(repeat.mails[0].latest, sent + SECOND, "the last byte's latest time");
+            assert_eq!(repeat.mails[0].latest, sent + SECOND, "the latest time for the last byte");
             let mut mails = repeat.mails.clone();
             mails[0].until = Time::MAX;
             process.pass(connected * 10);
@@ -245,7 +252,7 @@
 }
 
 #[test]
-fn after_a_clock_that_was_set_back_no_repeat_is_held_to_be_early() {
+fn after_the_clock_is_set_back_a_tagged_mail_is_not_repeated() {
     let folder = Folder::new();
     let mut process = Process::start(&folder, ALLOWANCE, START + 10 * SECOND, None);
     assert!(matches!(process.put("01", "tagged", 1), Answer::Taken(_)));
@@ -257,28 +264,28 @@
     assert_eq!((sent, ends.len()), (vec![], 1));
 }
 
-/// A courier whose files can grow to so many kilobytes only; a write beyond fails after a part of it.
-struct Cramped(Child);
+/// A courier with a limit of a few kilobytes on the size of its files; a write across the limit is a partial one.
+struct FileSizeLimited(Child);
 
-impl Drop for Cramped {
+impl Drop for FileSizeLimited {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-fn cramped(folder: &Folder, config: &serde_json::Value) -> Cramped {
+fn start_with_file_size_limit(folder: &Folder, config: &serde_json::Value) -> FileSizeLimited {
     let plain = command(folder, config, "serve");
     let mut shell = Command::new("/bin/bash");
     let limits = "trap '' XFSZ; ulimit -S -f 4; exec \"$0\" serve";
     shell.env_clear().arg("-c").arg(limits).arg(plain.get_program());
     shell.envs(plain.get_envs().filter_map(|(name, value)| Some((name, value?))));
-    Cramped(shell.spawn().unwrap())
+    FileSizeLimited(shell.spawn().unwrap())
 }
 
 #[test]
-fn a_disk_that_is_full_in_the_middle_of_any_record_leaves_whole_ones() {
-    // So many bytes more or less, and the file's last ones belong to another record, or to another part of it.
+fn a_disk_that_fills_up_within_a_record_leaves_only_whole_records() {
+    // Bodies of different lengths place the limit in different records and at different offsets within them.
     let runs: Vec<_> = (0..8)
         .map(|run| {
             thread::spawn(move || {
@@ -286,7 +293,7 @@
                 platform.list("e1", endpoint.address, "single", 7, "SERVING");
                 let (folder, listen) = (Folder::new(), own_address());
                 let config = config(&platform, listen);
-                let process = cramped(&folder, &config);
+                let process = start_with_file_size_limit(&folder, &config);
                 answers(listen);
                 let mut client = Client::connect(listen).unwrap();
                 let (mut taken, mut busy) = (Vec::new(), 0);
@@ -300,7 +307,7 @@
                     }
                 }
                 assert!(taken.len() > 3 && busy > 3, "{run}: {} {busy}", taken.len());
-                // The disk has room again.
+                // Lift the limit.
                 let mut raise = Command::new("prlimit");
                 raise.args(["--pid", &process.0.id().to_string(), "--fsize=unlimited"]);
                 assert!(raise.status().unwrap().success());
@@ -310,31 +317,35 @@
                     taken.push(id);
                 }
                 drop(process);
-                let mut courier = Restarted::new(&folder, &config, listen);
-                until("all ends", || courier.owes_nothing());
+                let mut courier = RestartedCourier::new(&folder, &config, listen);
+                until("settling of all mails", || courier.owes_nothing());
                 courier.end();
                 let (calls, notices) = (endpoint.ids(), platform.notices());
                 for id in &taken {
-                    let ends = notices.iter().filter(|(told, _)| told == id).count();
+                    let ends = notices.iter().filter(|(notified, _)| notified == id).count();
                     let runs = calls.iter().filter(|call| *call == id).count();
                     assert!(runs <= 1 && runs + ends > 0, "{id}: {runs} calls, {ends} notices");
                 }
                 let refused = calls.iter().filter(|id| !taken.contains(id)).count();
-                assert_eq!(refused, 0, "what was refused is not sent");
+                assert_eq!(refused, 0, "a mail that was not accepted was sent");
             })
         })
         .collect();
     runs.into_iter().for_each(|run| run.join().unwrap());
 }
 
-/// The next process on a folder.
-struct Restarted<'a>(&'a Folder, &'a serde_json::Value, Child);
+/// The next process on the same folder.
+struct RestartedCourier<'a>(&'a Folder, &'a serde_json::Value, Child);
 
-impl<'a> Restarted<'a> {
-    fn new(folder: &'a Folder, config: &'a serde_json::Value, listen: std::net::SocketAddr) -> Restarted<'a> {
+impl<'a> RestartedCourier<'a> {
+    fn new(
+        folder: &'a Folder,
+        config: &'a serde_json::Value,
+        listen: std::net::SocketAddr,
+    ) -> RestartedCourier<'a> {
         let child = command(folder, config, "serve").spawn().unwrap();
         answers(listen);
-        Restarted(folder, config, child)
+        RestartedCourier(folder, config, child)
     }
 
     fn owes_nothing(&self) -> bool {
@@ -348,24 +359,24 @@
     }
 }
 
-impl Drop for Restarted<'_> {
+impl Drop for RestartedCourier<'_> {
     fn drop(&mut self) {
         self.end();
     }
 }
 
-/// A discovery that takes connections and says nothing.
-fn silent() -> (std::net::SocketAddr, TcpListener) {
+/// A discovery server that accepts connections and never answers.
+fn unresponsive_discovery() -> (std::net::SocketAddr, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     (listener.local_addr().unwrap(), listener)
 }
 
 #[test]
-fn asked_to_end_in_its_recovery_it_leaves_nothing_undone_and_nothing_done_twice() {
+fn a_shutdown_during_recovery_loses_no_mail_and_repeats_none() {
     let platform = Platform::new();
     let slow = Endpoint::new(&[Reply::After(9000, Box::new(OK))]);
     let endpoint = Endpoint::new(&[]);
-    // Known, and wanting nothing yet: what is handed in stays untried.
+    // The endpoints are known but draining, so the mails stay untried.
     platform.list("e1", endpoint.address, "single", 7, "DRAINING");
     platform.list("e2", slow.address, "single", 8, "DRAINING");
     let mut courier = Courier::start(&platform, |_| {});
@@ -375,22 +386,22 @@
     }
     assert_eq!(client.put("out", "once", "dest=8,d=20000"), "+OK");
     courier.kill();
-    // Discovery says nothing now, and the configuration names both as ready.
+    // Discovery does not answer now, and the configuration lists both endpoints as serving.
     platform.list("e1", endpoint.address, "single", 7, "SERVING");
     platform.list("e2", slow.address, "single", 8, "SERVING");
-    let (address, listener) = silent();
+    let (address, listener) = unresponsive_discovery();
     courier.config["known"] = platform.known();
     courier.config["known"]["index"] = json!(1000);
     courier.config["discovery"] = json!(address.to_string());
-    // It is asked to end as soon as it asks for the list: no call can have begun.
+    // SIGTERM arrives as soon as the courier asks for the list, before any call can begin.
     let asked = thread::spawn(move || (listener.accept().unwrap(), listener));
     courier.restart();
     let _held = asked.join().unwrap();
     courier.signal("-TERM");
-    until("the end", || courier.ended().is_some());
+    until("exit of the courier", || courier.ended().is_some());
     courier.config["discovery"] = json!(platform.address.to_string());
     courier.restart();
-    until("all ends", || courier.owes_nothing());
+    until("settling of all mails", || courier.owes_nothing());
     let mut ids = endpoint.ids();
     ids.sort();
     assert_eq!(ids, ["01", "02", "03", "04"]);
@@ -398,7 +409,7 @@
 }
 
 #[test]
-fn killed_in_its_end_with_calls_out_it_sends_again_only_what_may_run_again() {
+fn a_kill_during_shutdown_repeats_only_mails_that_may_be_repeated() {
     let late = Reply::After(9000, Box::new(OK));
     let (platform, endpoints) =
         (Platform::new(), [(); 3].map(|()| Endpoint::new(std::slice::from_ref(&late))));
@@ -409,28 +420,28 @@
     let mut client = courier.client();
     for (i, class) in ["once", "again", "tagged"].iter().enumerate() {
         assert_eq!(client.put(class, class, &format!("d=20000,k=5c0f,dest={}", 7 + i)), "+OK");
-        until("its call", || !endpoints[i].calls().is_empty());
+        until("the call", || !endpoints[i].calls().is_empty());
     }
     courier.signal("-TERM");
-    assert_eq!(client.line(), "", "it has begun to end");
+    assert_eq!(client.line(), "", "shutdown has begun");
     courier.kill();
     courier.restart();
-    until("all ends", || courier.owes_nothing());
-    assert_eq!(endpoints[0].calls().len(), 1, "it must not run twice");
-    assert!(endpoints[1..].iter().all(|endpoint| endpoint.calls().len() > 1), "they may");
+    until("settling of all mails", || courier.owes_nothing());
+    assert_eq!(endpoints[0].calls().len(), 1, "a once-only mail was repeated");
+    assert!(endpoints[1..].iter().all(|endpoint| endpoint.calls().len() > 1), "the others are repeated");
     assert_eq!(platform.notices(), [("once".to_string(), "dead".to_string())]);
 }
 
 #[test]
-fn killed_with_a_notice_on_its_way_it_tells_it_once_more() {
+fn a_notice_in_flight_at_a_kill_is_sent_again() {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&[Reply::Break]));
     platform.list("e1", endpoint.address, "single", 7, "SERVING");
     let mut courier = Courier::start(&platform, |_| {});
-    // From here on notices go where they are read and never answered.
-    let (address, listener) = silent();
+    // From here on notices are read and never answered.
+    let (address, listener) = unresponsive_discovery();
     let mut config = courier.config.clone();
     config["discovery"] = json!(address.to_string());
-    let told = thread::spawn(move || {
+    let notice_server = thread::spawn(move || {
         let mut held = Vec::new();
         for stream in listener.incoming().flatten() {
             let mut reader = std::io::BufReader::new(stream.try_clone().unwrap());
@@ -445,11 +456,11 @@
     });
     courier.reconfigure(&config.to_string());
     assert_eq!(courier.client().put("01", "once", "d=8000"), "+OK");
-    let _held = told.join().unwrap();
+    let _held = notice_server.join().unwrap();
     courier.kill();
     assert_eq!(platform.notices(), []);
     courier.restart();
-    until("its end", || courier.owes_nothing());
+    until("settling of the mail", || courier.owes_nothing());
     assert_eq!(platform.notices(), [("01".to_string(), "dead".to_string())]);
     assert_eq!(endpoint.calls().len(), 1);
 }
--- a/crates/courier/tests/start.rs
+++ b/crates/courier/tests/start.rs
@@ -1,4 +1,4 @@
-//! A courier that is killed again and again in the middle of its start, with mails owed.
+//! Starts with mails owed: repeated kills, the order of restored mails, and missing discovery.
 
 mod common;
 
@@ -10,11 +10,11 @@
 use bytes::Bytes;
 use common::{put, until, Courier, Endpoint, Platform, Reply, OK};
 use meadowhold_courier::exchange::Clock;
-use meadowhold_courier::journal::{Journal, Owed, Record};
+use meadowhold_courier::journal::{Journal, OwedMail, Record};
 use serde_json::{json, Value};
 
-/// Classes by importance, and that only one call is out at a time: the order of calls is the order of offering.
-fn by_importance(config: &mut Value) {
+/// One slot, so that calls go out in the order in which mails are offered, and a different importance for each class.
+fn one_slot_and_importance_by_class(config: &mut Value) {
     config["settings"]["FamilyInfo"]["Slots"] = json!(1);
     for (class, worth) in [("once", 8.0), ("tagged", 4.0), ("again", 1.0)] {
         let profiles = config["settings"]["Profiles"].as_array_mut().unwrap();
@@ -26,21 +26,21 @@
 }
 
 #[test]
-fn killed_three_times_in_its_start_it_loses_nothing_and_repeats_no_once_only_mail() {
-    // Slow enough that a kill finds a call out and others waiting.
+fn three_kills_during_the_start_lose_no_mail_and_repeat_no_once_only_mail() {
+    // Slow enough that each kill finds a call in flight and other mails waiting.
     let slow: Vec<Reply> = (0..64).map(|_| Reply::After(40, Box::new(OK))).collect();
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&slow));
-    let away = common::own_address();
-    // While the mails are handed in, nobody is there: all of them are owed.
-    platform.list("e1", away, "single", 7, "SERVING");
-    let mut courier = Courier::start(&platform, by_importance);
+    let closed_address = common::own_address();
+    // No endpoint listens while the mails are handed in, so all of them stay owed.
+    platform.list("e1", closed_address, "single", 7, "SERVING");
+    let mut courier = Courier::start(&platform, one_slot_and_importance_by_class);
     let mut class_of = HashMap::new();
     let mut client = courier.client();
-    // Least important first: the order in which they were taken is the wrong one.
+    // Least important first, so that the order of acceptance differs from the order of importance.
     for (class, letter) in [("again", "a"), ("tagged", "t"), ("once", "x")] {
         for i in 0..6 {
             let id = format!("{letter}{i}");
-            // Ends fall as they are taken: within a class, too, the last one goes first.
+            // Each has an earlier deadline than the one before, so within a class the last one goes first.
             let text = format!("d={},k=k{id}", 29_000 - 1000 * i);
             assert_eq!(client.say(&put("00", &id, class, &text, b"hello")), "+OK");
             class_of.insert(id, class);
@@ -53,30 +53,33 @@
     let mut seen_before = 0;
     for kill in 1..=3 {
         courier.restart();
-        // In the middle: some have gone out, more have not.
+        // Some mails have been sent and others not.
         until("calls after a start", || endpoint.calls().len() >= seen_before + 2);
         courier.kill();
         seen_before = endpoint.calls().len();
-        assert!(seen_before < owed, "kill {kill} came in the middle of the start");
+        assert!(seen_before < owed, "kill {kill} came after the start was complete");
     }
     courier.restart();
-    until("the end of all that is owed", || courier.owes_nothing());
+    until("settling of all mails", || courier.owes_nothing());
 
     let calls = endpoint.ids();
     let times = |id: &str| calls.iter().filter(|call| *call == id).count();
     let notices = platform.notices();
     for (id, class) in &class_of {
-        let (called, told) = (times(id), notices.iter().filter(|n| n.0 == *id).count());
-        assert!(called + told >= 1, "{id} is lost");
+        let (called, notified) = (times(id), notices.iter().filter(|n| n.0 == *id).count());
+        assert!(called + notified >= 1, "{id} is lost");
         match *class {
-            // One whose call was out at a kill may have run: it does not go again, and its client hears so.
-            "once" => assert!(called <= 1 && told <= 1, "{id} went {called} times, {told} notices"),
-            _ => assert!((1..=4).contains(&called) && told == 0, "{id}: {called} calls, {told} notices"),
+            // A mail in flight at a kill may have run: it is not sent again, and a notice says so.
+            "once" => assert!(called <= 1 && notified <= 1, "{id}: {called} calls, {notified} notices"),
+            _ => assert!(
+                (1..=4).contains(&called) && notified == 0,
+                "{id}: {called} calls, {notified} notices"
+            ),
         }
     }
     assert!(notices.iter().all(|n| n.1 == "dead"), "{notices:?}");
 
-    // By importance, and by the end within a class. What was out at a kill may go again, first of its class.
+    // The order is by importance, then by deadline. A mail in flight at a kill may be sent again, first of its class.
     let mut first = Vec::new();
     for id in &calls {
         if !first.contains(id) {
@@ -89,14 +92,14 @@
 }
 
 #[test]
-fn a_mail_of_the_same_key_does_not_overtake_one_that_is_still_to_be_offered() {
+fn a_new_mail_does_not_overtake_a_restored_mail_of_the_same_key() {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&[]));
     platform.list("e1", common::own_address(), "single", 7, "SERVING");
     let mut courier = Courier::start(&platform, |config| {
         config["settings"]["Rules"]["TurnGapUs"] = json!(1000);
     });
     let mut client = courier.client();
-    // Many others, so that the backlog of the next start is long, and one with a key that goes last.
+    // Many other mails, so that the next start has a long backlog, and one with an ordering key that goes last.
     for i in 0..30 {
         assert_eq!(client.put(&format!("p{i}"), "again", "d=3000"), "+OK");
     }
@@ -107,7 +110,7 @@
     courier.restart();
     let came = Instant::now();
     assert_eq!(courier.client().say(&put("7f3a", "second", "turns", "d=4000", b"hello")), "+OK");
-    until("all ends", || courier.owes_nothing());
+    until("settling of all mails", || courier.owes_nothing());
     assert!(came.elapsed() < Duration::from_secs(4));
     let ids = endpoint.ids();
     let place = |id: &str| ids.iter().position(|seen| seen == id);
@@ -116,10 +119,10 @@
 }
 
 #[test]
-fn what_passed_its_end_while_the_courier_was_down_has_its_notice_at_once() {
+fn a_mail_that_expired_while_the_courier_was_down_is_given_up_at_once() {
     let platform = Platform::new();
     platform.list("e1", common::own_address(), "single", 7, "SERVING");
-    let mut courier = Courier::start(&platform, by_importance);
+    let mut courier = Courier::start(&platform, one_slot_and_importance_by_class);
     let mut client = courier.client();
     let handed_in = Instant::now();
     assert_eq!(client.put("late", "again", "d=300"), "+OK");
@@ -127,52 +130,52 @@
         assert_eq!(client.put(&format!("p{i}"), "once", "d=20000"), "+OK");
     }
     courier.kill();
-    until("the end of its time", || handed_in.elapsed() > Duration::from_millis(320));
+    until("expiry of the mail", || handed_in.elapsed() > Duration::from_millis(320));
     courier.restart();
     let ready = Instant::now();
-    until("its notice", || platform.notices().iter().any(|n| n.0 == "late"));
-    assert!(ready.elapsed() < Duration::from_millis(1500), "overdue");
+    until("the notice", || platform.notices().iter().any(|n| n.0 == "late"));
+    assert!(ready.elapsed() < Duration::from_millis(1500), "the notice is overdue");
 }
 
 #[test]
-fn with_discovery_out_a_start_goes_on_by_the_list_that_was_kept() {
+fn without_discovery_a_start_uses_the_saved_list() {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&[]));
-    let nobody = common::own_address();
-    platform.list("e1", nobody, "single", 7, "SERVING");
-    // What the configuration knows stays as old as this.
+    let closed_address = common::own_address();
+    platform.list("e1", closed_address, "single", 7, "SERVING");
+    // The list in the configuration keeps this address.
     let mut courier = Courier::start(&platform, |_| {});
     platform.list("e1", endpoint.address, "single", 7, "SERVING");
     let file = courier.folder.path.join("state").join("memory");
     let here = endpoint.address.to_string();
-    until("the list on file", || {
+    until("the saved list", || {
         let text = std::fs::read(&file).unwrap_or_default();
         String::from_utf8_lossy(&text).contains(&here)
     });
     courier.kill();
-    courier.config["discovery"] = json!(nobody.to_string());
+    courier.config["discovery"] = json!(closed_address.to_string());
     courier.restart();
     assert_eq!(courier.client().put("9b1f", "again", "d=3000"), "+OK");
     until("the call", || endpoint.ids() == ["9b1f"]);
-    // Cut short, the file is passed over, and the start goes by the configuration's list.
+    // A truncated file is ignored, and the start uses the list of the configuration.
     courier.kill();
     let text = std::fs::read(&file).unwrap();
     std::fs::write(&file, &text[..text.len() - 1]).unwrap();
     courier.restart();
     assert_eq!(courier.client().put("late", "again", "d=500"), "+OK");
-    // Its notice is heard by nobody: discovery is out.
-    until("an end by the old list", || {
+    // The notice stays undelivered, since discovery is down.
+    until("giving up by the old list", || {
         courier.owed().contains("late destination 7 connects") && courier.owed().contains("given up")
     });
     assert_eq!(endpoint.ids(), ["9b1f"]);
 }
 
 #[test]
-fn with_a_full_journal_and_silent_discovery_it_is_soon_ready_and_tries_what_it_found() {
+fn a_full_journal_and_unresponsive_discovery_do_not_hold_up_a_start() {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&[]));
     platform.list("e1", endpoint.address, "single", 7, "SERVING");
     let agent = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = agent.local_addr().unwrap();
-    // It takes what is asked and says nothing; notices are heard as ever.
+    // It reads requests for the list and never answers; notices are answered.
     common::serve(agent, |request, out| {
         if request.target == "/v1/notices" {
             return write!(out, "HTTP/1.1 204 X\r\n\r\n").is_ok();
@@ -187,20 +190,20 @@
     let now = Clock::new().now();
     let mut mails = 0;
     loop {
-        let owed = Owed {
+        let owed = OwedMail {
             id: Bytes::from(format!("{mails:016}")),
             class: 0,
-            dest: 7,
-            since: now,
-            // Of a hundred one has time left; the others pass their ends while no process runs.
-            due: now + if mails % 100 == 0 { 300_000 } else { 10 },
+            destination: 7,
+            submitted_at: now,
+            // One in a hundred has time left; the others expire while no process runs.
+            deadline: now + if mails % 100 == 0 { 300_000 } else { 10 },
             body: Bytes::from_static(&[b'x'; 100]),
-            ..Owed::default()
+            ..OwedMail::default()
         };
         if !journal.has_room(&owed) {
             break;
         }
-        journal.append(&Record::Taken { serial: mails + 1, owed: &owed }).unwrap();
+        journal.append(&Record::Accepted { serial: mails + 1, owed: &owed }).unwrap();
         mails += 1;
     }
     assert!(mails > 3000, "{mails}");
