--- a/tests/control.rs
+++ b/tests/control.rs
@@ -159,7 +159,7 @@
 fn a_break_on_a_reused_connection_is_no_failure_and_once_only_mails_use_new_ones_for_a_while() {
     let mut courier = TestCourier::new(settings(), SINGLE, 1, 0.0);
     let mut ms = courier.relay_calls(0, 100, 6);
-    for (reused, served, well, new_connection) in
+    for (reused, relayed, well, new_connection) in
         [(true, 0, true, true), (true, 60, true, false), (false, 0, false, false)]
     {
         let sent = connects(&courier.submit(ms, REDELIVERABLE, 1));
@@ -182,14 +182,14 @@
         if well {
             courier.step(ms + 100, &[result(again[0].0, Outcome::Relayed, 95)]);
         }
-        ms = courier.relay_calls(ms + 100, 100, served);
+        ms = courier.relay_calls(ms + 100, 100, relayed);
         let actions = courier.submit(ms, ONCE_ONLY, 1);
         let goes =
             actions.iter().any(|action| matches!(action, Action::Connect { new_connection: true, .. }));
         assert_eq!(
             (connects(&actions).len(), goes),
             (usize::from(well), new_connection),
-            "{reused} {served}"
+            "{reused} {relayed}"
         );
         let actions = courier.answer_all(ms + 100, &actions, Outcome::Relayed);
         ms += 100 + actions.len() as Time;
@@ -533,9 +533,9 @@
     ];
     for change in [whole, drain, gone] {
         let mut courier = TestCourier::new(settings(), SINGLE, 2, 0.0);
-        let parked = connects(&courier.submit(0, REDELIVERABLE, 20));
+        let sent_before = connects(&courier.submit(0, REDELIVERABLE, 20));
         courier.step(5, &change);
-        let ends: Vec<Input> = parked.iter().map(|c| result(c.0, Outcome::Relayed, 5)).collect();
+        let ends: Vec<Input> = sent_before.iter().map(|c| result(c.0, Outcome::Relayed, 5)).collect();
         let sent = connects(&courier.step(6, &ends));
         assert!(!sent.is_empty() && sent.iter().all(|c| c.1 == 1));
     }
@@ -1151,12 +1151,12 @@
 #[test]
 fn refusals_by_an_endpoint_that_never_relayed_are_backed_off_from_too() {
     // The limit is not listed. Nothing was relayed by any endpoint, or only by the sibling.
-    for served in [false, true] {
+    for relayed in [false, true] {
         let mut courier = TestCourier::new(settings(), SINGLE, 2, 0.0);
         let first = courier.submit(0, REDELIVERABLE, 2);
         let (mut ms, mut refused, mut last) = (100, 0, 0);
         let mut sent = connects(&first);
-        if served {
+        if relayed {
             let (mail, _) = sent.remove(0);
             courier.step(100, &[result(mail, Outcome::Relayed, 100)]);
         } else {
@@ -1170,6 +1170,6 @@
             sent = connects(&courier.step(ms, &ends));
         }
         // 0.1 s, or a quarter of the connection timeout, doubling each time: not one call in each round trip.
-        assert!((1..=6).contains(&refused), "{served}: {refused}, the last at {last} ms");
+        assert!((1..=6).contains(&refused), "{relayed}: {refused}, the last at {last} ms");
     }
 }
--- a/tests/control_settings.rs
+++ b/tests/control_settings.rs
@@ -391,7 +391,7 @@
                 }
                 let k = known.get_mut(&mail).unwrap();
                 let (endpoint, began) = k.out.take().unwrap();
-                let served = rng.u8(..10) > 0;
+                let relayed = rng.u8(..10) > 0;
                 let outcome = [
                     Outcome::Relayed,
                     Outcome::Error,
@@ -400,7 +400,7 @@
                     Outcome::Unreached,
                     Outcome::Broken,
                     Outcome::Unsent,
-                ][if served { 0 } else { rng.usize(..7) }];
+                ][if relayed { 0 } else { rng.usize(..7) }];
                 let wait = if outcome == Outcome::Refused { rng.u64(..SECOND / 4) } else { 0 };
                 if !outcome.never_ran() {
                     k.ran = k.ran.or(Some((began, endpoint % 2)));
