--- a/crates/courier/src/discovery.rs
+++ b/crates/courier/src/discovery.rs
@@ -1,5 +1,5 @@
 //! Follows the list of endpoints: the whole list, then a watch on its changes. When to ask, and when what was
-//! asked is broken, is the clock's to say (`told`).
+//! asked is broken, is the clock's to say (`schedule`).
 
 use std::cell::{Cell, RefCell};
 use std::fmt;
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
-use hyper::{Request, StatusCode};
+use hyper::StatusCode;
 use meadowhold::interface::{Life, Time};
 use meadowhold_catalog::content::Content;
 use serde::de::Error as _;
@@ -24,10 +24,10 @@
 use crate::exchange::Clock;
 use crate::platform::Connection;
 use crate::reader::{Fault, Limits, Reader};
-use crate::told::{Ask, Effect, Held, Input, Told, Verdict, SILENCE};
+use crate::schedule::{Effect, HeldVersion, Input, Request, Schedule, Verdict, WATCH_TIMEOUT};
 
 /// A list of which more than this has come may take its time: shorter ones have the time of any ask.
-const SHORT: usize = 4 << 20;
+const LONG_LIST: usize = 4 << 20;
 
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct List {
@@ -35,14 +35,14 @@
     pub index: u64,
     #[serde(default)]
     pub snapshot: bool,
-    #[serde(default, deserialize_with = "readable")]
+    #[serde(default, deserialize_with = "readable_entries")]
     pub endpoints: Vec<Entry>,
 }
 
 /// Guards against one entry that cannot be read and would cost all the others: it counts as not listed, also if it
 /// is one of changes and was listed before. One at a time: all of a long list as values would take many times its
 /// text.
-fn readable<'de, D: Deserializer<'de>>(list: D) -> Result<Vec<Entry>, D::Error> {
+fn readable_entries<'de, D: Deserializer<'de>>(list: D) -> Result<Vec<Entry>, D::Error> {
     struct Entries;
 
     impl<'de> Visitor<'de> for Entries {
@@ -126,49 +126,58 @@
 impl LastHeard {
     /// Whether the list or watch that is out was heard within the time in which a healthy one says something.
     pub fn is_recent(&self, now: Time) -> bool {
-        self.0.get().is_some_and(|at| now < at + SILENCE)
+        self.0.get().is_some_and(|at| now < at + WATCH_TIMEOUT)
     }
 
     fn note(&self, now: Time, input: Input, effect: Effect) {
         match input {
-            Input::Head | Input::More | Input::Word | Input::Taken | Input::Older | Input::Gap => {
+            Input::Headers
+            | Input::LongListData
+            | Input::WatchData
+            | Input::ListTaken
+            | Input::OlderList
+            | Input::VersionGap => {
                 self.0.set(Some(now));
             }
-            Input::Ended | Input::Refused | Input::Unreadable | Input::TooLong | Input::Moved => {
+            Input::Closed
+            | Input::Rejected
+            | Input::Unreadable
+            | Input::OverLimit
+            | Input::AddressChanged => {
                 self.0.set(None);
             }
-            Input::Due if effect == Effect::Drop => self.0.set(None),
-            Input::Due => {}
+            Input::Timer if effect == Effect::Cancel => self.0.set(None),
+            Input::Timer => {}
         }
     }
 }
 
 /// What comes of an ask.
 enum Event {
-    Head,
+    Headers,
     Bytes(Bytes),
     /// The answer is over.
-    Ended,
+    End,
     Failed(io::Error),
     Status(u16),
 }
 
 /// Carries one ask out; it is over, and its connection closed, when it is dropped.
-async fn ask(address: SocketAddr, path: String, out: &mpsc::Sender<Event>) -> io::Result<Event> {
+async fn send_request(address: SocketAddr, path: String, out: &mpsc::Sender<Event>) -> io::Result<Event> {
     let mut connection = Connection::open(address).await?;
-    let request = Request::get(path).body(Full::default()).map_err(io::Error::other)?;
+    let request = hyper::Request::get(path).body(Full::default()).map_err(io::Error::other)?;
     let answer = connection.send(request).await?;
     if answer.status() != StatusCode::OK {
         return Ok(Event::Status(answer.status().as_u16()));
     }
-    let _ = out.send(Event::Head).await;
+    let _ = out.send(Event::Headers).await;
     let mut body = answer.into_body();
     while let Some(frame) = body.frame().await {
         if let Ok(bytes) = frame.map_err(io::Error::other)?.into_data() {
             let _ = out.send(Event::Bytes(bytes)).await;
         }
     }
-    Ok(Event::Ended)
+    Ok(Event::End)
 }
 
 struct Follower<L> {
@@ -178,41 +187,41 @@
     last_heard: LastHeard,
     address: watch::Receiver<SocketAddr>,
     clock: Clock,
-    told: Told,
-    held: Held,
-    chance: fastrand::Rng,
+    schedule: Schedule,
+    version: HeldVersion,
+    rng: fastrand::Rng,
     limits: Limits,
     reader: Reader,
     /// The whole list, until its answer has ended.
-    list: Option<Update>,
+    whole_list: Option<Update>,
     /// The present ask is for the whole list, or for a watch of which nothing was read.
-    asked: Ask,
-    first: bool,
+    request: Request,
+    is_first: bool,
     /// The task of the present ask; dropped with it.
     task: JoinSet<()>,
     events: Option<mpsc::Receiver<Event>>,
 }
 
 impl<L: Listener> Follower<L> {
-    fn begin(&mut self, what: Ask) {
-        self.drop_ask();
-        (self.asked, self.first) = (what, true);
+    fn send(&mut self, what: Request) {
+        self.cancel();
+        (self.request, self.is_first) = (what, true);
         let path = match what {
-            Ask::Whole => "/catalog/members".to_string(),
-            Ask::Watch => self.watch_path(),
+            Request::List => "/catalog/members".to_string(),
+            Request::Watch => self.watch_path(),
         };
         let address = *self.address.borrow();
         let (out, events) = mpsc::channel(1);
         self.events = Some(events);
         self.task.spawn_local(async move {
-            let end = ask(address, path, &out).await.unwrap_or_else(Event::Failed);
+            let end = send_request(address, path, &out).await.unwrap_or_else(Event::Failed);
             let _ = out.send(end).await;
         });
     }
 
     /// A relay is told what is held under the index, where just that is known.
     fn watch_path(&self) -> String {
-        let index = self.held.index;
+        let index = self.version.index;
         let path = format!("/catalog/members?watch=1&after={index}");
         let content = self.listener.borrow().held_content();
         match content.filter(|content| self.is_relay && content.index == index) {
@@ -221,11 +230,11 @@
         }
     }
 
-    fn drop_ask(&mut self) {
+    fn cancel(&mut self) {
         self.task = JoinSet::new();
         self.events = None;
         self.reader = Reader::new(self.limits);
-        self.list = None;
+        self.whole_list = None;
     }
 
     /// Takes a list up as far as the version held allows.
@@ -235,17 +244,17 @@
         if !whole && self.listener.borrow().count_with(list) > self.limits.entries {
             return Err(self.limits.too_many());
         }
-        let first = std::mem::take(&mut self.first);
+        let first = std::mem::take(&mut self.is_first);
         if whole && self.is_relay {
             // Guards against an older list that the listener never hears of: it would take what changed since that
             // list for what changed since its own.
-            self.held = Held::new(0);
+            self.version = HeldVersion::new(0);
         }
-        let verdict = self.held.judge(now, list.index, whole, list.entries.len(), first);
+        let verdict = self.version.judge(now, list.index, whole, list.entries.len(), first);
         match verdict {
-            Verdict::Take | Verdict::TakeAndAsk => self.listener.borrow_mut().listed(list),
-            Verdict::Pass | Verdict::PassAndAsk | Verdict::Again => {
-                log::debug!("a list of version {} came while {} is held", list.index, self.held.index);
+            Verdict::Accept | Verdict::AcceptAndRefetch => self.listener.borrow_mut().listed(list),
+            Verdict::Ignore | Verdict::IgnoreAndRefetch | Verdict::IgnoreAndRetry => {
+                log::debug!("a list of version {} came while {} is held", list.index, self.version.index);
             }
         }
         Ok(verdict)
@@ -255,113 +264,114 @@
     /// against an object that comes byte by byte and keeps a watch open of which nothing is heard.
     fn read_watch(&mut self, bytes: &[u8]) -> Result<Input, Fault> {
         let mut reader = std::mem::take(&mut self.reader);
-        let mut input = Input::Head;
+        let mut input = Input::Headers;
         let blank = reader.read(bytes, |list| {
             match self.apply(&list)? {
-                Verdict::TakeAndAsk | Verdict::PassAndAsk => input = Input::Gap,
-                Verdict::Take | Verdict::Pass | Verdict::Again if input == Input::Gap => {}
-                Verdict::Take | Verdict::Pass | Verdict::Again => input = Input::Word,
+                Verdict::AcceptAndRefetch | Verdict::IgnoreAndRefetch => input = Input::VersionGap,
+                Verdict::Accept | Verdict::Ignore | Verdict::IgnoreAndRetry if input == Input::VersionGap => {
+                }
+                Verdict::Accept | Verdict::Ignore | Verdict::IgnoreAndRetry => input = Input::WatchData,
             }
             Ok(())
         })?;
         self.reader = reader;
         // An empty line, of one that has been read or of its own.
-        Ok(if blank && input == Input::Head { Input::Word } else { input })
+        Ok(if blank && input == Input::Headers { Input::WatchData } else { input })
     }
 
     /// Reads of a whole list what has come; it counts once the answer has ended.
-    fn read_part(&mut self, bytes: &[u8]) -> Result<Input, Fault> {
-        let (reader, held) = (&mut self.reader, &mut self.list);
+    fn read_list(&mut self, bytes: &[u8]) -> Result<Input, Fault> {
+        let (reader, held) = (&mut self.reader, &mut self.whole_list);
         reader.read(bytes, |list| match held.replace(list) {
             None => Ok(()),
             Some(_) => Err(serde_json::Error::custom("something follows the list").into()),
         })?;
-        Ok(Input::Head)
+        Ok(Input::Headers)
     }
 
-    fn read_whole(&mut self) -> Result<Input, Fault> {
+    fn finish_list(&mut self) -> Result<Input, Fault> {
         let unreadable = |words| Err(serde_json::Error::custom(words).into());
-        let Some(list) = self.list.take().filter(|_| self.reader.pending() == 0) else {
+        let Some(list) = self.whole_list.take().filter(|_| self.reader.pending() == 0) else {
             return unreadable("the list is cut off");
         };
         // Guards against changes, or an error in an object, that would stand for all that there is.
         if !list.whole {
             return unreadable("the answer is no whole list");
         }
-        Ok(if self.apply(&list)? == Verdict::Again { Input::Older } else { Input::Taken })
+        Ok(if self.apply(&list)? == Verdict::IgnoreAndRetry { Input::OlderList } else { Input::ListTaken })
     }
 
     /// What an event means to the clock, and what of it is news for the log.
     fn read(&mut self, event: Event) -> (Input, String) {
-        let was_long = self.reader.pending() > SHORT;
+        let was_long = self.reader.pending() > LONG_LIST;
         let (input, words) = self.read_event(event);
         match input {
             // Guards against many megabytes that are of no use and would be read again and again.
-            Input::Unreadable | Input::Ended if was_long => {
-                (Input::TooLong, format!("a long list was spoilt: {words}"))
+            Input::Unreadable | Input::Closed if was_long => {
+                (Input::OverLimit, format!("a long list was spoilt: {words}"))
             }
-            Input::Head if self.reader.pending() > SHORT => (Input::More, words),
+            Input::Headers if self.reader.pending() > LONG_LIST => (Input::LongListData, words),
             _ => (input, words),
         }
     }
 
     fn read_event(&mut self, event: Event) -> (Input, String) {
         let read = match event {
-            Event::Head => Ok(Input::Head),
-            Event::Bytes(bytes) if self.asked == Ask::Watch => self.read_watch(&bytes),
-            Event::Bytes(bytes) => self.read_part(&bytes),
-            Event::Ended if self.asked == Ask::Whole => self.read_whole(),
-            Event::Ended => return (Input::Ended, "the watch has ended".to_string()),
-            Event::Status(status) => return (Input::Refused, format!("discovery answers {status}")),
+            Event::Headers => Ok(Input::Headers),
+            Event::Bytes(bytes) if self.request == Request::Watch => self.read_watch(&bytes),
+            Event::Bytes(bytes) => self.read_list(&bytes),
+            Event::End if self.request == Request::List => self.finish_list(),
+            Event::End => return (Input::Closed, "the watch has ended".to_string()),
+            Event::Status(status) => return (Input::Rejected, format!("discovery answers {status}")),
             Event::Failed(e) if e.kind() == io::ErrorKind::ConnectionRefused => {
-                return (Input::Refused, e.to_string());
+                return (Input::Rejected, e.to_string());
             }
-            Event::Failed(e) => return (Input::Ended, e.to_string()),
+            Event::Failed(e) => return (Input::Closed, e.to_string()),
         };
         match read {
-            Ok(Input::Gap) => (Input::Gap, "changes are missing".to_string()),
-            Ok(Input::Older) => (Input::Older, "the list is from before what is held".to_string()),
+            Ok(Input::VersionGap) => (Input::VersionGap, "changes are missing".to_string()),
+            Ok(Input::OlderList) => (Input::OlderList, "the list is from before what is held".to_string()),
             Ok(input) => (input, String::new()),
             Err(Fault::Unreadable(e)) => (Input::Unreadable, e.to_string()),
-            Err(Fault::TooLong(words)) => (Input::TooLong, words),
+            Err(Fault::TooLong(words)) => (Input::OverLimit, words),
         }
     }
 
     async fn run(mut self) {
         loop {
-            let due = self.clock.instant(self.told.due());
+            let due = self.clock.instant(self.schedule.due());
             let (input, words) = tokio::select! {
                 biased;
-                () = moved(&mut self.address) => (Input::Moved, String::new()),
-                event = next(&mut self.events) => self.read(event),
-                () = tokio::time::sleep_until(due.into()) => (Input::Due, "discovery is silent".to_string()),
+                () = address_changed(&mut self.address) => (Input::AddressChanged, String::new()),
+                event = next_event(&mut self.events) => self.read(event),
+                () = tokio::time::sleep_until(due.into()) => (Input::Timer, "discovery is silent".to_string()),
             };
-            let (now, failed) = (self.clock.now(), self.told.failed_in_row());
-            let too_long = self.told.too_long_in_row();
-            if input == Input::Moved {
-                self.held.moved(self.told.passes_lower_until(now));
+            let (now, failed) = (self.clock.now(), self.schedule.consecutive_failures());
+            let too_long = self.schedule.consecutive_over_limit();
+            if input == Input::AddressChanged {
+                self.version.address_changed(self.schedule.ignores_lower_until(now));
             }
-            let effect = self.told.put(now, input, self.chance.f64());
+            let effect = self.schedule.handle(now, input, self.rng.f64());
             self.last_heard.note(now, input, effect);
             match effect {
                 Effect::Nothing => {}
-                Effect::Begin(what) => self.begin(what),
-                Effect::Drop => self.drop_ask(),
+                Effect::Send(what) => self.send(what),
+                Effect::Cancel => self.cancel(),
             }
-            match (too_long, self.told.too_long_in_row()) {
+            match (too_long, self.schedule.consecutive_over_limit()) {
                 (0, 1) => log::warn!("{words}: the list that is held stays in force"),
                 (before, after) if after > before => log::debug!("still {words}"),
                 _ => {}
             }
             // The first failure in a row is worth a line, the others are not.
-            match (failed, self.told.failed_in_row()) {
+            match (failed, self.schedule.consecutive_failures()) {
                 (0, 1) => log::warn!("the list cannot be followed: {words}"),
                 (before, after) if after > before => {
                     log::debug!("the list still cannot be followed: {words}")
                 }
                 _ => {}
             }
-            if self.told.may_begin() {
+            if self.schedule.allows_calls() {
                 self.listener.borrow_mut().release();
             }
         }
@@ -369,7 +379,7 @@
 }
 
 /// What comes next of an ask, if one is out.
-async fn next(events: &mut Option<mpsc::Receiver<Event>>) -> Event {
+async fn next_event(events: &mut Option<mpsc::Receiver<Event>>) -> Event {
     let event = match events {
         Some(events) => events.recv().await,
         None => std::future::pending().await,
@@ -378,7 +388,7 @@
         Some(event) => event,
         None => {
             *events = None;
-            Event::Ended
+            Event::End
         }
     }
 }
@@ -394,12 +404,12 @@
     push: bool,
     (limits, seed): (Limits, u64),
 ) -> impl Future<Output = ()> {
-    let told = Told::new(push, clock.now());
+    let schedule = Schedule::new(push, clock.now());
     // Here and not in the task, before which another might begin calls.
-    if !told.may_begin() {
+    if !schedule.allows_calls() {
         listener.borrow_mut().hold();
     }
-    follower(listener, clock, address, (told, Held::new(index)), (limits, seed)).run()
+    follower(listener, clock, address, (schedule, HeldVersion::new(index)), (limits, seed)).run()
 }
 
 /// Follows the list at a relay: from the content that is held, where the relay checks it, or else from the whole list.
@@ -414,8 +424,8 @@
 ) -> impl Future<Output = ()> {
     let now = clock.now();
     let start = match from {
-        Some(content) => (Told::resuming(now), Held::new(content.index)),
-        None => (Told::new(false, now), Held::new(0)),
+        Some(content) => (Schedule::resuming(now), HeldVersion::new(content.index)),
+        None => (Schedule::new(false, now), HeldVersion::new(0)),
     };
     let follower = follower(listener, clock, address, start, limits);
     Follower { is_relay: true, last_heard, ..follower }.run()
@@ -425,7 +435,7 @@
     listener: Rc<RefCell<L>>,
     clock: Clock,
     address: watch::Receiver<SocketAddr>,
-    (told, held): (Told, Held),
+    (schedule, version): (Schedule, HeldVersion),
     (limits, seed): (Limits, u64),
 ) -> Follower<L> {
     Follower {
@@ -434,21 +444,21 @@
         last_heard: LastHeard::default(),
         address,
         clock,
-        told,
-        held,
-        chance: fastrand::Rng::with_seed(seed),
+        schedule,
+        version,
+        rng: fastrand::Rng::with_seed(seed),
         limits,
         reader: Reader::new(limits),
-        list: None,
-        asked: Ask::Whole,
-        first: true,
+        whole_list: None,
+        request: Request::List,
+        is_first: true,
         task: JoinSet::new(),
         events: None,
     }
 }
 
 /// Done when another address has been given.
-pub async fn moved(address: &mut watch::Receiver<SocketAddr>) {
+pub async fn address_changed(address: &mut watch::Receiver<SocketAddr>) {
     if address.changed().await.is_err() {
         // Nobody is left to give one.
         std::future::pending().await
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -28,7 +28,7 @@
 pub mod relay;
 pub mod relays;
 pub mod resp;
-pub mod told;
+pub mod schedule;
 pub mod version;
 
 use std::cell::{Cell, RefCell};
--- a/crates/courier/src/notices.rs
+++ b/crates/courier/src/notices.rs
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-use crate::discovery::moved;
+use crate::discovery::address_changed;
 use crate::exchange::{Notice, Shared};
 use crate::journal::Verdict;
 use crate::platform::Connection;
@@ -163,7 +163,7 @@
             }
         }
         tokio::select! {
-            () = moved(&mut address) => pause = PAUSES.0,
+            () = address_changed(&mut address) => pause = PAUSES.0,
             () = sleep(pause) => pause = (pause * 2).min(PAUSES.1),
         }
     }
