--- a/crates/courier/src/discovery.rs
+++ b/crates/courier/src/discovery.rs
@@ -23,7 +23,7 @@
 use crate::entries::{self, Update};
 use crate::exchange::Clock;
 use crate::platform::Connection;
-use crate::reader::{Fault, Limits, Reader};
+use crate::reader::{Limits, ReadError, Reader};
 use crate::schedule::{Effect, HeldVersion, Input, Request, Schedule, Verdict, WATCH_TIMEOUT};
 
 /// A list of which more than this has come may take its time: shorter ones have the time of any ask.
@@ -238,11 +238,11 @@
     }
 
     /// Takes a list up as far as the version held allows.
-    fn apply(&mut self, list: &Update) -> Result<Verdict, Fault> {
+    fn apply(&mut self, list: &Update) -> Result<Verdict, ReadError> {
         let (now, whole) = (self.clock.now(), list.whole);
         // Guards against changes that add up to more than a whole list may have.
         if !whole && self.listener.borrow().count_with(list) > self.limits.entries {
-            return Err(self.limits.too_many());
+            return Err(self.limits.too_many_entries());
         }
         let first = std::mem::take(&mut self.is_first);
         if whole && self.is_relay {
@@ -262,10 +262,10 @@
 
     /// Reads what a watch says: one object after another, in one line or in several. A part of one is no word. Guards
     /// against an object that comes byte by byte and keeps a watch open of which nothing is heard.
-    fn read_watch(&mut self, bytes: &[u8]) -> Result<Input, Fault> {
+    fn read_watch(&mut self, bytes: &[u8]) -> Result<Input, ReadError> {
         let mut reader = std::mem::take(&mut self.reader);
         let mut input = Input::Headers;
-        let blank = reader.read(bytes, |list| {
+        let separated = reader.read(bytes, |list| {
             match self.apply(&list)? {
                 Verdict::AcceptAndRefetch | Verdict::IgnoreAndRefetch => input = Input::VersionGap,
                 Verdict::Accept | Verdict::Ignore | Verdict::IgnoreAndRetry if input == Input::VersionGap => {
@@ -276,11 +276,11 @@
         })?;
         self.reader = reader;
         // An empty line, of one that has been read or of its own.
-        Ok(if blank && input == Input::Headers { Input::WatchData } else { input })
+        Ok(if separated && input == Input::Headers { Input::WatchData } else { input })
     }
 
     /// Reads of a whole list what has come; it counts once the answer has ended.
-    fn read_list(&mut self, bytes: &[u8]) -> Result<Input, Fault> {
+    fn read_list(&mut self, bytes: &[u8]) -> Result<Input, ReadError> {
         let (reader, held) = (&mut self.reader, &mut self.whole_list);
         reader.read(bytes, |list| match held.replace(list) {
             None => Ok(()),
@@ -289,7 +289,7 @@
         Ok(Input::Headers)
     }
 
-    fn finish_list(&mut self) -> Result<Input, Fault> {
+    fn finish_list(&mut self) -> Result<Input, ReadError> {
         let unreadable = |words| Err(serde_json::Error::custom(words).into());
         let Some(list) = self.whole_list.take().filter(|_| self.reader.pending() == 0) else {
             return unreadable("the list is cut off");
@@ -332,8 +332,8 @@
             Ok(Input::VersionGap) => (Input::VersionGap, "changes are missing".to_string()),
             Ok(Input::OlderList) => (Input::OlderList, "the list is from before what is held".to_string()),
             Ok(input) => (input, String::new()),
-            Err(Fault::Unreadable(e)) => (Input::Unreadable, e.to_string()),
-            Err(Fault::TooLong(words)) => (Input::OverLimit, words),
+            Err(ReadError::Unreadable(e)) => (Input::Unreadable, e.to_string()),
+            Err(ReadError::OverLimit(words)) => (Input::OverLimit, words),
         }
     }
 
--- a/crates/courier/src/entries.rs
+++ b/crates/courier/src/entries.rs
@@ -8,7 +8,7 @@
 
 /// An entry, by reference into where it is packed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Listing<'a> {
+pub struct EntryRef<'a> {
     /// First, so that a packed entry can be found by its name.
     pub name: &'a str,
     pub address: &'a str,
@@ -24,18 +24,18 @@
 const SERVING: u8 = 1;
 const DRAINING: u8 = 2;
 
-impl<'a> Listing<'a> {
-    pub fn gone(name: &'a str) -> Listing<'a> {
-        Listing { name, ..Listing::default() }
+impl<'a> EntryRef<'a> {
+    pub fn gone(name: &'a str) -> EntryRef<'a> {
+        EntryRef { name, ..EntryRef::default() }
     }
 
-    pub fn with_status(self, status: &str) -> Listing<'a> {
+    pub fn with_status(self, status: &str) -> EntryRef<'a> {
         let status = match life(status) {
             Life::Ready => SERVING,
             Life::Draining => DRAINING,
             Life::Gone => GONE,
         };
-        Listing { status, ..self }
+        EntryRef { status, ..self }
     }
 
     pub fn life(&self) -> Life {
@@ -64,11 +64,11 @@
     }
 }
 
-impl<'a> From<&'a Entry> for Listing<'a> {
-    fn from(entry: &'a Entry) -> Listing<'a> {
+impl<'a> From<&'a Entry> for EntryRef<'a> {
+    fn from(entry: &'a Entry) -> EntryRef<'a> {
         let Entry { name, address, zone, kind, group, status, weight, since_ms } = entry;
         let (group, weight, since_ms) = (*group, *weight, *since_ms);
-        Listing { name, address, zone, kind, group, status: GONE, weight, since_ms }.with_status(status)
+        EntryRef { name, address, zone, kind, group, status: GONE, weight, since_ms }.with_status(status)
     }
 }
 
@@ -80,7 +80,7 @@
 }
 
 impl Entries {
-    pub fn push(&mut self, entry: &Listing) {
+    pub fn push(&mut self, entry: &EntryRef) {
         // Into a vector of bytes nothing of this kind can fail.
         if postcard::to_io(entry, &mut self.bytes).is_ok() {
             self.count += 1;
@@ -88,7 +88,7 @@
     }
 
     /// One entry alone.
-    pub fn of(entry: &Listing) -> Entries {
+    pub fn single(entry: &EntryRef) -> Entries {
         let mut one = Entries::default();
         one.push(entry);
         one
@@ -112,20 +112,20 @@
         &self.bytes
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = Listing<'_>> {
-        packed(&self.bytes).map_while(|(entry, _)| entry)
+    pub fn iter(&self) -> impl Iterator<Item = EntryRef<'_>> {
+        unpack(&self.bytes).map_while(|(entry, _)| entry)
     }
 }
 
 /// The entries in these bytes, each with its own bytes; `None` at the first place where there is none, and then no more.
-pub fn packed(bytes: &[u8]) -> impl Iterator<Item = (Option<Listing<'_>>, &[u8])> {
+pub fn unpack(bytes: &[u8]) -> impl Iterator<Item = (Option<EntryRef<'_>>, &[u8])> {
     let mut rest = bytes;
     std::iter::from_fn(move || {
         if rest.is_empty() {
             return None;
         }
         let before = rest;
-        match postcard::take_from_bytes::<Listing>(before) {
+        match postcard::take_from_bytes::<EntryRef>(before) {
             Ok((entry, after)) => {
                 rest = after;
                 Some((Some(entry), &before[..before.len() - after.len()]))
@@ -139,7 +139,7 @@
 }
 
 /// The name of a packed entry. It is asked for more often than all else of one, and mostly has its length in one byte.
-pub fn name_of(packed: &[u8]) -> &[u8] {
+pub fn packed_name(packed: &[u8]) -> &[u8] {
     match packed.split_first() {
         Some((&length @ ..0x80, rest)) => rest.get(..usize::from(length)).unwrap_or_default(),
         _ => postcard::take_from_bytes::<&[u8]>(packed).map_or(&[], |(name, _)| name),
@@ -156,7 +156,7 @@
 
 impl Update {
     /// How many more are listed with this than are now; `has`: whether one of this name is.
-    pub fn added(&self, has: impl Fn(&str) -> bool) -> usize {
+    pub fn count_added(&self, has: impl Fn(&str) -> bool) -> usize {
         self.entries.iter().filter(|entry| entry.life() != Life::Gone && !has(entry.name)).count()
     }
 }
--- a/crates/courier/src/exchange.rs
+++ b/crates/courier/src/exchange.rs
@@ -23,7 +23,7 @@
 use crate::discovery::{List, Listener};
 use crate::entries::Update;
 use crate::journal::{held_as, weight, Found, Journal, Owed, Record, Sent, Terms, Verdict, NO_ZONE};
-use crate::memory::{deployment, Keeper};
+use crate::memory::{deployment, ListStore};
 use crate::numbers::Classes;
 use crate::{http, must};
 
@@ -263,7 +263,7 @@
     next_serial: u64,
     next_place: u64,
     journal: Journal,
-    keeper: Keeper,
+    keeper: ListStore,
     unwritten: bool,
     inputs: Vec<Input>,
     actions: Vec<Action>,
@@ -379,7 +379,7 @@
         kinds.resize(settings.kinds.len(), String::new());
         let (folder, allowance) = journal.place();
         let mut exchange = Exchange {
-            keeper: Keeper::new(folder, allowance, deployment),
+            keeper: ListStore::new(folder, allowance, deployment),
             names: Names { zones, on_file: 0, other: kinds.len() - 1, kinds, report, fields },
             room: settings.room,
             batches: settings.kinds.iter().map(|kind| kind.batch).collect(),
@@ -739,7 +739,7 @@
         self.index = list.index;
         self.tally.listed(list.index);
         self.peers.iter_mut().filter(|_| list.whole).for_each(|peer| peer.ready = false);
-        self.keeper.take_up(list);
+        self.keeper.apply(list);
         self.inputs.push(Input::ListBegin { whole: list.whole });
         let mut places: Option<(&str, &str, usize, usize)> = None;
         for entry in list.entries.iter() {
@@ -1184,7 +1184,7 @@
     }
 
     fn count_with(&self, changes: &Update) -> usize {
-        self.endpoints.len() + changes.added(|name| self.endpoints.find(name.as_bytes()).is_some())
+        self.endpoints.len() + changes.count_added(|name| self.endpoints.find(name.as_bytes()).is_some())
     }
 
     fn hold(&mut self) {
--- a/crates/courier/src/hollow.rs
+++ b/crates/courier/src/hollow.rs
@@ -20,7 +20,7 @@
 use crate::entries::Update;
 use crate::exchange::{duration, Clock, IN_FORCE};
 use crate::members;
-use crate::memory::{deployment, Keeper};
+use crate::memory::{deployment, ListStore};
 use crate::relays;
 
 /// A real courier writes its file at the end of a turn. Here that waits, so that those who share the process have
@@ -33,7 +33,7 @@
 pub struct Hollow {
     name: String,
     clock: Clock,
-    keeper: Keeper,
+    keeper: ListStore,
     /// Version of the list that was taken up last, and the last by which a turn was taken.
     index: u64,
     in_force: u64,
@@ -53,12 +53,12 @@
 impl Listener for Hollow {
     fn listed(&mut self, list: &Update) {
         self.index = list.index;
-        self.keeper.take_up(list);
+        self.keeper.apply(list);
         self.notify.notify_one();
     }
 
     fn count_with(&self, changes: &Update) -> usize {
-        self.keeper.count_with(changes)
+        self.keeper.count_after(changes)
     }
 
     fn hold(&mut self) {
@@ -87,7 +87,7 @@
     let fleet = members::start(&name, peers.as_ref())?;
     fs::create_dir_all(&state)?;
     let clock = Clock::new();
-    let mut keeper = Keeper::new(&state, disk, deployment(&decoded));
+    let mut keeper = ListStore::new(&state, disk, deployment(&decoded));
     // As a real one: the configuration's version, and not the kept one.
     let index = known.index;
     let begun = keeper.recall(known, clock.now(), |_| false);
--- a/crates/courier/src/memory/tests.rs
+++ b/crates/courier/src/memory/tests.rs
@@ -5,13 +5,13 @@
 const NOW: Time = 17_000_000_000_000;
 
 fn memory() -> Memory {
-    let kept = |i: u64| Kept {
+    let kept = |i: u64| KeptEntry {
         name: format!("s-{i}"),
         address: format!("10.1.0.{i}:6379"),
         status: "SERVING".to_string(),
         weight: 12.5,
         group: i % 3,
-        ..Kept::default()
+        ..KeptEntry::default()
     };
     let sight = Sight { at: NOW - 50, out: true, back_at: 0, wait_until: NOW + 9, tail: 700, pace: 3.5 };
     Memory {
@@ -19,7 +19,7 @@
         deployment: "ours".to_string(),
         index: 41,
         endpoints: (1..4).map(kept).collect(),
-        sights: vec![Seen::new("s-1", &sight)],
+        sights: vec![KeptSight::new("s-1", &sight)],
     }
 }
 
@@ -31,18 +31,18 @@
 }
 
 #[test]
-fn what_is_saved_is_loaded_and_replaced_whole() {
+fn a_saved_file_is_loaded_and_replaced_atomically() {
     let folder = folder("saved");
     assert_eq!(load(&folder, 3_000_000, NOW), None);
     // Half a file under the other name is what a kill leaves.
-    fs::write(folder.join(FRESH), b"half").unwrap();
+    fs::write(folder.join(TEMPORARY_FILE), b"half").unwrap();
     for index in [41, 42] {
         let memory = Memory { index, ..memory() };
         save(&folder, 3_000_000, &memory).unwrap();
         assert_eq!(load(&folder, 3_000_000, NOW), Some(memory.clone()));
         assert_eq!(memory.sights[0].sight().tail, 700);
     }
-    assert!(!folder.join(FRESH).exists());
+    assert!(!folder.join(TEMPORARY_FILE).exists());
     // Over its part it is not written, and the old one stays; what is over it is not read either.
     assert!(save(&folder, 10_000, &Memory { index: 43, ..memory() }).is_err());
     assert_eq!(load(&folder, 3_000_000, NOW).unwrap().index, 42);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_file_cut_or_changed_at_any_byte_is_passed_over() {
+fn a_file_truncated_or_changed_at_any_byte_is_ignored() {
     let good = memory().bytes().unwrap();
     assert_eq!(Memory::read(&good, NOW), Ok(memory()));
     for cut in 0..good.len() {
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn what_is_newer_or_forged_is_passed_over_with_plain_words() {
+fn a_newer_or_forged_file_is_ignored_with_a_reason() {
     let anew = |body: &[u8], version: &str| {
         let mut out = format!("{MAGIC}{version}\n").into_bytes();
         out.extend_from_slice(&(body.len() as u32).to_be_bytes());
@@ -116,49 +116,49 @@
 }
 
 #[test]
-fn the_list_is_kept_as_it_changes_and_not_too_often() {
+fn the_list_is_saved_as_it_changes_and_at_most_once_a_second() {
     let folder = folder("keeper");
     let entry = |name: &str, status: &str| {
-        Entry::from(Kept { name: name.to_string(), status: status.to_string(), ..Kept::default() })
+        Entry::from(KeptEntry { name: name.to_string(), status: status.to_string(), ..KeptEntry::default() })
     };
     let list = |index, snapshot, endpoints| List { index, snapshot, endpoints };
-    let on_file = |now| {
+    let load_version = |now| {
         let memory = load(&folder, 3_000_000, now)?;
         Some((memory.index, memory.endpoints.into_iter().map(|kept| kept.name).collect::<Vec<_>>()))
     };
     let names = |index, names: &[&str]| Some((index, names.iter().map(|n| n.to_string()).collect()));
-    let mut keeper = Keeper::new(&folder, 3_000_000, "ours".to_string());
-    keeper.listed(&list(0, true, vec![entry("a", "SERVING")]));
-    keeper.save(NOW);
-    assert_eq!(on_file(NOW), None, "no version");
-    keeper.listed(&list(5, true, vec![entry("a", "SERVING"), entry("b", "SERVING")]));
-    keeper.save(NOW);
-    assert_eq!(on_file(NOW), names(5, &["a", "b"]));
-    keeper.listed(&list(6, false, vec![entry("a", "DELETED"), entry("c", "DRAINING")]));
-    keeper.save(NOW + EVERY - 1);
-    assert_eq!(on_file(NOW), names(5, &["a", "b"]), "too soon");
-    keeper.save(NOW + EVERY);
-    assert_eq!(on_file(NOW + EVERY), names(6, &["b", "c"]));
+    let mut store = ListStore::new(&folder, 3_000_000, "ours".to_string());
+    store.apply_list(&list(0, true, vec![entry("a", "SERVING")]));
+    store.save(NOW);
+    assert_eq!(load_version(NOW), None, "no version");
+    store.apply_list(&list(5, true, vec![entry("a", "SERVING"), entry("b", "SERVING")]));
+    store.save(NOW);
+    assert_eq!(load_version(NOW), names(5, &["a", "b"]));
+    store.apply_list(&list(6, false, vec![entry("a", "DELETED"), entry("c", "DRAINING")]));
+    store.save(NOW + SAVE_INTERVAL - 1);
+    assert_eq!(load_version(NOW), names(5, &["a", "b"]), "too soon");
+    store.save(NOW + SAVE_INTERVAL);
+    assert_eq!(load_version(NOW + SAVE_INTERVAL), names(6, &["b", "c"]));
     // A registry that began anew counts lower: its list is the list.
-    keeper.listed(&list(2, true, vec![entry("d", "SERVING")]));
-    keeper.save(NOW + 2 * EVERY);
-    assert_eq!(on_file(NOW + 2 * EVERY), names(2, &["d"]));
+    store.apply_list(&list(2, true, vec![entry("d", "SERVING")]));
+    store.save(NOW + 2 * SAVE_INTERVAL);
+    assert_eq!(load_version(NOW + 2 * SAVE_INTERVAL), names(2, &["d"]));
     // What is the same is not written again.
-    fs::remove_file(folder.join(NAME)).unwrap();
-    keeper.save(NOW + 9 * EVERY);
-    assert_eq!(on_file(NOW + 9 * EVERY), None);
+    fs::remove_file(folder.join(FILE)).unwrap();
+    store.save(NOW + 9 * SAVE_INTERVAL);
+    assert_eq!(load_version(NOW + 9 * SAVE_INTERVAL), None);
     fs::remove_dir_all(folder).unwrap();
 }
 
 #[test]
-fn beside_the_journal_it_stays_within_the_allowance() {
+fn together_with_the_journal_the_file_stays_within_the_allowance() {
     // Owed and file of the journal at their most, and the two files of this, each in whole blocks.
     let allowance = 3_000_000;
-    assert!(allowance / 100 * (34 + 46) + 2 * (most(allowance) + BLOCK) + 4 * BLOCK < allowance);
+    assert!(allowance / 100 * (34 + 46) + 2 * (max_len(allowance) + BLOCK) + 4 * BLOCK < allowance);
 }
 
 #[test]
-fn what_another_deployment_or_an_earlier_version_kept_is_passed_over() {
+fn a_file_of_another_deployment_or_an_earlier_version_is_ignored() {
     let settings = meadowhold_rig::scripted::settings();
     let decoded = |change: fn(&mut serde_json::Value)| {
         let mut settings = settings.clone();
@@ -170,17 +170,17 @@
     let file = Memory::read(&kept.bytes().unwrap(), NOW).unwrap();
     // The fleet's size, limits and costs may change under the same list.
     let grown = decoded(|s| (s["NInstances"], s["Limits"]["MaxOpen"]) = (300.into(), 9.into()));
-    assert_eq!((grown == ours, file.clone().of(&ours)), (true, Some(kept)));
+    assert_eq!((grown == ours, file.clone().for_deployment(&ours)), (true, Some(kept)));
     let others = [
         decoded(|s| s["Profiles"][0]["Name"] = "renamed".into()),
         decoded(|s| s["Profiles"][2]["Effect"] = "read_like".into()),
         decoded(|s| s["Dcs"] = serde_json::json!(["b", "a"])),
         decoded(|s| s["Kinds"] = serde_json::json!(["other", "many"])),
     ];
-    others.iter().for_each(|other| assert_eq!(file.clone().of(other), None, "{other}"));
+    others.iter().for_each(|other| assert_eq!(file.clone().for_deployment(other), None, "{other}"));
     // As earlier versions wrote it.
     let mut old = serde_json::to_value(memory()).unwrap();
     old.as_object_mut().unwrap().remove("deployment");
     let old: Memory = serde_json::from_value(old).unwrap();
-    assert_eq!((old.index, old.of(&ours)), (41, None));
+    assert_eq!((old.index, old.for_deployment(&ours)), (41, None));
 }
--- a/crates/courier/src/reader.rs
+++ b/crates/courier/src/reader.rs
@@ -8,12 +8,12 @@
 use serde_json::Value;
 
 use crate::discovery::{Entry, List};
-use crate::entries::{Entries, Listing, Update};
+use crate::entries::{Entries, EntryRef, Update};
 
 /// Of one entry, in bytes of text: a longer one is passed over.
-const MOST_ENTRY: usize = 16 << 10;
+const MAX_ENTRY_BYTES: usize = 16 << 10;
 /// Of an object without its entries.
-const MOST_FRAME: usize = 64 << 10;
+const MAX_FRAME_BYTES: usize = 64 << 10;
 
 /// Of one object that is read: its entries, and bytes of its text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,30 +31,30 @@
 
 /// Why nothing more is read of an answer.
 #[derive(Debug)]
-pub enum Fault {
+pub enum ReadError {
     Unreadable(serde_json::Error),
     /// It is past a limit of the configuration, which the words name.
-    TooLong(String),
+    OverLimit(String),
 }
 
-impl From<serde_json::Error> for Fault {
-    fn from(error: serde_json::Error) -> Fault {
-        Fault::Unreadable(error)
+impl From<serde_json::Error> for ReadError {
+    fn from(error: serde_json::Error) -> ReadError {
+        ReadError::Unreadable(error)
     }
 }
 
-fn unreadable(words: &str) -> Fault {
-    Fault::Unreadable(serde_json::Error::custom(words))
+fn unreadable(message: &str) -> ReadError {
+    ReadError::Unreadable(serde_json::Error::custom(message))
 }
 
 impl Limits {
-    pub fn too_many(&self) -> Fault {
-        Fault::TooLong(format!("the list has more than {} entries (limits.list_entries)", self.entries))
+    pub fn too_many_entries(&self) -> ReadError {
+        ReadError::OverLimit(format!("the list has more than {} entries (limits.list_entries)", self.entries))
     }
 
-    fn too_long(&self) -> Fault {
+    fn too_many_bytes(&self) -> ReadError {
         let megabytes = self.bytes as f64 / 1e6;
-        Fault::TooLong(format!("the list is longer than {megabytes} MB (limits.list_mb)"))
+        ReadError::OverLimit(format!("the list is longer than {megabytes} MB (limits.list_mb)"))
     }
 }
 
@@ -83,26 +83,26 @@
     limits: Limits,
     /// How deep within objects and lists that is, within a text, and within a text after a backslash.
     depth: u32,
-    text: bool,
+    in_string: bool,
     escaped: bool,
     /// The object without its entries.
     frame: Vec<u8>,
     /// Where in the frame the last text of the object itself is, and whether that was the name of the entries, of which
     /// the value comes next.
-    word: (usize, usize),
-    named: bool,
+    last_string: (usize, usize),
+    after_entries_key: bool,
     /// Within the list of entries, and there after a comma.
-    listing: bool,
-    comma: bool,
+    in_entries: bool,
+    after_comma: bool,
     entry: Vec<u8>,
     /// The entry is longer than one may be.
-    long: bool,
-    seen: usize,
+    entry_too_long: bool,
+    entry_count: usize,
     /// Entries that cannot be read.
-    spoilt: usize,
+    unreadable: usize,
     entries: Entries,
     /// Bytes of the object.
-    read: usize,
+    object_bytes: usize,
 }
 
 impl Reader {
@@ -115,7 +115,7 @@
         if self.depth == 0 {
             0
         } else {
-            self.read
+            self.object_bytes
         }
     }
 
@@ -123,47 +123,47 @@
     pub fn read(
         &mut self,
         bytes: &[u8],
-        mut each: impl FnMut(Update) -> Result<(), Fault>,
-    ) -> Result<bool, Fault> {
-        let (mut rest, mut blank) = (bytes, false);
+        mut on_update: impl FnMut(Update) -> Result<(), ReadError>,
+    ) -> Result<bool, ReadError> {
+        let (mut rest, mut separated) = (bytes, false);
         while let Some((&byte, after)) = rest.split_first() {
-            if self.depth == 0 && is_blank(byte) {
-                (rest, blank) = (after, true);
+            if self.depth == 0 && is_whitespace(byte) {
+                (rest, separated) = (after, true);
                 continue;
             }
             // All of a text at once, up to what may end it: nothing in it counts.
-            let run = match self.listing && self.text && !self.escaped {
+            let run = match self.in_entries && self.in_string && !self.escaped {
                 true => memchr::memchr2(b'"', b'\\', rest).unwrap_or(rest.len()),
                 false => 0,
             };
-            self.read += run.max(1);
-            if self.read > self.limits.bytes {
-                return Err(self.limits.too_long());
+            self.object_bytes += run.max(1);
+            if self.object_bytes > self.limits.bytes {
+                return Err(self.limits.too_many_bytes());
             }
             if run > 0 {
-                let fits = run.min(MOST_ENTRY.saturating_sub(self.entry.len()));
+                let fits = run.min(MAX_ENTRY_BYTES.saturating_sub(self.entry.len()));
                 self.entry.extend_from_slice(&rest[..fits]);
-                self.long |= fits < run;
+                self.entry_too_long |= fits < run;
                 rest = &rest[run..];
                 continue;
             }
             rest = after;
-            if self.listing {
-                self.list(byte)?;
-            } else if self.frame(byte)? {
-                each(self.complete()?)?;
+            if self.in_entries {
+                self.entries_byte(byte)?;
+            } else if self.frame_byte(byte)? {
+                on_update(self.finish_object()?)?;
             }
         }
-        Ok(blank)
+        Ok(separated)
     }
 
     /// Keeps count of the depth.
-    fn count(&mut self, byte: u8) {
+    fn track_nesting(&mut self, byte: u8) {
         match byte {
             _ if self.escaped => self.escaped = false,
-            b'\\' if self.text => self.escaped = true,
-            b'"' => self.text = !self.text,
-            _ if self.text => {}
+            b'\\' if self.in_string => self.escaped = true,
+            b'"' => self.in_string = !self.in_string,
+            _ if self.in_string => {}
             b'{' | b'[' => self.depth = self.depth.saturating_add(1),
             b'}' | b']' => self.depth = self.depth.saturating_sub(1),
             _ => {}
@@ -171,61 +171,62 @@
     }
 
     /// A byte of the object that is none of its entries; whether it was the last one.
-    fn frame(&mut self, byte: u8) -> Result<bool, Fault> {
-        let (own, before) = (self.depth == 1 && !self.text, self.frame.len());
+    fn frame_byte(&mut self, byte: u8) -> Result<bool, ReadError> {
+        let (at_top_level, before) = (self.depth == 1 && !self.in_string, self.frame.len());
         if self.depth == 0 && byte != b'{' && byte != b'[' {
             return Err(unreadable("what comes is no object"));
         }
         // Guards against an object that fills the memory with what is no entry.
-        if before == MOST_FRAME {
+        if before == MAX_FRAME_BYTES {
             return Err(unreadable("the object has too much besides its entries"));
         }
         self.frame.push(byte);
-        let in_text = self.text;
-        self.count(byte);
+        let in_text = self.in_string;
+        self.track_nesting(byte);
         match byte {
-            b'"' if own => self.word.0 = before,
-            b'"' if self.depth == 1 && in_text && !self.text => self.word.1 = before + 1,
+            b'"' if at_top_level => self.last_string.0 = before,
+            b'"' if self.depth == 1 && in_text && !self.in_string => self.last_string.1 = before + 1,
             _ => {}
         }
-        if own && byte == b':' {
-            let word = &self.frame[self.word.0.min(self.word.1)..self.word.1];
-            self.named = serde_json::from_slice::<Cow<str>>(word).is_ok_and(|word| word == "endpoints");
-        } else if own && !is_blank(byte) {
-            self.listing = self.named && byte == b'[';
-            self.named = false;
+        if at_top_level && byte == b':' {
+            let word = &self.frame[self.last_string.0.min(self.last_string.1)..self.last_string.1];
+            self.after_entries_key =
+                serde_json::from_slice::<Cow<str>>(word).is_ok_and(|word| word == "endpoints");
+        } else if at_top_level && !is_whitespace(byte) {
+            self.in_entries = self.after_entries_key && byte == b'[';
+            self.after_entries_key = false;
         }
         Ok(self.depth == 0)
     }
 
     /// A byte within the list of entries.
-    fn list(&mut self, byte: u8) -> Result<(), Fault> {
-        let between = self.depth == 2 && !self.text;
+    fn entries_byte(&mut self, byte: u8) -> Result<(), ReadError> {
+        let between = self.depth == 2 && !self.in_string;
         match byte {
             b',' if between && self.entry.is_empty() => return Err(unreadable("an entry is missing")),
             b',' if between => {
-                self.finish()?;
-                self.comma = true;
+                self.finish_entry()?;
+                self.after_comma = true;
             }
-            b']' if between && self.entry.is_empty() && self.comma => {
+            b']' if between && self.entry.is_empty() && self.after_comma => {
                 return Err(unreadable("a comma has nothing after it"));
             }
             b']' if between => {
                 if !self.entry.is_empty() {
-                    self.finish()?;
+                    self.finish_entry()?;
                 }
-                (self.listing, self.comma) = (false, false);
-                self.frame(byte)?;
+                (self.in_entries, self.after_comma) = (false, false);
+                self.frame_byte(byte)?;
             }
             b'}' if between => return Err(unreadable("the list of entries has another end")),
-            _ if between && self.entry.is_empty() && is_blank(byte) => {}
+            _ if between && self.entry.is_empty() && is_whitespace(byte) => {}
             _ => {
-                if self.entry.len() < MOST_ENTRY {
+                if self.entry.len() < MAX_ENTRY_BYTES {
                     self.entry.push(byte);
                 } else {
-                    self.long = true;
+                    self.entry_too_long = true;
                 }
-                self.count(byte);
+                self.track_nesting(byte);
             }
         }
         Ok(())
@@ -233,60 +234,60 @@
 
     /// An entry has come. Guards against one that cannot be read and would cost all the others: it counts as not
     /// listed, also if it is one of changes and was listed before.
-    fn finish(&mut self) -> Result<(), Fault> {
-        self.comma = false;
-        if self.seen == self.limits.entries {
-            return Err(self.limits.too_many());
+    fn finish_entry(&mut self) -> Result<(), ReadError> {
+        self.after_comma = false;
+        if self.entry_count == self.limits.entries {
+            return Err(self.limits.too_many_entries());
         }
-        self.seen += 1;
-        let mut words = None;
-        if std::mem::take(&mut self.long) {
-            words = Some("it is too long".to_string());
+        self.entry_count += 1;
+        let mut problem = None;
+        if std::mem::take(&mut self.entry_too_long) {
+            problem = Some("it is too long".to_string());
         } else if let Ok(raw) = serde_json::from_slice::<Raw>(&self.entry) {
             let Raw { name, address, zone, kind, group, status, weight, since_ms } = &raw;
             let (group, weight, since_ms) = (*group, *weight, *since_ms);
             let listing =
-                Listing { name, address, zone, kind, group, weight, since_ms, ..Listing::default() };
+                EntryRef { name, address, zone, kind, group, weight, since_ms, ..EntryRef::default() };
             self.entries.push(&listing.with_status(status));
         } else {
             // What is no JSON spoils the whole.
             let value: Value = serde_json::from_slice(&self.entry)?;
             match Entry::deserialize(&value) {
-                Ok(entry) => self.entries.push(&Listing::from(&entry)),
+                Ok(entry) => self.entries.push(&EntryRef::from(&entry)),
                 Err(e) => {
-                    words = Some(e.to_string());
+                    problem = Some(e.to_string());
                     let name = value["name"].as_str();
-                    name.into_iter().for_each(|name| self.entries.push(&Listing::gone(name)));
+                    name.into_iter().for_each(|name| self.entries.push(&EntryRef::gone(name)));
                 }
             }
         }
         self.entry.clear();
-        if let Some(words) = words {
+        if let Some(problem) = problem {
             // One line for all of a list.
-            if self.spoilt == 0 {
-                log::warn!("an entry of the list: {words}");
+            if self.unreadable == 0 {
+                log::warn!("an entry of the list: {problem}");
             }
-            self.spoilt += 1;
+            self.unreadable += 1;
         }
         Ok(())
     }
 
     /// The object that has come.
-    fn complete(&mut self) -> Result<Update, Fault> {
-        let Reader { frame, mut entries, spoilt, .. } = std::mem::replace(self, Reader::new(self.limits));
-        if spoilt > 1 {
-            log::warn!("{spoilt} entries of the list cannot be read");
+    fn finish_object(&mut self) -> Result<Update, ReadError> {
+        let Reader { frame, mut entries, unreadable, .. } = std::mem::replace(self, Reader::new(self.limits));
+        if unreadable > 1 {
+            log::warn!("{unreadable} entries of the list cannot be read");
         }
         let list: List = serde_json::from_slice(&frame)?;
         // An object may be written as a list of its values, and then has its entries here.
         if entries.len() + list.endpoints.len() > self.limits.entries {
-            return Err(self.limits.too_many());
+            return Err(self.limits.too_many_entries());
         }
         list.endpoints.iter().for_each(|entry| entries.push(&entry.into()));
         Ok(Update { index: list.index, whole: list.snapshot, entries })
     }
 }
 
-fn is_blank(byte: u8) -> bool {
+fn is_whitespace(byte: u8) -> bool {
     matches!(byte, b' ' | b'\t' | b'\n' | b'\r')
 }
--- a/crates/courier/src/relay.rs
+++ b/crates/courier/src/relay.rs
@@ -51,7 +51,7 @@
 
 /// The folder's allowance, in bytes, of which `memory` grants a list this many.
 fn allowance(list: u64) -> u64 {
-    (list + 1024) / memory::PART * 100 + 100
+    (list + 1024) / memory::SHARE_PERCENT * 100 + 100
 }
 
 /// What the folder keeps. Errors: it was cut into another number of partitions, or cannot be a relay's.
--- a/crates/courier/src/relay/hub.rs
+++ b/crates/courier/src/relay/hub.rs
@@ -14,9 +14,9 @@
 use tokio::sync::watch;
 
 use crate::discovery::{Entry, Listener};
-use crate::entries::{Listing, Update};
+use crate::entries::{EntryRef, Update};
 use crate::exchange::Clock;
-use crate::memory::Kept;
+use crate::memory::KeptEntry;
 use crate::relays::{Heard, Held, Holder};
 
 use super::config::Bounds;
@@ -82,8 +82,8 @@
     refused: bool,
 }
 
-fn item(entry: Listing) -> Item {
-    let text = Kept::from(&entry).text();
+fn item(entry: EntryRef) -> Item {
+    let text = KeptEntry::from(&entry).to_json();
     let gone = entry.life() == Life::Gone;
     Item { name: entry.name.to_string(), destination: entry.group, text: text.into(), gone }
 }
@@ -318,7 +318,7 @@
     }
 
     fn count_with(&self, changes: &Update) -> usize {
-        self.store.entries() + changes.added(|name| self.store.has(name))
+        self.store.entries() + changes.count_added(|name| self.store.has(name))
     }
 
     /// Nothing begins here.
--- a/crates/courier/src/relays.rs
+++ b/crates/courier/src/relays.rs
@@ -24,7 +24,7 @@
 use crate::discovery::{self, LastHeard, Listener};
 use crate::entries::Update;
 use crate::exchange::Clock;
-use crate::memory::Kept;
+use crate::memory::KeptEntry;
 use crate::platform::Connection;
 use crate::reader::Limits;
 
@@ -117,7 +117,9 @@
         for entry in list.entries.iter() {
             match entry.life() {
                 Life::Gone => self.content.remove(entry.name),
-                Life::Ready | Life::Draining => self.content.insert(entry.name, &Kept::from(&entry).text()),
+                Life::Ready | Life::Draining => {
+                    self.content.insert(entry.name, &KeptEntry::from(&entry).to_json())
+                }
             }
         }
     }
--- a/crates/courier/tests/big_list.rs
+++ b/crates/courier/tests/big_list.rs
@@ -16,7 +16,7 @@
 };
 use serde_json::{json, Value};
 
-const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+const CHUNKED_HEADERS: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 fn entry(name: &str, address: SocketAddr, group: usize, status: &str) -> String {
     format!(
@@ -32,14 +32,14 @@
 /// So many destinations, of which every second one has a second endpoint; the last one is the endpoint that is there.
 fn destinations(count: usize, there: SocketAddr) -> Vec<String> {
     let mut entries = Vec::with_capacity(count + count / 2);
-    for dest in 1..count {
-        for twin in 0..1 + dest % 2 {
-            let at = dest * 2 + twin;
+    for destination in 1..count {
+        for twin in 0..1 + destination % 2 {
+            let at = destination * 2 + twin;
             let address = SocketAddr::from(([127, 251, (at / 250 % 250) as u8, (at % 250) as u8], 6379));
             entries.push(entry(
                 &format!("s-{:08x}", (at as u32).wrapping_mul(0x9e37_79b1)),
                 address,
-                dest,
+                destination,
                 "SERVING",
             ));
         }
@@ -48,15 +48,15 @@
     entries
 }
 
-type Asks = Arc<Mutex<Vec<(Instant, bool)>>>;
+type Requests = Arc<Mutex<Vec<(Instant, bool)>>>;
 
 /// Discovery by a test's own rule: `answer` is given whether a watch is asked for, and after which version.
 fn discovery(
     answer: impl Fn(bool, u64, &mut TcpStream) -> bool + Send + Sync + 'static,
-) -> (SocketAddr, Asks) {
+) -> (SocketAddr, Requests) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (address, asks) = (listener.local_addr().unwrap(), Asks::default());
-    let seen = asks.clone();
+    let (address, requests) = (listener.local_addr().unwrap(), Requests::default());
+    let seen = requests.clone();
     serve(listener, move |request, out| {
         if request.target == "/v1/notices" {
             return out.write_all(b"HTTP/1.1 204 X\r\n\r\n").is_ok();
@@ -66,7 +66,7 @@
         let after = request.target.split_once("after=").map_or(0, |(_, after)| after.parse().unwrap());
         answer(watch, after, out)
     });
-    (address, asks)
+    (address, requests)
 }
 
 fn whole(out: &mut TcpStream, text: &str) -> bool {
@@ -78,7 +78,7 @@
     write!(out, "{:x}\r\n{text}\r\n", text.len()).is_ok()
 }
 
-fn quiet(out: &mut TcpStream) -> bool {
+fn idle_watch(out: &mut TcpStream) -> bool {
     while chunk(out, "\n") {
         thread::sleep(Duration::from_millis(500));
     }
@@ -86,7 +86,7 @@
 }
 
 /// A courier of which the log is read.
-struct Logged {
+struct LoggedCourier {
     child: Child,
     folder: Folder,
     config: Value,
@@ -94,8 +94,8 @@
     log: Arc<Mutex<Vec<String>>>,
 }
 
-impl Logged {
-    fn start(discovery: SocketAddr, mode: &str, known: &str, limits: Value) -> Logged {
+impl LoggedCourier {
+    fn start(discovery: SocketAddr, mode: &str, known: &str, limits: Value) -> LoggedCourier {
         let (folder, listen) = (Folder::new(), own_address());
         let mut config = config(&Platform::new(), listen);
         config["discovery"] = json!(discovery.to_string());
@@ -106,10 +106,10 @@
             config["limits"][limit] = value.clone();
         }
         let child = command(&folder, &config, "serve").stderr(Stdio::piped()).spawn().unwrap();
-        let mut logged = Logged { child, folder, config, listen, log: Arc::default() };
-        logged.read_log();
+        let mut courier = LoggedCourier { child, folder, config, listen, log: Arc::default() };
+        courier.read_log();
         answers(listen);
-        logged
+        courier
     }
 
     fn read_log(&mut self) {
@@ -128,7 +128,7 @@
         answers(self.listen);
     }
 
-    fn lines(&self, part: &str) -> usize {
+    fn count_lines(&self, part: &str) -> usize {
         self.log.lock().unwrap().iter().filter(|line| line.contains(part)).count()
     }
 
@@ -137,26 +137,26 @@
     }
 
     /// Once more on a new connection where the old one was ended as quiet.
-    fn put(&self, id: &str, dest: usize) -> String {
-        self.client().put(id, "again", &format!("d=4000,dest={dest}"))
+    fn put(&self, id: &str, destination: usize) -> String {
+        self.client().put(id, "again", &format!("d=4000,dest={destination}"))
     }
 
     /// Of `/proc/PID/status`, in bytes.
-    fn memory(&self, what: &str) -> f64 {
+    fn memory_bytes(&self, what: &str) -> f64 {
         let status = fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find_map(|line| line.strip_prefix(what)).unwrap();
         line.split_whitespace().next().unwrap().parse::<f64>().unwrap() * 1024.0
     }
 
     /// Processor time so far, in seconds, by ticks of a hundredth.
-    fn cpu(&self) -> f64 {
+    fn cpu_seconds(&self) -> f64 {
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         let fields: Vec<&str> = stat.rsplit_once(") ").unwrap().1.split(' ').collect();
         (fields[11].parse::<f64>().unwrap() + fields[12].parse::<f64>().unwrap()) / 100.0
     }
 }
 
-impl Drop for Logged {
+impl Drop for LoggedCourier {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn a_list_past_a_limit_leaves_the_old_one_in_force_with_one_line_and_is_not_asked_for_in_a_loop() {
+fn a_list_over_a_limit_leaves_the_old_one_in_force_with_one_log_line_and_no_request_loop() {
     thread::scope(|scope| {
         for mode in ["push", "ask"] {
             for (limit, value, words) in [
@@ -177,16 +177,18 @@
                     let many = list(9, true, &destinations(300, own_address()));
                     assert!(many.len() > 50_000);
                     let change = list(10, false, &[entry("new", new.address, 8, "SERVING")]);
-                    let (address, asks) = discovery(move |watch, after, out| match watch {
+                    let (address, requests) = discovery(move |watch, after, out| match watch {
                         false => whole(out, &many),
                         // The whole list on the first watch too; then what came after the version that is held.
                         true => {
                             assert_eq!(after, 5);
-                            out.write_all(HEAD.as_bytes()).is_ok() && chunk(out, &change) && quiet(out)
+                            out.write_all(CHUNKED_HEADERS.as_bytes()).is_ok()
+                                && chunk(out, &change)
+                                && idle_watch(out)
                         }
                     });
                     let known = list(5, true, &[entry("old", old.address, 7, "SERVING")]);
-                    let courier = Logged::start(address, mode, &known, json!({limit: value}));
+                    let courier = LoggedCourier::start(address, mode, &known, json!({limit: value}));
                     let begun = Instant::now();
                     assert_eq!(courier.put("first", 7), "+OK");
                     until("the old list's call", || old.ids() == ["first"]);
@@ -194,9 +196,9 @@
                     until("the change", || courier.put("second", 8) == "+OK");
                     until("its call", || new.ids() == ["second"]);
                     until("some time", || begun.elapsed() > Duration::from_secs(4));
-                    let seen: Vec<bool> = asks.lock().unwrap().iter().map(|ask| ask.1).collect();
+                    let seen: Vec<bool> = requests.lock().unwrap().iter().map(|request| request.1).collect();
                     assert_eq!(seen, [false, true], "{mode} {limit}");
-                    assert_eq!(courier.lines(words), 1);
+                    assert_eq!(courier.count_lines(words), 1);
                     assert_eq!(courier.log.lock().unwrap().len(), 1, "{:?}", courier.log.lock().unwrap());
                 });
             }
@@ -205,29 +207,29 @@
 }
 
 #[test]
-fn lists_past_a_limit_also_on_a_watch_are_asked_for_less_and_less() {
+fn lists_over_a_limit_also_on_a_watch_are_requested_less_and_less_often() {
     let old = Endpoint::new(&[]);
     let many = list(9, true, &destinations(300, own_address()));
-    let (address, asks) = discovery(move |watch, _, out| match watch {
+    let (address, requests) = discovery(move |watch, _, out| match watch {
         false => whole(out, &many),
-        true => out.write_all(HEAD.as_bytes()).is_ok() && chunk(out, &many) && quiet(out),
+        true => out.write_all(CHUNKED_HEADERS.as_bytes()).is_ok() && chunk(out, &many) && idle_watch(out),
     });
     let known = list(5, true, &[entry("old", old.address, 7, "SERVING")]);
-    let courier = Logged::start(address, "push", &known, json!({"list_entries": 400}));
+    let courier = LoggedCourier::start(address, "push", &known, json!({"list_entries": 400}));
     let begun = Instant::now();
-    until_for(Duration::from_secs(20), "three asks", || asks.lock().unwrap().len() >= 3);
+    until_for(Duration::from_secs(20), "three asks", || requests.lock().unwrap().len() >= 3);
     assert_eq!(courier.put("first", 7), "+OK");
     until("the old list's call", || old.ids() == ["first"]);
     // The first pauses are a second and two at the least.
     assert!(begun.elapsed() > Duration::from_millis(2500), "{:?}", begun.elapsed());
-    let seen: Vec<bool> = asks.lock().unwrap().iter().map(|ask| ask.1).collect();
+    let seen: Vec<bool> = requests.lock().unwrap().iter().map(|request| request.1).collect();
     assert_eq!(seen, [false, true, false]);
-    assert_eq!(courier.lines("limits.list_entries"), 1);
-    assert!(courier.cpu() < 0.5, "{}", courier.cpu());
+    assert_eq!(courier.count_lines("limits.list_entries"), 1);
+    assert!(courier.cpu_seconds() < 0.5, "{}", courier.cpu_seconds());
 }
 
 #[test]
-fn changes_do_not_add_up_to_more_than_a_list_may_have() {
+fn changes_cannot_grow_a_list_over_its_limit() {
     let (old, new) = (Endpoint::new(&[]), own_address());
     let change = |index: u64, status: &str| {
         let names = (0..60).map(|i| format!("c{index}-{i}"));
@@ -240,23 +242,25 @@
         change(8, "SERVING"),
     ];
     let begin = first.clone();
-    let (address, asks) = discovery(move |watch, after, out| match watch {
+    let (address, requests) = discovery(move |watch, after, out| match watch {
         false => whole(out, &begin),
         true if after < 6 => {
-            out.write_all(HEAD.as_bytes()).is_ok() && lines.iter().all(|line| chunk(out, line)) && quiet(out)
+            out.write_all(CHUNKED_HEADERS.as_bytes()).is_ok()
+                && lines.iter().all(|line| chunk(out, line))
+                && idle_watch(out)
         }
-        true => out.write_all(HEAD.as_bytes()).is_ok() && quiet(out),
+        true => out.write_all(CHUNKED_HEADERS.as_bytes()).is_ok() && idle_watch(out),
     });
-    let courier = Logged::start(address, "push", &first, json!({"list_entries": 100}));
+    let courier = LoggedCourier::start(address, "push", &first, json!({"list_entries": 100}));
     until("the changes within it", || courier.put("first", 9) == "+OK");
-    until("the line", || courier.lines("limits.list_entries") == 1);
+    until("the line", || courier.count_lines("limits.list_entries") == 1);
     until("the call", || old.ids() == ["first"]);
     assert_eq!(courier.put("second", 7), "+OK");
     until("a call by the list that stands", || old.ids() == ["first", "second"]);
     let begun = Instant::now();
     until("some time", || begun.elapsed() > Duration::from_secs(3));
     // The list and a watch, and both once more after the pause; what a busy machine has them ask again is no loop.
-    let count = asks.lock().unwrap().len();
+    let count = requests.lock().unwrap().len();
     assert!(count <= 6, "{count}");
 }
 
@@ -267,7 +271,7 @@
     let many = list(9, true, &entries);
     assert!(many.len() > 5_000_000);
     let (cut, first) = (many.len() - 10, Mutex::new(true));
-    let (address, asks) = discovery(move |watch, _, out| match watch {
+    let (address, requests) = discovery(move |watch, _, out| match watch {
         false if std::mem::take(&mut *first.lock().unwrap()) => {
             let _ = write!(out, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", many.len());
             let _ = out.write_all(&many.as_bytes()[..cut]);
@@ -277,17 +281,19 @@
         false => whole(out, &many),
         true => {
             let pieces = || many.as_bytes().chunks(60_000).map(|piece| std::str::from_utf8(piece).unwrap());
-            out.write_all(HEAD.as_bytes()).is_ok() && pieces().all(|piece| chunk(out, piece)) && quiet(out)
+            out.write_all(CHUNKED_HEADERS.as_bytes()).is_ok()
+                && pieces().all(|piece| chunk(out, piece))
+                && idle_watch(out)
         }
     });
     let known = list(5, true, &[entry("old", old.address, 40_000, "SERVING")]);
-    let courier = Logged::start(address, "push", &known, json!({}));
+    let courier = LoggedCourier::start(address, "push", &known, json!({}));
     assert_eq!(courier.put("first", 40_000), "+OK");
     until("a call by the old list", || old.ids() == ["first"]);
     until_for(Duration::from_secs(30), "the new list", || courier.put("second", 30_000) == "+OK");
     until("a call by the new list", || new.ids() == ["second"]);
-    assert!(asks.lock().unwrap().iter().any(|ask| ask.1));
-    assert_eq!(courier.lines("a long list was spoilt"), 1);
+    assert!(requests.lock().unwrap().iter().any(|request| request.1));
+    assert_eq!(courier.count_lines("a long list was spoilt"), 1);
 }
 
 /// What a list of so many destinations costs a courier.
@@ -304,13 +310,13 @@
     stall: f64,
     /// Bytes held some time after, and the most that were ever held.
     resident: f64,
-    most: f64,
+    peak: f64,
     /// Bytes on file beside the journal.
     on_file: f64,
     /// Seconds from a start to its first answer with discovery silent, by what was kept, and what is held then.
-    again_in: f64,
-    again_held: f64,
-    again_most: f64,
+    restart_in: f64,
+    restart_held: f64,
+    restart_peak: f64,
 }
 
 /// Has a courier take such a list up, serve a message by it, and come to rest.
@@ -319,9 +325,9 @@
     let text = list(9, true, &destinations(count, endpoint.address));
     let (address, _) = discovery(move |watch, _, out| match watch {
         false => whole(out, &text),
-        true => out.write_all(HEAD.as_bytes()).is_ok() && quiet(out),
+        true => out.write_all(CHUNKED_HEADERS.as_bytes()).is_ok() && idle_watch(out),
     });
-    let mut courier = Logged::start(address, "push", &list(0, true, &[]), json!({"disk_mb": disk_mb}));
+    let mut courier = LoggedCourier::start(address, "push", &list(0, true, &[]), json!({"disk_mb": disk_mb}));
     let (begun, taken, listen) = (Instant::now(), Arc::new(AtomicBool::new(false)), courier.listen);
     let is_taken = taken.clone();
     let asking = thread::spawn(move || {
@@ -335,29 +341,29 @@
         longest
     });
     until_for(Duration::from_secs(60), "the list", || courier.put("first", count) == "+OK");
-    let (in_force, cpu) = (begun.elapsed().as_secs_f64(), courier.cpu());
+    let (in_force, cpu) = (begun.elapsed().as_secs_f64(), courier.cpu_seconds());
     taken.store(true, Ordering::SeqCst);
     let stall = asking.join().unwrap();
     until("its call", || endpoint.ids() == ["first"]);
     thread::sleep(Duration::from_millis(2500));
-    let (before, span) = (courier.cpu(), Instant::now());
+    let (before, span) = (courier.cpu_seconds(), Instant::now());
     thread::sleep(Duration::from_millis(3000));
-    let idle = (courier.cpu() - before) / span.elapsed().as_secs_f64();
-    let [resident, most] = ["VmRSS:", "VmHWM:"].map(|what| courier.memory(what));
+    let idle = (courier.cpu_seconds() - before) / span.elapsed().as_secs_f64();
+    let [resident, peak] = ["VmRSS:", "VmHWM:"].map(|what| courier.memory_bytes(what));
     let on_file =
         fs::metadata(courier.folder.path.join("state/memory")).map_or(0.0, |file| file.len() as f64);
-    assert_eq!(courier.lines("WARN") - courier.lines("the list cannot be kept"), 0);
-    let (mut again_in, mut again_held, mut again_most) = (0.0, 0.0, 0.0);
+    assert_eq!(courier.count_lines("WARN") - courier.count_lines("the list cannot be kept"), 0);
+    let (mut restart_in, mut restart_held, mut restart_peak) = (0.0, 0.0, 0.0);
     if on_file > 0.0 {
         let silent = TcpListener::bind("127.0.0.1:0").unwrap();
         courier.config["discovery"] = json!(silent.local_addr().unwrap().to_string());
         let begun = Instant::now();
         courier.restart();
-        again_in = begun.elapsed().as_secs_f64();
+        restart_in = begun.elapsed().as_secs_f64();
         assert_eq!(courier.put("second", count), "+OK");
         until("a call by the list that was kept", || endpoint.ids() == ["first", "second"]);
         thread::sleep(Duration::from_secs(1));
-        [again_held, again_most] = ["VmRSS:", "VmHWM:"].map(|what| courier.memory(what));
+        [restart_held, restart_peak] = ["VmRSS:", "VmHWM:"].map(|what| courier.memory_bytes(what));
     }
     let destinations = count as f64;
     Cost {
@@ -367,11 +373,11 @@
         idle,
         stall,
         resident,
-        most,
+        peak,
         on_file,
-        again_in,
-        again_held,
-        again_most,
+        restart_in,
+        restart_held,
+        restart_peak,
     }
 }
 
@@ -391,7 +397,7 @@
     // Where debug builds are slow, this one is generous: release builds take 0.1 s.
     assert!(held < 850.0 && costs[1].in_force < 8.0 && costs[1].idle < 0.05, "{held:.0} {costs:?}");
     // The next process has it from the file, and takes no more.
-    assert!(costs[1].again_held < 1.3 * costs[1].resident, "{costs:?}");
+    assert!(costs[1].restart_held < 1.3 * costs[1].resident, "{costs:?}");
     assert!(costs[1].on_file > 30_000.0 * 50.0 && costs[1].on_file < 30_000.0 * 100.0, "{costs:?}");
 }
 
@@ -405,7 +411,11 @@
         let of = |what: &dyn Fn(&Cost) -> f64| {
             fit(&costs.iter().map(|c| (c.destinations, what(c))).collect::<Vec<_>>())
         };
-        println!("bytes a destination: held {:.3?}, at most {:.3?}", of(&|c| c.resident), of(&|c| c.most));
-        println!("by the file: held {:.3?}, at most {:.3?}", of(&|c| c.again_held), of(&|c| c.again_most));
+        println!("bytes a destination: held {:.3?}, at most {:.3?}", of(&|c| c.resident), of(&|c| c.peak));
+        println!(
+            "by the file: held {:.3?}, at most {:.3?}",
+            of(&|c| c.restart_held),
+            of(&|c| c.restart_peak)
+        );
     }
 }
--- a/crates/courier/tests/kept_list.rs
+++ b/crates/courier/tests/kept_list.rs
@@ -7,7 +7,7 @@
 use meadowhold::interface::{Time, SECOND};
 use meadowhold_courier::discovery::List;
 use meadowhold_courier::entries::Update;
-use meadowhold_courier::memory::{load, Keeper, Memory};
+use meadowhold_courier::memory::{load, ListStore, Memory};
 use serde_json::{json, Value};
 
 const NOW: Time = 17_000_000_000_000;
@@ -28,9 +28,9 @@
 }
 
 /// A keeper and its folder, and the list as a plain map says that it is.
-struct World {
+struct Fixture {
     folder: tempfile::TempDir,
-    keeper: Keeper,
+    store: ListStore,
     now: Time,
     map: BTreeMap<String, (String, String, u64)>,
     index: u64,
@@ -38,11 +38,11 @@
 
 type Version = (u64, BTreeMap<String, (String, String, u64)>);
 
-impl World {
-    fn new(room: u64) -> World {
+impl Fixture {
+    fn new(room: u64) -> Fixture {
         let folder = tempfile::tempdir().unwrap();
-        let keeper = Keeper::new(folder.path(), room, OURS.to_string());
-        World { folder, keeper, now: NOW, map: BTreeMap::new(), index: 0 }
+        let store = ListStore::new(folder.path(), room, OURS.to_string());
+        Fixture { folder, store, now: NOW, map: BTreeMap::new(), index: 0 }
     }
 
     fn file(&self) -> Vec<u8> {
@@ -51,7 +51,7 @@
 
     /// Takes a list or changes up, and has it kept a second later.
     fn take_up(&mut self, list: &List) {
-        self.keeper.listed(list);
+        self.store.apply_list(list);
         self.index = list.index;
         if list.snapshot {
             self.map.clear();
@@ -64,7 +64,7 @@
             }
         }
         self.now += SECOND;
-        self.keeper.save(self.now);
+        self.store.save(self.now);
     }
 
     fn version(&self) -> Version {
@@ -77,151 +77,157 @@
     (memory.index, told.collect())
 }
 
-fn on_file(folder: &Path, now: Time) -> Option<Version> {
+fn load_version(folder: &Path, now: Time) -> Option<Version> {
     load(folder, ROOM, now).map(version)
 }
 
-fn recalled(folder: &Path, known: List, now: Time) -> (Keeper, Update) {
-    let mut keeper = Keeper::new(folder, ROOM, OURS.to_string());
-    let update = keeper.recall(known, now, |_| false);
-    (keeper, update)
+fn recalled(folder: &Path, known: List, now: Time) -> (ListStore, Update) {
+    let mut store = ListStore::new(folder, ROOM, OURS.to_string());
+    let update = store.recall(known, now, |_| false);
+    (store, update)
 }
 
 #[test]
-fn changes_are_appended_and_folded_and_the_file_says_what_the_list_is() {
-    let mut chance = fastrand::Rng::with_seed(3);
-    let mut world = World::new(ROOM);
-    world.take_up(&whole(1, 2000));
-    let base = world.file().len();
+fn changes_are_appended_and_compacted_and_the_file_matches_the_list() {
+    let mut rng = fastrand::Rng::with_seed(3);
+    let mut fixture = Fixture::new(ROOM);
+    fixture.take_up(&whole(1, 2000));
+    let base = fixture.file().len();
     assert!(base < 2000 * 60, "{base}");
-    let (mut written, mut folds, mut changed) = (0, 0, 0);
+    let (mut written, mut compactions, mut changed) = (0, 0, 0);
     for index in 2..400 {
-        let before = world.file();
-        let names = (0..chance.usize(1..40)).map(|_| chance.usize(..2300)).collect::<Vec<_>>();
+        let before = fixture.file();
+        let names = (0..rng.usize(1..40)).map(|_| rng.usize(..2300)).collect::<Vec<_>>();
         let statuses = ["SERVING", "DRAINING", "DELETED"];
         let made = |name: &usize| {
             entry(*name, statuses[name % 3 * index as usize % 3], ["a", "b"][index as usize % 2])
         };
         changed += names.len();
-        world.take_up(&list(index, false, names.iter().map(made).collect()));
-        let after = world.file();
+        fixture.take_up(&list(index, false, names.iter().map(made).collect()));
+        let after = fixture.file();
         let appended = after.len() > before.len() && after[..before.len()] == before[..];
         written += if appended { after.len() - before.len() } else { after.len() };
-        folds += usize::from(!appended);
+        compactions += usize::from(!appended);
         assert!(after.len() <= 2 * base + base / 2, "{}", after.len());
         if index % 20 == 0 || !appended {
-            assert_eq!(on_file(world.folder.path(), world.now).unwrap(), world.version(), "{index}");
+            assert_eq!(
+                load_version(fixture.folder.path(), fixture.now).unwrap(),
+                fixture.version(),
+                "{index}"
+            );
         }
     }
-    assert!((2..8).contains(&folds), "{folds}");
+    assert!((2..8).contains(&compactions), "{compactions}");
     // All of it: folding costs no more than as much again, and a few bytes for each version.
     assert!(written < changed * 60 * 3 + 398 * 80, "{written} bytes for {changed} changes");
 }
 
 #[test]
-fn a_whole_list_that_differs_little_costs_little_and_one_that_differs_much_is_written_anew() {
-    let mut world = World::new(ROOM);
-    world.take_up(&whole(1, 3000));
-    let before = world.file().len();
+fn a_similar_whole_list_is_appended_as_changes_and_a_different_one_rewrites_the_file() {
+    let mut fixture = Fixture::new(ROOM);
+    fixture.take_up(&whole(1, 3000));
+    let before = fixture.file().len();
     // As after a restart, or when a watch has ended: all of it again, with one changed and one gone.
     let mut again = whole(2, 2999);
     again.endpoints[7].status = "DRAINING".to_string();
-    world.take_up(&again);
-    let after = world.file().len();
+    fixture.take_up(&again);
+    let after = fixture.file().len();
     assert!(after > before && after < before + 300, "{before} {after}");
-    assert_eq!(on_file(world.folder.path(), world.now).unwrap(), world.version());
+    assert_eq!(load_version(fixture.folder.path(), fixture.now).unwrap(), fixture.version());
     // Another registry's: a lower version, and other names.
     let other = list(1, true, (5000..8000).map(|name| entry(name, "SERVING", "b")).collect());
-    world.take_up(&other);
-    assert!(world.file().len() < before * 11 / 10);
-    assert_eq!(on_file(world.folder.path(), world.now).unwrap(), world.version());
+    fixture.take_up(&other);
+    assert!(fixture.file().len() < before * 11 / 10);
+    assert_eq!(load_version(fixture.folder.path(), fixture.now).unwrap(), fixture.version());
     // A short one is a file of the form that it always had, and a long one comes back.
-    world.take_up(&whole(9, 3));
-    assert!(world.file().starts_with(b"meadowhold memory 1\n"));
-    assert_eq!(on_file(world.folder.path(), world.now).unwrap(), world.version());
-    world.take_up(&whole(10, 300));
-    assert!(world.file().starts_with(b"meadowhold list 1\n"));
-    assert_eq!(on_file(world.folder.path(), world.now).unwrap(), world.version());
+    fixture.take_up(&whole(9, 3));
+    assert!(fixture.file().starts_with(b"meadowhold memory 1\n"));
+    assert_eq!(load_version(fixture.folder.path(), fixture.now).unwrap(), fixture.version());
+    fixture.take_up(&whole(10, 300));
+    assert!(fixture.file().starts_with(b"meadowhold list 1\n"));
+    assert_eq!(load_version(fixture.folder.path(), fixture.now).unwrap(), fixture.version());
 }
 
 #[test]
-fn the_next_process_goes_on_where_the_file_ends() {
-    let mut world = World::new(ROOM);
-    world.take_up(&whole(5, 1000));
-    world.take_up(&list(6, false, vec![entry(3, "DELETED", ""), entry(2000, "DRAINING", "b")]));
-    let before = world.file();
-    let (keeper, update) = recalled(world.folder.path(), whole(4, 1), world.now);
+fn the_next_process_appends_to_the_file_that_it_loaded() {
+    let mut fixture = Fixture::new(ROOM);
+    fixture.take_up(&whole(5, 1000));
+    fixture.take_up(&list(6, false, vec![entry(3, "DELETED", ""), entry(2000, "DRAINING", "b")]));
+    let before = fixture.file();
+    let (store, update) = recalled(fixture.folder.path(), whole(4, 1), fixture.now);
     let names: Vec<&str> = update.entries.iter().map(|entry| entry.name).collect();
     assert_eq!((update.index, update.whole, names.len()), (6, true, 1000));
     assert!(names.is_sorted() && !names.contains(&"s-0000003") && names.contains(&"s-0002000"));
     // It takes up what it recalled, writes nothing for it, and appends what is new.
-    world.keeper = keeper;
-    world.keeper.take_up(&update);
-    world.keeper.save(world.now + 9 * SECOND);
-    assert!(world.file() == before);
-    world.now += 9 * SECOND;
-    world.take_up(&list(7, false, vec![entry(4, "DELETED", "")]));
-    assert!(world.file().starts_with(&before) && world.file().len() < before.len() + 200);
-    assert_eq!(on_file(world.folder.path(), world.now).unwrap(), world.version());
+    fixture.store = store;
+    fixture.store.apply(&update);
+    fixture.store.save(fixture.now + 9 * SECOND);
+    assert!(fixture.file() == before);
+    fixture.now += 9 * SECOND;
+    fixture.take_up(&list(7, false, vec![entry(4, "DELETED", "")]));
+    assert!(fixture.file().starts_with(&before) && fixture.file().len() < before.len() + 200);
+    assert_eq!(load_version(fixture.folder.path(), fixture.now).unwrap(), fixture.version());
     // What the configuration knows goes first where it is as new; another deployment's is no list of ours.
-    let (_, update) = recalled(world.folder.path(), whole(7, 1), world.now);
+    let (_, update) = recalled(fixture.folder.path(), whole(7, 1), fixture.now);
     assert_eq!((update.index, update.entries.len()), (7, 1));
-    let update =
-        Keeper::new(world.folder.path(), ROOM, "another".to_string())
-            .recall(whole(1, 1), world.now, |_| false);
+    let update = ListStore::new(fixture.folder.path(), ROOM, "another".to_string()).recall(
+        whole(1, 1),
+        fixture.now,
+        |_| false,
+    );
     assert_eq!((update.index, update.entries.len()), (1, 1));
     // From the future, as a clock that was set back has it.
-    let (_, update) = recalled(world.folder.path(), whole(1, 1), world.now - 90 * SECOND);
+    let (_, update) = recalled(fixture.folder.path(), whole(1, 1), fixture.now - 90 * SECOND);
     assert_eq!(update.index, 1);
 }
 
 /// A file with three versions after its first, and what each of them is, by the length at which it is whole.
-fn versions() -> (World, Vec<(usize, Version)>) {
-    let mut world = World::new(ROOM);
+fn file_with_versions() -> (Fixture, Vec<(usize, Version)>) {
+    let mut fixture = Fixture::new(ROOM);
     let mut known = Vec::new();
-    world.take_up(&whole(5, 260));
-    known.push((world.file().len(), world.version()));
+    fixture.take_up(&whole(5, 260));
+    known.push((fixture.file().len(), fixture.version()));
     for (index, change) in [
         (6, vec![entry(3, "DELETED", "")]),
         (9, vec![entry(4, "DRAINING", "b"), entry(900, "SERVING", "c")]),
         (10, vec![]),
     ] {
-        world.take_up(&list(index, false, change));
-        known.push((world.file().len(), world.version()));
+        fixture.take_up(&list(index, false, change));
+        known.push((fixture.file().len(), fixture.version()));
     }
-    (world, known)
+    (fixture, known)
 }
 
 #[test]
-fn a_file_cut_at_any_byte_says_the_last_whole_version_or_nothing() {
-    let (world, known) = versions();
-    let (whole, folder) = (world.file(), tempfile::tempdir().unwrap());
+fn a_file_truncated_at_any_byte_yields_the_last_complete_version_or_nothing() {
+    let (fixture, known) = file_with_versions();
+    let (whole, folder) = (fixture.file(), tempfile::tempdir().unwrap());
     let path = folder.path().join("memory");
     for cut in 0..=whole.len() {
         fs::write(&path, &whole[..cut]).unwrap();
         let expected = known.iter().rfind(|(length, _)| *length <= cut).map(|(_, version)| version.clone());
-        assert_eq!(on_file(folder.path(), world.now), expected, "cut at {cut}");
+        assert_eq!(load_version(folder.path(), fixture.now), expected, "cut at {cut}");
     }
     // A process that finds a cut one goes on with a whole one.
     fs::write(&path, &whole[..whole.len() - 3]).unwrap();
-    let (mut keeper, update) = recalled(folder.path(), List::default(), world.now);
+    let (mut store, update) = recalled(folder.path(), List::default(), fixture.now);
     assert_eq!(update.index, 9);
-    keeper.take_up(&update);
-    keeper.listed(&list(12, false, vec![entry(5, "DELETED", "")]));
-    keeper.save(world.now + 9 * SECOND);
-    let (index, map) = on_file(folder.path(), world.now + 9 * SECOND).unwrap();
+    store.apply(&update);
+    store.apply_list(&list(12, false, vec![entry(5, "DELETED", "")]));
+    store.save(fixture.now + 9 * SECOND);
+    let (index, map) = load_version(folder.path(), fixture.now + 9 * SECOND).unwrap();
     assert_eq!((index, map.len()), (12, 259));
 }
 
 #[test]
-fn a_spoilt_file_never_says_what_was_not_and_no_older_version_as_a_newer() {
-    let (world, known) = versions();
-    let (good, folder) = (world.file(), tempfile::tempdir().unwrap());
+fn a_corrupt_file_never_yields_a_wrong_list_or_an_old_one_as_newer() {
+    let (fixture, known) = file_with_versions();
+    let (good, folder) = (fixture.file(), tempfile::tempdir().unwrap());
     let path = folder.path().join("memory");
     let first = known[0].0;
-    let tried = |bytes: &[u8]| {
+    let load_bytes = |bytes: &[u8]| {
         fs::write(&path, bytes).unwrap();
-        on_file(folder.path(), world.now)
+        load_version(folder.path(), fixture.now)
     };
     // Each bit of what was appended, and random bytes, one or several, of all.
     for at in first..good.len() {
@@ -230,22 +236,22 @@
             bytes[at] ^= 1 << bit;
             let expected =
                 known.iter().rfind(|(length, _)| *length <= at).map(|(_, version)| version.clone());
-            assert_eq!(tried(&bytes), expected, "byte {at}, bit {bit}");
+            assert_eq!(load_bytes(&bytes), expected, "byte {at}, bit {bit}");
         }
     }
-    let mut chance = fastrand::Rng::with_seed(11);
+    let mut rng = fastrand::Rng::with_seed(11);
     for _ in 0..2000 {
         let mut bytes = good.clone();
         let mut least = bytes.len();
-        for _ in 0..chance.usize(1..4) {
-            let at = chance.usize(..bytes.len());
-            bytes[at] ^= chance.u8(1..);
+        for _ in 0..rng.usize(1..4) {
+            let at = rng.usize(..bytes.len());
+            bytes[at] ^= rng.u8(1..);
             least = least.min(at);
         }
         let expected = known.iter().rfind(|(length, _)| *length <= least).map(|(_, version)| version.clone());
         // Spoilt twice at one place it may be whole again.
         if bytes != good {
-            assert_eq!(tried(&bytes), expected, "{least}");
+            assert_eq!(load_bytes(&bytes), expected, "{least}");
         }
     }
     // Records left out, doubled or in another order: what is before them counts.
@@ -260,42 +266,45 @@
         (vec![one, two, three, one], 3),
         (vec![one, two, three, &good[..a]], 3),
     ] {
-        assert_eq!(tried(&[&[&good[..a]], &parts[..]].concat().concat()), Some(known[expected].1.clone()));
+        assert_eq!(
+            load_bytes(&[&[&good[..a]], &parts[..]].concat().concat()),
+            Some(known[expected].1.clone())
+        );
     }
     // Another file's records do not go on from this one's.
-    let mut other = World::new(ROOM);
+    let mut other = Fixture::new(ROOM);
     other.take_up(&whole(5, 261));
     let base = other.version();
-    assert_eq!(tried(&[&other.file()[..], one].concat()), Some(base));
+    assert_eq!(load_bytes(&[&other.file()[..], one].concat()), Some(base));
 }
 
 #[test]
-fn it_stays_within_its_part_and_a_list_that_does_not_fit_is_not_kept() {
+fn the_file_stays_within_its_share_and_a_list_that_does_not_fit_is_not_saved() {
     // 8 hundredths of it: 24 kB, of which the list takes more than half.
     let room = 300_000;
-    let mut world = World::new(room);
-    world.take_up(&whole(1, 300));
-    let base = world.file().len();
+    let mut fixture = Fixture::new(room);
+    fixture.take_up(&whole(1, 300));
+    let base = fixture.file().len();
     assert!(base as u64 > room / 100 * 4, "{base}");
     for index in 2..200 {
         let changes = (0..20).map(|name| entry(name, ["SERVING", "DRAINING"][index as usize % 2], "a"));
-        world.take_up(&list(index, false, changes.collect()));
-        assert!((world.file().len() as u64) < room / 100 * 8, "{index}");
+        fixture.take_up(&list(index, false, changes.collect()));
+        assert!((fixture.file().len() as u64) < room / 100 * 8, "{index}");
     }
-    assert_eq!(load(world.folder.path(), room, world.now).map(version).unwrap(), world.version());
-    let kept = world.file();
-    world.take_up(&whole(300, 3000));
-    world.take_up(&list(301, false, vec![entry(1, "DRAINING", "a")]));
-    assert!(world.file() == kept, "the last that fitted");
-    world.take_up(&whole(302, 300));
-    assert_eq!(load(world.folder.path(), room, world.now).map(version).unwrap(), world.version());
+    assert_eq!(load(fixture.folder.path(), room, fixture.now).map(version).unwrap(), fixture.version());
+    let kept = fixture.file();
+    fixture.take_up(&whole(300, 3000));
+    fixture.take_up(&list(301, false, vec![entry(1, "DRAINING", "a")]));
+    assert!(fixture.file() == kept, "the last that fitted");
+    fixture.take_up(&whole(302, 300));
+    assert_eq!(load(fixture.folder.path(), room, fixture.now).map(version).unwrap(), fixture.version());
 }
 
 #[test]
-fn a_file_that_another_changed_or_took_away_is_written_anew() {
-    let mut world = World::new(ROOM);
-    world.take_up(&whole(1, 300));
-    let path = world.folder.path().join("memory");
+fn a_file_changed_or_removed_by_another_process_is_rewritten() {
+    let mut fixture = Fixture::new(ROOM);
+    fixture.take_up(&whole(1, 300));
+    let path = fixture.folder.path().join("memory");
     let changes: [&dyn Fn(); 3] =
         [&|| fs::remove_file(&path).unwrap(), &|| fs::write(&path, b"odd").unwrap(), &|| {
             fs::OpenOptions::new()
@@ -306,7 +315,7 @@
         }];
     for (index, change) in (2..).zip(changes) {
         change();
-        world.take_up(&list(index, false, vec![entry(index as usize, "DRAINING", "z")]));
-        assert_eq!(on_file(world.folder.path(), world.now).unwrap(), world.version());
+        fixture.take_up(&list(index, false, vec![entry(index as usize, "DRAINING", "z")]));
+        assert_eq!(load_version(fixture.folder.path(), fixture.now).unwrap(), fixture.version());
     }
 }
--- a/crates/courier/tests/list.rs
+++ b/crates/courier/tests/list.rs
@@ -15,55 +15,55 @@
 };
 use serde_json::{json, Value};
 
-const LATE: &str = "d=4000";
-const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+const LIFETIME: &str = "d=4000";
+const CHUNKED_HEADERS: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ask {
-    Whole,
+enum Request {
+    List,
     Watch,
 }
 
 /// Discovery by a test's own rule.
-struct Agent {
+struct Discovery {
     address: SocketAddr,
-    asks: Arc<Mutex<Vec<(Instant, Ask)>>>,
+    requests: Arc<Mutex<Vec<(Instant, Request)>>>,
 }
 
-impl Agent {
+impl Discovery {
     /// `answer` is given which ask in all this is, from 0; it closes the connection by saying false.
-    fn new(answer: impl Fn(usize, Ask, &mut TcpStream) -> bool + Send + Sync + 'static) -> Agent {
-        Agent::by(move |nth, ask, _, out| answer(nth, ask, out))
+    fn new(answer: impl Fn(usize, Request, &mut TcpStream) -> bool + Send + Sync + 'static) -> Discovery {
+        Discovery::by(move |nth, request, _, out| answer(nth, request, out))
     }
 
     /// The same; `answer` is also given the version after which a watch asks for changes.
-    fn by(answer: impl Fn(usize, Ask, u64, &mut TcpStream) -> bool + Send + Sync + 'static) -> Agent {
+    fn by(answer: impl Fn(usize, Request, u64, &mut TcpStream) -> bool + Send + Sync + 'static) -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let asks: Arc<Mutex<Vec<(Instant, Ask)>>> = Arc::default();
-        let seen = asks.clone();
-        serve(listener, move |request, out| {
-            if request.target == "/v1/notices" {
+        let requests: Arc<Mutex<Vec<(Instant, Request)>>> = Arc::default();
+        let seen = requests.clone();
+        serve(listener, move |received, out| {
+            if received.target == "/v1/notices" {
                 return out.write_all(b"HTTP/1.1 204 X\r\n\r\n").is_ok();
             }
-            let ask = if request.target.contains("watch=1") { Ask::Watch } else { Ask::Whole };
+            let request = if received.target.contains("watch=1") { Request::Watch } else { Request::List };
             let nth = {
                 let mut seen = seen.lock().unwrap();
-                seen.push((request.at, ask));
+                seen.push((received.at, request));
                 seen.len() - 1
             };
-            let after = request.target.split_once("after=").map_or(0, |(_, after)| after.parse().unwrap());
-            answer(nth, ask, after, out)
+            let after = received.target.split_once("after=").map_or(0, |(_, after)| after.parse().unwrap());
+            answer(nth, request, after, out)
         });
-        Agent { address, asks }
+        Discovery { address, requests }
     }
 
-    fn asks(&self) -> Vec<(Instant, Ask)> {
-        self.asks.lock().unwrap().clone()
+    fn requests(&self) -> Vec<(Instant, Request)> {
+        self.requests.lock().unwrap().clone()
     }
 
-    fn count(&self, ask: Ask) -> usize {
-        self.asks().iter().filter(|(_, what)| *what == ask).count()
+    fn count(&self, request: Request) -> usize {
+        self.requests().iter().filter(|(_, what)| *what == request).count()
     }
 }
 
@@ -88,42 +88,42 @@
 /// Discovery of which the first watch tells `lines`, and whose whole list is `old` until then; from then on the first
 /// answers are `odd`, and then `new`. What was asked is told by its kind: on a machine with more to do an ask may be
 /// given up and asked again.
-fn told_badly(old: Value, lines: Vec<Value>, odd: Vec<Value>, new: Value) -> Agent {
+fn faulty_discovery(old: Value, lines: Vec<Value>, odd: Vec<Value>, new: Value) -> Discovery {
     let (watches, answers) = (AtomicUsize::new(0), AtomicUsize::new(0));
-    Agent::new(move |_, ask, out| match ask {
-        Ask::Watch if watches.fetch_add(1, Ordering::SeqCst) == 0 => {
-            head(out) && lines.iter().all(|one| line(out, one)) && quiet(out)
+    Discovery::new(move |_, request, out| match request {
+        Request::Watch if watches.fetch_add(1, Ordering::SeqCst) == 0 => {
+            headers(out) && lines.iter().all(|one| line(out, one)) && idle_watch(out)
         }
-        Ask::Watch => head(out) && quiet(out),
-        Ask::Whole if watches.load(Ordering::SeqCst) == 0 => whole(out, &old),
-        Ask::Whole => whole(out, odd.get(answers.fetch_add(1, Ordering::SeqCst)).unwrap_or(&new)),
+        Request::Watch => headers(out) && idle_watch(out),
+        Request::List if watches.load(Ordering::SeqCst) == 0 => whole(out, &old),
+        Request::List => whole(out, odd.get(answers.fetch_add(1, Ordering::SeqCst)).unwrap_or(&new)),
     })
 }
 
 /// Where a stand-in stops, until the test has it go on.
 #[derive(Clone, Default)]
-struct Stop {
+struct Barrier {
     reached: Arc<AtomicBool>,
     go: Arc<AtomicBool>,
 }
 
-impl Stop {
-    fn here(&self) {
+impl Barrier {
+    fn wait(&self) {
         self.reached.store(true, Ordering::SeqCst);
         until("the test's word to go on", || self.go.load(Ordering::SeqCst));
     }
 
-    fn until_reached(&self) {
+    fn wait_until_reached(&self) {
         until("the stand-in's stop", || self.reached.load(Ordering::SeqCst));
     }
 
-    fn let_go(&self) {
+    fn release(&self) {
         self.go.store(true, Ordering::SeqCst);
     }
 }
 
-fn head(out: &mut TcpStream) -> bool {
-    out.write_all(HEAD.as_bytes()).is_ok()
+fn headers(out: &mut TcpStream) -> bool {
+    out.write_all(CHUNKED_HEADERS.as_bytes()).is_ok()
 }
 
 fn line(out: &mut TcpStream, list: &Value) -> bool {
@@ -139,30 +139,30 @@
 }
 
 /// Says nothing until the courier has closed the connection.
-fn silent(out: &mut TcpStream) -> bool {
+fn stay_silent(out: &mut TcpStream) -> bool {
     let _ = out.read(&mut [0]);
     false
 }
 
 /// A watch with nothing to say.
-fn quiet(out: &mut TcpStream) -> bool {
+fn idle_watch(out: &mut TcpStream) -> bool {
     while chunk(out, "\n") {
         thread::sleep(Duration::from_millis(500));
     }
     false
 }
 
-fn start(agent: &Agent, mode: &str, known: &Value) -> Courier {
-    start_with(agent, mode, known, json!({}))
+fn start(discovery: &Discovery, mode: &str, known: &Value) -> Courier {
+    start_with(discovery, mode, known, json!({}))
 }
 
 /// With limits of its own.
-fn start_with(agent: &Agent, mode: &str, known: &Value, limits: Value) -> Courier {
+fn start_with(discovery: &Discovery, mode: &str, known: &Value, limits: Value) -> Courier {
     Courier::start(&Platform::new(), |config| {
         for (limit, value) in limits.as_object().unwrap() {
             config["limits"][limit] = value.clone();
         }
-        config["discovery"] = json!(agent.address.to_string());
+        config["discovery"] = json!(discovery.address.to_string());
         config["known"] = known.clone();
         config["settings"]["MembershipMode"] = json!(mode);
         config["settings"]["Rules"]["AskWithinUs"] = json!(10_000_000);
@@ -170,7 +170,7 @@
 }
 
 /// Hands mails in until one has come to this endpoint.
-fn goes_to(client: &mut Client, endpoint: &Endpoint, what: &str) {
+fn expect_call_at(client: &mut Client, endpoint: &Endpoint, what: &str) {
     static NEXT: Mutex<usize> = Mutex::new(0);
     let before = endpoint.calls().len();
     until(what, || {
@@ -179,7 +179,7 @@
             *next += 1;
             next.to_string()
         };
-        hand_in(client, &id);
+        put(client, &id);
         thread::sleep(Duration::from_millis(30));
         endpoint.calls().len() > before
     });
@@ -187,17 +187,17 @@
 
 /// Once more on a new connection where the old one was ended as quiet: a machine with more to do may hold a test up
 /// for longer than clients are waited for.
-fn hand_in(client: &mut Client, id: &str) {
-    let mut answer = client.put(id, "again", LATE);
+fn put(client: &mut Client, id: &str) {
+    let mut answer = client.put(id, "again", LIFETIME);
     if answer.is_empty() {
         *client = Client::connect(client.stream.get_ref().peer_addr().unwrap()).unwrap();
-        answer = client.put(id, "again", LATE);
+        answer = client.put(id, "again", LIFETIME);
     }
     assert_eq!(answer, "+OK");
 }
 
 /// What was handed in has its end: no call is on its way any more.
-fn all_ended(courier: &Courier) {
+fn wait_until_idle(courier: &Courier) {
     until("an end for all", || courier.owes_nothing());
 }
 
@@ -224,31 +224,31 @@
 }
 
 #[test]
-fn an_indented_change_on_a_watch_is_taken() {
+fn an_indented_change_on_a_watch_is_applied() {
     let pair = Pair::new();
     let (old, new) = (list(5, true, &pair.before()), list(7, false, &pair.after()));
     let text = format!("{}\n", serde_json::to_string_pretty(&new).unwrap());
     let old_list = old.clone();
-    let agent = Agent::new(move |_, ask, out| {
+    let discovery = Discovery::new(move |_, request, out| {
         // In pieces that end within an object, and with an object before it in one line.
         let (begin, end) = text.split_at(text.len() / 3);
-        match ask {
-            Ask::Whole => whole(out, &old_list),
-            Ask::Watch => {
-                let said = out.write_all(HEAD.as_bytes()).is_ok()
+        match request {
+            Request::List => whole(out, &old_list),
+            Request::Watch => {
+                let sent = out.write_all(CHUNKED_HEADERS.as_bytes()).is_ok()
                     && chunk(out, &format!("\n{}\n{begin}", list(6, false, &[])))
                     && chunk(out, end);
-                said && quiet(out)
+                sent && idle_watch(out)
             }
         }
     });
-    let courier = start(&agent, "push", &old);
-    goes_to(&mut courier.client(), &pair.second, "what the watch told");
-    assert_eq!(agent.count(Ask::Watch), 1, "one watch told it");
+    let courier = start(&discovery, "push", &old);
+    expect_call_at(&mut courier.client(), &pair.second, "what the watch told");
+    assert_eq!(discovery.count(Request::Watch), 1, "one watch told it");
 }
 
 #[test]
-fn what_a_silent_watch_misses_is_in_hand_within_six_seconds_though_the_second_ask_is_silent_too() {
+fn a_change_missed_by_a_silent_watch_arrives_within_six_seconds_despite_a_second_silent_request() {
     // (mode, the first watch and the ask after it say their heads before they fall silent)
     let rows = [("push", true), ("push", false), ("ask", true), ("ask", false)];
     thread::scope(|scope| {
@@ -257,21 +257,24 @@
                 let pair = Pair::new();
                 let (old, new) = (list(5, true, &pair.before()), list(6, true, &pair.after()));
                 let old_list = old.clone();
-                let agent = Agent::new(move |nth, ask, out| match (nth, ask) {
+                let discovery = Discovery::new(move |nth, request, out| match (nth, request) {
                     (0, _) => whole(out, &old_list),
-                    (1, _) => (!heads || out.write_all(HEAD.as_bytes()).is_ok()) && silent(out),
-                    (2, _) => silent(out),
-                    (_, Ask::Whole) => whole(out, &new),
-                    (_, Ask::Watch) => {
-                        let said = out.write_all(HEAD.as_bytes()).is_ok() && chunk(out, &format!("{new}\n"));
-                        said && quiet(out)
+                    (1, _) => {
+                        (!heads || out.write_all(CHUNKED_HEADERS.as_bytes()).is_ok()) && stay_silent(out)
+                    }
+                    (2, _) => stay_silent(out),
+                    (_, Request::List) => whole(out, &new),
+                    (_, Request::Watch) => {
+                        let sent = out.write_all(CHUNKED_HEADERS.as_bytes()).is_ok()
+                            && chunk(out, &format!("{new}\n"));
+                        sent && idle_watch(out)
                     }
                 });
-                let courier = start(&agent, mode, &old);
-                goes_to(&mut courier.client(), &pair.second, "what the silent watch missed");
-                let asks = agent.asks();
-                assert_eq!(asks[1].1, Ask::Watch);
-                let after = asks[1].0.elapsed();
+                let courier = start(&discovery, mode, &old);
+                expect_call_at(&mut courier.client(), &pair.second, "what the silent watch missed");
+                let requests = discovery.requests();
+                assert_eq!(requests[1].1, Request::Watch);
+                let after = requests[1].0.elapsed();
                 assert!(after < Duration::from_secs(6), "{mode} {heads}: {after:?}");
             });
         }
@@ -279,25 +282,25 @@
 }
 
 #[test]
-fn a_new_process_asks_its_agent_before_it_calls_anybody() {
+fn a_new_process_asks_its_agent_before_its_first_call() {
     let pair = Pair::new();
     let (old, new) = (list(5, true, &pair.before()), list(6, true, &pair.after()));
     // Before the restart nobody is there to serve.
     let nobody = list(5, true, &[entry("e1", own_address(), 7, "SERVING")]);
     let restarted = Arc::new(AtomicBool::new(false));
     let (anew, early) = (restarted.clone(), nobody.clone());
-    let agent = Agent::new(move |_, ask, out| {
+    let discovery = Discovery::new(move |_, request, out| {
         let now = if anew.load(Ordering::Relaxed) { &new } else { &early };
-        match ask {
-            Ask::Whole => {
+        match request {
+            Request::List => {
                 thread::sleep(Duration::from_millis(20));
                 whole(out, now)
             }
-            Ask::Watch => out.write_all(HEAD.as_bytes()).is_ok() && quiet(out),
+            Request::Watch => out.write_all(CHUNKED_HEADERS.as_bytes()).is_ok() && idle_watch(out),
         }
     });
-    let mut courier = start(&agent, "push", &nobody);
-    assert_eq!(courier.client().put("01", "again", LATE), "+OK");
+    let mut courier = start(&discovery, "push", &nobody);
+    assert_eq!(courier.client().put("01", "again", LIFETIME), "+OK");
     courier.kill();
     restarted.store(true, Ordering::Relaxed);
     // The mail is owed from the first moment, and the configuration still knows the first endpoint as serving.
@@ -308,21 +311,21 @@
 }
 
 #[test]
-fn an_agent_that_is_silent_or_not_there_is_not_waited_for() {
+fn an_agent_that_is_silent_or_down_does_not_hold_up_calls() {
     // (mode, the agent is there but says nothing)
     for (mode, there) in [("push", true), ("push", false), ("ask", true)] {
         let endpoint = Endpoint::new(&[]);
         let known = list(5, true, &[entry("e1", endpoint.address, 7, "SERVING")]);
-        let mut agent = Agent::new(|_, _, out| silent(out));
+        let mut discovery = Discovery::new(|_, _, out| stay_silent(out));
         if !there {
-            agent.address = own_address();
+            discovery.address = own_address();
         }
-        let courier = start(&agent, mode, &known);
+        let courier = start(&discovery, mode, &known);
         let start = Instant::now();
         let mut client = courier.client();
         // One whose time is up while the agent is waited for has its end all the same.
         assert_eq!(client.put("01", "again", "d=20"), "+OK");
-        assert_eq!(client.put("02", "again", LATE), "+OK");
+        assert_eq!(client.put("02", "again", LIFETIME), "+OK");
         until("its call", || endpoint.ids().contains(&"02".to_string()));
         assert!(start.elapsed() < Duration::from_secs(2));
         until("the end of both", || !there || courier.owes_nothing());
@@ -330,137 +333,137 @@
 }
 
 #[test]
-fn lists_that_come_twice_or_late_never_take_back_what_is_known() {
+fn duplicate_and_late_lists_never_undo_newer_changes() {
     let (pair, other) = (Pair::new(), Endpoint::new(&[]));
     let old = list(4, true, &pair.before());
     let (after, late) = (list(5, false, &pair.after()), list(4, false, &pair.before()));
     let end = list(6, false, &[entry("e3", other.address, 8, "SERVING")]);
     let (again, ended) = (old.clone(), Arc::new(AtomicBool::new(false)));
     let seen = ended.clone();
-    let agent = Agent::new(move |_, ask, out| match ask {
+    let discovery = Discovery::new(move |_, request, out| match request {
         // Each whole list is from before what the watch tells.
-        Ask::Whole => whole(out, &again),
-        Ask::Watch => {
-            let mut said = out.write_all(HEAD.as_bytes()).is_ok();
+        Request::List => whole(out, &again),
+        Request::Watch => {
+            let mut sent = out.write_all(CHUNKED_HEADERS.as_bytes()).is_ok();
             for line in [&after, &after, &late, &late, &end] {
-                said = said && chunk(out, &format!("{line}\n"));
+                sent = sent && chunk(out, &format!("{line}\n"));
             }
-            while said && !seen.load(Ordering::Relaxed) {
+            while sent && !seen.load(Ordering::Relaxed) {
                 thread::sleep(Duration::from_millis(10));
-                said = chunk(out, "\n");
+                sent = chunk(out, "\n");
             }
             false
         }
     });
-    let courier = start(&agent, "push", &old);
+    let courier = start(&discovery, "push", &old);
     let mut client = courier.client();
     until("the last line", || client.put("m", "again", "d=4000,dest=8") == "+OK");
     let calls = pair.first.calls().len();
-    goes_to(&mut client, &pair.second, "the endpoint that serves");
+    expect_call_at(&mut client, &pair.second, "the endpoint that serves");
     // And a watch that ends, after which the list comes as it was long before.
-    let asked = agent.count(Ask::Whole);
+    let asked = discovery.count(Request::List);
     ended.store(true, Ordering::Relaxed);
-    until("further whole lists", || agent.count(Ask::Whole) > asked + 1);
-    (0..5).for_each(|_| goes_to(&mut client, &pair.second, "the endpoint that still serves"));
+    until("further whole lists", || discovery.count(Request::List) > asked + 1);
+    (0..5).for_each(|_| expect_call_at(&mut client, &pair.second, "the endpoint that still serves"));
     assert_eq!(pair.first.calls().len(), calls);
 }
 
 #[test]
-fn after_a_gap_the_whole_list_is_asked_for() {
+fn after_a_version_gap_the_whole_list_is_requested() {
     let pair = Pair::new();
     let (old, new) = (list(5, true, &pair.before()), list(15, true, &pair.after()));
     let old_list = old.clone();
-    let agent = Agent::new(move |nth, ask, out| match ask {
-        Ask::Whole => whole(out, if nth == 0 { &old_list } else { &new }),
-        Ask::Watch => {
-            let said = out.write_all(HEAD.as_bytes()).is_ok();
+    let discovery = Discovery::new(move |nth, request, out| match request {
+        Request::List => whole(out, if nth == 0 { &old_list } else { &new }),
+        Request::Watch => {
+            let sent = out.write_all(CHUNKED_HEADERS.as_bytes()).is_ok();
             // The line that told of the move to the second endpoint was lost.
             let lines = [list(6, false, &[]), list(15, false, &[entry("e3", own_address(), 8, "SERVING")])];
-            said && (nth > 1 || lines.iter().all(|line| chunk(out, &format!("{line}\n")))) && quiet(out)
+            sent && (nth > 1 || lines.iter().all(|line| chunk(out, &format!("{line}\n")))) && idle_watch(out)
         }
     });
-    let courier = start(&agent, "push", &old);
-    goes_to(&mut courier.client(), &pair.second, "what the gap hid");
-    assert_eq!(agent.count(Ask::Whole), 2);
+    let courier = start(&discovery, "push", &old);
+    expect_call_at(&mut courier.client(), &pair.second, "what the gap hid");
+    assert_eq!(discovery.count(Request::List), 2);
 }
 
 #[test]
-fn a_move_during_an_outage_is_followed_within_four_seconds() {
+fn an_address_change_during_an_outage_takes_effect_within_four_seconds() {
     for mode in ["push", "ask"] {
         let pair = Pair::new();
         let (old, new) = (list(50, true, &pair.before()), list(51, true, &pair.after()));
-        let down = Agent::new(|_, _, out| silent(out));
-        let up = Agent::new(move |nth, ask, out| match (nth, ask) {
-            (0 | 1, _) => silent(out),
-            (_, Ask::Whole) => whole(out, &new),
-            (_, Ask::Watch) => out.write_all(HEAD.as_bytes()).is_ok() && quiet(out),
+        let down = Discovery::new(|_, _, out| stay_silent(out));
+        let up = Discovery::new(move |nth, request, out| match (nth, request) {
+            (0 | 1, _) => stay_silent(out),
+            (_, Request::List) => whole(out, &new),
+            (_, Request::Watch) => out.write_all(CHUNKED_HEADERS.as_bytes()).is_ok() && idle_watch(out),
         });
         let courier = start(&down, mode, &old);
-        goes_to(&mut courier.client(), &pair.first, "what the configuration knows");
-        until("a second ask", || down.asks().len() > 1);
+        expect_call_at(&mut courier.client(), &pair.first, "what the configuration knows");
+        until("a second ask", || down.requests().len() > 1);
         let mut config = courier.config.clone();
         config["discovery"] = json!(up.address.to_string());
         let moved = Instant::now();
         courier.reconfigure(&config.to_string());
-        goes_to(&mut courier.client(), &pair.second, "the list of the new address");
+        expect_call_at(&mut courier.client(), &pair.second, "the list of the new address");
         assert!(moved.elapsed() < Duration::from_secs(4), "{mode}: {:?}", moved.elapsed());
     }
 }
 
 #[test]
-fn a_whole_list_that_crosses_a_change_loses_nothing() {
+fn a_change_made_while_a_whole_list_is_read_is_not_lost() {
     for mode in ["push", "ask"] {
         let pair = Pair::new();
         let (old, new) = (list(5, true, &pair.before()), list(6, false, &pair.after()));
-        let (stop, changed) = (Stop::default(), Arc::new(AtomicBool::new(false)));
-        let (halfway, change) = (stop.clone(), changed.clone());
-        let agent = Agent::by(move |_, ask, after, out| match ask {
-            Ask::Whole => {
+        let (barrier, changed) = (Barrier::default(), Arc::new(AtomicBool::new(false)));
+        let (halfway, change) = (barrier.clone(), changed.clone());
+        let discovery = Discovery::by(move |_, request, after, out| match request {
+            Request::List => {
                 // As it is when it is asked for, and read to its end after the change.
                 let text = old.to_string();
                 let (begin, end) = text.split_at(text.len() / 2);
                 let begun = write!(out, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{begin}", text.len());
-                halfway.here();
+                halfway.wait();
                 begun.is_ok() && out.write_all(end.as_bytes()).is_ok()
             }
-            Ask::Watch => {
+            Request::Watch => {
                 let told = after < 6 && change.load(Ordering::SeqCst);
-                head(out) && (!told || line(out, &new)) && quiet(out)
+                headers(out) && (!told || line(out, &new)) && idle_watch(out)
             }
         });
-        let courier = start(&agent, mode, &list(4, true, &pair.before()));
-        stop.until_reached();
+        let courier = start(&discovery, mode, &list(4, true, &pair.before()));
+        barrier.wait_until_reached();
         changed.store(true, Ordering::SeqCst);
-        stop.let_go();
-        goes_to(&mut courier.client(), &pair.second, "the change that the list crossed");
+        barrier.release();
+        expect_call_at(&mut courier.client(), &pair.second, "the change that the list crossed");
     }
 }
 
 #[test]
-fn a_list_from_before_a_gap_does_not_fill_it() {
+fn a_list_older_than_a_version_gap_does_not_fill_it() {
     for mode in ["push", "ask"] {
         let pair = Pair::new();
         let (old, new) = (list(5, true, &pair.before()), list(15, true, &pair.after()));
         let lines = vec![list(6, false, &[]), list(15, false, &[entry("e3", own_address(), 8, "SERVING")])];
         // From another machine of discovery, or a moment too early.
         let between = vec![list(9, true, &pair.before())];
-        let agent = told_badly(old, lines, between, new);
-        let courier = start(&agent, mode, &list(4, true, &pair.before()));
-        goes_to(&mut courier.client(), &pair.second, "what the gap hid");
+        let discovery = faulty_discovery(old, lines, between, new);
+        let courier = start(&discovery, mode, &list(4, true, &pair.before()));
+        expect_call_at(&mut courier.client(), &pair.second, "what the gap hid");
     }
 }
 
 #[test]
-fn a_version_that_cannot_be_is_not_held_for_good() {
+fn an_impossible_version_is_not_held_for_good() {
     let pair = Pair::new();
     let (old, new) = (list(5, true, &pair.before()), list(6, true, &pair.after()));
-    let agent = told_badly(old, vec![list(5, false, &[]), list(u64::MAX, false, &[])], vec![], new);
-    let courier = start(&agent, "push", &list(4, true, &pair.before()));
-    goes_to(&mut courier.client(), &pair.second, "the list of a lower version");
+    let discovery = faulty_discovery(old, vec![list(5, false, &[]), list(u64::MAX, false, &[])], vec![], new);
+    let courier = start(&discovery, "push", &list(4, true, &pair.before()));
+    expect_call_at(&mut courier.client(), &pair.second, "the list of a lower version");
 }
 
 #[test]
-fn a_change_that_comes_after_a_later_one_is_not_lost() {
+fn a_change_that_arrives_out_of_order_is_not_lost() {
     for mode in ["push", "ask"] {
         let pair = Pair::new();
         let old = list(5, true, &pair.before());
@@ -468,73 +471,76 @@
         let new = list(8, true, &[&pair.after()[..], &others].concat());
         // As many entries as versions, so that nothing seems to be missing.
         let lines = vec![list(6, false, &[]), list(8, false, &others), list(7, false, &pair.after())];
-        let agent = told_badly(old, lines, vec![], new);
-        let courier = start(&agent, mode, &list(4, true, &pair.before()));
-        goes_to(&mut courier.client(), &pair.second, "the change that came late");
+        let discovery = faulty_discovery(old, lines, vec![], new);
+        let courier = start(&discovery, mode, &list(4, true, &pair.before()));
+        expect_call_at(&mut courier.client(), &pair.second, "the change that came late");
     }
 }
 
 #[test]
-fn of_an_entry_that_comes_twice_the_last_counts() {
-    for kind in [Ask::Whole, Ask::Watch] {
+fn the_last_of_duplicate_entries_counts() {
+    for kind in [Request::List, Request::Watch] {
         let pair = Pair::new();
         let (old, both) = (list(5, true, &pair.before()), [pair.before(), pair.after()].concat());
         let (change, new) = (list(6, false, &both), list(6, true, &both));
-        let agent = Agent::new(move |_, ask, out| match (ask, kind) {
-            (Ask::Whole, Ask::Watch) => whole(out, &old),
-            (Ask::Whole, Ask::Whole) => whole(out, &new),
-            (Ask::Watch, Ask::Watch) => head(out) && line(out, &change) && line(out, &change) && quiet(out),
-            (Ask::Watch, Ask::Whole) => head(out) && quiet(out),
+        let discovery = Discovery::new(move |_, request, out| match (request, kind) {
+            (Request::List, Request::Watch) => whole(out, &old),
+            (Request::List, Request::List) => whole(out, &new),
+            (Request::Watch, Request::Watch) => {
+                headers(out) && line(out, &change) && line(out, &change) && idle_watch(out)
+            }
+            (Request::Watch, Request::List) => headers(out) && idle_watch(out),
         });
-        let courier = start(&agent, "push", &list(4, true, &pair.before()));
-        goes_to(&mut courier.client(), &pair.second, "the last of both");
-        all_ended(&courier);
+        let courier = start(&discovery, "push", &list(4, true, &pair.before()));
+        expect_call_at(&mut courier.client(), &pair.second, "the last of both");
+        wait_until_idle(&courier);
         let before = pair.first.calls().len();
-        (0..5).for_each(|_| goes_to(&mut courier.client(), &pair.second, "the last of both still"));
+        (0..5).for_each(|_| expect_call_at(&mut courier.client(), &pair.second, "the last of both still"));
         assert_eq!(pair.first.calls().len(), before);
     }
 }
 
 #[test]
-fn an_answer_that_is_no_whole_list_does_not_stand_for_one() {
+fn changes_in_answer_to_a_list_request_do_not_replace_the_list() {
     for mode in ["push", "ask"] {
         let pair = Pair::new();
         let (old, new) = (list(5, true, &pair.before()), list(15, true, &pair.after()));
         let changes = list(15, false, &[]);
-        let agent = told_badly(old, vec![list(6, false, &[]), changes.clone()], vec![changes], new);
-        let courier = start(&agent, mode, &list(4, true, &pair.before()));
-        goes_to(&mut courier.client(), &pair.second, "the whole list");
+        let discovery = faulty_discovery(old, vec![list(6, false, &[]), changes.clone()], vec![changes], new);
+        let courier = start(&discovery, mode, &list(4, true, &pair.before()));
+        expect_call_at(&mut courier.client(), &pair.second, "the whole list");
     }
 }
 
 #[test]
-fn an_entry_of_a_change_that_cannot_be_read_is_not_listed_any_more() {
+fn an_unreadable_entry_in_a_change_is_removed_from_the_list() {
     let pair = Pair::new();
     let (old, mut after) = (list(5, true, &pair.before()), pair.after());
     after[0]["weight"] = json!("much");
     let new = list(6, false, &after);
-    let agent = Agent::new(move |_, ask, out| match ask {
-        Ask::Whole => whole(out, &old),
-        Ask::Watch => head(out) && line(out, &new) && quiet(out),
+    let discovery = Discovery::new(move |_, request, out| match request {
+        Request::List => whole(out, &old),
+        Request::Watch => headers(out) && line(out, &new) && idle_watch(out),
     });
-    let courier = start(&agent, "push", &list(4, true, &pair.before()));
-    goes_to(&mut courier.client(), &pair.second, "the one that can be read");
-    all_ended(&courier);
+    let courier = start(&discovery, "push", &list(4, true, &pair.before()));
+    expect_call_at(&mut courier.client(), &pair.second, "the one that can be read");
+    wait_until_idle(&courier);
     let before = pair.first.calls().len();
-    (0..9).for_each(|_| goes_to(&mut courier.client(), &pair.second, "the one that can be read still"));
+    (0..9)
+        .for_each(|_| expect_call_at(&mut courier.client(), &pair.second, "the one that can be read still"));
     assert_eq!(pair.first.calls().len(), before);
 }
 
 #[test]
-fn a_watch_that_ends_within_an_object_is_taken_to_its_last_whole_one() {
+fn a_watch_cut_within_an_object_is_applied_up_to_its_last_complete_one() {
     let pair = Pair::new();
     let (old, new) = (list(5, true, &pair.before()), list(6, false, &pair.after()));
     let text = new.to_string();
     let cuts: Vec<usize> = (0..text.len()).step_by(17).chain([text.len() - 1]).collect();
-    let (stop, watches) = (Stop::default(), Arc::new(Mutex::new(0)));
-    let (last, count) = (stop.clone(), cuts.len());
-    let agent = Agent::by(move |_, ask, after, out| {
-        if ask == Ask::Whole {
+    let (barrier, watches) = (Barrier::default(), Arc::new(Mutex::new(0)));
+    let (last, count) = (barrier.clone(), cuts.len());
+    let discovery = Discovery::by(move |_, request, after, out| {
+        if request == Request::List {
             return whole(out, &old);
         }
         let nth = {
@@ -544,56 +550,56 @@
         };
         assert!(after == 5 || nth > count, "nothing of a part was held");
         let Some(&cut) = cuts.get(nth) else {
-            last.here();
+            last.wait();
             // Whole, with no end of its line; and cut there.
-            return head(out) && chunk(out, &text) && nth > count && quiet(out);
+            return headers(out) && chunk(out, &text) && nth > count && idle_watch(out);
         };
-        let said = head(out) && (cut == 0 || chunk(out, &text[..cut]));
+        let sent = headers(out) && (cut == 0 || chunk(out, &text[..cut]));
         match nth % 3 {
-            0 => said && out.write_all(b"0\r\n\r\n").is_ok() && silent(out),
+            0 => sent && out.write_all(b"0\r\n\r\n").is_ok() && stay_silent(out),
             1 => false,
             _ => reset(out),
         }
     });
-    let courier = start(&agent, "push", &list(4, true, &pair.before()));
+    let courier = start(&discovery, "push", &list(4, true, &pair.before()));
     let mut client = courier.client();
-    stop.until_reached();
-    goes_to(&mut client, &pair.first, "the one that still serves");
+    barrier.wait_until_reached();
+    expect_call_at(&mut client, &pair.first, "the one that still serves");
     assert_eq!(pair.second.calls().len(), 0);
-    stop.let_go();
-    goes_to(&mut client, &pair.second, "the whole object");
+    barrier.release();
+    expect_call_at(&mut client, &pair.second, "the whole object");
 }
 
 #[test]
-fn an_object_that_never_ends_does_not_keep_a_watch() {
+fn an_object_that_never_ends_does_not_keep_a_watch_alive() {
     for mode in ["push", "ask"] {
         let pair = Pair::new();
         let (old, new) = (list(5, true, &pair.before()), list(6, true, &pair.after()));
         let (begun, watched) = (Arc::new(Mutex::new(None)), AtomicBool::new(false));
         let at = begun.clone();
-        let agent = Agent::new(move |_, ask, out| match ask {
-            Ask::Watch if !watched.swap(true, Ordering::SeqCst) => {
-                let mut said = head(out) && chunk(out, "\n{\"index\": 6,");
+        let discovery = Discovery::new(move |_, request, out| match request {
+            Request::Watch if !watched.swap(true, Ordering::SeqCst) => {
+                let mut sent = headers(out) && chunk(out, "\n{\"index\": 6,");
                 *at.lock().unwrap() = Some(Instant::now());
-                while said {
+                while sent {
                     thread::sleep(Duration::from_millis(200));
-                    said = chunk(out, "\n");
+                    sent = chunk(out, "\n");
                 }
                 false
             }
-            Ask::Whole if !watched.load(Ordering::SeqCst) => whole(out, &old),
-            Ask::Whole => whole(out, &new),
-            Ask::Watch => head(out) && line(out, &new) && quiet(out),
+            Request::List if !watched.load(Ordering::SeqCst) => whole(out, &old),
+            Request::List => whole(out, &new),
+            Request::Watch => headers(out) && line(out, &new) && idle_watch(out),
         });
-        let courier = start(&agent, mode, &list(4, true, &pair.before()));
-        goes_to(&mut courier.client(), &pair.second, "what the next ask was told");
+        let courier = start(&discovery, mode, &list(4, true, &pair.before()));
+        expect_call_at(&mut courier.client(), &pair.second, "what the next ask was told");
         let after = begun.lock().unwrap().unwrap().elapsed();
         assert!(after < Duration::from_secs(6), "{mode}: {after:?}");
     }
 }
 
 #[test]
-fn a_long_list_in_one_line_of_a_watch_is_read_as_it_comes() {
+fn a_long_list_in_one_line_of_a_watch_is_read_as_it_arrives() {
     let pair = Pair::new();
     let old = list(5, true, &pair.before());
     // What is unknown of an entry is passed over.
@@ -605,15 +611,15 @@
     let entries: Vec<Value> = padded.chain(pair.after()).collect();
     let new = list(6, true, &entries).to_string();
     assert!(new.len() > 2_000_000 && new.len() < 4 << 20, "{}", new.len());
-    let agent = Agent::new(move |_, ask, out| match ask {
-        Ask::Whole => whole(out, &old),
-        Ask::Watch => {
+    let discovery = Discovery::new(move |_, request, out| match request {
+        Request::List => whole(out, &old),
+        Request::Watch => {
             let pieces = || new.as_bytes().chunks(4096).map(|piece| std::str::from_utf8(piece).unwrap());
-            head(out) && pieces().all(|piece| chunk(out, piece)) && chunk(out, "\n") && quiet(out)
+            headers(out) && pieces().all(|piece| chunk(out, piece)) && chunk(out, "\n") && idle_watch(out)
         }
     });
-    let courier = start(&agent, "push", &list(4, true, &pair.before()));
-    goes_to(&mut courier.client(), &pair.second, "what the long list told");
+    let courier = start(&discovery, "push", &list(4, true, &pair.before()));
+    expect_call_at(&mut courier.client(), &pair.second, "what the long list told");
 }
 
 fn own_address_of(i: usize) -> SocketAddr {
@@ -621,7 +627,7 @@
 }
 
 /// The most memory that the courier ever held, in MB.
-fn most_memory(pid: u32) -> u64 {
+fn peak_memory_mb(pid: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap();
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
     line.split_whitespace().next().unwrap().parse::<u64>().unwrap() >> 10
@@ -640,7 +646,7 @@
 }
 
 #[test]
-fn what_has_no_end_is_left_and_takes_little_memory() {
+fn endless_answers_are_closed_and_take_little_memory() {
     const PIECES: usize = 16 << 10;
     let piece = "x".repeat(4000);
     let many: String =
@@ -649,56 +655,80 @@
     assert!(many.len() < 4 << 20);
     // (name, what is asked, what comes first, and then without end)
     let rows = [
-        ("a head", Ask::Whole, "HTTP/1.1 200 OK\r\n".to_string(), format!("X-Y: {piece}\r\n")),
-        ("a line of a head", Ask::Whole, "HTTP/1.1 200 OK\r\nX: ".to_string(), piece.clone()),
-        ("heads of no answer", Ask::Whole, String::new(), "HTTP/1.1 103 Early\r\n\r\n".repeat(100)),
-        ("a list", Ask::Whole, format!("{HEAD}1\r\n{{\r\n"), format!("fa0\r\n{}\r\n", " ".repeat(4000))),
-        ("a text", Ask::Whole, format!("{HEAD}2\r\n{{\"\r\n"), format!("fa0\r\n{piece}\r\n")),
-        ("a field of a chunk", Ask::Whole, format!("{HEAD}1;"), piece.clone()),
-        ("lists in lists", Ask::Watch, HEAD.to_string(), format!("fa0\r\n{}\r\n", "[".repeat(4000))),
-        ("a line", Ask::Watch, format!("{HEAD}2\r\n{{\"\r\n"), format!("fa0\r\n{piece}\r\n")),
-        ("many entries", Ask::Whole, format!("{HEAD}{:x}\r\n{many}\r\n0\r\n\r\n", many.len()), String::new()),
-        ("many in a line", Ask::Watch, format!("{HEAD}{:x}\r\n{many}\r\n", many.len()), String::new()),
+        ("a head", Request::List, "HTTP/1.1 200 OK\r\n".to_string(), format!("X-Y: {piece}\r\n")),
+        ("a line of a head", Request::List, "HTTP/1.1 200 OK\r\nX: ".to_string(), piece.clone()),
+        ("heads of no answer", Request::List, String::new(), "HTTP/1.1 103 Early\r\n\r\n".repeat(100)),
+        (
+            "a list",
+            Request::List,
+            format!("{CHUNKED_HEADERS}1\r\n{{\r\n"),
+            format!("fa0\r\n{}\r\n", " ".repeat(4000)),
+        ),
+        ("a text", Request::List, format!("{CHUNKED_HEADERS}2\r\n{{\"\r\n"), format!("fa0\r\n{piece}\r\n")),
+        ("a field of a chunk", Request::List, format!("{CHUNKED_HEADERS}1;"), piece.clone()),
+        (
+            "lists in lists",
+            Request::Watch,
+            CHUNKED_HEADERS.to_string(),
+            format!("fa0\r\n{}\r\n", "[".repeat(4000)),
+        ),
+        ("a line", Request::Watch, format!("{CHUNKED_HEADERS}2\r\n{{\"\r\n"), format!("fa0\r\n{piece}\r\n")),
+        (
+            "many entries",
+            Request::List,
+            format!("{CHUNKED_HEADERS}{:x}\r\n{many}\r\n0\r\n\r\n", many.len()),
+            String::new(),
+        ),
+        (
+            "many in a line",
+            Request::Watch,
+            format!("{CHUNKED_HEADERS}{:x}\r\n{many}\r\n", many.len()),
+            String::new(),
+        ),
     ];
     for (name, kind, first, then) in rows {
         let pair = Pair::new();
         let (old, new) = (list(5, true, &pair.before()), list(7, true, &pair.after()));
         let left = Arc::new(AtomicBool::new(false));
         let is_left = left.clone();
-        let agent = Agent::new(move |_, ask, out| {
-            if ask == kind && !left.load(Ordering::SeqCst) {
-                let mut said = out.write_all(first.as_bytes()).is_ok();
+        let discovery = Discovery::new(move |_, request, out| {
+            if request == kind && !left.load(Ordering::SeqCst) {
+                let mut sent = out.write_all(first.as_bytes()).is_ok();
                 for _ in 0..PIECES {
                     // With nothing without end, what came first is the matter.
-                    said = said
-                        && if then.is_empty() { silent(out) } else { out.write_all(then.as_bytes()).is_ok() };
+                    sent = sent
+                        && if then.is_empty() {
+                            stay_silent(out)
+                        } else {
+                            out.write_all(then.as_bytes()).is_ok()
+                        };
                 }
-                assert!(!said, "it is left");
+                assert!(!sent, "it is left");
                 left.store(true, Ordering::SeqCst);
                 return false;
             }
-            match ask {
-                Ask::Whole if left.load(Ordering::SeqCst) => whole(out, &new),
-                Ask::Whole => whole(out, &old),
-                Ask::Watch => head(out) && line(out, &new) && quiet(out),
+            match request {
+                Request::List if left.load(Ordering::SeqCst) => whole(out, &new),
+                Request::List => whole(out, &old),
+                Request::Watch => headers(out) && line(out, &new) && idle_watch(out),
             }
         });
         let known = list(4, true, &pair.before());
-        let courier = start_with(&agent, "push", &known, json!({"list_entries": 8192, "list_mb": 4.2}));
+        let courier = start_with(&discovery, "push", &known, json!({"list_entries": 8192, "list_mb": 4.2}));
         let mut client = courier.client();
         until(name, || {
-            hand_in(&mut client, "m");
+            put(&mut client, "m");
             is_left.load(Ordering::SeqCst)
         });
-        goes_to(&mut client, &pair.second, name);
-        let most = most_memory(pid(&courier));
+        expect_call_at(&mut client, &pair.second, name);
+        let most = peak_memory_mb(pid(&courier));
         assert!(most < 64, "{name}: {most} MB");
     }
 }
 
 /// What an ask is in the middle of when discovery moves.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Middle {
+enum Stage {
     Silence,
     Head,
     List,
@@ -708,60 +738,60 @@
 }
 
 #[test]
-fn sighup_in_the_middle_of_anything_leaves_the_old_address_for_good() {
-    use Middle::{Head, List, Object, Open, Refusals, Silence};
+fn sighup_at_any_stage_of_a_request_leaves_the_old_address_for_good() {
+    use Stage::{Head, List, Object, Open, Refusals, Silence};
     thread::scope(|scope| {
-        for middle in [Silence, Head, List, Open, Object, Refusals] {
+        for stage in [Silence, Head, List, Open, Object, Refusals] {
             scope.spawn(move || {
                 for mode in ["push", "ask"] {
-                    moves_in(middle, mode);
+                    change_address_at(stage, mode);
                 }
             });
         }
     });
 }
 
-fn moves_in(middle: Middle, mode: &str) {
+fn change_address_at(stage: Stage, mode: &str) {
     let pair = Pair::new();
     let (old, new) = (list(5, true, &pair.before()), list(6, true, &pair.after()));
     // What the old address would tell is of a higher version.
     let false_list = list(9, true, &pair.before()).to_string();
-    let (stop, closed) = (Stop::default(), Arc::new(AtomicBool::new(false)));
-    let (halfway, is_closed) = (stop.clone(), closed.clone());
-    let down = Agent::new(move |_, ask, out| {
+    let (barrier, closed) = (Barrier::default(), Arc::new(AtomicBool::new(false)));
+    let (halfway, is_closed) = (barrier.clone(), closed.clone());
+    let down = Discovery::new(move |_, request, out| {
         let (begin, end) = false_list.split_at(false_list.len() / 2);
         let length = false_list.len();
-        let wanted = match middle {
-            Middle::Open | Middle::Object => Ask::Watch,
-            _ => Ask::Whole,
+        let wanted = match stage {
+            Stage::Open | Stage::Object => Request::Watch,
+            _ => Request::List,
         };
-        if ask != wanted {
+        if request != wanted {
             return whole(out, &old);
         }
-        let (first, then) = match middle {
-            Middle::Silence => {
+        let (first, then) = match stage {
+            Stage::Silence => {
                 let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{false_list}");
                 (String::new(), text)
             }
-            Middle::Head => {
+            Stage::Head => {
                 ("HTTP/1.1 200 OK\r\nConte".to_string(), format!("nt-Length: {length}\r\n\r\n{false_list}"))
             }
-            Middle::List => {
+            Stage::List => {
                 (format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{begin}"), end.to_string())
             }
-            Middle::Open => (HEAD.to_string(), format!("{length:x}\r\n{false_list}\r\n")),
-            Middle::Object => {
-                let first = format!("{HEAD}{:x}\r\n{begin}\r\n", begin.len());
+            Stage::Open => (CHUNKED_HEADERS.to_string(), format!("{length:x}\r\n{false_list}\r\n")),
+            Stage::Object => {
+                let first = format!("{CHUNKED_HEADERS}{:x}\r\n{begin}\r\n", begin.len());
                 (first, format!("{:x}\r\n{end}\r\n", end.len()))
             }
-            Middle::Refusals => {
+            Stage::Refusals => {
                 halfway.reached.store(true, Ordering::SeqCst);
                 return out.write_all(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n").is_ok();
             }
         };
         // An ask that was given up for its silence before SIGHUP may be here too: each stops.
         let _ = out.write_all(first.as_bytes());
-        halfway.here();
+        halfway.wait();
         let _ = out.write_all(then.as_bytes());
         let mut rest = [0];
         out.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
@@ -772,32 +802,32 @@
         closed.store(ended, Ordering::SeqCst);
         false
     });
-    let up = Agent::new(move |_, ask, out| match ask {
-        Ask::Whole => whole(out, &new),
-        Ask::Watch => head(out) && quiet(out),
+    let up = Discovery::new(move |_, request, out| match request {
+        Request::List => whole(out, &new),
+        Request::Watch => headers(out) && idle_watch(out),
     });
     let courier = start(&down, mode, &list(4, true, &pair.before()));
     let mut client = courier.client();
-    stop.until_reached();
+    barrier.wait_until_reached();
     let mut config = courier.config.clone();
     config["discovery"] = json!(up.address.to_string());
     let moved = Instant::now();
     courier.reconfigure(&config.to_string());
-    goes_to(&mut client, &pair.second, "the list of the new address");
-    assert!(moved.elapsed() < Duration::from_secs(6), "{middle:?} {mode}");
-    all_ended(&courier);
-    let (before, asks) = (pair.first.calls().len(), down.asks().len());
-    stop.let_go();
-    if middle != Middle::Refusals {
+    expect_call_at(&mut client, &pair.second, "the list of the new address");
+    assert!(moved.elapsed() < Duration::from_secs(6), "{stage:?} {mode}");
+    wait_until_idle(&courier);
+    let (before, requests) = (pair.first.calls().len(), down.requests().len());
+    barrier.release();
+    if stage != Stage::Refusals {
         until("the old connection's end", || is_closed.load(Ordering::SeqCst));
     }
-    (0..5).for_each(|_| goes_to(&mut client, &pair.second, "the new address still"));
-    assert_eq!((pair.first.calls().len(), down.asks().len()), (before, asks), "{middle:?} {mode}");
+    (0..5).for_each(|_| expect_call_at(&mut client, &pair.second, "the new address still"));
+    assert_eq!((pair.first.calls().len(), down.requests().len()), (before, requests), "{stage:?} {mode}");
 }
 
 /// Counts, whenever a connection comes, those that the courier still holds open. What an ask gets changes with
 /// each.
-fn crowded(most: Arc<Mutex<(usize, usize)>>) -> SocketAddr {
+fn counting_discovery(most: Arc<Mutex<(usize, usize)>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
@@ -818,16 +848,16 @@
             *most = (most.0.max(held.len() + 1), nth + 1);
             drop(most);
             let text = list(5, true, &[]).to_string();
-            let said = match nth % 8 {
+            let sent = match nth % 8 {
                 0 => String::new(),
                 1 => "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n".to_string(),
                 2 => "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{".to_string(),
-                3 => format!("{HEAD}1\r\n\n\r\n0\r\n\r\n"),
+                3 => format!("{CHUNKED_HEADERS}1\r\n\n\r\n0\r\n\r\n"),
                 4 => "garbage\r\n\r\n".to_string(),
                 5 | 7 => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len()),
-                _ => format!("{HEAD}3\r\nodd\r\n"),
+                _ => format!("{CHUNKED_HEADERS}3\r\nodd\r\n"),
             };
-            let _ = (&stream).write_all(said.as_bytes());
+            let _ = (&stream).write_all(sent.as_bytes());
             // None is closed here.
             held.push(stream);
         }
@@ -836,15 +866,15 @@
 }
 
 #[test]
-fn discovery_has_two_connections_at_most_whatever_it_does() {
+fn discovery_has_at_most_two_connections_whatever_it_answers() {
     for mode in ["push", "ask"] {
         let most: [Arc<Mutex<(usize, usize)>>; 2] = Default::default();
-        let addresses = [crowded(most[0].clone()), crowded(most[1].clone())];
+        let addresses = [counting_discovery(most[0].clone()), counting_discovery(most[1].clone())];
         let endpoint = Endpoint::new(&[]);
-        let mut agent = Agent::new(|_, _, _| false);
-        agent.address = addresses[0];
+        let mut discovery = Discovery::new(|_, _, _| false);
+        discovery.address = addresses[0];
         let known = list(4, true, &[entry("e1", endpoint.address, 7, "SERVING")]);
-        let courier = start(&agent, mode, &known);
+        let courier = start(&discovery, mode, &known);
         let at_first = courier.sockets();
         let seen = |which: usize| most[which].lock().unwrap().1;
         let enough = if mode == "push" { 16 } else { 7 };
@@ -864,18 +894,18 @@
 }
 
 /// A courier that the system allows no more descriptors than its configuration does.
-struct Narrow {
+struct LimitedCourier {
     child: Child,
     folder: Folder,
     config: Value,
     listen: SocketAddr,
 }
 
-impl Narrow {
-    fn start(agent: &Agent, mode: &str, known: &Value, sockets: usize) -> Narrow {
+impl LimitedCourier {
+    fn start(discovery: &Discovery, mode: &str, known: &Value, sockets: usize) -> LimitedCourier {
         let (folder, listen) = (Folder::new(), own_address());
         let mut config = config(&Platform::new(), listen);
-        config["discovery"] = json!(agent.address.to_string());
+        config["discovery"] = json!(discovery.address.to_string());
         config["known"] = known.clone();
         config["limits"]["sockets"] = json!(sockets);
         config["settings"]["MembershipMode"] = json!(mode);
@@ -885,9 +915,9 @@
         let variables = plain.get_envs().filter_map(|(name, value)| Some((name, value?)));
         command.env_clear().envs(variables);
         let child = command.spawn().unwrap();
-        let narrow = Narrow { child, folder, config, listen };
+        let courier = LimitedCourier { child, folder, config, listen };
         answers(listen);
-        narrow
+        courier
     }
 
     fn descriptors(&self) -> usize {
@@ -905,7 +935,7 @@
     }
 }
 
-impl Drop for Narrow {
+impl Drop for LimitedCourier {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -934,26 +964,26 @@
 }
 
 #[test]
-fn with_all_descriptors_taken_by_idle_clients_list_notices_journal_and_calls_go_on() {
+fn with_idle_clients_holding_all_their_descriptors_list_notices_journal_and_calls_go_on() {
     const SOCKETS: usize = 64;
     for mode in ["push", "ask"] {
         let pair = Pair::new();
         let (up, end) = (Arc::new(AtomicBool::new(false)), AtomicBool::new(false));
         let (is_up, new) = (up.clone(), list(6, true, &pair.after()));
-        let agent = Agent::new(move |_, ask, out| match ask {
-            _ if !is_up.load(Ordering::SeqCst) => silent(out),
-            Ask::Whole => whole(out, &new),
-            Ask::Watch => head(out) && line(out, &new) && quiet(out),
+        let discovery = Discovery::new(move |_, request, out| match request {
+            _ if !is_up.load(Ordering::SeqCst) => stay_silent(out),
+            Request::List => whole(out, &new),
+            Request::Watch => headers(out) && line(out, &new) && idle_watch(out),
         });
         // From the smallest number that a configuration may name.
-        let courier = Narrow::start(&agent, mode, &list(5, true, &pair.before()), SOCKETS);
+        let courier = LimitedCourier::start(&discovery, mode, &list(5, true, &pair.before()), SOCKETS);
         let (at_first, mut most) = (courier.descriptors(), 0);
         thread::scope(|scope| {
             scope.spawn(|| idle_clients(courier.listen, SOCKETS / 2, &end));
             // A third of them is for clients, and all those are taken; the first may have been one already.
             until("all are taken", || courier.descriptors() >= at_first + SOCKETS / 3 - 1);
             for i in 0..20 {
-                courier.put(&format!("call-{i}"), LATE);
+                courier.put(&format!("call-{i}"), LIFETIME);
                 // Over at once: its end is a notice, if no call was quicker.
                 courier.put(&format!("brief-{i}"), "d=1");
                 most = most.max(courier.descriptors());
@@ -966,7 +996,7 @@
             let mut id = 0;
             until("calls by the new list", || {
                 id += 1;
-                courier.put(&format!("new-{id}"), LATE);
+                courier.put(&format!("new-{id}"), LIFETIME);
                 most = most.max(courier.descriptors());
                 !pair.second.calls().is_empty()
             });
@@ -976,13 +1006,13 @@
         });
         // Never at the limit, where a connection to discovery or a file would be refused.
         assert!(most < SOCKETS - 4, "{mode}: {most}");
-        let asks = agent.asks().len();
-        assert!(asks > 2, "{mode}: {asks}");
+        let requests = discovery.requests().len();
+        assert!(requests > 2, "{mode}: {requests}");
     }
 }
 
 #[test]
-fn a_watch_that_never_pauses_holds_nothing_up() {
+fn a_watch_that_sends_without_pause_does_not_starve_clients_and_calls() {
     let lines = |pair: &Pair| list(5, false, &pair.before()).to_string() + "\n";
     // (name, what the watch says over and over)
     type Says<'a> = &'a dyn Fn(&Pair) -> String;
@@ -996,30 +1026,30 @@
         let (old, new) = (list(5, true, &pair.before()), list(6, true, &pair.after()));
         let (text, end) = (text(&pair), Arc::new(AtomicBool::new(false)));
         let ended = end.clone();
-        let agent = Agent::new(move |_, ask, out| match ask {
-            Ask::Whole if ended.load(Ordering::SeqCst) => whole(out, &new),
-            Ask::Whole => whole(out, &old),
-            Ask::Watch => {
-                let mut said = head(out);
-                while said && !ended.load(Ordering::SeqCst) {
-                    said = chunk(out, &text);
+        let discovery = Discovery::new(move |_, request, out| match request {
+            Request::List if ended.load(Ordering::SeqCst) => whole(out, &new),
+            Request::List => whole(out, &old),
+            Request::Watch => {
+                let mut sent = headers(out);
+                while sent && !ended.load(Ordering::SeqCst) {
+                    sent = chunk(out, &text);
                 }
-                said && line(out, &new) && quiet(out)
+                sent && line(out, &new) && idle_watch(out)
             }
         });
-        let courier = start(&agent, "push", &list(4, true, &pair.before()));
+        let courier = start(&discovery, "push", &list(4, true, &pair.before()));
         let mut client = courier.client();
-        until("a watch", || agent.count(Ask::Watch) > 0);
-        (0..30).for_each(|_| goes_to(&mut client, &pair.first, name));
+        until("a watch", || discovery.count(Request::Watch) > 0);
+        (0..30).for_each(|_| expect_call_at(&mut client, &pair.first, name));
         end.store(true, Ordering::SeqCst);
-        goes_to(&mut client, &pair.second, name);
-        let most = most_memory(pid(&courier));
+        expect_call_at(&mut client, &pair.second, name);
+        let most = peak_memory_mb(pid(&courier));
         assert!(most < 64, "{name}: {most} MB");
     }
 }
 
 #[test]
-fn when_discovery_returns_a_list_is_in_hand_within_six_seconds_though_one_answer_is_cut() {
+fn a_list_arrives_within_six_seconds_of_discovery_coming_back_though_one_answer_is_cut() {
     // (mode, how it was gone: refusing, or silent)
     let rows = [("push", true), ("push", false), ("ask", true), ("ask", false)];
     thread::scope(|scope| {
@@ -1029,27 +1059,27 @@
                 let new = list(6, true, &pair.after());
                 let (up, cut) = (Arc::new(AtomicBool::new(false)), AtomicBool::new(false));
                 let is_up = up.clone();
-                let agent = Agent::new(move |_, ask, out| match ask {
+                let discovery = Discovery::new(move |_, request, out| match request {
                     _ if !is_up.load(Ordering::SeqCst) && refuses => {
                         out.write_all(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n").is_ok()
                     }
-                    _ if !is_up.load(Ordering::SeqCst) => silent(out),
-                    Ask::Whole if !cut.swap(true, Ordering::SeqCst) => {
+                    _ if !is_up.load(Ordering::SeqCst) => stay_silent(out),
+                    Request::List if !cut.swap(true, Ordering::SeqCst) => {
                         let text = new.to_string();
                         let half = &text[..text.len() / 2];
                         let _ =
                             write!(out, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{half}", text.len());
                         reset(out)
                     }
-                    Ask::Whole => whole(out, &new),
-                    Ask::Watch => head(out) && quiet(out),
+                    Request::List => whole(out, &new),
+                    Request::Watch => headers(out) && idle_watch(out),
                 });
-                let courier = start(&agent, mode, &list(5, true, &pair.before()));
+                let courier = start(&discovery, mode, &list(5, true, &pair.before()));
                 // By then the pauses are as long as they become.
-                until("a chain of asks", || agent.asks().len() >= if refuses { 6 } else { 5 });
+                until("a chain of asks", || discovery.requests().len() >= if refuses { 6 } else { 5 });
                 let back = Instant::now();
                 up.store(true, Ordering::SeqCst);
-                goes_to(&mut courier.client(), &pair.second, "the list after the return");
+                expect_call_at(&mut courier.client(), &pair.second, "the list after the return");
                 assert!(back.elapsed() < Duration::from_secs(6), "{mode} {refuses}: {:?}", back.elapsed());
             });
         }
--- a/crates/courier/tests/reader.rs
+++ b/crates/courier/tests/reader.rs
@@ -2,12 +2,12 @@
 
 use meadowhold_courier::discovery::List;
 use meadowhold_courier::entries::Update;
-use meadowhold_courier::reader::{Fault, Limits, Reader};
+use meadowhold_courier::reader::{Limits, ReadError, Reader};
 use proptest::prelude::*;
 use serde_json::{json, Value};
 
 /// The objects that these pieces hold, whether something stood between them, and bytes of one that is not complete.
-fn read(pieces: &[&[u8]], limits: Limits) -> Result<(Vec<Update>, bool, usize), Fault> {
+fn read(pieces: &[&[u8]], limits: Limits) -> Result<(Vec<Update>, bool, usize), ReadError> {
     let (mut reader, mut found, mut blank) = (Reader::new(limits), Vec::new(), false);
     for piece in pieces {
         blank |= reader.read(piece, |update| {
@@ -18,7 +18,7 @@
     Ok((found, blank, reader.pending()))
 }
 
-fn whole(text: &[u8]) -> Result<(Vec<Update>, bool, usize), Fault> {
+fn whole(text: &[u8]) -> Result<(Vec<Update>, bool, usize), ReadError> {
     read(&[text], Limits::default())
 }
 
@@ -114,14 +114,14 @@
     })]
 
     #[test]
-    fn what_is_read_in_pieces_is_what_serde_json_reads(text in list(), cuts in proptest::collection::vec(any::<usize>(), 0..12)) {
+    fn a_list_read_in_pieces_equals_what_serde_json_reads(text in list(), cuts in proptest::collection::vec(any::<usize>(), 0..12)) {
         let expected = by_serde(text.as_bytes()).expect("a list");
         let (found, blank, pending) = read(&pieces(text.as_bytes(), &cuts), Limits::default()).unwrap();
         prop_assert_eq!((found, blank, pending), (vec![expected], false, 0));
     }
 
     #[test]
-    fn a_list_with_a_byte_spoilt_is_what_serde_json_makes_of_it(
+    fn a_list_with_a_changed_byte_is_read_as_serde_json_reads_it(
         text in list(), at in any::<usize>(), byte in 0x20..0x7fu8, cuts in proptest::collection::vec(any::<usize>(), 0..4)
     ) {
         let mut text = text.into_bytes();
@@ -132,7 +132,7 @@
     }
 
     #[test]
-    fn a_watch_tells_object_after_object(
+    fn a_watch_yields_one_update_for_each_object(
         texts in proptest::collection::vec((list(), "[ \n]{0,3}"), 0..4), tail in list(), cut in any::<usize>(),
         cuts in proptest::collection::vec(any::<usize>(), 0..8)
     ) {
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_list_cut_at_any_byte_is_none() {
+fn a_list_truncated_at_any_byte_yields_nothing() {
     let text = small();
     let (found, ..) = whole(text.as_bytes()).unwrap();
     assert_eq!(found, [by_serde(text.as_bytes()).unwrap()]);
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn what_is_no_list_is_refused_as_serde_json_refuses_it() {
+fn malformed_lists_are_rejected_as_serde_json_rejects_them() {
     let rows = [
         "x",
         "12",
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn limits_hold_for_entries_text_one_entry_and_what_is_no_entry() {
+fn limits_apply_to_entries_bytes_one_entry_and_the_rest_of_the_object() {
     let list = |count: usize, note: &str| {
         let entry =
             |i: usize| json!({"name": format!("e{i}"), "group": i, "status": "SERVING", "note": note});
@@ -225,8 +225,8 @@
     let limits = |entries, bytes| Limits { entries, bytes };
     let words = |text: &str, limits| match read(&[text.as_bytes()], limits) {
         Ok((found, ..)) => found[0].entries.len().to_string(),
-        Err(Fault::TooLong(words)) => words,
-        Err(Fault::Unreadable(e)) => format!("unreadable: {e}"),
+        Err(ReadError::OverLimit(words)) => words,
+        Err(ReadError::Unreadable(e)) => format!("unreadable: {e}"),
     };
     let (three, four) = (list(3, ""), list(4, ""));
     assert_eq!(words(&three, limits(3, 9999)), "3");
@@ -249,6 +249,6 @@
         format!("{{{}", " ".repeat(70_000)),
         "[".repeat(70_000),
     ] {
-        assert!(matches!(whole(text.as_bytes()), Err(Fault::Unreadable(_))));
+        assert!(matches!(whole(text.as_bytes()), Err(ReadError::Unreadable(_))));
     }
 }
--- a/crates/rig/src/scale/day.rs
+++ b/crates/rig/src/scale/day.rs
@@ -290,7 +290,7 @@
 
     /// Millions of bytes that a courier's folder may hold: the list on file has a part of it.
     pub fn disk_mb(&self) -> f64 {
-        let part = meadowhold_courier::memory::PART as f64 / 100.0;
+        let part = meadowhold_courier::memory::SHARE_PERCENT as f64 / 100.0;
         self.courier.disk_mb.max(self.entries() as f64 * ENTRY_FILED as f64 / part / 1e6 + 1.0)
     }
 
--- a/crates/rig/src/scale/on_file.rs
+++ b/crates/rig/src/scale/on_file.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::path::Path;
 
-use meadowhold_courier::entries::{packed, Listing};
+use meadowhold_courier::entries::{unpack, EntryRef};
 use serde::Deserialize;
 
 use super::source::Expected;
@@ -108,7 +108,7 @@
     fn records(&self, records: &[u8]) -> Result<(), Fault> {
         let unread = |words: &str| Fault::Unread(words.to_string());
         // By number, where it is held; those that the source does not list have none.
-        let mut held: Vec<Option<Listing>> = vec![None; self.by_number.len()];
+        let mut held: Vec<Option<EntryRef>> = vec![None; self.by_number.len()];
         let mut strange: BTreeMap<&str, ()> = BTreeMap::new();
         let (mut rest, mut at, mut version, mut open) = (records, 0, 0, false);
         while !rest.is_empty() {
@@ -121,7 +121,7 @@
                     version = commit.map_err(|e| unread(&e.to_string()))?.1;
                 }
                 b'E' => {
-                    for (entry, _) in packed(body) {
+                    for (entry, _) in unpack(body) {
                         let entry = entry.ok_or_else(|| unread("an entry cannot be read"))?;
                         let gone = entry.status() == "DELETED";
                         match self.numbers.get(entry.name) {
@@ -190,7 +190,7 @@
 #[cfg(test)]
 mod tests {
     use meadowhold_courier::discovery::{Entry, List};
-    use meadowhold_courier::memory::Keeper;
+    use meadowhold_courier::memory::ListStore;
 
     /// In the keeper's unit of time.
     const SECOND: u64 = 10_000;
@@ -248,7 +248,7 @@
     /// As a courier's keeper writes it: a list of 300, then changes, each on file before the next.
     fn appended(changes: &[(u64, &str, &str, f64)]) -> Vec<u8> {
         let folder = tempfile::tempdir().unwrap();
-        let mut keeper = Keeper::new(folder.path(), 10_000_000, "d".to_string());
+        let mut keeper = ListStore::new(folder.path(), 10_000_000, "d".to_string());
         let entry = |name: &str, status: &str, weight| Entry {
             name: name.to_string(),
             address: "x".to_string(),
@@ -260,10 +260,10 @@
             since_ms: 0,
         };
         let endpoints = (0..300).map(|n| entry(&format!("d{n}"), "SERVING", 2.5)).collect();
-        keeper.listed(&List { index: 1, snapshot: true, endpoints });
+        keeper.apply_list(&List { index: 1, snapshot: true, endpoints });
         keeper.save(10 * SECOND);
         for &(index, name, status, weight) in changes {
-            keeper.listed(&List { index, snapshot: false, endpoints: vec![entry(name, status, weight)] });
+            keeper.apply_list(&List { index, snapshot: false, endpoints: vec![entry(name, status, weight)] });
             keeper.save(index * 20 * SECOND);
         }
         std::fs::read(folder.path().join("memory")).unwrap()
