--- a/crates/courier/src/discovery.rs
+++ b/crates/courier/src/discovery.rs
@@ -103,15 +103,15 @@
 /// Who hears of the list: a courier's exchange, or whatever else keeps a list.
 pub trait Listener {
     /// The whole list, or changes to it, taken up as far as the version held allows.
-    fn listed(&mut self, list: &Update);
+    fn apply_update(&mut self, list: &Update);
 
     /// Entries that it would hold with these changes.
-    fn count_with(&self, changes: &Update) -> usize;
+    fn count_after(&self, changes: &Update) -> usize;
 
-    /// Nothing may begin by the list until `release`: it was not asked for yet.
-    fn hold(&mut self);
+    /// Nothing may begin by the list until `release_calls`: it was not asked for yet.
+    fn hold_calls(&mut self);
 
-    fn release(&mut self);
+    fn release_calls(&mut self);
 
     /// The content that is held, where it is known; a source that checks it tells only what has changed since.
     fn held_content(&self) -> Option<Content> {
@@ -241,7 +241,7 @@
     fn apply(&mut self, list: &Update) -> Result<Verdict, ReadError> {
         let (now, whole) = (self.clock.now(), list.whole);
         // Guards against changes that add up to more than a whole list may have.
-        if !whole && self.listener.borrow().count_with(list) > self.limits.entries {
+        if !whole && self.listener.borrow().count_after(list) > self.limits.entries {
             return Err(self.limits.too_many_entries());
         }
         let first = std::mem::take(&mut self.is_first);
@@ -252,7 +252,7 @@
         }
         let verdict = self.version.judge(now, list.index, whole, list.entries.len(), first);
         match verdict {
-            Verdict::Accept | Verdict::AcceptAndRefetch => self.listener.borrow_mut().listed(list),
+            Verdict::Accept | Verdict::AcceptAndRefetch => self.listener.borrow_mut().apply_update(list),
             Verdict::Ignore | Verdict::IgnoreAndRefetch | Verdict::IgnoreAndRetry => {
                 log::debug!("a list of version {} came while {} is held", list.index, self.version.index);
             }
@@ -372,7 +372,7 @@
                 _ => {}
             }
             if self.schedule.allows_calls() {
-                self.listener.borrow_mut().release();
+                self.listener.borrow_mut().release_calls();
             }
         }
     }
@@ -407,7 +407,7 @@
     let schedule = Schedule::new(push, clock.now());
     // Here and not in the task, before which another might begin calls.
     if !schedule.allows_calls() {
-        listener.borrow_mut().hold();
+        listener.borrow_mut().hold_calls();
     }
     follower(listener, clock, address, (schedule, HeldVersion::new(index)), (limits, seed)).run()
 }
--- a/crates/courier/src/exchange.rs
+++ b/crates/courier/src/exchange.rs
@@ -1179,19 +1179,19 @@
 }
 
 impl Listener for Exchange {
-    fn listed(&mut self, list: &Update) {
+    fn apply_update(&mut self, list: &Update) {
         self.take_up(list);
     }
 
-    fn count_with(&self, changes: &Update) -> usize {
+    fn count_after(&self, changes: &Update) -> usize {
         self.endpoints.len() + changes.count_added(|name| self.endpoints.find(name.as_bytes()).is_some())
     }
 
-    fn hold(&mut self) {
+    fn hold_calls(&mut self) {
         Exchange::hold(self);
     }
 
-    fn release(&mut self) {
+    fn release_calls(&mut self) {
         Exchange::release(self);
     }
 }
--- a/crates/courier/src/hollow.rs
+++ b/crates/courier/src/hollow.rs
@@ -51,21 +51,21 @@
 }
 
 impl Listener for Hollow {
-    fn listed(&mut self, list: &Update) {
+    fn apply_update(&mut self, list: &Update) {
         self.index = list.index;
         self.keeper.apply(list);
         self.notify.notify_one();
     }
 
-    fn count_with(&self, changes: &Update) -> usize {
+    fn count_after(&self, changes: &Update) -> usize {
         self.keeper.count_after(changes)
     }
 
-    fn hold(&mut self) {
+    fn hold_calls(&mut self) {
         self.held = true;
     }
 
-    fn release(&mut self) {
+    fn release_calls(&mut self) {
         if std::mem::take(&mut self.held) {
             self.notify.notify_one();
         }
@@ -95,7 +95,7 @@
     let hollow = Hollow { name: name.clone(), clock, keeper, index: 0, in_force: 0, held: false, notify };
     let hollow = Rc::new(RefCell::new(hollow));
     let (push, seed) = (!decoded.settings.ask_list, decoded.settings.seed);
-    hollow.borrow_mut().listed(&begun);
+    hollow.borrow_mut().apply_update(&begun);
     let mut parts = JoinSet::new();
     parts.spawn_local(drive(hollow.clone(), duration(decoded.settings.resolution)));
     let (listener, limits) = (before(hollow), (list, seed));
--- a/crates/courier/src/relay/hub.rs
+++ b/crates/courier/src/relay/hub.rs
@@ -312,19 +312,19 @@
 }
 
 impl Listener for Hub {
-    fn listed(&mut self, list: &Update) {
+    fn apply_update(&mut self, list: &Update) {
         let offer = self.heard.offer(list);
         self.put(offer, list.entries.iter().map(item).collect());
     }
 
-    fn count_with(&self, changes: &Update) -> usize {
+    fn count_after(&self, changes: &Update) -> usize {
         self.store.entries() + changes.count_added(|name| self.store.has(name))
     }
 
     /// Nothing begins here.
-    fn hold(&mut self) {}
+    fn hold_calls(&mut self) {}
 
-    fn release(&mut self) {}
+    fn release_calls(&mut self) {}
 
     fn held_content(&self) -> Option<Content> {
         let version = self.store.version()?;
--- a/crates/courier/src/relays.rs
+++ b/crates/courier/src/relays.rs
@@ -126,12 +126,12 @@
 }
 
 impl<L: Listener> Listener for Guard<L> {
-    fn listed(&mut self, list: &Update) {
+    fn apply_update(&mut self, list: &Update) {
         let offer = self.heard.offer(list);
         match self.versions.put(&offer, Vec::new()) {
             Verdict::Take => {
                 self.note_content(list);
-                self.inner.borrow_mut().listed(list);
+                self.inner.borrow_mut().apply_update(list);
             }
             Verdict::AskWhole => self.heard.wants_whole = true,
             Verdict::Pass | Verdict::TurnDown(_) => {
@@ -141,16 +141,16 @@
         }
     }
 
-    fn count_with(&self, changes: &Update) -> usize {
-        self.inner.borrow().count_with(changes)
+    fn count_after(&self, changes: &Update) -> usize {
+        self.inner.borrow().count_after(changes)
     }
 
-    fn hold(&mut self) {
-        self.inner.borrow_mut().hold();
+    fn hold_calls(&mut self) {
+        self.inner.borrow_mut().hold_calls();
     }
 
-    fn release(&mut self) {
-        self.inner.borrow_mut().release();
+    fn release_calls(&mut self) {
+        self.inner.borrow_mut().release_calls();
     }
 
     fn held_content(&self) -> Option<Content> {
--- a/crates/courier/tests/relay.rs
+++ b/crates/courier/tests/relay.rs
@@ -1123,7 +1123,7 @@
             let text =
                 format!("{{\"index\":5,\"snapshot\":{},\"endpoints\":[{}]}}", piece == 0, texts.join(","));
             let list: List = serde_json::from_str(&text).unwrap();
-            hub.borrow_mut().listed(&(&list).into());
+            hub.borrow_mut().apply_update(&(&list).into());
         }
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         println!("\nat {}", listener.local_addr().unwrap());
@@ -1142,7 +1142,7 @@
                 "SERVING",
             );
             one["since_ms"] = json!(unix_ms());
-            hub.borrow_mut().listed(&(&list(6 + change, false, vec![one])).into());
+            hub.borrow_mut().apply_update(&(&list(6 + change, false, vec![one])).into());
             tokio::time::sleep(every).await;
         }
     });
--- a/crates/courier/tests/relays_anew.rs
+++ b/crates/courier/tests/relays_anew.rs
@@ -21,17 +21,17 @@
 }
 
 impl Listener for Heard {
-    fn listed(&mut self, list: &Update) {
+    fn apply_update(&mut self, list: &Update) {
         self.lists += usize::from(list.whole);
     }
 
-    fn count_with(&self, _: &Update) -> usize {
+    fn count_after(&self, _: &Update) -> usize {
         0
     }
 
-    fn hold(&mut self) {}
+    fn hold_calls(&mut self) {}
 
-    fn release(&mut self) {}
+    fn release_calls(&mut self) {}
 }
 
 /// Answers asks, the third a second late, and tells the list whole where all of it is asked for; a watch gets a line
--- a/crates/courier/tests/relays_move.rs
+++ b/crates/courier/tests/relays_move.rs
@@ -24,17 +24,17 @@
 struct Lists(Vec<(u64, bool)>);
 
 impl Listener for Lists {
-    fn listed(&mut self, list: &Update) {
+    fn apply_update(&mut self, list: &Update) {
         self.0.push((list.index, list.whole));
     }
 
-    fn count_with(&self, _: &Update) -> usize {
+    fn count_after(&self, _: &Update) -> usize {
         0
     }
 
-    fn hold(&mut self) {}
+    fn hold_calls(&mut self) {}
 
-    fn release(&mut self) {}
+    fn release_calls(&mut self) {}
 }
 
 fn entry(weight: f64) -> String {
--- a/crates/courier/tests/replaced.rs
+++ b/crates/courier/tests/replaced.rs
@@ -19,7 +19,7 @@
 fn names_and_places_of_endpoints_that_left_are_given_back() {
     let folder = Folder::new();
     let mut process = Process::start(&folder, 3_000_000, START, None);
-    let held = process.exchange.count_with(&Update::default());
+    let held = process.exchange.count_after(&Update::default());
     let mut largest = 0;
     for i in 0..REPLACED {
         let entry = |name: u64, status: &str| {
@@ -38,7 +38,7 @@
         process.pass(SECOND / 100);
         process.calls();
     }
-    assert_eq!(process.exchange.count_with(&Update::default()), held);
+    assert_eq!(process.exchange.count_after(&Update::default()), held);
     assert!(largest < 64, "an index of {largest} where {held} are listed");
     assert_eq!(process.exchange.audit(), Vec::<String>::new());
 }
--- a/crates/rig/src/scale/hollow.rs
+++ b/crates/rig/src/scale/hollow.rs
@@ -106,36 +106,36 @@
 }
 
 impl<L: Listener> Listener for Spoilt<L> {
-    fn listed(&mut self, list: &Update) {
+    fn apply_update(&mut self, list: &Update) {
         self.first = None;
         if self.how == Some(How::Mute) {
             // One that is held for good never has a turn. Where lists are asked for nothing else holds it.
-            self.inner.borrow_mut().hold();
+            self.inner.borrow_mut().hold_calls();
         }
         match self.how {
             // The first list is held as it is: there is no old one.
             Some(How::HoldsOld) if list.index > 1 => {
                 let nothing = Update { index: list.index, ..Update::default() };
-                self.inner.borrow_mut().listed(&nothing);
+                self.inner.borrow_mut().apply_update(&nothing);
             }
-            _ => self.inner.borrow_mut().listed(list),
+            _ => self.inner.borrow_mut().apply_update(list),
         }
         if self.how == Some(How::TooEarly) {
             log::trace!(target: IN_FORCE, "list {} is in force at {}", list.index + 1, self.name);
         }
     }
 
-    fn count_with(&self, changes: &Update) -> usize {
-        self.inner.borrow().count_with(changes)
+    fn count_after(&self, changes: &Update) -> usize {
+        self.inner.borrow().count_after(changes)
     }
 
-    fn hold(&mut self) {
-        self.inner.borrow_mut().hold();
+    fn hold_calls(&mut self) {
+        self.inner.borrow_mut().hold_calls();
     }
 
-    fn release(&mut self) {
+    fn release_calls(&mut self) {
         if self.how != Some(How::Mute) {
-            self.inner.borrow_mut().release();
+            self.inner.borrow_mut().release_calls();
         }
     }
 }
