--- a/crates/courier/src/command.rs
+++ b/crates/courier/src/command.rs
@@ -11,10 +11,10 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::{mpsc, oneshot, watch};
 
-use crate::changes::{self, Change};
 use crate::config::Config;
 use crate::journal::Found;
 use crate::relay;
+use crate::settings_changes::{self, Change};
 
 /// What each sub-command does is said here once, for `meadowhold help` too.
 #[derive(Parser)]
@@ -105,7 +105,7 @@
 
 fn serve() -> Result<(), String> {
     lines::start()?;
-    let start = changes::start().map_err(|refused| refused.to_string())?;
+    let start = settings_changes::start().map_err(|refused| refused.to_string())?;
     let runtime = runtime()?;
     let ended = tokio::task::LocalSet::new().block_on(&runtime, async {
         // From here on, before anything is touched, none of these signals ends the process by itself.
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -3,7 +3,6 @@
 #![forbid(unsafe_code)]
 
 pub mod audit;
-pub mod changes;
 pub mod clients;
 pub mod command;
 pub mod config;
@@ -29,6 +28,7 @@
 pub mod relays;
 pub mod resp;
 pub mod schedule;
+pub mod settings_changes;
 pub mod version;
 
 use std::cell::{Cell, RefCell};
@@ -43,11 +43,11 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout, Instant};
 
-use changes::{Change, Held, Start};
 use clients::Phase;
 use config::Config;
 use exchange::{Exchange, Shared};
 use journal::Journal;
+use settings_changes::{Change, SettingsState, Start};
 
 /// What must hold: asserted in debug builds, counted and logged in release builds.
 #[macro_export]
@@ -82,12 +82,12 @@
     stop: impl Future<Output = ()>,
 ) -> io::Result<()> {
     let (_none, changes) = mpsc::unbounded_channel();
-    serve_changing(Start { config, held: Held::default() }, discovery, changes, stop).await
+    serve_changing(Start { config, state: SettingsState::default() }, discovery, changes, stop).await
 }
 
 /// The same, by settings that may change meanwhile.
 pub async fn serve_changing(
-    Start { config, mut held }: Start,
+    Start { config, state: mut settings }: Start,
     discovery: watch::Receiver<SocketAddr>,
     changes: mpsc::UnboundedReceiver<Change>,
     stop: impl Future<Output = ()>,
@@ -126,8 +126,8 @@
     // The configuration's version, not the kept one. Guards against a registry that has counted anew meanwhile:
     // its lists would be held to be from before.
     let index = known.index;
-    exchange.recall(known, |kept| held.has_kept_for(kept));
-    changes::begin(&mut exchange, &mut held, &state, disk);
+    exchange.recall(known, |kept| settings.accepts_list_of(kept));
+    settings_changes::record_start(&mut exchange, &mut settings, &state, disk);
     let clock = exchange.clock;
     let shared: Shared = Rc::new(RefCell::new(exchange));
     let (phase, phase_in) = watch::channel(Phase::Serving);
@@ -146,7 +146,7 @@
     let listening =
         parts.spawn_local(clients::listen(shared.clone(), listener, for_clients, clients.clone(), phase_in));
     parts.spawn_local(log_counts(shared.clone()));
-    parts.spawn_local(changes::follow(shared.clone(), held, (state, disk), changes));
+    parts.spawn_local(settings_changes::follow(shared.clone(), settings, (state, disk), changes));
     if let Some((socket, others)) = notes {
         parts.spawn_local(notes::exchange(shared.clone(), socket, others, news_in));
     }
--- a/crates/courier/tests/settings_exchange.rs
+++ b/crates/courier/tests/settings_exchange.rs
@@ -10,13 +10,13 @@
 use bytes::Bytes;
 use common::{settings, until, Folder};
 use meadowhold::interface::{Effect, Outcome, QueueClass, Time, SECOND};
-use meadowhold_courier::changes::{take, Held};
 use meadowhold_courier::config::Offered;
 use meadowhold_courier::discovery::List;
 use meadowhold_courier::exchange::{Answer, Call, Clock, Exchange, Letter, Notice, Offer, Order, Seen};
 use meadowhold_courier::journal::{Found, Journal, Terms, Verdict};
 use meadowhold_courier::kept_settings::{self, Kept};
 use meadowhold_courier::numbers::Classes;
+use meadowhold_courier::settings_changes::{apply, SettingsState};
 use meadowhold_courier::version::Sum;
 use serde_json::{json, Value};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
@@ -53,7 +53,7 @@
     exchange: Exchange,
     orders: UnboundedReceiver<Order>,
     notices: UnboundedReceiver<Notice>,
-    held: Held,
+    held: SettingsState,
     folder: Folder,
     now: Time,
     ends: BTreeMap<String, Verdict>,
@@ -90,7 +90,7 @@
         let journal = journal.unwrap();
         let mut exchange = Exchange::with_clock(clock, decoded, journal, orders_in, notices_in, None);
         exchange.listed(&list(2, entries));
-        let held = Held::of(&text, now);
+        let held = SettingsState::from_text(&text, now);
         let (ends, waiting) = (BTreeMap::new(), Vec::new());
         World { exchange, orders, notices, held, folder, now, ends, waiting }
     }
@@ -99,7 +99,7 @@
     fn offer(&mut self, text: &[u8]) -> bool {
         let offered = Offered::of(text, &variable);
         let place = (&*self.folder.path, ALLOWANCE);
-        let heard = take(&mut self.exchange, &mut self.held, offered, place);
+        let heard = apply(&mut self.exchange, &mut self.held, offered, place);
         // What is taken is told of to those who make the calls.
         let orders: Vec<Order> = std::iter::from_fn(|| self.orders.try_recv().ok()).collect();
         let mut times = 0;
