--- a/crates/courier/src/entries.rs
+++ b/crates/courier/src/entries.rs
@@ -1,15 +1,15 @@
-//! The list's entries as they are held while a list comes, and kept on file: packed one after the other, about fifty
-//! bytes each.
+//! Compact entries of the list: serialized with postcard one after the other, about fifty bytes each. This is their form
+//! while a list is received and in the list file.
 
 use meadowhold::interface::Life;
 use serde::{Deserialize, Serialize};
 
 use crate::discovery::{Entry, List};
 
-/// An entry, by reference into where it is packed.
+/// An entry that borrows its texts, mostly from packed bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EntryRef<'a> {
-    /// First, so that a packed entry can be found by its name.
+    /// The first field, so that `packed_name` can read it without decoding the rest.
     pub name: &'a str,
     pub address: &'a str,
     pub zone: &'a str,
@@ -55,7 +55,7 @@
     }
 }
 
-/// What the list's word for an endpoint's state means.
+/// Translates the status of an entry; any unknown one counts as deleted.
 pub fn life(status: &str) -> Life {
     match status {
         "SERVING" => Life::Ready,
@@ -72,7 +72,7 @@
     }
 }
 
-/// Entries in the order in which they were listed.
+/// Packed entries in the order in which they were listed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Entries {
     bytes: Vec<u8>,
@@ -81,20 +81,19 @@
 
 impl Entries {
     pub fn push(&mut self, entry: &EntryRef) {
-        // Into a vector of bytes nothing of this kind can fail.
+        // Writing to a vector cannot fail.
         if postcard::to_io(entry, &mut self.bytes).is_ok() {
             self.count += 1;
         }
     }
 
-    /// One entry alone.
     pub fn single(entry: &EntryRef) -> Entries {
         let mut one = Entries::default();
         one.push(entry);
         one
     }
 
-    /// One that is packed already.
+    /// Appends an entry that is already packed.
     pub fn push_packed(&mut self, packed: &[u8]) {
         self.bytes.extend_from_slice(packed);
         self.count += 1;
@@ -117,7 +116,7 @@
     }
 }
 
-/// The entries in these bytes, each with its own bytes; `None` at the first place where there is none, and then no more.
+/// Decodes packed entries, each with its own bytes. Ends after the first one that cannot be decoded, which is `None`.
 pub fn unpack(bytes: &[u8]) -> impl Iterator<Item = (Option<EntryRef<'_>>, &[u8])> {
     let mut rest = bytes;
     std::iter::from_fn(move || {
@@ -138,7 +137,8 @@
     })
 }
 
-/// The name of a packed entry. It is asked for more often than all else of one, and mostly has its length in one byte.
+/// The name of a packed entry, without decoding the rest: hash tables of entries need it often. The length of most names
+/// fits in one byte.
 pub fn packed_name(packed: &[u8]) -> &[u8] {
     match packed.split_first() {
         Some((&length @ ..0x80, rest)) => rest.get(..usize::from(length)).unwrap_or_default(),
@@ -146,7 +146,7 @@
     }
 }
 
-/// A whole list, or changes to one.
+/// A whole list, or changes to a list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Update {
     pub index: u64,
@@ -155,7 +155,7 @@
 }
 
 impl Update {
-    /// How many more are listed with this than are now; `has`: whether one of this name is.
+    /// How many entries these changes add; `has` tells whether an entry of this name exists.
     pub fn count_added(&self, has: impl Fn(&str) -> bool) -> usize {
         self.entries.iter().filter(|entry| entry.life() != Life::Gone && !has(entry.name)).count()
     }
--- a/crates/courier/src/list_file.rs
+++ b/crates/courier/src/list_file.rs
@@ -1,6 +1,6 @@
-//! The kept list where it is long: a file to which changes are appended, each up to a commit. A record's checksum goes on
-//! from that of the record before it, so that none can be left out, doubled or moved. What follows the last whole commit
-//! counts for nothing.
+//! The file of a long list: a log to which changes are appended, each ended by a commit record. The checksum of a record
+//! continues that of the record before it, so that a missing, repeated or moved record is detected. Anything after the
+//! last complete commit is ignored.
 
 use std::fs::{self, File, OpenOptions};
 use std::hash::{BuildHasher, RandomState};
@@ -13,18 +13,18 @@
 use crate::entries::{packed_name, unpack, Entries, EntryRef, Update};
 
 pub const MAGIC: &[u8] = b"meadowhold list 1\n";
-/// A record: bytes of its body, checksum, kind, body. Numbers of the first two are of four bytes, highest first.
+/// The header of a record: length of the body and checksum, both 32-bit big-endian, then the kind. The body follows.
 const HEADER_LEN: usize = 9;
-/// Whose list it is. Once, at the begin.
+/// The first record: the deployment that the list belongs to.
 const BEGIN: u8 = b'B';
-/// Packed entries, those that are gone by their name alone.
+/// Packed entries; deleted ones have only their name.
 const ENTRIES: u8 = b'E';
-/// All records of entries since the last one of these count, as this version: time, version, entries held.
+/// Commits the records of entries since the previous commit: time, version and number of entries in the list.
 const COMMIT: u8 = b'C';
-/// Entries are written in records of this size or a little more.
+/// A record of entries is written once it has at least this many bytes.
 const RECORD_LEN: usize = 64 << 10;
 
-/// The list, packed, by name.
+/// The list as packed entries, indexed by name.
 #[derive(Default)]
 pub struct Table {
     entries: HashTable<Box<[u8]>>,
@@ -61,7 +61,7 @@
         });
     }
 
-    /// Takes one entry up; whether that changes anything.
+    /// Inserts, replaces or removes one entry. Returns whether the list has changed.
     fn apply_entry(&mut self, entry: &EntryRef, packed: &[u8]) -> bool {
         let name = entry.name.as_bytes();
         if entry.life() == Life::Gone {
@@ -79,7 +79,7 @@
         true
     }
 
-    /// Takes a list or changes up; `changed` is given what is otherwise than before, packed.
+    /// Applies a whole list or changes. Passes each packed entry that differs from before to `changed`.
     pub fn apply(&mut self, list: &Update, mut changed: impl FnMut(&[u8])) {
         let mut before = Table::default();
         if list.whole {
@@ -103,33 +103,33 @@
         }
     }
 
-    /// By name, so that what is recalled comes in one order.
+    /// The entries sorted by name, so that a loaded list always has the same order.
     pub fn sorted(&self) -> Vec<&[u8]> {
         let mut entries: Vec<&[u8]> = self.entries.iter().map(|entry| &**entry).collect();
         entries.sort_unstable_by_key(|entry| packed_name(entry));
         entries
     }
 
-    /// Bytes that a file takes that begins with this list.
+    /// An upper bound of the length of a new file with this list.
     pub fn file_len(&self, deployment: &str) -> u64 {
         let records = 3 + self.bytes / RECORD_LEN;
         (MAGIC.len() + deployment.len() + self.bytes + records * HEADER_LEN + 64) as u64
     }
 }
 
-/// Where the file stands.
+/// The end of a file, where the next record is appended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Position {
     pub len: u64,
-    /// Up to the first commit.
+    /// The length of the file up to its first commit.
     pub base_len: u64,
+    /// The checksum of the last record.
     checksum: u32,
 }
 
-/// Time, version and entries of a commit.
+/// Time, version and number of entries of a commit.
 type Commit = (Time, u64, u64);
 
-/// Writes records one after the other.
 struct Writer<W> {
     out: W,
     position: Position,
@@ -160,10 +160,10 @@
     hasher.finalize()
 }
 
-/// Writes a new file and puts it in the place of the old one.
+/// Writes a new file and replaces the old one with it.
 ///
 /// # Errors
-/// The system's. The old file stays then.
+/// I/O errors; the old file is then unchanged.
 pub fn write(
     (temporary, path): (&Path, &Path),
     deployment: &str,
@@ -176,7 +176,7 @@
         writer.out.write_all(MAGIC)?;
         writer.record(BEGIN, deployment.as_bytes())?;
         let mut record = Vec::with_capacity(RECORD_LEN + 1024);
-        // In no order: putting them in one took as long as all the rest.
+        // Not sorted: sorting took as long as everything else together.
         for entry in &table.entries {
             record.extend_from_slice(entry);
             if record.len() >= RECORD_LEN {
@@ -190,43 +190,43 @@
         fs::rename(temporary, path)?;
         Ok(Position { base_len: writer.position.len, ..writer.position })
     })();
-    // Guards against half a file that takes room until the next start.
+    // An incomplete file would take disk space until the next start.
     written.inspect_err(|_| drop(fs::remove_file(temporary)))
 }
 
-/// Bytes that changes take.
+/// The most bytes that appending these changes takes.
 pub fn appended_len(changes: &[u8]) -> u64 {
     (changes.len() + 2 * HEADER_LEN + 30) as u64
 }
 
-/// Appends changes.
+/// Appends changes and a commit.
 ///
 /// # Errors
-/// The system's, or that the file is another than it was. Nothing more is to be appended to it then.
+/// I/O errors, or the file does not have the expected length. Nothing more may be appended to it then.
 pub fn append(path: &Path, position: Position, changes: &[u8], commit: Commit) -> io::Result<Position> {
     let mut file = OpenOptions::new().append(true).open(path)?;
     if file.metadata()?.len() != position.len {
-        return Err(io::Error::other("the kept list was changed by another"));
+        return Err(io::Error::other("the list file was changed by another process"));
     }
     let mut writer = Writer { out: Vec::with_capacity(changes.len() + 64), position };
     writer.record(ENTRIES, changes)?;
     writer.commit(commit)?;
-    // Guards against a part that stays and takes room; it would count for nothing.
+    // Part of a record would be ignored when the file is read, but it would take disk space.
     let written = file.write_all(&writer.out).inspect_err(|_| drop(file.set_len(position.len)));
     written.map(|()| writer.position)
 }
 
-/// What a file says.
+/// The contents of a file.
 pub struct Contents {
     pub deployment: String,
     pub saved_at: Time,
     pub index: u64,
     pub table: Table,
-    /// Where to append; `None` where something at the end is not whole.
+    /// Where to append; `None` if the file does not end with a commit.
     pub position: Option<Position>,
 }
 
-/// The next record, and what follows it.
+/// The kind, body and checksum of the next record, and the bytes after it; `None` if it is incomplete or corrupt.
 fn next_record(rest: &[u8], before: u32) -> Option<(u8, &[u8], u32, &[u8])> {
     let (header, after) = rest.split_at_checked(HEADER_LEN)?;
     let number = |at: usize| u32::from_be_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]]);
@@ -235,9 +235,9 @@
     (checksum == number(4)).then_some((header[8], body, checksum, after))
 }
 
-/// What a file's bytes say as far as they are whole; the words tell an operator why nothing is taken from them.
+/// Reads a file up to its last valid commit. The error tells an operator why nothing of it is used.
 pub fn read(bytes: &[u8]) -> Result<Contents, &'static str> {
-    let mut rest = bytes.strip_prefix(MAGIC).ok_or("it is no such file")?;
+    let mut rest = bytes.strip_prefix(MAGIC).ok_or("it is not a memory file")?;
     let (mut at, mut deployment, mut table) = (0, None, Table::default());
     let (mut records, mut last): (Vec<&[u8]>, Option<(Commit, Position)>) = (Vec::new(), None);
     while let Some((kind, body, checksum, after)) = next_record(rest, at) {
@@ -248,7 +248,7 @@
             COMMIT => {
                 let Ok(commit) = postcard::from_bytes::<Commit>(body) else { break };
                 let readable = |record: &&[u8]| unpack(record).all(|(entry, _)| entry.is_some());
-                // Guards against a record of ours that adds up and cannot be: what is before it stands.
+                // A commit with a valid checksum but impossible contents, by a bug: what is before it stays valid.
                 if commit.1 == 0 || !records.iter().all(readable) {
                     break;
                 }
@@ -258,7 +258,7 @@
                     }
                 }
                 if table.len() as u64 != commit.2 {
-                    return Err("its list does not add up");
+                    return Err("its number of entries is wrong");
                 }
                 let len = (bytes.len() - rest.len()) as u64;
                 let base_len = last.map_or(len, |(_, position): (_, Position)| position.base_len);
@@ -268,7 +268,7 @@
         }
     }
     let (Some(deployment), Some(((saved_at, index, _), position))) = (deployment, last) else {
-        return Err("it is cut short or spoilt");
+        return Err("it is truncated or corrupt");
     };
     let position = Some(position).filter(|position| position.len == bytes.len() as u64);
     Ok(Contents { deployment: deployment.to_string(), saved_at, index, table, position })
--- a/crates/courier/src/memory.rs
+++ b/crates/courier/src/memory.rs
@@ -1,7 +1,7 @@
-//! What a courier keeps beside its journal for its next process: the last list with its version, and what it knew
-//! of each endpoint. One file, written whole under another name and renamed; to a long one changes are appended (`list_file`).
-//! It saves questions and stands in
-//! for no answer: what the agent has counts as told from the first moment, so it is asked at each start.
+//! What a courier stores beside its journal for its next process: the last list with its version, and what it knew of each
+//! endpoint. One file, written completely under another name and then renamed; changes to a long list are appended
+//! (`list_file`). It lets a start continue from the stored version but does not replace a request: the agent's list must
+//! be held from the start, so the agent is asked at each start.
 
 use std::collections::HashSet;
 use std::fs::{self, File};
@@ -19,30 +19,31 @@
 
 const FILE: &str = "memory";
 const TEMPORARY_FILE: &str = "memory.new";
-/// The version stands in the first line. A later version's file is passed over.
+/// The first line is this text and the version of the format. A file of a later version is ignored.
 const MAGIC: &str = "meadowhold memory ";
 const VERSION: u32 = 1;
 const HEADER_LEN: usize = 8;
 const BLOCK: u64 = 512;
-/// Hundredths of the folder's allowance. Twice that while it is written anew; the journal takes up to 80.
+/// The share of the folder's allowance that the file may take, in percent. Rewriting it takes twice as much for a while;
+/// the journal takes up to 80 percent.
 pub const SHARE_PERCENT: u64 = 8;
-/// The file is written no more often: lists may change many times in a row.
+/// The least time between two writes, as lists may change many times in a row.
 const SAVE_INTERVAL: Time = SECOND;
 const MAX_ENTRIES: usize = 65_536;
-/// A list of no more entries is written whole, and can then be read by earlier versions of the program too.
+/// A list of up to this many entries is written as JSON, which earlier versions of the program can read too.
 const SHORT_LIST: usize = 256;
 const OVER_SHARE: &str = "it is over its part of the folder (8 hundredths of limits.disk_mb)";
-/// So far ahead of the clock a file may be: clocks are set.
+/// How far ahead of the clock the time of a file may be, as clocks are adjusted.
 const MAX_CLOCK_SKEW: Time = 60 * SECOND;
 
-/// What is kept. Times are by the system's clock, in tenths of a millisecond.
+/// The contents of the file. Times are those of the system clock, in tenths of a millisecond.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Memory {
     pub saved_at: Time,
-    /// Whose it is, by `deployment`; empty in files of earlier versions.
+    /// The deployment that it belongs to, from `deployment`; empty in files of earlier versions.
     #[serde(default)]
     pub deployment: String,
-    /// The list's version; 0: no list is kept.
+    /// The version of the list; 0 if no list is stored.
     pub index: u64,
     pub endpoints: Vec<KeptEntry>,
     pub sights: Vec<KeptSight>,
@@ -63,13 +64,13 @@
 }
 
 impl KeptEntry {
-    /// As relays tell it, and as its content hash is reckoned.
+    /// The JSON text that relays send and that content hashes are computed from.
     pub fn to_json(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
 }
 
-/// What was known of the endpoint of this name: the fields of `Sight`.
+/// What was known of the endpoint of this name, with the fields of `Sight`.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct KeptSight {
     pub name: String,
@@ -109,8 +110,8 @@
     }
 }
 
-/// What tells one deployment's settings from another's: names and effects of classes, zones and kinds. Limits, costs
-/// and the fleet's size may change under a list that still holds.
+/// Identifies the deployment of these settings by the names and effects of classes, the zones and the kinds. Limits, costs
+/// and the size of the fleet are left out: a stored list stays valid when they change.
 pub fn deployment(decoded: &Decoded) -> String {
     let effects = decoded.settings.classes.iter().map(|class| class.effect);
     let classes: Vec<_> = decoded.classes.iter().zip(effects).collect();
@@ -125,13 +126,14 @@
 }
 
 impl Memory {
-    /// Guards against calls to another deployment's endpoints, whose destinations may bear the same numbers.
+    /// `None` if it belongs to another deployment. The destinations of another deployment may have the same numbers, and
+    /// calls would go to its endpoints.
     pub fn for_deployment(self, deployment: &str) -> Option<Memory> {
         is_same_deployment(&self.deployment, deployment).then_some(self)
     }
 
-    /// What a start begins with: the newer of what is kept and what the configuration names. Ask for what came
-    /// after its version.
+    /// The list to start with: the newer one of the stored list and that of the configuration. Changes are requested from
+    /// its version on.
     pub fn newer(kept: Option<Memory>, known: List) -> List {
         match kept {
             Some(kept) if kept.index > known.index => {
@@ -142,7 +144,7 @@
         }
     }
 
-    /// The file's bytes.
+    /// The contents of the file as bytes.
     pub fn bytes(&self) -> io::Result<Vec<u8>> {
         let body = serde_json::to_vec(self)?;
         let mut out = format!("{MAGIC}{VERSION}\n").into_bytes();
@@ -152,37 +154,37 @@
         Ok(out)
     }
 
-    /// What a file's bytes say at this time; the words tell an operator why nothing is taken from them.
+    /// Reads the contents of a file. The error tells an operator why it is not used.
     pub fn read(bytes: &[u8], now: Time) -> Result<Memory, &'static str> {
-        let rest = bytes.strip_prefix(MAGIC.as_bytes()).ok_or("it is no such file")?;
-        let line = rest.iter().position(|&b| b == b'\n').ok_or("it is cut short")?;
+        let rest = bytes.strip_prefix(MAGIC.as_bytes()).ok_or("it is not a memory file")?;
+        let line = rest.iter().position(|&b| b == b'\n').ok_or("it is truncated")?;
         let version = std::str::from_utf8(&rest[..line]).ok().and_then(|text| text.parse::<u32>().ok());
-        match version.ok_or("it is no such file")? {
+        match version.ok_or("it is not a memory file")? {
             VERSION => {}
-            0 => return Err("it is no such file"),
-            _ => return Err("a later version wrote it"),
+            0 => return Err("it is not a memory file"),
+            _ => return Err("it was written by a later version"),
         }
-        let (header, body) = rest[line + 1..].split_at_checked(HEADER_LEN).ok_or("it is cut short")?;
+        let (header, body) = rest[line + 1..].split_at_checked(HEADER_LEN).ok_or("it is truncated")?;
         let number =
             |at: usize| u32::from_be_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]]);
         if (body.len() as u64) < u64::from(number(0)) {
-            return Err("it is cut short");
+            return Err("it is truncated");
         }
         if body.len() as u64 != u64::from(number(0)) || crc32fast::hash(body) != number(4) {
             return Err("its checksum is wrong");
         }
-        let memory: Memory = serde_json::from_slice(body).map_err(|_| "it cannot be read")?;
+        let memory: Memory = serde_json::from_slice(body).map_err(|_| "it cannot be parsed")?;
         memory.check(now)?;
         Ok(memory)
     }
 
-    /// Guards against what adds up and cannot be, by a fault of ours or another's hand.
+    /// Rejects contents with a valid checksum that are impossible, because of a bug or a manual edit.
     fn check(&self, now: Time) -> Result<(), &'static str> {
         if self.saved_at > now.saturating_add(MAX_CLOCK_SKEW) {
-            return Err("it is from the future");
+            return Err("its time is in the future");
         }
         if self.endpoints.len().max(self.sights.len()) > MAX_ENTRIES {
-            return Err("it holds too much");
+            return Err("it has too many entries");
         }
         if self.index == 0 && !self.endpoints.is_empty() {
             return Err("its list has no version");
@@ -191,13 +193,13 @@
         let is_valid =
             |kept: &KeptEntry| !kept.name.is_empty() && kept.weight.is_finite() && kept.weight >= 0.0;
         if !self.endpoints.iter().all(|kept| is_valid(kept) && names.insert(&kept.name)) {
-            return Err("its list cannot be");
+            return Err("its list is invalid");
         }
         names.clear();
         let is_valid =
             |seen: &KeptSight| seen.pace.is_finite() && seen.pace >= 0.0 && seen.at <= self.saved_at;
         if !self.sights.iter().all(|seen| is_valid(seen) && names.insert(&seen.name)) {
-            return Err("what it says of endpoints cannot be");
+            return Err("its sights of endpoints are invalid");
         }
         Ok(())
     }
@@ -207,7 +209,7 @@
     (allowance / 100 * SHARE_PERCENT).saturating_sub(BLOCK)
 }
 
-/// What a folder keeps, by how it was written.
+/// The contents of the file, by its format.
 enum Loaded {
     Whole(Memory),
     Packed(list_file::Contents),
@@ -222,7 +224,7 @@
     }
 }
 
-/// What the folder keeps; `None` where there is nothing, or nothing that can be used, which is worth one line.
+/// Loads the file of a folder. `None` if there is none, or none that can be used, which is logged.
 fn loaded(folder: &Path, allowance: u64, now: Time) -> Option<Loaded> {
     let path = folder.join(FILE);
     let size = match fs::metadata(&path) {
@@ -233,9 +235,9 @@
         }
         Ok(metadata) => metadata.len(),
     };
-    // Before it is read: guards against a file that fills the memory of the process.
+    // Checked before it is read, so that a huge file cannot exhaust the memory of the process.
     let read = if size > max_len(allowance) {
-        Err("it is too long".to_string())
+        Err("it is larger than its share of the folder".to_string())
     } else {
         let bytes = fs::read(&path).map_err(|e| e.to_string());
         bytes.and_then(|bytes| read(&bytes, now).map_err(str::to_string))
@@ -249,12 +251,12 @@
     }
     let contents = list_file::read(bytes)?;
     if contents.saved_at > now.saturating_add(MAX_CLOCK_SKEW) {
-        return Err("it is from the future");
+        return Err("its time is in the future");
     }
     Ok(Loaded::Packed(contents))
 }
 
-/// What the folder keeps, in full; `None` where there is nothing, or nothing that can be used, which is worth one line.
+/// Loads the contents of a folder's file. `None` if there is none, or none that can be used, which is logged.
 pub fn load(folder: &Path, allowance: u64, now: Time) -> Option<Memory> {
     match loaded(folder, allowance, now)? {
         Loaded::Whole(memory) => Some(memory),
@@ -266,8 +268,10 @@
     }
 }
 
-/// Puts a new file in the place of the old one. Errors: the system's, or that it would be over its part of the
-/// folder's allowance; the old file stays then.
+/// Replaces the file with a new one.
+///
+/// # Errors
+/// I/O errors, or the file would be larger than its share of the folder; the old file is then unchanged.
 pub fn save(folder: &Path, allowance: u64, memory: &Memory) -> io::Result<()> {
     let bytes = memory.bytes()?;
     if bytes.len() as u64 > max_len(allowance) {
@@ -276,11 +280,14 @@
     let path = folder.join(TEMPORARY_FILE);
     let mut file = File::create(&path)?;
     let written = file.write_all(&bytes).and_then(|()| fs::rename(&path, folder.join(FILE)));
-    // Guards against half a file that takes room until the next start.
+    // An incomplete file would take disk space until the next start.
     written.inspect_err(|_| drop(fs::remove_file(&path)))
 }
 
-/// Puts a whole list on file in the place of what is there; it is kept for whoever names this deployment. Errors: as `save`.
+/// Replaces the file with a whole list that belongs to this deployment.
+///
+/// # Errors
+/// As `save`.
 pub fn save_list(
     folder: &Path,
     allowance: u64,
@@ -293,31 +300,32 @@
     store.write(now)
 }
 
-/// The list as it stands, put on file when it has changed: a short one whole, of a long one what has changed.
+/// The current list, saved when it has changed: a short list is written completely, of a long one only the changes.
 pub struct ListStore {
     folder: PathBuf,
     allowance: u64,
     deployment: String,
     index: u64,
     table: Table,
-    /// The version on file, and when it was put there.
+    /// The version that was last saved, and when.
     saved: (u64, Time),
-    /// The file to which changes are appended, and those that are not there yet, packed.
+    /// Where changes are appended, if the file can be continued, and the packed entries to append.
     position: Option<list_file::Position>,
     changes: Vec<u8>,
+    /// The last save failed, which is logged only the first time.
     save_failed: bool,
 }
 
 impl ListStore {
-    /// `allowance`: bytes that the folder may hold.
+    /// `allowance`: the bytes that the folder may take.
     pub fn new(folder: &Path, allowance: u64, deployment: String) -> ListStore {
         let (folder, table, changes) = (folder.to_path_buf(), Table::default(), Vec::new());
         let (saved, position, save_failed) = ((0, 0), None, false);
         ListStore { folder, allowance, deployment, index: 0, table, saved, position, changes, save_failed }
     }
 
-    /// What a start begins with: the newer of what the folder keeps and what the configuration names. `ours`: whether
-    /// what was kept for another deployment is taken all the same.
+    /// The list to start with: the newer one of the stored list and that of the configuration. `accepts` tells whether a
+    /// list stored for another deployment is used all the same.
     pub fn recall(&mut self, known: List, now: Time, accepts: impl Fn(&str) -> bool) -> Update {
         let known = List { snapshot: true, ..known };
         let loaded = loaded(&self.folder, self.allowance, now);
@@ -335,31 +343,31 @@
         }
     }
 
-    /// The list, or changes to it.
+    /// Applies a whole list or changes.
     pub fn apply_list(&mut self, list: &List) {
         self.apply(&Update::from(list));
     }
 
-    /// The same, as it was read.
+    /// The same for a list as the reader returns it.
     pub fn apply(&mut self, list: &Update) {
         self.index = list.index;
         let ListStore { table, position, changes, .. } = self;
         table.apply(list, |packed| changes.extend_from_slice(packed));
-        // As long as the file itself: it is written anew.
+        // Once the pending changes are longer than the base of the file, it is rewritten.
         if position.is_none_or(|position| changes.len() as u64 > position.base_len) {
             (self.position, self.changes) = (None, Vec::new());
         }
     }
 
-    /// Writes the file if the list has another version than it, and it has not just been written.
+    /// Saves the list if its version has changed, at most once in `SAVE_INTERVAL`.
     pub fn save(&mut self, now: Time) {
-        // Without a version nothing could be asked for after it.
+        // A list without a version is not saved: no changes could be requested from it on.
         if self.index == self.saved.0 || self.index == 0 || now < self.saved.1 + SAVE_INTERVAL {
             return;
         }
         self.saved = (self.index, now);
         let saved = self.write(now);
-        // One line for as long as it lasts.
+        // Logged once for as long as saving keeps failing.
         match &saved {
             Err(e) if !self.save_failed => log::warn!("the list cannot be kept: {e}"),
             _ => {}
@@ -367,7 +375,6 @@
         self.save_failed = saved.is_err();
     }
 
-    /// A short list whole, and of a long one what has changed.
     fn write(&mut self, now: Time) -> io::Result<()> {
         if self.table.len() > SHORT_LIST {
             self.save_changes(now)
@@ -376,7 +383,7 @@
         }
     }
 
-    /// Entries that it would hold with these changes.
+    /// The number of entries that it would hold after these changes.
     pub fn count_after(&self, changes: &Update) -> usize {
         self.table.len() + changes.count_added(|name| self.table.contains(name))
     }
@@ -390,8 +397,8 @@
         save(&self.folder, self.allowance, &memory)
     }
 
-    /// Appends what has changed, or writes the file anew where it would have grown to twice its list or over its part of
-    /// the folder.
+    /// Appends the changes, or rewrites the file if it would grow to more than twice its base or over its share of the
+    /// folder.
     fn save_changes(&mut self, now: Time) -> io::Result<()> {
         let (path, max_len) = (self.folder.join(FILE), max_len(self.allowance));
         let commit = (now, self.index, self.table.len() as u64);
@@ -406,7 +413,7 @@
                     self.position = Some(position);
                     return Ok(());
                 }
-                Err(e) => log::debug!("the kept list is written anew: {e}"),
+                Err(e) => log::debug!("the list file is rewritten: {e}"),
             }
         }
         if self.table.file_len(&self.deployment) > max_len {
--- a/crates/courier/src/memory/tests.rs
+++ b/crates/courier/src/memory/tests.rs
@@ -1,4 +1,4 @@
-//! The file beside the journal: its forms, its size, and what is passed over.
+//! The memory file: what is stored, its size, and which files are ignored.
 
 use super::*;
 
@@ -34,7 +34,7 @@
 fn a_saved_file_is_loaded_and_replaced_atomically() {
     let folder = folder("saved");
     assert_eq!(load(&folder, 3_000_000, NOW), None);
-    // Half a file under the other name is what a kill leaves.
+    // A process killed while writing leaves an incomplete temporary file.
     fs::write(folder.join(TEMPORARY_FILE), b"half").unwrap();
     for index in [41, 42] {
         let memory = Memory { index, ..memory() };
@@ -43,7 +43,7 @@
         assert_eq!(memory.sights[0].sight().tail, 700);
     }
     assert!(!folder.join(TEMPORARY_FILE).exists());
-    // Over its part it is not written, and the old one stays; what is over it is not read either.
+    // A file over its share of the folder is not written, and the old one stays; nor is such a file read.
     assert!(save(&folder, 10_000, &Memory { index: 43, ..memory() }).is_err());
     assert_eq!(load(&folder, 3_000_000, NOW).unwrap().index, 42);
     assert_eq!(load(&folder, 10_000, NOW), None);
@@ -83,19 +83,19 @@
         assert!(text.contains(from), "{from}");
         text.replacen(from, to, 1)
     };
-    // (body, version, words)
+    // (body, version, reason)
     let rows = [
-        (text.clone(), "2", "a later version wrote it"),
-        (text.clone(), "x", "it is no such file"),
-        (text.clone(), "0", "it is no such file"),
-        ("[]".to_string(), "1", "it cannot be read"),
+        (text.clone(), "2", "it was written by a later version"),
+        (text.clone(), "x", "it is not a memory file"),
+        (text.clone(), "0", "it is not a memory file"),
+        ("[]".to_string(), "1", "it cannot be parsed"),
         (swap("\"index\":41", "\"index\":0"), "1", "its list has no version"),
-        (swap("s-2", "s-1"), "1", "its list cannot be"),
-        (swap("s-2", ""), "1", "its list cannot be"),
-        (swap("12.5", "-1"), "1", "its list cannot be"),
-        (swap("\"pace\":3.5", "\"pace\":-3.5"), "1", "what it says of endpoints cannot be"),
-        (swap("\"saved_at\":17", "\"saved_at\":18"), "1", "it is from the future"),
-        (swap("\"saved_at\":17", "\"saved_at\":16"), "1", "what it says of endpoints cannot be"),
+        (swap("s-2", "s-1"), "1", "its list is invalid"),
+        (swap("s-2", ""), "1", "its list is invalid"),
+        (swap("12.5", "-1"), "1", "its list is invalid"),
+        (swap("\"pace\":3.5", "\"pace\":-3.5"), "1", "its sights of endpoints are invalid"),
+        (swap("\"saved_at\":17", "\"saved_at\":18"), "1", "its time is in the future"),
+        (swap("\"saved_at\":17", "\"saved_at\":16"), "1", "its sights of endpoints are invalid"),
     ];
     for (body, version, words) in rows {
         assert_eq!(Memory::read(&anew(body.as_bytes(), version), NOW), Err(words), "{body}");
@@ -105,7 +105,7 @@
 #[test]
 fn a_start_begins_with_the_newer_list() {
     let known = |index| List { index, snapshot: true, endpoints: Vec::new() };
-    // (kept, known, what it begins with)
+    // (stored version, configured version, version and entries to start with)
     for (kept, known_at, from, entries) in
         [(None, 7, 7, 0), (Some(41), 7, 41, 3), (Some(41), 41, 41, 0), (Some(41), 50, 50, 0)]
     {
@@ -139,11 +139,11 @@
     assert_eq!(load_version(NOW), names(5, &["a", "b"]), "too soon");
     store.save(NOW + SAVE_INTERVAL);
     assert_eq!(load_version(NOW + SAVE_INTERVAL), names(6, &["b", "c"]));
-    // A registry that began anew counts lower: its list is the list.
+    // A registry that restarted its versions has a lower one; its whole list replaces the list.
     store.apply_list(&list(2, true, vec![entry("d", "SERVING")]));
     store.save(NOW + 2 * SAVE_INTERVAL);
     assert_eq!(load_version(NOW + 2 * SAVE_INTERVAL), names(2, &["d"]));
-    // What is the same is not written again.
+    // A list of the same version is not written again.
     fs::remove_file(folder.join(FILE)).unwrap();
     store.save(NOW + 9 * SAVE_INTERVAL);
     assert_eq!(load_version(NOW + 9 * SAVE_INTERVAL), None);
@@ -152,7 +152,7 @@
 
 #[test]
 fn together_with_the_journal_the_file_stays_within_the_allowance() {
-    // Owed and file of the journal at their most, and the two files of this, each in whole blocks.
+    // The owed mails and the file of the journal at their largest, and both files of the list, each in whole blocks.
     let allowance = 3_000_000;
     assert!(allowance / 100 * (34 + 46) + 2 * (max_len(allowance) + BLOCK) + 4 * BLOCK < allowance);
 }
@@ -168,7 +168,7 @@
     let ours = decoded(|_| {});
     let kept = Memory { deployment: ours.clone(), ..memory() };
     let file = Memory::read(&kept.bytes().unwrap(), NOW).unwrap();
-    // The fleet's size, limits and costs may change under the same list.
+    // The list stays valid when the fleet's size, limits and costs change.
     let grown = decoded(|s| (s["NInstances"], s["Limits"]["MaxOpen"]) = (300.into(), 9.into()));
     assert_eq!((grown == ours, file.clone().for_deployment(&ours)), (true, Some(kept)));
     let others = [
@@ -178,7 +178,7 @@
         decoded(|s| s["Kinds"] = serde_json::json!(["other", "many"])),
     ];
     others.iter().for_each(|other| assert_eq!(file.clone().for_deployment(other), None, "{other}"));
-    // As earlier versions wrote it.
+    // A file of an earlier version, without `deployment`.
     let mut old = serde_json::to_value(memory()).unwrap();
     old.as_object_mut().unwrap().remove("deployment");
     let old: Memory = serde_json::from_value(old).unwrap();
--- a/crates/courier/src/reader.rs
+++ b/crates/courier/src/reader.rs
@@ -1,5 +1,5 @@
-//! Reads lists as they come: the text of one entry at a time, and of the object itself what is left without its
-//! entries, is held and given to serde_json; entries that were read are packed. An object counts once it is complete.
+//! Incremental reader of lists. Holds the text of one entry at a time and the text of the object without its entries (the
+//! frame), and parses both with serde_json; parsed entries are packed. An object is returned once it is complete.
 
 use std::borrow::Cow;
 
@@ -10,30 +10,30 @@
 use crate::discovery::{Entry, List};
 use crate::entries::{Entries, EntryRef, Update};
 
-/// Of one entry, in bytes of text: a longer one is passed over.
+/// The longest text of one entry, in bytes; a longer entry is skipped.
 const MAX_ENTRY_BYTES: usize = 16 << 10;
-/// Of an object without its entries.
+/// The longest text of an object without its entries, in bytes.
 const MAX_FRAME_BYTES: usize = 64 << 10;
 
-/// Of one object that is read: its entries, and bytes of its text.
+/// Limits of one object: its entries, and the bytes of its text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     pub entries: usize,
     pub bytes: usize,
 }
 
-/// Three hundred thousand destinations with two endpoints each.
+/// Room for three hundred thousand destinations with two endpoints each.
 impl Default for Limits {
     fn default() -> Self {
         Limits { entries: 700_000, bytes: 128_000_000 }
     }
 }
 
-/// Why nothing more is read of an answer.
+/// Why reading a response was aborted.
 #[derive(Debug)]
 pub enum ReadError {
     Unreadable(serde_json::Error),
-    /// It is past a limit of the configuration, which the words name.
+    /// The list is over a limit of the configuration; the text names it.
     OverLimit(String),
 }
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// An entry as it is listed; nothing of it is copied that has no escapes.
+/// An entry as it appears in JSON. Strings without escapes are borrowed from the text.
 #[derive(Deserialize)]
 struct Raw<'a> {
     #[serde(borrow)]
@@ -81,27 +81,27 @@
 #[derive(Default)]
 pub struct Reader {
     limits: Limits,
-    /// How deep within objects and lists that is, within a text, and within a text after a backslash.
+    /// The nesting depth of objects and arrays, and whether the position is in a string, and there after a backslash.
     depth: u32,
     in_string: bool,
     escaped: bool,
-    /// The object without its entries.
+    /// The text of the object without its entries.
     frame: Vec<u8>,
-    /// Where in the frame the last text of the object itself is, and whether that was the name of the entries, of which
-    /// the value comes next.
+    /// The range of the frame with the last string at the top level of the object, and whether that was the key
+    /// `endpoints`, whose value comes next.
     last_string: (usize, usize),
     after_entries_key: bool,
-    /// Within the list of entries, and there after a comma.
+    /// The position is in the array of entries, and there after a comma.
     in_entries: bool,
     after_comma: bool,
+    /// The text of the current entry, cut at `MAX_ENTRY_BYTES`.
     entry: Vec<u8>,
-    /// The entry is longer than one may be.
     entry_too_long: bool,
     entry_count: usize,
-    /// Entries that cannot be read.
+    /// How many entries could not be read.
     unreadable: usize,
     entries: Entries,
-    /// Bytes of the object.
+    /// Bytes of the current object that were read.
     object_bytes: usize,
 }
 
@@ -110,7 +110,7 @@
         Reader { limits, ..Reader::default() }
     }
 
-    /// Bytes that were read of an object that is not complete.
+    /// The bytes read of an object that is not complete yet.
     pub fn pending(&self) -> usize {
         if self.depth == 0 {
             0
@@ -119,7 +119,8 @@
         }
     }
 
-    /// Reads on; `each` is given what is complete. Whether there was something between objects, such as an empty line.
+    /// Reads more text and passes each completed object to `on_update`. Returns whether there was white space outside
+    /// objects, such as an empty line.
     pub fn read(
         &mut self,
         bytes: &[u8],
@@ -131,7 +132,7 @@
                 (rest, separated) = (after, true);
                 continue;
             }
-            // All of a text at once, up to what may end it: nothing in it counts.
+            // Within a string of an entry, skip to the next byte that may end it: none before it has a meaning.
             let run = match self.in_entries && self.in_string && !self.escaped {
                 true => memchr::memchr2(b'"', b'\\', rest).unwrap_or(rest.len()),
                 false => 0,
@@ -157,7 +158,7 @@
         Ok(separated)
     }
 
-    /// Keeps count of the depth.
+    /// Tracks strings and the nesting depth.
     fn track_nesting(&mut self, byte: u8) {
         match byte {
             _ if self.escaped => self.escaped = false,
@@ -170,15 +171,15 @@
         }
     }
 
-    /// A byte of the object that is none of its entries; whether it was the last one.
+    /// Processes a byte of the frame. Returns whether it completes the object.
     fn frame_byte(&mut self, byte: u8) -> Result<bool, ReadError> {
         let (at_top_level, before) = (self.depth == 1 && !self.in_string, self.frame.len());
         if self.depth == 0 && byte != b'{' && byte != b'[' {
-            return Err(unreadable("what comes is no object"));
+            return Err(unreadable("the answer is not a JSON object"));
         }
-        // Guards against an object that fills the memory with what is no entry.
+        // Bounds the memory that an object takes besides its entries.
         if before == MAX_FRAME_BYTES {
-            return Err(unreadable("the object has too much besides its entries"));
+            return Err(unreadable("the object has more than 64 KiB besides its entries"));
         }
         self.frame.push(byte);
         let in_text = self.in_string;
@@ -199,17 +200,17 @@
         Ok(self.depth == 0)
     }
 
-    /// A byte within the list of entries.
+    /// Processes a byte of the array of entries.
     fn entries_byte(&mut self, byte: u8) -> Result<(), ReadError> {
         let between = self.depth == 2 && !self.in_string;
         match byte {
-            b',' if between && self.entry.is_empty() => return Err(unreadable("an entry is missing")),
+            b',' if between && self.entry.is_empty() => return Err(unreadable("no entry before a comma")),
             b',' if between => {
                 self.finish_entry()?;
                 self.after_comma = true;
             }
             b']' if between && self.entry.is_empty() && self.after_comma => {
-                return Err(unreadable("a comma has nothing after it"));
+                return Err(unreadable("trailing comma in the entries"));
             }
             b']' if between => {
                 if !self.entry.is_empty() {
@@ -218,7 +219,7 @@
                 (self.in_entries, self.after_comma) = (false, false);
                 self.frame_byte(byte)?;
             }
-            b'}' if between => return Err(unreadable("the list of entries has another end")),
+            b'}' if between => return Err(unreadable("the entries end with '}' instead of ']'")),
             _ if between && self.entry.is_empty() && is_whitespace(byte) => {}
             _ => {
                 if self.entry.len() < MAX_ENTRY_BYTES {
@@ -232,8 +233,8 @@
         Ok(())
     }
 
-    /// An entry has come. Guards against one that cannot be read and would cost all the others: it counts as not
-    /// listed, also if it is one of changes and was listed before.
+    /// Parses a complete entry. One that cannot be read does not make the whole list unusable: it counts as deleted if it
+    /// has a name, also where it is part of a change and was listed before.
     fn finish_entry(&mut self) -> Result<(), ReadError> {
         self.after_comma = false;
         if self.entry_count == self.limits.entries {
@@ -242,7 +243,7 @@
         self.entry_count += 1;
         let mut problem = None;
         if std::mem::take(&mut self.entry_too_long) {
-            problem = Some("it is too long".to_string());
+            problem = Some("its text is longer than 16 KiB".to_string());
         } else if let Ok(raw) = serde_json::from_slice::<Raw>(&self.entry) {
             let Raw { name, address, zone, kind, group, status, weight, since_ms } = &raw;
             let (group, weight, since_ms) = (*group, *weight, *since_ms);
@@ -250,7 +251,7 @@
                 EntryRef { name, address, zone, kind, group, weight, since_ms, ..EntryRef::default() };
             self.entries.push(&listing.with_status(status));
         } else {
-            // What is no JSON spoils the whole.
+            // Invalid JSON makes the whole object unreadable; valid JSON that is no entry only this entry.
             let value: Value = serde_json::from_slice(&self.entry)?;
             match Entry::deserialize(&value) {
                 Ok(entry) => self.entries.push(&EntryRef::from(&entry)),
@@ -263,23 +264,23 @@
         }
         self.entry.clear();
         if let Some(problem) = problem {
-            // One line for all of a list.
+            // Only the first one of a list is logged, and later their number.
             if self.unreadable == 0 {
-                log::warn!("an entry of the list: {problem}");
+                log::warn!("an entry of the list cannot be read: {problem}");
             }
             self.unreadable += 1;
         }
         Ok(())
     }
 
-    /// The object that has come.
+    /// Parses the frame of a complete object and resets the reader.
     fn finish_object(&mut self) -> Result<Update, ReadError> {
         let Reader { frame, mut entries, unreadable, .. } = std::mem::replace(self, Reader::new(self.limits));
         if unreadable > 1 {
             log::warn!("{unreadable} entries of the list cannot be read");
         }
         let list: List = serde_json::from_slice(&frame)?;
-        // An object may be written as a list of its values, and then has its entries here.
+        // serde_json also accepts an object as an array of its values; the entries are then still in the frame.
         if entries.len() + list.endpoints.len() > self.limits.entries {
             return Err(self.limits.too_many_entries());
         }
--- a/crates/courier/tests/reader.rs
+++ b/crates/courier/tests/reader.rs
@@ -1,4 +1,4 @@
-//! The incremental reader of lists gives what serde_json gives of the whole text, however that is cut into pieces.
+//! The incremental reader of lists returns what serde_json parses from the whole text, wherever the text is split.
 
 use meadowhold_courier::discovery::List;
 use meadowhold_courier::entries::Update;
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use serde_json::{json, Value};
 
-/// The objects that these pieces hold, whether something stood between them, and bytes of one that is not complete.
+/// The objects in these pieces, whether there was white space outside them, and the bytes of an incomplete one.
 fn read(pieces: &[&[u8]], limits: Limits) -> Result<(Vec<Update>, bool, usize), ReadError> {
     let (mut reader, mut found, mut blank) = (Reader::new(limits), Vec::new(), false);
     for piece in pieces {
@@ -33,7 +33,7 @@
     serde_json::from_slice::<List>(text).ok().as_ref().map(Update::from)
 }
 
-/// Names and texts with all that a JSON text may hold: quotes, brackets, backslashes, control and wide characters.
+/// Strings with everything that JSON strings may hold: quotes, brackets, backslashes, control and non-ASCII characters.
 fn text() -> impl Strategy<Value = String> {
     prop_oneof![
         4 => "[a-z0-9:.-]{0,20}",
@@ -55,7 +55,7 @@
     })
 }
 
-/// An entry as listed, with fields missing, of the wrong type, unknown, or no entry at all.
+/// An entry, which may have missing fields, fields of the wrong type or unknown ones, or not be an entry at all.
 fn entry() -> impl Strategy<Value = Value> {
     let status = prop_oneof![
         3 => Just("SERVING".to_string()), 1 => Just("DRAINING".to_string()),
@@ -80,7 +80,7 @@
     prop_oneof![8 => made, 1 => junk()]
 }
 
-/// The text of a list or of changes: fields in any order, unknown ones among them, indented or not.
+/// The text of a whole list or of changes: fields in any order, also unknown ones, indented or not.
 fn list() -> impl Strategy<Value = String> {
     let entries = proptest::collection::vec(entry(), 0..8);
     let fields = (any::<u64>(), any::<bool>(), entries, junk(), 0..4usize);
@@ -93,7 +93,7 @@
         let values = [
             ("\"index\"", write(&json!(index))),
             ("\"snapshot\"", write(&json!(snapshot))),
-            // The name may be written with an escape.
+            // The key may be written with an escape.
             (if indented { "\"endpoints\"" } else { "\"end\\u0070oints\"" }, write(&json!(entries))),
             ("\"note\"", write(&junk)),
         ];
@@ -137,7 +137,7 @@
         cuts in proptest::collection::vec(any::<usize>(), 0..8)
     ) {
         let before: String = texts.iter().map(|(text, space)| format!("{text}{space}")).collect();
-        // And a part of one more, which is no word.
+        // Followed by part of one more object, which yields nothing.
         let cut = (0..=cut % tail.len()).rev().find(|&cut| tail.is_char_boundary(cut)).unwrap();
         let said = format!("{before}{}", &tail[..cut]);
         let expected: Vec<_> = serde_json::Deserializer::from_str(&before).into_iter::<List>().map(|l| Update::from(&l.unwrap())).collect();
@@ -161,7 +161,7 @@
     for cut in 0..text.len() {
         let (found, _, pending) = whole(&text.as_bytes()[..cut]).unwrap();
         assert_eq!((found, pending), (vec![], cut), "{cut}");
-        // Byte by byte it is the same.
+        // The same result byte by byte.
         let bytes: Vec<&[u8]> = text.as_bytes()[..cut].chunks(1).collect();
         assert_eq!(read(&bytes, Limits::default()).unwrap().0, []);
     }
@@ -176,7 +176,7 @@
         "}",
         "]",
         "{}x",
-        "[[", // a list of lists has no end here
+        "[[", // an array of arrays that does not end
         r#"{"endpoints":[,{"name":"a","group":1}]}"#,
         r#"{"endpoints":[{"name":"a","group":1},]}"#,
         r#"{"endpoints":[{"name":"a","group":1}}"#,
@@ -199,7 +199,7 @@
         let refused = !matches!(&read, Ok((found, _, 0)) if found.len() == 1);
         assert!(refused && by_serde(text.as_bytes()).is_none(), "{text}: {read:?}");
     }
-    // Odd, and yet a list.
+    // Unusual, but valid.
     for text in [
         "{}",
         r#"[5,true,[{"name":"a","group":1}]]"#,
@@ -235,15 +235,15 @@
     let past = words(&four, limits(4, 200));
     assert_eq!(past, "the list is longer than 0.0002 MB (limits.list_mb)");
     assert!(four.len() > 200);
-    // The limit is that of one object; several may come.
+    // The limits apply to each object, not to all of them together.
     let twice = format!("{three}\n{three}");
     assert_eq!(read(&[twice.as_bytes()], limits(3, three.len())).unwrap().0.len(), 2);
-    // An entry that is too long is passed over, and the others stand.
+    // An entry that is too long is skipped, and the others are kept.
     let mut long: Value = serde_json::from_str(&three).unwrap();
     long["endpoints"][1]["note"] = json!("x".repeat(20_000));
     let (found, ..) = whole(long.to_string().as_bytes()).unwrap();
     assert_eq!(found[0].entries.iter().map(|entry| entry.name).collect::<Vec<_>>(), ["e0", "e2"]);
-    // What is no entry has a limit of its own, wherever it stands.
+    // The text besides the entries has a limit of its own, wherever it is.
     for text in [
         format!("{{\"note\":\"{}", "x".repeat(70_000)),
         format!("{{{}", " ".repeat(70_000)),
