--- a/crates/courier/src/settings_changes.rs
+++ b/crates/courier/src/settings_changes.rs
@@ -1,5 +1,6 @@
-//! Versions of the settings in a courier: what a start begins with, and what a running courier is offered. The decision
-//! is `version`'s; here it is carried out, the good one kept on file before it is in force, and said in one line.
+//! Changes of a courier's settings: which version a start uses, and what becomes of a version offered to a running courier.
+//! `version` makes the decision; this module carries it out. An accepted version is saved before it is in force, and each
+//! decision is logged in one line.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -13,28 +14,29 @@
 use crate::memory::deployment;
 use crate::version::{decide, Faults, Moment, Numbered, Stamp, Step, Sum, Whole};
 
-/// A configuration that a running courier is offered. What comes back: whether its `discovery` is to be followed now,
-/// and where that is, or that nothing of it can be read; nothing if it is turned down.
+/// A configuration offered to a running courier. The answer is the address of discovery to use from now on, or why the
+/// file cannot be read; `None` if the configuration is turned down.
 pub struct Change {
     pub offered: Offered,
     pub answer: oneshot::Sender<Option<Result<SocketAddr, Refused>>>,
 }
 
-/// What a courier runs by.
+/// The settings that a courier runs with.
 #[derive(Clone, Debug, Default)]
 pub struct SettingsState {
-    /// Nothing where versions are no matter.
+    /// The configuration in force; `None` if it has no versions.
     whole: Option<Whole>,
     /// The newest version that was ever in force here.
     newest: Option<Stamp>,
-    /// What a list in the folder may be kept for: by this process, and before that by those whose versions it follows.
+    /// The deployments whose stored list may be used: that of this process, and those of the earlier processes that its
+    /// version follows.
     list_deployments: Vec<Sum>,
-    /// To be put on file before it is said to be in force.
+    /// Accepted settings that must be saved before they are in force.
     unsaved: Option<Kept>,
     versions: Versions,
 }
 
-/// What a courier starts with.
+/// The configuration that a courier starts with.
 pub struct Start {
     pub config: Config,
     pub state: SettingsState,
@@ -48,7 +50,7 @@
     format!("settings {number} are turned down: {}", Refused { file: None, faults })
 }
 
-/// Guards against a file that grows with each start.
+/// Bounds the file of the settings, which would otherwise grow with each start.
 const MAX_LISTS: usize = 16;
 
 fn list_deployments(config: &Config, before: Vec<Sum>) -> Vec<Sum> {
@@ -62,10 +64,11 @@
     read.as_ref().err().map(|refused| refused.faults.clone()).unwrap_or_default()
 }
 
-/// The configuration that `ROUTER_CONFIG` names, or the last good version that the folder keeps of it.
+/// Reads the configuration that `ROUTER_CONFIG` names. If it is turned down, the last valid version saved in the folder is
+/// used instead.
 ///
 /// # Errors
-/// What is wrong with the file, where nothing is kept that could stand in for it.
+/// What is wrong with the file, if there is no saved version to use instead.
 pub fn start() -> Result<Start, Refused> {
     let kept = Config::folder().and_then(|folder| kept_settings::load(&folder));
     let Offered { text, whole, read } = Config::at_start();
@@ -78,7 +81,7 @@
             let config = match Config::kept(&kept.text) {
                 Ok(config) => config,
                 Err(e) => {
-                    log::warn!("the settings that were kept cannot stand in: {e}");
+                    log::warn!("the saved settings cannot be used instead: {e}");
                     return Err(refused);
                 }
             };
@@ -115,10 +118,10 @@
     }
 }
 
-/// Puts on file what a start has taken, and says which version is in force.
+/// Saves the settings that a start has accepted, and logs which version is in force.
 pub fn record_start(exchange: &mut Exchange, state: &mut SettingsState, folder: &Path, allowance: u64) {
     if let Some(kept) = state.unsaved.take() {
-        // Guards against a courier that serves nobody for want of a few bytes: its settings are good.
+        // Not fatal: a courier with valid settings should not refuse to start because its disk is full.
         if let Err(e) = kept_settings::save(folder, allowance, &kept) {
             log::warn!("the settings cannot be kept: {e}");
         }
@@ -129,7 +132,7 @@
     }
 }
 
-/// Takes up, or turns down, what is offered, one after the other and each between two turns. Never ends.
+/// Applies or turns down the offered configurations, one after the other and each between two turns. Never completes.
 pub async fn follow(
     shared: Shared,
     mut state: SettingsState,
@@ -138,13 +141,14 @@
 ) {
     while let Some(Change { offered, answer }) = changes.recv().await {
         let mut exchange = shared.borrow_mut();
-        // Whoever asked may be gone.
+        // The sender may no longer wait for the answer.
         let _ = answer.send(apply(&mut exchange, &mut state, offered, (&folder, allowance)));
     }
     std::future::pending().await
 }
 
-/// One that is offered, to a courier that has this folder and may put so many bytes there; the answer to a `Change`.
+/// Applies or turns down an offered configuration. `allowance` is the number of bytes that the courier may store in its
+/// folder. Returns the answer to the `Change`.
 pub fn apply(
     exchange: &mut Exchange,
     state: &mut SettingsState,
@@ -193,7 +197,8 @@
     None
 }
 
-/// Whole or not at all: what can fail comes first, and the file before the word that it is in force.
+/// Puts settings in force completely or not at all: everything that can fail comes first, and saving them comes before
+/// they are adopted.
 fn adopt(
     exchange: &mut Exchange,
     config: Config,
@@ -213,12 +218,12 @@
 }
 
 impl SettingsState {
-    /// Whether a list that was kept for this is ours, though our classes have changed since.
+    /// Whether a list stored for this deployment may be used, although the classes may have changed since.
     pub fn accepts_list_of(&self, deployment: &str) -> bool {
         self.list_deployments.contains(&Sum::of(&deployment.into()))
     }
 
-    /// What an exchange runs by that was given this configuration; for who has no start of his own.
+    /// The state of an exchange that was given this configuration, for callers that do not use `start`.
     pub fn from_text(text: &[u8], now: Time) -> SettingsState {
         let whole = Whole::read(text);
         let newest = whole.as_ref().and_then(Whole::stamp);
--- a/crates/courier/tests/big_list.rs
+++ b/crates/courier/tests/big_list.rs
@@ -1,4 +1,4 @@
-//! Lists of any size: taken up as they come, past the limits of the configuration left alone, and what they cost.
+//! Lists of any size: read as they arrive, rejected over the limits of the configuration, and what they cost.
 
 mod common;
 
@@ -29,7 +29,7 @@
     format!("{{\"index\":{index},\"snapshot\":{snapshot},\"endpoints\":[{}]}}", entries.join(","))
 }
 
-/// So many destinations, of which every second one has a second endpoint; the last one is the endpoint that is there.
+/// A list of this many destinations, every second of them with two endpoints; the last one has the only endpoint that is up.
 fn destinations(count: usize, there: SocketAddr) -> Vec<String> {
     let mut entries = Vec::with_capacity(count + count / 2);
     for destination in 1..count {
@@ -50,7 +50,8 @@
 
 type Requests = Arc<Mutex<Vec<(Instant, bool)>>>;
 
-/// Discovery by a test's own rule: `answer` is given whether a watch is asked for, and after which version.
+/// A fake discovery: `answer` is passed whether a watch is requested, and from which version on. Returning false closes the
+/// connection.
 fn discovery(
     answer: impl Fn(bool, u64, &mut TcpStream) -> bool + Send + Sync + 'static,
 ) -> (SocketAddr, Requests) {
@@ -85,7 +86,7 @@
     false
 }
 
-/// A courier of which the log is read.
+/// A courier process whose log is collected.
 struct LoggedCourier {
     child: Child,
     folder: Folder,
@@ -119,7 +120,7 @@
         });
     }
 
-    /// Killed, and started anew with this configuration.
+    /// Kills the process and starts it again with the current configuration.
     fn restart(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
@@ -136,19 +137,19 @@
         Client::connect(self.listen).unwrap()
     }
 
-    /// Once more on a new connection where the old one was ended as quiet.
+    /// Hands in a mail on a new connection.
     fn put(&self, id: &str, destination: usize) -> String {
         self.client().put(id, "again", &format!("d=4000,dest={destination}"))
     }
 
-    /// Of `/proc/PID/status`, in bytes.
+    /// A field of `/proc/PID/status`, in bytes.
     fn memory_bytes(&self, what: &str) -> f64 {
         let status = fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find_map(|line| line.strip_prefix(what)).unwrap();
         line.split_whitespace().next().unwrap().parse::<f64>().unwrap() * 1024.0
     }
 
-    /// Processor time so far, in seconds, by ticks of a hundredth.
+    /// The processor time used so far, in seconds; the system counts in ticks of 10 ms.
     fn cpu_seconds(&self) -> f64 {
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         let fields: Vec<&str> = stat.rsplit_once(") ").unwrap().1.split(' ').collect();
@@ -173,13 +174,13 @@
             ] {
                 scope.spawn(move || {
                     let (old, new) = (Endpoint::new(&[]), Endpoint::new(&[]));
-                    // It would say that nobody is there any more.
+                    // If it were applied, the old endpoint would be gone.
                     let many = list(9, true, &destinations(300, own_address()));
                     assert!(many.len() > 50_000);
                     let change = list(10, false, &[entry("new", new.address, 8, "SERVING")]);
                     let (address, requests) = discovery(move |watch, after, out| match watch {
                         false => whole(out, &many),
-                        // The whole list on the first watch too; then what came after the version that is held.
+                        // The watch starts from the held version, since the list over the limit was not applied.
                         true => {
                             assert_eq!(after, 5);
                             out.write_all(CHUNKED_HEADERS.as_bytes()).is_ok()
@@ -191,8 +192,8 @@
                     let courier = LoggedCourier::start(address, mode, &known, json!({limit: value}));
                     let begun = Instant::now();
                     assert_eq!(courier.put("first", 7), "+OK");
-                    until("the old list's call", || old.ids() == ["first"]);
-                    // A watch is enough to hear of the next change.
+                    until("a call by the old list", || old.ids() == ["first"]);
+                    // A watch is enough to receive the next change.
                     until("the change", || courier.put("second", 8) == "+OK");
                     until("its call", || new.ids() == ["second"]);
                     until("some time", || begun.elapsed() > Duration::from_secs(4));
@@ -217,10 +218,10 @@
     let known = list(5, true, &[entry("old", old.address, 7, "SERVING")]);
     let courier = LoggedCourier::start(address, "push", &known, json!({"list_entries": 400}));
     let begun = Instant::now();
-    until_for(Duration::from_secs(20), "three asks", || requests.lock().unwrap().len() >= 3);
+    until_for(Duration::from_secs(20), "three requests", || requests.lock().unwrap().len() >= 3);
     assert_eq!(courier.put("first", 7), "+OK");
-    until("the old list's call", || old.ids() == ["first"]);
-    // The first pauses are a second and two at the least.
+    until("a call by the old list", || old.ids() == ["first"]);
+    // The first two pauses are at least one and two seconds.
     assert!(begun.elapsed() > Duration::from_millis(2500), "{:?}", begun.elapsed());
     let seen: Vec<bool> = requests.lock().unwrap().iter().map(|request| request.1).collect();
     assert_eq!(seen, [false, true, false]);
@@ -252,14 +253,14 @@
         true => out.write_all(CHUNKED_HEADERS.as_bytes()).is_ok() && idle_watch(out),
     });
     let courier = LoggedCourier::start(address, "push", &first, json!({"list_entries": 100}));
-    until("the changes within it", || courier.put("first", 9) == "+OK");
-    until("the line", || courier.count_lines("limits.list_entries") == 1);
+    until("the changes within the limit", || courier.put("first", 9) == "+OK");
+    until("the log line", || courier.count_lines("limits.list_entries") == 1);
     until("the call", || old.ids() == ["first"]);
     assert_eq!(courier.put("second", 7), "+OK");
-    until("a call by the list that stands", || old.ids() == ["first", "second"]);
+    until("a call by the list still in force", || old.ids() == ["first", "second"]);
     let begun = Instant::now();
     until("some time", || begun.elapsed() > Duration::from_secs(3));
-    // The list and a watch, and both once more after the pause; what a busy machine has them ask again is no loop.
+    // The list, a watch, and both again after the pause. A busy machine may cause some more requests by time-outs.
     let count = requests.lock().unwrap().len();
     assert!(count <= 6, "{count}");
 }
@@ -277,7 +278,7 @@
             let _ = out.write_all(&many.as_bytes()[..cut]);
             false
         }
-        // A watch after the cut says the whole of it, in pieces.
+        // The watch after the truncated list sends it completely, in pieces.
         false => whole(out, &many),
         true => {
             let pieces = || many.as_bytes().chunks(60_000).map(|piece| std::str::from_utf8(piece).unwrap());
@@ -296,30 +297,31 @@
     assert_eq!(courier.count_lines("a long list was unusable"), 1);
 }
 
-/// What a list of so many destinations costs a courier.
+/// What a list with this many destinations costs a courier.
 #[derive(Debug)]
 #[expect(dead_code, reason = "printed whole")]
 struct Cost {
     destinations: f64,
-    /// Seconds from the courier's first answer until a message for the last destination of the list is taken on.
+    /// Seconds from the courier's first answer until it accepts a mail for the last destination of the list.
     in_force: f64,
-    /// Processor time up to then, and of a second with nothing to do, as part of a core.
+    /// Processor time until then in seconds, and the idle load as a fraction of a core.
     cpu: f64,
     idle: f64,
-    /// The longest time for which a client waited for an answer meanwhile, in seconds.
+    /// The longest that a client waited for an answer meanwhile, in seconds.
     stall: f64,
-    /// Bytes held some time after, and the most that were ever held.
+    /// Resident memory some time after, and its peak, in bytes.
     resident: f64,
     peak: f64,
-    /// Bytes on file beside the journal.
+    /// Size of the list file in bytes.
     on_file: f64,
-    /// Seconds from a start to its first answer with discovery silent, by what was kept, and what is held then.
+    /// After a restart from the list file, with a silent discovery: seconds until the first answer, resident memory and its
+    /// peak in bytes.
     restart_in: f64,
     restart_held: f64,
     restart_peak: f64,
 }
 
-/// Has a courier take such a list up, serve a message by it, and come to rest.
+/// Measures a courier that receives such a list, delivers a mail by it, idles and restarts.
 fn cost(count: usize, disk_mb: f64) -> Cost {
     let endpoint = Endpoint::new(&[]);
     let text = list(9, true, &destinations(count, endpoint.address));
@@ -361,7 +363,7 @@
         courier.restart();
         restart_in = begun.elapsed().as_secs_f64();
         assert_eq!(courier.put("second", count), "+OK");
-        until("a call by the list that was kept", || endpoint.ids() == ["first", "second"]);
+        until("a call by the stored list", || endpoint.ids() == ["first", "second"]);
         thread::sleep(Duration::from_secs(1));
         [restart_held, restart_peak] = ["VmRSS:", "VmHWM:"].map(|what| courier.memory_bytes(what));
     }
@@ -381,7 +383,7 @@
     }
 }
 
-/// The slope of the least squares, and its greatest deviation as part of the greatest value.
+/// The slope of the least-squares line, and the largest deviation from it relative to the largest value.
 fn fit(points: &[(f64, f64)]) -> (f64, f64) {
     let mean = |of: &dyn Fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / points.len() as f64;
     let (x, y) = (mean(&|p| p.0), mean(&|p| p.1));
@@ -394,9 +396,9 @@
 fn a_long_list_is_in_force_soon_and_takes_little_for_each_destination() {
     let costs = [3_000, 30_000].map(|count| cost(count, 60.0));
     let held = (costs[1].resident - costs[0].resident) / (costs[1].destinations - costs[0].destinations);
-    // Where debug builds are slow, this one is generous: release builds take 0.1 s.
+    // The time limit is generous because debug builds are slow: a release build takes 0.1 s.
     assert!(held < 850.0 && costs[1].in_force < 8.0 && costs[1].idle < 0.05, "{held:.0} {costs:?}");
-    // The next process has it from the file, and takes no more.
+    // A restarted process loads it from the file and takes no more memory.
     assert!(costs[1].restart_held < 1.3 * costs[1].resident, "{costs:?}");
     assert!(costs[1].on_file > 30_000.0 * 50.0 && costs[1].on_file < 30_000.0 * 100.0, "{costs:?}");
 }
--- a/crates/courier/tests/kept_list.rs
+++ b/crates/courier/tests/kept_list.rs
@@ -1,4 +1,4 @@
-//! The kept list of many entries: appended to, folded, and what becomes of a file that is cut or spoilt.
+//! The file of a long list: appending, compaction, and how truncated and corrupt files are read.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -27,7 +27,7 @@
     list(index, true, (0..count).map(|name| entry(name, "SERVING", "a")).collect())
 }
 
-/// A keeper and its folder, and the list as a plain map says that it is.
+/// A store with its folder, and a plain map with the list that it should hold.
 struct Fixture {
     folder: tempfile::TempDir,
     store: ListStore,
@@ -49,7 +49,7 @@
         fs::read(self.folder.path().join("memory")).unwrap_or_default()
     }
 
-    /// Takes a list or changes up, and has it kept a second later.
+    /// Applies a list or changes, and saves a second later.
     fn take_up(&mut self, list: &List) {
         self.store.apply_list(list);
         self.index = list.index;
@@ -118,7 +118,7 @@
         }
     }
     assert!((2..8).contains(&compactions), "{compactions}");
-    // All of it: folding costs no more than as much again, and a few bytes for each version.
+    // Compaction at most doubles what is written, and each version adds a few bytes.
     assert!(written < changed * 60 * 3 + 398 * 80, "{written} bytes for {changed} changes");
 }
 
@@ -127,19 +127,19 @@
     let mut fixture = Fixture::new(ROOM);
     fixture.take_up(&whole(1, 3000));
     let before = fixture.file().len();
-    // As after a restart, or when a watch has ended: all of it again, with one changed and one gone.
+    // The whole list again, as after a restart or a closed watch, with one entry changed and one deleted.
     let mut again = whole(2, 2999);
     again.endpoints[7].status = "DRAINING".to_string();
     fixture.take_up(&again);
     let after = fixture.file().len();
     assert!(after > before && after < before + 300, "{before} {after}");
     assert_eq!(load_version(fixture.folder.path(), fixture.now).unwrap(), fixture.version());
-    // Another registry's: a lower version, and other names.
+    // The list of another registry, with a lower version and other names.
     let other = list(1, true, (5000..8000).map(|name| entry(name, "SERVING", "b")).collect());
     fixture.take_up(&other);
     assert!(fixture.file().len() < before * 11 / 10);
     assert_eq!(load_version(fixture.folder.path(), fixture.now).unwrap(), fixture.version());
-    // A short one is a file of the form that it always had, and a long one comes back.
+    // A short list is written in the JSON format, and a long one in the list format again.
     fixture.take_up(&whole(9, 3));
     assert!(fixture.file().starts_with(b"meadowhold memory 1\n"));
     assert_eq!(load_version(fixture.folder.path(), fixture.now).unwrap(), fixture.version());
@@ -158,7 +158,7 @@
     let names: Vec<&str> = update.entries.iter().map(|entry| entry.name).collect();
     assert_eq!((update.index, update.whole, names.len()), (6, true, 1000));
     assert!(names.is_sorted() && !names.contains(&"s-0000003") && names.contains(&"s-0002000"));
-    // It takes up what it recalled, writes nothing for it, and appends what is new.
+    // Applying the loaded list writes nothing, and later changes are appended.
     fixture.store = store;
     fixture.store.apply(&update);
     fixture.store.save(fixture.now + 9 * SECOND);
@@ -167,7 +167,7 @@
     fixture.take_up(&list(7, false, vec![entry(4, "DELETED", "")]));
     assert!(fixture.file().starts_with(&before) && fixture.file().len() < before.len() + 200);
     assert_eq!(load_version(fixture.folder.path(), fixture.now).unwrap(), fixture.version());
-    // What the configuration knows goes first where it is as new; another deployment's is no list of ours.
+    // A configured list of the same version takes precedence, and a list of another deployment is ignored.
     let (_, update) = recalled(fixture.folder.path(), whole(7, 1), fixture.now);
     assert_eq!((update.index, update.entries.len()), (7, 1));
     let update = ListStore::new(fixture.folder.path(), ROOM, "another".to_string()).recall(
@@ -176,12 +176,12 @@
         |_| false,
     );
     assert_eq!((update.index, update.entries.len()), (1, 1));
-    // From the future, as a clock that was set back has it.
+    // A file from the future, after the clock was set back, is ignored.
     let (_, update) = recalled(fixture.folder.path(), whole(1, 1), fixture.now - 90 * SECOND);
     assert_eq!(update.index, 1);
 }
 
-/// A file with three versions after its first, and what each of them is, by the length at which it is whole.
+/// A file with four versions, and for each the length at which it is complete and its list.
 fn file_with_versions() -> (Fixture, Vec<(usize, Version)>) {
     let mut fixture = Fixture::new(ROOM);
     let mut known = Vec::new();
@@ -208,7 +208,7 @@
         let expected = known.iter().rfind(|(length, _)| *length <= cut).map(|(_, version)| version.clone());
         assert_eq!(load_version(folder.path(), fixture.now), expected, "cut at {cut}");
     }
-    // A process that finds a cut one goes on with a whole one.
+    // A process that loads a truncated file writes a complete one.
     fs::write(&path, &whole[..whole.len() - 3]).unwrap();
     let (mut store, update) = recalled(folder.path(), List::default(), fixture.now);
     assert_eq!(update.index, 9);
@@ -229,7 +229,7 @@
         fs::write(&path, bytes).unwrap();
         load_version(folder.path(), fixture.now)
     };
-    // Each bit of what was appended, and random bytes, one or several, of all.
+    // Each bit of the appended records, and then one or several random bytes of the whole file.
     for at in first..good.len() {
         for bit in 0..8 {
             let mut bytes = good.clone();
@@ -249,12 +249,12 @@
             least = least.min(at);
         }
         let expected = known.iter().rfind(|(length, _)| *length <= least).map(|(_, version)| version.clone());
-        // Spoilt twice at one place it may be whole again.
+        // Two changes of the same byte may cancel out.
         if bytes != good {
             assert_eq!(load_bytes(&bytes), expected, "{least}");
         }
     }
-    // Records left out, doubled or in another order: what is before them counts.
+    // With records missing, repeated or reordered, only what is before them counts.
     let [a, b, c, d] = [0, 1, 2, 3].map(|i: usize| known[i].0);
     let (one, two, three) = (&good[a..b], &good[b..c], &good[c..d]);
     for (parts, expected) in [
@@ -271,7 +271,7 @@
             Some(known[expected].1.clone())
         );
     }
-    // Another file's records do not go on from this one's.
+    // Records of another file do not continue the checksum of this one.
     let mut other = Fixture::new(ROOM);
     other.take_up(&whole(5, 261));
     let base = other.version();
@@ -280,7 +280,7 @@
 
 #[test]
 fn the_file_stays_within_its_share_and_a_list_that_does_not_fit_is_not_saved() {
-    // 8 hundredths of it: 24 kB, of which the list takes more than half.
+    // Its share is 8 percent, 24 kB, and the list takes more than half of that.
     let room = 300_000;
     let mut fixture = Fixture::new(room);
     fixture.take_up(&whole(1, 300));
--- a/crates/courier/tests/list.rs
+++ b/crates/courier/tests/list.rs
@@ -1,4 +1,4 @@
-//! Couriers and a discovery that says what a test has it say: silence, lists in any form and order, a start anew.
+//! Couriers against a fake discovery that a test scripts: silent or slow answers, lists in any form and order, restarts.
 
 mod common;
 
@@ -24,19 +24,19 @@
     Watch,
 }
 
-/// Discovery by a test's own rule.
+/// A fake discovery, or agent, that records its requests.
 struct Discovery {
     address: SocketAddr,
     requests: Arc<Mutex<Vec<(Instant, Request)>>>,
 }
 
 impl Discovery {
-    /// `answer` is given which ask in all this is, from 0; it closes the connection by saying false.
+    /// `answer` is passed the number of the request, from 0. Returning false closes the connection.
     fn new(answer: impl Fn(usize, Request, &mut TcpStream) -> bool + Send + Sync + 'static) -> Discovery {
         Discovery::by(move |nth, request, _, out| answer(nth, request, out))
     }
 
-    /// The same; `answer` is also given the version after which a watch asks for changes.
+    /// The same; `answer` is also passed the version from which on a watch requests changes.
     fn by(answer: impl Fn(usize, Request, u64, &mut TcpStream) -> bool + Send + Sync + 'static) -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -85,9 +85,9 @@
     write!(out, "{:x}\r\n{text}\r\n", text.len()).is_ok()
 }
 
-/// Discovery of which the first watch tells `lines`, and whose whole list is `old` until then; from then on the first
-/// answers are `odd`, and then `new`. What was asked is told by its kind: on a machine with more to do an ask may be
-/// given up and asked again.
+/// A discovery whose whole list is `old` until its first watch, which sends `lines`. After that, list requests are answered
+/// with each of `odd` in turn and then with `new`. Requests are told apart by kind and not by number, because on a busy
+/// machine one may time out and be sent again.
 fn faulty_discovery(old: Value, lines: Vec<Value>, odd: Vec<Value>, new: Value) -> Discovery {
     let (watches, answers) = (AtomicUsize::new(0), AtomicUsize::new(0));
     Discovery::new(move |_, request, out| match request {
@@ -100,7 +100,7 @@
     })
 }
 
-/// Where a stand-in stops, until the test has it go on.
+/// A point at which a fake server waits until the test releases it.
 #[derive(Clone, Default)]
 struct Barrier {
     reached: Arc<AtomicBool>,
@@ -110,11 +110,11 @@
 impl Barrier {
     fn wait(&self) {
         self.reached.store(true, Ordering::SeqCst);
-        until("the test's word to go on", || self.go.load(Ordering::SeqCst));
+        until("the release by the test", || self.go.load(Ordering::SeqCst));
     }
 
     fn wait_until_reached(&self) {
-        until("the stand-in's stop", || self.reached.load(Ordering::SeqCst));
+        until("the server to reach the barrier", || self.reached.load(Ordering::SeqCst));
     }
 
     fn release(&self) {
@@ -130,21 +130,21 @@
     chunk(out, &format!("{list}\n"))
 }
 
-/// The end of the connection with a reset: no end of our side goes before it.
+/// Closes the connection with a reset, without an orderly shutdown before it.
 fn reset(out: &mut TcpStream) -> bool {
     socket2::SockRef::from(&*out).set_linger(Some(Duration::ZERO)).unwrap();
-    // What is shut down by who serves is this other one.
+    // The caller shuts `out` down afterwards; with another connection in its place, this one is only dropped.
     *out = TcpStream::connect(out.local_addr().unwrap()).unwrap();
     false
 }
 
-/// Says nothing until the courier has closed the connection.
+/// Sends nothing until the courier has closed the connection.
 fn stay_silent(out: &mut TcpStream) -> bool {
     let _ = out.read(&mut [0]);
     false
 }
 
-/// A watch with nothing to say.
+/// A watch without changes: sends empty lines until the connection is closed.
 fn idle_watch(out: &mut TcpStream) -> bool {
     while chunk(out, "\n") {
         thread::sleep(Duration::from_millis(500));
@@ -156,7 +156,7 @@
     start_with(discovery, mode, known, json!({}))
 }
 
-/// With limits of its own.
+/// The same with limits of its own.
 fn start_with(discovery: &Discovery, mode: &str, known: &Value, limits: Value) -> Courier {
     Courier::start(&Platform::new(), |config| {
         for (limit, value) in limits.as_object().unwrap() {
@@ -169,7 +169,7 @@
     })
 }
 
-/// Hands mails in until one has come to this endpoint.
+/// Hands in mails until one is delivered to this endpoint.
 fn expect_call_at(client: &mut Client, endpoint: &Endpoint, what: &str) {
     static NEXT: Mutex<usize> = Mutex::new(0);
     let before = endpoint.calls().len();
@@ -185,8 +185,8 @@
     });
 }
 
-/// Once more on a new connection where the old one was ended as quiet: a machine with more to do may hold a test up
-/// for longer than clients are waited for.
+/// Hands in a mail, on a new connection if the old one was closed: on a busy machine a test may be idle for longer than the
+/// courier keeps an idle client.
 fn put(client: &mut Client, id: &str) {
     let mut answer = client.put(id, "again", LIFETIME);
     if answer.is_empty() {
@@ -196,12 +196,12 @@
     assert_eq!(answer, "+OK");
 }
 
-/// What was handed in has its end: no call is on its way any more.
+/// Waits until every mail has its outcome, so that no call is in flight any more.
 fn wait_until_idle(courier: &Courier) {
-    until("an end for all", || courier.owes_nothing());
+    until("an outcome for every mail", || courier.owes_nothing());
 }
 
-/// Two endpoints of one destination, of which the second takes the place of the first.
+/// Two endpoints of one destination; the second replaces the first.
 struct Pair {
     first: Endpoint,
     second: Endpoint,
@@ -230,7 +230,7 @@
     let text = format!("{}\n", serde_json::to_string_pretty(&new).unwrap());
     let old_list = old.clone();
     let discovery = Discovery::new(move |_, request, out| {
-        // In pieces that end within an object, and with an object before it in one line.
+        // Split within the object, and with another object before it in the same chunk.
         let (begin, end) = text.split_at(text.len() / 3);
         match request {
             Request::List => whole(out, &old_list),
@@ -243,13 +243,13 @@
         }
     });
     let courier = start(&discovery, "push", &old);
-    expect_call_at(&mut courier.client(), &pair.second, "what the watch told");
-    assert_eq!(discovery.count(Request::Watch), 1, "one watch told it");
+    expect_call_at(&mut courier.client(), &pair.second, "a call by the change on the watch");
+    assert_eq!(discovery.count(Request::Watch), 1, "one watch is enough");
 }
 
 #[test]
 fn a_change_missed_by_a_silent_watch_arrives_within_six_seconds_despite_a_second_silent_request() {
-    // (mode, the first watch and the ask after it say their heads before they fall silent)
+    // (mode, whether the first watch sends its headers before it falls silent)
     let rows = [("push", true), ("push", false), ("ask", true), ("ask", false)];
     thread::scope(|scope| {
         for (mode, heads) in rows {
@@ -271,7 +271,11 @@
                     }
                 });
                 let courier = start(&discovery, mode, &old);
-                expect_call_at(&mut courier.client(), &pair.second, "what the silent watch missed");
+                expect_call_at(
+                    &mut courier.client(),
+                    &pair.second,
+                    "a call by the change that the watch missed",
+                );
                 let requests = discovery.requests();
                 assert_eq!(requests[1].1, Request::Watch);
                 let after = requests[1].0.elapsed();
@@ -285,7 +289,7 @@
 fn a_new_process_asks_its_agent_before_its_first_call() {
     let pair = Pair::new();
     let (old, new) = (list(5, true, &pair.before()), list(6, true, &pair.after()));
-    // Before the restart nobody is there to serve.
+    // Before the restart no endpoint is up.
     let nobody = list(5, true, &[entry("e1", own_address(), 7, "SERVING")]);
     let restarted = Arc::new(AtomicBool::new(false));
     let (anew, early) = (restarted.clone(), nobody.clone());
@@ -303,16 +307,16 @@
     assert_eq!(courier.client().put("01", "again", LIFETIME), "+OK");
     courier.kill();
     restarted.store(true, Ordering::Relaxed);
-    // The mail is owed from the first moment, and the configuration still knows the first endpoint as serving.
+    // The mail is owed from the start, and the configuration still lists the first endpoint as serving.
     courier.config["known"] = old;
     courier.restart();
-    until("its end", || courier.owes_nothing());
+    until("its outcome", || courier.owes_nothing());
     assert_eq!((pair.first.ids(), pair.second.ids()), (vec![], vec!["01".to_string()]));
 }
 
 #[test]
 fn an_agent_that_is_silent_or_down_does_not_hold_up_calls() {
-    // (mode, the agent is there but says nothing)
+    // (mode, whether the agent accepts connections; it never answers)
     for (mode, there) in [("push", true), ("push", false), ("ask", true)] {
         let endpoint = Endpoint::new(&[]);
         let known = list(5, true, &[entry("e1", endpoint.address, 7, "SERVING")]);
@@ -323,12 +327,12 @@
         let courier = start(&discovery, mode, &known);
         let start = Instant::now();
         let mut client = courier.client();
-        // One whose time is up while the agent is waited for has its end all the same.
+        // A mail whose queue lifetime ends while the courier waits for the agent still gets its outcome.
         assert_eq!(client.put("01", "again", "d=20"), "+OK");
         assert_eq!(client.put("02", "again", LIFETIME), "+OK");
         until("its call", || endpoint.ids().contains(&"02".to_string()));
         assert!(start.elapsed() < Duration::from_secs(2));
-        until("the end of both", || !there || courier.owes_nothing());
+        until("the outcome of both", || !there || courier.owes_nothing());
     }
 }
 
@@ -341,7 +345,7 @@
     let (again, ended) = (old.clone(), Arc::new(AtomicBool::new(false)));
     let seen = ended.clone();
     let discovery = Discovery::new(move |_, request, out| match request {
-        // Each whole list is from before what the watch tells.
+        // Every whole list is older than the changes on the watch.
         Request::List => whole(out, &again),
         Request::Watch => {
             let mut sent = out.write_all(CHUNKED_HEADERS.as_bytes()).is_ok();
@@ -357,10 +361,10 @@
     });
     let courier = start(&discovery, "push", &old);
     let mut client = courier.client();
-    until("the last line", || client.put("m", "again", "d=4000,dest=8") == "+OK");
+    until("the last change", || client.put("m", "again", "d=4000,dest=8") == "+OK");
     let calls = pair.first.calls().len();
     expect_call_at(&mut client, &pair.second, "the endpoint that serves");
-    // And a watch that ends, after which the list comes as it was long before.
+    // The watch ends, and after it the whole list is the old one again.
     let asked = discovery.count(Request::List);
     ended.store(true, Ordering::Relaxed);
     until("further whole lists", || discovery.count(Request::List) > asked + 1);
@@ -377,13 +381,13 @@
         Request::List => whole(out, if nth == 0 { &old_list } else { &new }),
         Request::Watch => {
             let sent = out.write_all(CHUNKED_HEADERS.as_bytes()).is_ok();
-            // The line that told of the move to the second endpoint was lost.
+            // The change to the second endpoint, between these versions, was lost.
             let lines = [list(6, false, &[]), list(15, false, &[entry("e3", own_address(), 8, "SERVING")])];
             sent && (nth > 1 || lines.iter().all(|line| chunk(out, &format!("{line}\n")))) && idle_watch(out)
         }
     });
     let courier = start(&discovery, "push", &old);
-    expect_call_at(&mut courier.client(), &pair.second, "what the gap hid");
+    expect_call_at(&mut courier.client(), &pair.second, "a call by the lost change");
     assert_eq!(discovery.count(Request::List), 2);
 }
 
@@ -399,13 +403,13 @@
             (_, Request::Watch) => out.write_all(CHUNKED_HEADERS.as_bytes()).is_ok() && idle_watch(out),
         });
         let courier = start(&down, mode, &old);
-        expect_call_at(&mut courier.client(), &pair.first, "what the configuration knows");
-        until("a second ask", || down.requests().len() > 1);
+        expect_call_at(&mut courier.client(), &pair.first, "a call by the configured list");
+        until("a second request", || down.requests().len() > 1);
         let mut config = courier.config.clone();
         config["discovery"] = json!(up.address.to_string());
         let moved = Instant::now();
         courier.reconfigure(&config.to_string());
-        expect_call_at(&mut courier.client(), &pair.second, "the list of the new address");
+        expect_call_at(&mut courier.client(), &pair.second, "a call by the list of the new address");
         assert!(moved.elapsed() < Duration::from_secs(4), "{mode}: {:?}", moved.elapsed());
     }
 }
@@ -419,7 +423,7 @@
         let (halfway, change) = (barrier.clone(), changed.clone());
         let discovery = Discovery::by(move |_, request, after, out| match request {
             Request::List => {
-                // As it is when it is asked for, and read to its end after the change.
+                // The list as it is at the request; its second half is sent after the change.
                 let text = old.to_string();
                 let (begin, end) = text.split_at(text.len() / 2);
                 let begun = write!(out, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{begin}", text.len());
@@ -435,7 +439,7 @@
         barrier.wait_until_reached();
         changed.store(true, Ordering::SeqCst);
         barrier.release();
-        expect_call_at(&mut courier.client(), &pair.second, "the change that the list crossed");
+        expect_call_at(&mut courier.client(), &pair.second, "a call by the change made meanwhile");
     }
 }
 
@@ -445,11 +449,11 @@
         let pair = Pair::new();
         let (old, new) = (list(5, true, &pair.before()), list(15, true, &pair.after()));
         let lines = vec![list(6, false, &[]), list(15, false, &[entry("e3", own_address(), 8, "SERVING")])];
-        // From another machine of discovery, or a moment too early.
+        // A list older than the gap, as from a lagging replica of discovery.
         let between = vec![list(9, true, &pair.before())];
         let discovery = faulty_discovery(old, lines, between, new);
         let courier = start(&discovery, mode, &list(4, true, &pair.before()));
-        expect_call_at(&mut courier.client(), &pair.second, "what the gap hid");
+        expect_call_at(&mut courier.client(), &pair.second, "a call by the lost change");
     }
 }
 
@@ -459,7 +463,7 @@
     let (old, new) = (list(5, true, &pair.before()), list(6, true, &pair.after()));
     let discovery = faulty_discovery(old, vec![list(5, false, &[]), list(u64::MAX, false, &[])], vec![], new);
     let courier = start(&discovery, "push", &list(4, true, &pair.before()));
-    expect_call_at(&mut courier.client(), &pair.second, "the list of a lower version");
+    expect_call_at(&mut courier.client(), &pair.second, "a call by the list of a lower version");
 }
 
 #[test]
@@ -469,11 +473,11 @@
         let old = list(5, true, &pair.before());
         let others = ["e3", "e4"].map(|name| entry(name, own_address(), 8, "SERVING"));
         let new = list(8, true, &[&pair.after()[..], &others].concat());
-        // As many entries as versions, so that nothing seems to be missing.
+        // As many entries as versions, so that no change seems to be missing.
         let lines = vec![list(6, false, &[]), list(8, false, &others), list(7, false, &pair.after())];
         let discovery = faulty_discovery(old, lines, vec![], new);
         let courier = start(&discovery, mode, &list(4, true, &pair.before()));
-        expect_call_at(&mut courier.client(), &pair.second, "the change that came late");
+        expect_call_at(&mut courier.client(), &pair.second, "a call by the late change");
     }
 }
 
@@ -492,10 +496,12 @@
             (Request::Watch, Request::List) => headers(out) && idle_watch(out),
         });
         let courier = start(&discovery, "push", &list(4, true, &pair.before()));
-        expect_call_at(&mut courier.client(), &pair.second, "the last of both");
+        expect_call_at(&mut courier.client(), &pair.second, "a call by the last of both entries");
         wait_until_idle(&courier);
         let before = pair.first.calls().len();
-        (0..5).for_each(|_| expect_call_at(&mut courier.client(), &pair.second, "the last of both still"));
+        (0..5).for_each(|_| {
+            expect_call_at(&mut courier.client(), &pair.second, "another call by the last of both entries")
+        });
         assert_eq!(pair.first.calls().len(), before);
     }
 }
@@ -508,7 +514,7 @@
         let changes = list(15, false, &[]);
         let discovery = faulty_discovery(old, vec![list(6, false, &[]), changes.clone()], vec![changes], new);
         let courier = start(&discovery, mode, &list(4, true, &pair.before()));
-        expect_call_at(&mut courier.client(), &pair.second, "the whole list");
+        expect_call_at(&mut courier.client(), &pair.second, "a call by the whole list");
     }
 }
 
@@ -523,11 +529,12 @@
         Request::Watch => headers(out) && line(out, &new) && idle_watch(out),
     });
     let courier = start(&discovery, "push", &list(4, true, &pair.before()));
-    expect_call_at(&mut courier.client(), &pair.second, "the one that can be read");
+    expect_call_at(&mut courier.client(), &pair.second, "a call by the readable entry");
     wait_until_idle(&courier);
     let before = pair.first.calls().len();
-    (0..9)
-        .for_each(|_| expect_call_at(&mut courier.client(), &pair.second, "the one that can be read still"));
+    (0..9).for_each(|_| {
+        expect_call_at(&mut courier.client(), &pair.second, "another call by the readable entry")
+    });
     assert_eq!(pair.first.calls().len(), before);
 }
 
@@ -548,10 +555,10 @@
             *watches += 1;
             *watches - 1
         };
-        assert!(after == 5 || nth > count, "nothing of a part was held");
+        assert!(after == 5 || nth > count, "an incomplete object was applied");
         let Some(&cut) = cuts.get(nth) else {
             last.wait();
-            // Whole, with no end of its line; and cut there.
+            // The complete object without a line end; the connection is closed after it.
             return headers(out) && chunk(out, &text) && nth > count && idle_watch(out);
         };
         let sent = headers(out) && (cut == 0 || chunk(out, &text[..cut]));
@@ -564,10 +571,10 @@
     let courier = start(&discovery, "push", &list(4, true, &pair.before()));
     let mut client = courier.client();
     barrier.wait_until_reached();
-    expect_call_at(&mut client, &pair.first, "the one that still serves");
+    expect_call_at(&mut client, &pair.first, "a call at the endpoint that still serves");
     assert_eq!(pair.second.calls().len(), 0);
     barrier.release();
-    expect_call_at(&mut client, &pair.second, "the whole object");
+    expect_call_at(&mut client, &pair.second, "a call by the complete object");
 }
 
 #[test]
@@ -592,7 +599,7 @@
             Request::Watch => headers(out) && line(out, &new) && idle_watch(out),
         });
         let courier = start(&discovery, mode, &list(4, true, &pair.before()));
-        expect_call_at(&mut courier.client(), &pair.second, "what the next ask was told");
+        expect_call_at(&mut courier.client(), &pair.second, "a call by the answer to the next request");
         let after = begun.lock().unwrap().unwrap().elapsed();
         assert!(after < Duration::from_secs(6), "{mode}: {after:?}");
     }
@@ -602,7 +609,7 @@
 fn a_long_list_in_one_line_of_a_watch_is_read_as_it_arrives() {
     let pair = Pair::new();
     let old = list(5, true, &pair.before());
-    // What is unknown of an entry is passed over.
+    // Unknown fields of an entry are ignored.
     let padded = (0..380).map(|i| {
         let mut padded = entry(&format!("p{i}"), own_address_of(i), 8, "DRAINING");
         padded["note"] = json!("{[\\\"".repeat(900));
@@ -619,21 +626,21 @@
         }
     });
     let courier = start(&discovery, "push", &list(4, true, &pair.before()));
-    expect_call_at(&mut courier.client(), &pair.second, "what the long list told");
+    expect_call_at(&mut courier.client(), &pair.second, "a call by the long list");
 }
 
 fn own_address_of(i: usize) -> SocketAddr {
     SocketAddr::from(([127, 250, (i / 250) as u8, (i % 250) as u8], 6379))
 }
 
-/// The most memory that the courier ever held, in MB.
+/// The peak memory of a process, in MB.
 fn peak_memory_mb(pid: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap();
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
     line.split_whitespace().next().unwrap().parse::<u64>().unwrap() >> 10
 }
 
-/// By the folder that it was started with.
+/// Finds the process of a courier by the folder that it was started with.
 fn pid(courier: &Courier) -> u32 {
     let state = format!("ROUTER_STATE={}", courier.folder.path.join("state").display());
     let all = std::fs::read_dir("/proc").unwrap().flatten();
@@ -653,21 +660,21 @@
         (0..80_000).map(|i| format!("{{\"name\":\"{i}\",\"group\":9,\"status\":\"SERVING\"}},")).collect();
     let many = format!("{{\"index\":6,\"snapshot\":true,\"endpoints\":[{}]}}", many.trim_end_matches(','));
     assert!(many.len() < 4 << 20);
-    // (name, what is asked, what comes first, and then without end)
+    // (name, the request it answers, what is sent first, and then without end)
     let rows = [
-        ("a head", Request::List, "HTTP/1.1 200 OK\r\n".to_string(), format!("X-Y: {piece}\r\n")),
-        ("a line of a head", Request::List, "HTTP/1.1 200 OK\r\nX: ".to_string(), piece.clone()),
-        ("heads of no answer", Request::List, String::new(), "HTTP/1.1 103 Early\r\n\r\n".repeat(100)),
+        ("headers", Request::List, "HTTP/1.1 200 OK\r\n".to_string(), format!("X-Y: {piece}\r\n")),
+        ("a header line", Request::List, "HTTP/1.1 200 OK\r\nX: ".to_string(), piece.clone()),
+        ("interim responses", Request::List, String::new(), "HTTP/1.1 103 Early\r\n\r\n".repeat(100)),
         (
             "a list",
             Request::List,
             format!("{CHUNKED_HEADERS}1\r\n{{\r\n"),
             format!("fa0\r\n{}\r\n", " ".repeat(4000)),
         ),
-        ("a text", Request::List, format!("{CHUNKED_HEADERS}2\r\n{{\"\r\n"), format!("fa0\r\n{piece}\r\n")),
-        ("a field of a chunk", Request::List, format!("{CHUNKED_HEADERS}1;"), piece.clone()),
+        ("a string", Request::List, format!("{CHUNKED_HEADERS}2\r\n{{\"\r\n"), format!("fa0\r\n{piece}\r\n")),
+        ("a chunk extension", Request::List, format!("{CHUNKED_HEADERS}1;"), piece.clone()),
         (
-            "lists in lists",
+            "nested arrays",
             Request::Watch,
             CHUNKED_HEADERS.to_string(),
             format!("fa0\r\n{}\r\n", "[".repeat(4000)),
@@ -695,7 +702,7 @@
             if request == kind && !left.load(Ordering::SeqCst) {
                 let mut sent = out.write_all(first.as_bytes()).is_ok();
                 for _ in 0..PIECES {
-                    // With nothing without end, what came first is the matter.
+                    // If nothing follows, what was sent first is over the limit by itself.
                     sent = sent
                         && if then.is_empty() {
                             stay_silent(out)
@@ -703,7 +710,7 @@
                             out.write_all(then.as_bytes()).is_ok()
                         };
                 }
-                assert!(!sent, "it is left");
+                assert!(!sent, "the courier did not close the connection");
                 left.store(true, Ordering::SeqCst);
                 return false;
             }
@@ -726,7 +733,7 @@
     }
 }
 
-/// What an ask is in the middle of when discovery moves.
+/// The stage that a request has reached when the address of discovery changes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
     Silence,
@@ -754,7 +761,7 @@
 fn change_address_at(stage: Stage, mode: &str) {
     let pair = Pair::new();
     let (old, new) = (list(5, true, &pair.before()), list(6, true, &pair.after()));
-    // What the old address would tell is of a higher version.
+    // The list at the old address has a higher version.
     let false_list = list(9, true, &pair.before()).to_string();
     let (barrier, closed) = (Barrier::default(), Arc::new(AtomicBool::new(false)));
     let (halfway, is_closed) = (barrier.clone(), closed.clone());
@@ -789,7 +796,7 @@
                 return out.write_all(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n").is_ok();
             }
         };
-        // An ask that was given up for its silence before SIGHUP may be here too: each stops.
+        // A request that timed out before SIGHUP may be here too: each waits.
         let _ = out.write_all(first.as_bytes());
         halfway.wait();
         let _ = out.write_all(then.as_bytes());
@@ -813,20 +820,22 @@
     config["discovery"] = json!(up.address.to_string());
     let moved = Instant::now();
     courier.reconfigure(&config.to_string());
-    expect_call_at(&mut client, &pair.second, "the list of the new address");
+    expect_call_at(&mut client, &pair.second, "a call by the list of the new address");
     assert!(moved.elapsed() < Duration::from_secs(6), "{stage:?} {mode}");
     wait_until_idle(&courier);
     let (before, requests) = (pair.first.calls().len(), down.requests().len());
     barrier.release();
     if stage != Stage::Refusals {
-        until("the old connection's end", || is_closed.load(Ordering::SeqCst));
+        until("the end of the old connection", || is_closed.load(Ordering::SeqCst));
     }
-    (0..5).for_each(|_| expect_call_at(&mut client, &pair.second, "the new address still"));
+    (0..5).for_each(|_| {
+        expect_call_at(&mut client, &pair.second, "another call by the list of the new address")
+    });
     assert_eq!((pair.first.calls().len(), down.requests().len()), (before, requests), "{stage:?} {mode}");
 }
 
-/// Counts, whenever a connection comes, those that the courier still holds open. What an ask gets changes with
-/// each.
+/// A discovery that never closes a connection and counts, whenever one is accepted, those that the courier holds open.
+/// Records the most at a time, and the number of all connections. Each connection gets another kind of answer.
 fn counting_discovery(most: Arc<Mutex<(usize, usize)>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -858,7 +867,7 @@
                 _ => format!("{CHUNKED_HEADERS}3\r\nodd\r\n"),
             };
             let _ = (&stream).write_all(sent.as_bytes());
-            // None is closed here.
+            // Connections are never closed from this side.
             held.push(stream);
         }
     });
@@ -878,22 +887,22 @@
         let at_first = courier.sockets();
         let seen = |which: usize| most[which].lock().unwrap().1;
         let enough = if mode == "push" { 16 } else { 7 };
-        until("asks", || seen(0) >= enough);
-        // To and fro, each time in the middle of something else.
+        until("requests", || seen(0) >= enough);
+        // Back and forth between the addresses, each time at another stage of a request.
         let mut config = courier.config.clone();
         for turn in 1..12 {
             let which = turn % 2;
             let before = seen(which);
             config["discovery"] = json!(addresses[which].to_string());
             courier.reconfigure(&config.to_string());
-            until("an ask there", || seen(which) > before);
+            until("a request there", || seen(which) > before);
         }
         assert!(most.iter().all(|most| most.lock().unwrap().0 <= 2), "{mode}: {most:?}");
         until("no more than at first", || courier.sockets() <= at_first + 1);
     }
 }
 
-/// A courier that the system allows no more descriptors than its configuration does.
+/// A courier that the system allows only as many descriptors as its configuration names.
 struct LimitedCourier {
     child: Child,
     folder: Folder,
@@ -924,7 +933,7 @@
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
-    /// Hands one in as clients do, on a new connection when the one before made way.
+    /// Hands in a mail on a new connection, again if that one is closed to make room for others.
     fn put(&self, id: &str, more: &str) {
         until("an answer", || Client::connect(self.listen).unwrap().put(id, "again", more) == "+OK");
     }
@@ -942,7 +951,7 @@
     }
 }
 
-/// Keeps that many connections open that ask for nothing, half of them after an answer, until it is told to end.
+/// Keeps this many idle connections open, half of them after one answered request, until `end` is set.
 fn idle_clients(listen: SocketAddr, count: usize, end: &AtomicBool) {
     let mut idle: Vec<Option<TcpStream>> = (0..count).map(|_| None).collect();
     while !end.load(Ordering::SeqCst) {
@@ -975,21 +984,23 @@
             Request::List => whole(out, &new),
             Request::Watch => headers(out) && line(out, &new) && idle_watch(out),
         });
-        // From the smallest number that a configuration may name.
+        // The smallest number of sockets that a configuration may name.
         let courier = LimitedCourier::start(&discovery, mode, &list(5, true, &pair.before()), SOCKETS);
         let (at_first, mut most) = (courier.descriptors(), 0);
         thread::scope(|scope| {
             scope.spawn(|| idle_clients(courier.listen, SOCKETS / 2, &end));
-            // A third of them is for clients, and all those are taken; the first may have been one already.
-            until("all are taken", || courier.descriptors() >= at_first + SOCKETS / 3 - 1);
+            // A third of them is for clients, and all those are taken; one client may be among those at first.
+            until("all sockets for clients to be taken", || {
+                courier.descriptors() >= at_first + SOCKETS / 3 - 1
+            });
             for i in 0..20 {
                 courier.put(&format!("call-{i}"), LIFETIME);
-                // Over at once: its end is a notice, if no call was quicker.
+                // Its queue lifetime ends at once, with a notice unless a call was faster.
                 courier.put(&format!("brief-{i}"), "d=1");
                 most = most.max(courier.descriptors());
             }
             until("calls", || (0..20).all(|i| pair.first.ids().contains(&format!("call-{i}"))));
-            until("an end for all, and on file", || courier.owes_nothing());
+            until("an outcome for every mail in the journal", || courier.owes_nothing());
             // Discovery comes back.
             let back = Instant::now();
             up.store(true, Ordering::SeqCst);
@@ -1001,10 +1012,10 @@
                 !pair.second.calls().is_empty()
             });
             assert!(back.elapsed() < Duration::from_secs(6), "{mode}: {:?}", back.elapsed());
-            until("an end for all", || courier.owes_nothing());
+            until("an outcome for every mail", || courier.owes_nothing());
             end.store(true, Ordering::SeqCst);
         });
-        // Never at the limit, where a connection to discovery or a file would be refused.
+        // Never at the limit, where connecting to discovery or opening a file would fail.
         assert!(most < SOCKETS - 4, "{mode}: {most}");
         let requests = discovery.requests().len();
         assert!(requests > 2, "{mode}: {requests}");
@@ -1014,12 +1025,12 @@
 #[test]
 fn a_watch_that_sends_without_pause_does_not_starve_clients_and_calls() {
     let lines = |pair: &Pair| list(5, false, &pair.before()).to_string() + "\n";
-    // (name, what the watch says over and over)
+    // (name, what the watch sends over and over)
     type Says<'a> = &'a dyn Fn(&Pair) -> String;
     let rows: [(&str, Says); 3] = [
         ("empty lines", &|_| "\n".repeat(4000)),
         ("the same change", &|pair| lines(pair).repeat(20)),
-        ("nothing in objects", &|_| "{}".repeat(2000)),
+        ("empty objects", &|_| "{}".repeat(2000)),
     ];
     for (name, text) in rows {
         let pair = Pair::new();
@@ -1050,7 +1061,7 @@
 
 #[test]
 fn a_list_arrives_within_six_seconds_of_discovery_coming_back_though_one_answer_is_cut() {
-    // (mode, how it was gone: refusing, or silent)
+    // (mode, whether discovery answers with errors while it is down, or is silent)
     let rows = [("push", true), ("push", false), ("ask", true), ("ask", false)];
     thread::scope(|scope| {
         for (mode, refuses) in rows {
@@ -1075,11 +1086,15 @@
                     Request::Watch => headers(out) && idle_watch(out),
                 });
                 let courier = start(&discovery, mode, &list(5, true, &pair.before()));
-                // By then the pauses are as long as they become.
-                until("a chain of asks", || discovery.requests().len() >= if refuses { 6 } else { 5 });
+                // After these the pauses have reached their longest.
+                until("a chain of requests", || discovery.requests().len() >= if refuses { 6 } else { 5 });
                 let back = Instant::now();
                 up.store(true, Ordering::SeqCst);
-                expect_call_at(&mut courier.client(), &pair.second, "the list after the return");
+                expect_call_at(
+                    &mut courier.client(),
+                    &pair.second,
+                    "a call by the list of the returned discovery",
+                );
                 assert!(back.elapsed() < Duration::from_secs(6), "{mode} {refuses}: {:?}", back.elapsed());
             });
         }
