--- a/crates/courier/src/entries.rs
+++ b/crates/courier/src/entries.rs
@@ -1,7 +1,7 @@
 //! Compact entries of the list: serialized with postcard one after the other, about fifty bytes each. This is their form
 //! while a list is received and in the list file.
 
-use meadowhold::interface::Life;
+use meadowhold::interface::EndpointStatus;
 use serde::{Deserialize, Serialize};
 
 use crate::discovery::{Entry, List};
@@ -31,18 +31,18 @@
 
     pub fn with_status(self, status: &str) -> EntryRef<'a> {
         let status = match life(status) {
-            Life::Ready => SERVING,
-            Life::Draining => DRAINING,
-            Life::Gone => GONE,
+            EndpointStatus::Ready => SERVING,
+            EndpointStatus::Draining => DRAINING,
+            EndpointStatus::Removed => GONE,
         };
         EntryRef { status, ..self }
     }
 
-    pub fn life(&self) -> Life {
+    pub fn life(&self) -> EndpointStatus {
         match self.status {
-            SERVING => Life::Ready,
-            DRAINING => Life::Draining,
-            _ => Life::Gone,
+            SERVING => EndpointStatus::Ready,
+            DRAINING => EndpointStatus::Draining,
+            _ => EndpointStatus::Removed,
         }
     }
 
@@ -56,11 +56,11 @@
 }
 
 /// Translates the status of an entry; any unknown one counts as deleted.
-pub fn life(status: &str) -> Life {
+pub fn life(status: &str) -> EndpointStatus {
     match status {
-        "SERVING" => Life::Ready,
-        "DRAINING" => Life::Draining,
-        _ => Life::Gone,
+        "SERVING" => EndpointStatus::Ready,
+        "DRAINING" => EndpointStatus::Draining,
+        _ => EndpointStatus::Removed,
     }
 }
 
@@ -157,7 +157,10 @@
 impl Update {
     /// How many entries these changes add; `has` tells whether an entry of this name exists.
     pub fn count_added(&self, has: impl Fn(&str) -> bool) -> usize {
-        self.entries.iter().filter(|entry| entry.life() != Life::Gone && !has(entry.name)).count()
+        self.entries
+            .iter()
+            .filter(|entry| entry.life() != EndpointStatus::Removed && !has(entry.name))
+            .count()
     }
 }
 
