--- a/crates/courier/src/discovery.rs
+++ b/crates/courier/src/discovery.rs
@@ -60,7 +60,7 @@
                     Ok(entry) => entries.push(entry),
                     Err(e) => {
                         log::warn!("an entry of the list cannot be read: {e}");
-                        entries.extend(value["name"].as_str().map(Entry::gone));
+                        entries.extend(value["name"].as_str().map(Entry::removed));
                     }
                 }
             }
@@ -90,14 +90,14 @@
 }
 
 impl Entry {
-    fn gone(name: &str) -> Entry {
+    fn removed(name: &str) -> Entry {
         let (name, text) = (name.to_string(), String::new);
         let (address, zone, kind, status) = (text(), text(), text(), text());
         Entry { name, address, zone, kind, group: 0, status, weight: 0.0, since_ms: 0 }
     }
 
-    pub fn life(&self) -> EndpointStatus {
-        entries::life(&self.status)
+    pub fn endpoint_status(&self) -> EndpointStatus {
+        entries::endpoint_status(&self.status)
     }
 }
 
@@ -205,10 +205,10 @@
 }
 
 impl<L: Listener> Follower<L> {
-    fn send(&mut self, what: Request) {
+    fn send(&mut self, request: Request) {
         self.cancel();
-        (self.request, self.is_first) = (what, true);
-        let path = match what {
+        (self.request, self.is_first) = (request, true);
+        let path = match request {
             Request::List => "/catalog/members".to_string(),
             Request::Watch => self.watch_path(),
         };
@@ -307,15 +307,15 @@
     /// Translates an event for the schedule, with a description for the log.
     fn read(&mut self, event: Event) -> (Input, String) {
         let was_long = self.reader.pending() > LONG_LIST;
-        let (input, words) = self.read_event(event);
+        let (input, reason) = self.read_event(event);
         match input {
             // A long list that turns out to be unusable gets the longer pauses of a list over a limit, so that many
             // megabytes are not read in vain again and again.
             Input::Unreadable | Input::Closed if was_long => {
-                (Input::OverLimit, format!("a long list was unusable: {words}"))
+                (Input::OverLimit, format!("a long list was unusable: {reason}"))
             }
-            Input::Headers if self.reader.pending() > LONG_LIST => (Input::LongListData, words),
-            _ => (input, words),
+            Input::Headers if self.reader.pending() > LONG_LIST => (Input::LongListData, reason),
+            _ => (input, reason),
         }
     }
 
@@ -341,14 +341,14 @@
             }
             Ok(input) => (input, String::new()),
             Err(ReadError::Unreadable(e)) => (Input::Unreadable, e.to_string()),
-            Err(ReadError::OverLimit(words)) => (Input::OverLimit, words),
+            Err(ReadError::OverLimit(reason)) => (Input::OverLimit, reason),
         }
     }
 
     async fn run(mut self) {
         loop {
             let due = self.clock.instant(self.schedule.due());
-            let (input, words) = tokio::select! {
+            let (input, reason) = tokio::select! {
                 biased;
                 () = address_changed(&mut self.address) => (Input::AddressChanged, String::new()),
                 event = next_event(&mut self.events) => self.read(event),
@@ -363,19 +363,19 @@
             self.last_heard.note(now, input, effect);
             match effect {
                 Effect::Nothing => {}
-                Effect::Send(what) => self.send(what),
+                Effect::Send(request) => self.send(request),
                 Effect::Cancel => self.cancel(),
             }
             match (too_long, self.schedule.consecutive_over_limit()) {
-                (0, 1) => log::warn!("{words}: the list that is held stays in force"),
-                (before, after) if after > before => log::debug!("still {words}"),
+                (0, 1) => log::warn!("{reason}: the list that is held stays in force"),
+                (before, after) if after > before => log::debug!("still {reason}"),
                 _ => {}
             }
             // Only the first failure in a row is logged as a warning.
             match (failed, self.schedule.consecutive_failures()) {
-                (0, 1) => log::warn!("the list cannot be followed: {words}"),
+                (0, 1) => log::warn!("the list cannot be followed: {reason}"),
                 (before, after) if after > before => {
-                    log::debug!("the list still cannot be followed: {words}")
+                    log::debug!("the list still cannot be followed: {reason}")
                 }
                 _ => {}
             }
--- a/crates/courier/src/entries.rs
+++ b/crates/courier/src/entries.rs
@@ -20,25 +20,25 @@
     pub since_ms: u64,
 }
 
-const GONE: u8 = 0;
+const REMOVED: u8 = 0;
 const SERVING: u8 = 1;
 const DRAINING: u8 = 2;
 
 impl<'a> EntryRef<'a> {
-    pub fn gone(name: &'a str) -> EntryRef<'a> {
+    pub fn removed(name: &'a str) -> EntryRef<'a> {
         EntryRef { name, ..EntryRef::default() }
     }
 
     pub fn with_status(self, status: &str) -> EntryRef<'a> {
-        let status = match life(status) {
+        let status = match endpoint_status(status) {
             EndpointStatus::Ready => SERVING,
             EndpointStatus::Draining => DRAINING,
-            EndpointStatus::Removed => GONE,
+            EndpointStatus::Removed => REMOVED,
         };
         EntryRef { status, ..self }
     }
 
-    pub fn life(&self) -> EndpointStatus {
+    pub fn endpoint_status(&self) -> EndpointStatus {
         match self.status {
             SERVING => EndpointStatus::Ready,
             DRAINING => EndpointStatus::Draining,
@@ -56,7 +56,7 @@
 }
 
 /// Translates the status of an entry; any unknown one counts as deleted.
-pub fn life(status: &str) -> EndpointStatus {
+pub fn endpoint_status(status: &str) -> EndpointStatus {
     match status {
         "SERVING" => EndpointStatus::Ready,
         "DRAINING" => EndpointStatus::Draining,
@@ -68,7 +68,7 @@
     fn from(entry: &'a Entry) -> EntryRef<'a> {
         let Entry { name, address, zone, kind, group, status, weight, since_ms } = entry;
         let (group, weight, since_ms) = (*group, *weight, *since_ms);
-        EntryRef { name, address, zone, kind, group, status: GONE, weight, since_ms }.with_status(status)
+        EntryRef { name, address, zone, kind, group, status: REMOVED, weight, since_ms }.with_status(status)
     }
 }
 
@@ -159,7 +159,7 @@
     pub fn count_added(&self, has: impl Fn(&str) -> bool) -> usize {
         self.entries
             .iter()
-            .filter(|entry| entry.life() != EndpointStatus::Removed && !has(entry.name))
+            .filter(|entry| entry.endpoint_status() != EndpointStatus::Removed && !has(entry.name))
             .count()
     }
 }
--- a/crates/courier/src/exchange.rs
+++ b/crates/courier/src/exchange.rs
@@ -755,7 +755,7 @@
             }
             let (zone, kind) = places.map_or((0, 0), |(.., zone, kind)| (zone, kind));
             let (address, since, group) = (Address::read(entry.address), entry.since_ms, entry.group);
-            let mut life = entry.life();
+            let mut life = entry.endpoint_status();
             let name = entry.name.as_bytes();
             let endpoint = match self.endpoints.get(name) {
                 None if life == EndpointStatus::Removed => continue,
--- a/crates/courier/src/list_file.rs
+++ b/crates/courier/src/list_file.rs
@@ -64,7 +64,7 @@
     /// Inserts, replaces or removes one entry. Returns whether the list has changed.
     fn apply_entry(&mut self, entry: &EntryRef, packed: &[u8]) -> bool {
         let name = entry.name.as_bytes();
-        if entry.life() == EndpointStatus::Removed {
+        if entry.endpoint_status() == EndpointStatus::Removed {
             return self.remove(name).is_some();
         }
         let hash = self.hasher.hash_one(name);
@@ -87,7 +87,10 @@
         }
         for (entry, packed) in unpack(list.entries.bytes()) {
             let Some(entry) = entry else { return };
-            match before.remove(entry.name.as_bytes()).filter(|_| entry.life() != EndpointStatus::Removed) {
+            match before
+                .remove(entry.name.as_bytes())
+                .filter(|_| entry.endpoint_status() != EndpointStatus::Removed)
+            {
                 Some(held) if *held == *packed => self.insert(held),
                 Some(_) => {
                     self.insert(packed.into());
@@ -99,7 +102,7 @@
         }
         for left in &before.entries {
             let name = std::str::from_utf8(packed_name(left)).unwrap_or_default();
-            changed(Entries::single(&EntryRef::gone(name)).bytes());
+            changed(Entries::single(&EntryRef::removed(name)).bytes());
         }
     }
 
--- a/crates/courier/src/memory.rs
+++ b/crates/courier/src/memory.rs
@@ -225,7 +225,7 @@
 }
 
 /// Loads the file of a folder. `None` if there is none, or none that can be used, which is logged.
-fn loaded(folder: &Path, allowance: u64, now: Time) -> Option<Loaded> {
+fn load_file(folder: &Path, allowance: u64, now: Time) -> Option<Loaded> {
     let path = folder.join(FILE);
     let size = match fs::metadata(&path) {
         Err(e) if e.kind() == io::ErrorKind::NotFound => return None,
@@ -242,7 +242,7 @@
         let bytes = fs::read(&path).map_err(|e| e.to_string());
         bytes.and_then(|bytes| read(&bytes, now).map_err(str::to_string))
     };
-    read.inspect_err(|words| log::warn!("the memory of an earlier process is passed over: {words}")).ok()
+    read.inspect_err(|reason| log::warn!("the memory of an earlier process is passed over: {reason}")).ok()
 }
 
 fn read(bytes: &[u8], now: Time) -> Result<Loaded, &'static str> {
@@ -258,7 +258,7 @@
 
 /// Loads the contents of a folder's file. `None` if there is none, or none that can be used, which is logged.
 pub fn load(folder: &Path, allowance: u64, now: Time) -> Option<Memory> {
-    match loaded(folder, allowance, now)? {
+    match load_file(folder, allowance, now)? {
         Loaded::Whole(memory) => Some(memory),
         Loaded::Packed(list_file::Contents { deployment, saved_at, index, table, .. }) => {
             let entries = table.sorted().into_iter().flat_map(unpack).filter_map(|(entry, _)| entry);
@@ -328,7 +328,7 @@
     /// list stored for another deployment is used all the same.
     pub fn recall(&mut self, known: List, now: Time, accepts: impl Fn(&str) -> bool) -> Update {
         let known = List { snapshot: true, ..known };
-        let loaded = loaded(&self.folder, self.allowance, now);
+        let loaded = load_file(&self.folder, self.allowance, now);
         let is_usable = |kept: &str| accepts(kept) || is_same_deployment(kept, &self.deployment);
         match loaded.filter(|loaded| is_usable(loaded.deployment())) {
             Some(Loaded::Packed(contents)) if contents.index > known.index => {
--- a/crates/courier/src/memory/tests.rs
+++ b/crates/courier/src/memory/tests.rs
@@ -97,8 +97,8 @@
         (swap("\"saved_at\":17", "\"saved_at\":18"), "1", "its time is in the future"),
         (swap("\"saved_at\":17", "\"saved_at\":16"), "1", "its sights of endpoints are invalid"),
     ];
-    for (body, version, words) in rows {
-        assert_eq!(Memory::read(&anew(body.as_bytes(), version), NOW), Err(words), "{body}");
+    for (body, version, reason) in rows {
+        assert_eq!(Memory::read(&anew(body.as_bytes(), version), NOW), Err(reason), "{body}");
     }
 }
 
--- a/crates/courier/src/reader.rs
+++ b/crates/courier/src/reader.rs
@@ -258,7 +258,7 @@
                 Err(e) => {
                     problem = Some(e.to_string());
                     let name = value["name"].as_str();
-                    name.into_iter().for_each(|name| self.entries.push(&EntryRef::gone(name)));
+                    name.into_iter().for_each(|name| self.entries.push(&EntryRef::removed(name)));
                 }
             }
         }
--- a/crates/courier/src/relay/hub.rs
+++ b/crates/courier/src/relay/hub.rs
@@ -84,7 +84,7 @@
 
 fn item(entry: EntryRef) -> Item {
     let text = KeptEntry::from(&entry).to_json();
-    let gone = entry.life() == EndpointStatus::Removed;
+    let gone = entry.endpoint_status() == EndpointStatus::Removed;
     Item { name: entry.name.to_string(), destination: entry.group, text: text.into(), gone }
 }
 
--- a/crates/courier/src/relays.rs
+++ b/crates/courier/src/relays.rs
@@ -115,7 +115,7 @@
             self.is_whole = true;
         }
         for entry in list.entries.iter() {
-            match entry.life() {
+            match entry.endpoint_status() {
                 EndpointStatus::Removed => self.content.remove(entry.name),
                 EndpointStatus::Ready | EndpointStatus::Draining => {
                     self.content.insert(entry.name, &KeptEntry::from(&entry).to_json())
--- a/crates/courier/src/settings_changes.rs
+++ b/crates/courier/src/settings_changes.rs
@@ -85,11 +85,11 @@
                     return Err(refused);
                 }
             };
-            let words = rejection(whole.as_ref(), faults);
-            log::warn!("{words}");
+            let message = rejection(whole.as_ref(), faults);
+            log::warn!("{message}");
             let lists = list_deployments(&config, kept.lists);
             let in_force = newest.map(|stamp| (stamp.number, kept.since));
-            let versions = Versions { in_force, turned_down: Some(words) };
+            let versions = Versions { in_force, turned_down: Some(message) };
             let whole = Some(kept.whole);
             Ok(Start {
                 config,
@@ -159,8 +159,8 @@
     let mut faults = faults(&read);
     if let (Some(running), Some(whole)) = (&state.whole, &whole) {
         let needs_start = running.needs_start(whole);
-        for (place, words) in needs_start {
-            faults.entry(place).or_insert(words);
+        for (place, reason) in needs_start {
+            faults.entry(place).or_insert(reason);
         }
     }
     let runs_with = state.versions.in_force.is_some();
@@ -190,9 +190,9 @@
         (Step::TurnDown(faults), ..) => faults,
         (_, read, _) => return Some(read.map(|config| config.discovery)),
     };
-    let words = rejection(whole.as_ref(), faults);
-    log::warn!("{words}");
-    state.versions.turned_down = Some(words);
+    let message = rejection(whole.as_ref(), faults);
+    log::warn!("{message}");
+    state.versions.turned_down = Some(message);
     exchange.versions = state.versions.clone();
     None
 }
@@ -205,14 +205,14 @@
     unsaved: Option<Kept>,
     (folder, allowance): (&Path, u64),
 ) -> Result<u64, Faults> {
-    let only = |place: &str, words: String| Faults::from([(place.to_string(), words)]);
+    let single_fault = |place: &str, reason: String| Faults::from([(place.to_string(), reason)]);
     let classes = exchange.numbered(&config.decoded);
-    let classes = classes.map_err(|(place, words)| only(place, words.to_string()))?;
+    let classes = classes.map_err(|(place, reason)| single_fault(place, reason.to_string()))?;
     let (Some(number), Some(unsaved)) = (config.version, unsaved) else {
-        return Err(only("version", "is missing".to_string()));
+        return Err(single_fault("version", "is missing".to_string()));
     };
     kept_settings::save(folder, allowance, &unsaved)
-        .map_err(|e| only("ROUTER_STATE", format!("cannot keep it: {e}")))?;
+        .map_err(|e| single_fault("ROUTER_STATE", format!("cannot keep it: {e}")))?;
     exchange.adopt(config.decoded, classes);
     Ok(number)
 }
