--- a/crates/courier/src/schedule.rs
+++ b/crates/courier/src/schedule.rs
@@ -9,9 +9,9 @@
 //! None of these requests has to wait for anything else, so the sum contains no waiting time.
 //!
 //! In push mode, an agent on this machine answers at once and at no cost with the last list it was sent, and stays silent
-//! while discovery is down. Its list must be held as soon as it answers, so it is asked in quick succession. In ask
-//! mode, requests cost something and may be turned down: pauses grow and are randomized so that couriers do not ask in
-//! step.
+//! while discovery is down. Its list must be held as soon as it answers, so it is asked in quick succession. In ask mode,
+//! couriers poll discovery itself, where requests cost something and may be turned down: pauses grow, and are randomized
+//! so that couriers do not send requests in step.
 //!
 //! A long list, of a few megabytes, may take longer than other requests as long as data keeps arriving. A list over a
 //! limit of the configuration is not requested in a loop: a watch is tried next, which is enough to learn of changes,
@@ -296,8 +296,8 @@
         step / 2 + (step as f64 / 2.0 * chance) as Time
     }
 
-    /// Exponential backoff with jitter, so that couriers do not ask in step: between half and all of a step that doubles,
-    /// less the time that the request overran.
+    /// Exponential backoff with jitter, so that couriers do not send requests in step: between half and all of a step that
+    /// doubles, less the time that the request overran.
     fn retry_pause(&mut self, overrun: Time, chance: f64) -> Time {
         let (first, max) = RETRY_PAUSE[usize::from(self.push)];
         let step = (first << self.failures.min(8)).min(max).saturating_sub(overrun).max(first);
