--- a/crates/courier/src/settings_changes.rs
+++ b/crates/courier/src/settings_changes.rs
@@ -89,7 +89,7 @@
             log::warn!("{message}");
             let lists = list_deployments(&config, kept.lists);
             let in_force = newest.map(|stamp| (stamp.number, kept.since));
-            let versions = Versions { in_force, turned_down: Some(message) };
+            let versions = Versions { in_force, rejected: Some(message) };
             let whole = Some(kept.whole);
             Ok(Start {
                 config,
@@ -108,7 +108,7 @@
                 log::warn!("settings without a version are taken; version {} was held before", stamp.number);
             }
             let versions =
-                Versions { in_force: config.version.map(|number| (number, since)), turned_down: None };
+                Versions { in_force: config.version.map(|number| (number, since)), rejected: None };
             let newest = whole.as_ref().and_then(Whole::stamp).or(newest);
             Ok(Start {
                 config,
@@ -179,7 +179,7 @@
                         Some(before) => whole.after(before),
                         None => whole,
                     });
-                    state.versions = Versions { in_force: Some((number, now)), turned_down: None };
+                    state.versions = Versions { in_force: Some((number, now)), rejected: None };
                     exchange.versions = state.versions.clone();
                     log::info!("settings version {number} are in force");
                     return Some(Ok(discovery));
@@ -192,7 +192,7 @@
     };
     let message = rejection(whole.as_ref(), faults);
     log::warn!("{message}");
-    state.versions.turned_down = Some(message);
+    state.versions.rejected = Some(message);
     exchange.versions = state.versions.clone();
     None
 }
@@ -206,14 +206,14 @@
     (folder, allowance): (&Path, u64),
 ) -> Result<u64, Faults> {
     let single_fault = |place: &str, reason: String| Faults::from([(place.to_string(), reason)]);
-    let classes = exchange.numbered(&config.decoded);
+    let classes = exchange.plan_classes(&config.decoded);
     let classes = classes.map_err(|(place, reason)| single_fault(place, reason.to_string()))?;
     let (Some(number), Some(unsaved)) = (config.version, unsaved) else {
         return Err(single_fault("version", "is missing".to_string()));
     };
     kept_settings::save(folder, allowance, &unsaved)
         .map_err(|e| single_fault("ROUTER_STATE", format!("cannot keep it: {e}")))?;
-    exchange.adopt(config.decoded, classes);
+    exchange.apply_settings(config.decoded, classes);
     Ok(number)
 }
 
@@ -231,7 +231,7 @@
         SettingsState {
             whole,
             newest,
-            versions: Versions { in_force, turned_down: None },
+            versions: Versions { in_force, rejected: None },
             ..SettingsState::default()
         }
     }
