--- a/crates/courier/src/discovery.rs
+++ b/crates/courier/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Follows the list of endpoints: the whole list, then a watch on its changes. When to ask, and when what was
-//! asked is broken, is the clock's to say (`told`).
+//! Follows the list of endpoints at discovery or at a relay: requests the whole list, then watches for changes to it.
+//! When a request is sent and when one counts as failed is decided by `schedule`.
 
 use std::cell::{Cell, RefCell};
 use std::fmt;
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
-use hyper::{Request, StatusCode};
+use hyper::StatusCode;
 use meadowhold::interface::{EndpointStatus, Time};
 use meadowhold_catalog::content::Content;
 use serde::de::Error as _;
@@ -23,11 +23,12 @@
 use crate::entries::{self, Update};
 use crate::exchange::Clock;
 use crate::platform::Connection;
-use crate::reader::{Fault, Limits, Reader};
-use crate::told::{Ask, Effect, Held, Input, Told, Verdict, SILENCE};
+use crate::reader::{Limits, ReadError, Reader};
+use crate::schedule::{Effect, HeldVersion, Input, Request, Schedule, Verdict, WATCH_TIMEOUT};
 
-/// A list of which more than this has come may take its time: shorter ones have the time of any ask.
-const SHORT: usize = 4 << 20;
+/// A list is long once more bytes of it than this have arrived. It then has `Input::LongListData`'s time-out; a shorter
+/// one has that of any other request.
+const LONG_LIST: usize = 4 << 20;
 
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct List {
@@ -35,21 +36,21 @@
     pub index: u64,
     #[serde(default)]
     pub snapshot: bool,
-    #[serde(default, deserialize_with = "readable")]
+    #[serde(default, deserialize_with = "readable_entries")]
     pub endpoints: Vec<Entry>,
 }
 
-/// Guards against one entry that cannot be read and would cost all the others: it counts as not listed, also if it
-/// is one of changes and was listed before. One at a time: all of a long list as values would take many times its
-/// text.
-fn readable<'de, D: Deserializer<'de>>(list: D) -> Result<Vec<Entry>, D::Error> {
+/// Skips entries that cannot be read, so that one of them does not make the whole list unusable. Such an entry counts as
+/// deleted if it has a name, also where it is part of a change and was listed before. Entries are decoded one at a time:
+/// a long list held as JSON values takes many times the memory of its text.
+fn readable_entries<'de, D: Deserializer<'de>>(list: D) -> Result<Vec<Entry>, D::Error> {
     struct Entries;
 
     impl<'de> Visitor<'de> for Entries {
         type Value = Vec<Entry>;
 
         fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
-            f.write_str("entries of the list")
+            f.write_str("an array of entries")
         }
 
         fn visit_seq<A: SeqAccess<'de>>(self, mut list: A) -> Result<Vec<Entry>, A::Error> {
@@ -58,8 +59,8 @@
                 match Entry::deserialize(&value) {
                     Ok(entry) => entries.push(entry),
                     Err(e) => {
-                        log::warn!("an entry of the list: {e}");
-                        entries.extend(value["name"].as_str().map(Entry::gone));
+                        log::warn!("an entry of the list cannot be read: {e}");
+                        entries.extend(value["name"].as_str().map(Entry::removed));
                     }
                 }
             }
@@ -89,130 +90,141 @@
 }
 
 impl Entry {
-    fn gone(name: &str) -> Entry {
+    fn removed(name: &str) -> Entry {
         let (name, text) = (name.to_string(), String::new);
         let (address, zone, kind, status) = (text(), text(), text(), text());
         Entry { name, address, zone, kind, group: 0, status, weight: 0.0, since_ms: 0 }
     }
 
-    pub fn life(&self) -> EndpointStatus {
-        entries::life(&self.status)
+    pub fn endpoint_status(&self) -> EndpointStatus {
+        entries::endpoint_status(&self.status)
     }
 }
 
-/// Who hears of the list: a courier's exchange, or whatever else keeps a list.
+/// Receives the list: a courier's exchange, or anything else that holds one.
 pub trait Listener {
-    /// The whole list, or changes to it, taken up as far as the version held allows.
-    fn listed(&mut self, list: &Update);
+    /// Applies a whole list or changes to the list, which the follower has accepted by their version.
+    fn apply_update(&mut self, list: &Update);
 
-    /// Entries that it would hold with these changes.
-    fn count_with(&self, changes: &Update) -> usize;
+    /// The number of entries that it would hold after these changes.
+    fn count_after(&self, changes: &Update) -> usize;
 
-    /// Nothing may begin by the list until `release`: it was not asked for yet.
-    fn hold(&mut self);
+    /// No calls may start until `release_calls`, because discovery has not been asked for the list yet.
+    fn hold_calls(&mut self);
 
-    fn release(&mut self);
+    fn release_calls(&mut self);
 
-    /// The content that is held, where it is known; a source that checks it tells only what has changed since.
+    /// Version and hash of the list that is held, if known. A source that recognizes them sends only what has changed
+    /// since.
     fn held_content(&self) -> Option<Content> {
         None
     }
 }
 
-/// When something of a list was heard last, for whoever wants to know whether its source lives.
+/// When a source last sent something, shared with those that need to know whether it is alive.
 #[derive(Clone, Default)]
 pub struct LastHeard(Rc<Cell<Option<Time>>>);
 
 impl LastHeard {
-    /// Whether the list or watch that is out was heard within the time in which a healthy one says something.
+    /// Whether the current request has received data within the time in which a healthy source sends some.
     pub fn is_recent(&self, now: Time) -> bool {
-        self.0.get().is_some_and(|at| now < at + SILENCE)
+        self.0.get().is_some_and(|at| now < at + WATCH_TIMEOUT)
     }
 
     fn note(&self, now: Time, input: Input, effect: Effect) {
         match input {
-            Input::Head | Input::More | Input::Word | Input::Taken | Input::Older | Input::Gap => {
+            Input::Headers
+            | Input::LongListData
+            | Input::WatchData
+            | Input::ListTaken
+            | Input::OlderList
+            | Input::VersionGap => {
                 self.0.set(Some(now));
             }
-            Input::Ended | Input::Refused | Input::Unreadable | Input::TooLong | Input::Moved => {
+            Input::Closed
+            | Input::Rejected
+            | Input::Unreadable
+            | Input::OverLimit
+            | Input::AddressChanged => {
                 self.0.set(None);
             }
-            Input::Due if effect == Effect::Drop => self.0.set(None),
-            Input::Due => {}
+            Input::Timer if effect == Effect::Cancel => self.0.set(None),
+            Input::Timer => {}
         }
     }
 }
 
-/// What comes of an ask.
+/// What the task of a request reports.
 enum Event {
-    Head,
+    Headers,
     Bytes(Bytes),
-    /// The answer is over.
-    Ended,
+    /// The response body is complete.
+    End,
     Failed(io::Error),
     Status(u16),
 }
 
-/// Carries one ask out; it is over, and its connection closed, when it is dropped.
-async fn ask(address: SocketAddr, path: String, out: &mpsc::Sender<Event>) -> io::Result<Event> {
+/// Sends one request and reports its response. Dropping the future cancels the request and closes its connection.
+async fn send_request(address: SocketAddr, path: String, out: &mpsc::Sender<Event>) -> io::Result<Event> {
     let mut connection = Connection::open(address).await?;
-    let request = Request::get(path).body(Full::default()).map_err(io::Error::other)?;
+    let request = hyper::Request::get(path).body(Full::default()).map_err(io::Error::other)?;
     let answer = connection.send(request).await?;
     if answer.status() != StatusCode::OK {
         return Ok(Event::Status(answer.status().as_u16()));
     }
-    let _ = out.send(Event::Head).await;
+    let _ = out.send(Event::Headers).await;
     let mut body = answer.into_body();
     while let Some(frame) = body.frame().await {
         if let Ok(bytes) = frame.map_err(io::Error::other)?.into_data() {
             let _ = out.send(Event::Bytes(bytes)).await;
         }
     }
-    Ok(Event::Ended)
+    Ok(Event::End)
 }
 
 struct Follower<L> {
     listener: Rc<RefCell<L>>,
-    /// The source is a relay: which list is taken is the listener's to say.
+    /// The source is a relay: the listener, not `version`, decides which whole list is accepted.
     is_relay: bool,
     last_heard: LastHeard,
     address: watch::Receiver<SocketAddr>,
     clock: Clock,
-    told: Told,
-    held: Held,
-    chance: fastrand::Rng,
+    schedule: Schedule,
+    version: HeldVersion,
+    rng: fastrand::Rng,
     limits: Limits,
     reader: Reader,
-    /// The whole list, until its answer has ended.
-    list: Option<Update>,
-    /// The present ask is for the whole list, or for a watch of which nothing was read.
-    asked: Ask,
-    first: bool,
-    /// The task of the present ask; dropped with it.
+    /// The whole list once it is parsed, until its response has ended.
+    whole_list: Option<Update>,
+    request: Request,
+    /// Nothing of the current response has been applied yet.
+    is_first: bool,
+    /// The task of the current request; dropping it cancels the request.
     task: JoinSet<()>,
     events: Option<mpsc::Receiver<Event>>,
 }
 
 impl<L: Listener> Follower<L> {
-    fn begin(&mut self, what: Ask) {
-        self.drop_ask();
-        (self.asked, self.first) = (what, true);
-        let path = match what {
-            Ask::Whole => "/catalog/members".to_string(),
-            Ask::Watch => self.watch_path(),
+    fn send(&mut self, request: Request) {
+        self.cancel();
+        (self.request, self.is_first) = (request, true);
+        let path = match request {
+            Request::List => "/catalog/members".to_string(),
+            Request::Watch => self.watch_path(),
         };
         let address = *self.address.borrow();
         let (out, events) = mpsc::channel(1);
         self.events = Some(events);
         self.task.spawn_local(async move {
-            let end = ask(address, path, &out).await.unwrap_or_else(Event::Failed);
+            let end = send_request(address, path, &out).await.unwrap_or_else(Event::Failed);
             let _ = out.send(end).await;
         });
     }
 
-    /// A relay is told what is held under the index, where just that is known.
+    /// The path of a watch for changes after the version that is held. A relay also gets the content hash, if it is known
+    /// for exactly this version.
     fn watch_path(&self) -> String {
-        let index = self.held.index;
+        let index = self.version.index;
         let path = format!("/catalog/members?watch=1&after={index}");
         let content = self.listener.borrow().held_content();
         match content.filter(|content| self.is_relay && content.index == index) {
@@ -221,155 +233,161 @@
         }
     }
 
-    fn drop_ask(&mut self) {
+    fn cancel(&mut self) {
         self.task = JoinSet::new();
         self.events = None;
         self.reader = Reader::new(self.limits);
-        self.list = None;
+        self.whole_list = None;
     }
 
-    /// Takes a list up as far as the version held allows.
-    fn apply(&mut self, list: &Update) -> Result<Verdict, Fault> {
+    /// Passes a list on to the listener if its version is accepted.
+    fn apply(&mut self, list: &Update) -> Result<Verdict, ReadError> {
         let (now, whole) = (self.clock.now(), list.whole);
-        // Guards against changes that add up to more than a whole list may have.
-        if !whole && self.listener.borrow().count_with(list) > self.limits.entries {
-            return Err(self.limits.too_many());
+        // Changes must not grow the list past the limit that holds for a whole list.
+        if !whole && self.listener.borrow().count_after(list) > self.limits.entries {
+            return Err(self.limits.too_many_entries());
         }
-        let first = std::mem::take(&mut self.first);
+        let first = std::mem::take(&mut self.is_first);
         if whole && self.is_relay {
-            // Guards against an older list that the listener never hears of: it would take what changed since that
-            // list for what changed since its own.
-            self.held = Held::new(0);
+            // Every whole list of a relay is passed on to the listener, which judges it itself. If an older one were
+            // ignored here, the listener would apply the changes that follow it to its own newer list.
+            self.version = HeldVersion::new(0);
         }
-        let verdict = self.held.judge(now, list.index, whole, list.entries.len(), first);
+        let verdict = self.version.judge(now, list.index, whole, list.entries.len(), first);
         match verdict {
-            Verdict::Take | Verdict::TakeAndAsk => self.listener.borrow_mut().listed(list),
-            Verdict::Pass | Verdict::PassAndAsk | Verdict::Again => {
-                log::debug!("a list of version {} came while {} is held", list.index, self.held.index);
+            Verdict::Accept | Verdict::AcceptAndRefetch => self.listener.borrow_mut().apply_update(list),
+            Verdict::Ignore | Verdict::IgnoreAndRefetch | Verdict::IgnoreAndRetry => {
+                log::debug!("a list of version {} came while {} is held", list.index, self.version.index);
             }
         }
         Ok(verdict)
     }
 
-    /// Reads what a watch says: one object after another, in one line or in several. A part of one is no word. Guards
-    /// against an object that comes byte by byte and keeps a watch open of which nothing is heard.
-    fn read_watch(&mut self, bytes: &[u8]) -> Result<Input, Fault> {
+    /// Reads data of a watch: a sequence of JSON objects, each on one line or several. Only a complete object or an empty
+    /// line counts as a sign of life; otherwise an object that arrives byte by byte would keep a useless watch open.
+    fn read_watch(&mut self, bytes: &[u8]) -> Result<Input, ReadError> {
         let mut reader = std::mem::take(&mut self.reader);
-        let mut input = Input::Head;
-        let blank = reader.read(bytes, |list| {
+        let mut input = Input::Headers;
+        let separated = reader.read(bytes, |list| {
             match self.apply(&list)? {
-                Verdict::TakeAndAsk | Verdict::PassAndAsk => input = Input::Gap,
-                Verdict::Take | Verdict::Pass | Verdict::Again if input == Input::Gap => {}
-                Verdict::Take | Verdict::Pass | Verdict::Again => input = Input::Word,
+                Verdict::AcceptAndRefetch | Verdict::IgnoreAndRefetch => input = Input::VersionGap,
+                Verdict::Accept | Verdict::Ignore | Verdict::IgnoreAndRetry if input == Input::VersionGap => {
+                }
+                Verdict::Accept | Verdict::Ignore | Verdict::IgnoreAndRetry => input = Input::WatchData,
             }
             Ok(())
         })?;
         self.reader = reader;
-        // An empty line, of one that has been read or of its own.
-        Ok(if blank && input == Input::Head { Input::Word } else { input })
+        // An empty line is a sign of life too: a source without changes sends one every 2 s.
+        Ok(if separated && input == Input::Headers { Input::WatchData } else { input })
     }
 
-    /// Reads of a whole list what has come; it counts once the answer has ended.
-    fn read_part(&mut self, bytes: &[u8]) -> Result<Input, Fault> {
-        let (reader, held) = (&mut self.reader, &mut self.list);
+    /// Reads data of a whole list. The list is applied once the response has ended (`finish_list`).
+    fn read_list(&mut self, bytes: &[u8]) -> Result<Input, ReadError> {
+        let (reader, held) = (&mut self.reader, &mut self.whole_list);
         reader.read(bytes, |list| match held.replace(list) {
             None => Ok(()),
-            Some(_) => Err(serde_json::Error::custom("something follows the list").into()),
+            Some(_) => Err(serde_json::Error::custom("unexpected data after the list").into()),
         })?;
-        Ok(Input::Head)
+        Ok(Input::Headers)
     }
 
-    fn read_whole(&mut self) -> Result<Input, Fault> {
-        let unreadable = |words| Err(serde_json::Error::custom(words).into());
-        let Some(list) = self.list.take().filter(|_| self.reader.pending() == 0) else {
-            return unreadable("the list is cut off");
+    fn finish_list(&mut self) -> Result<Input, ReadError> {
+        let unreadable = |message| Err(serde_json::Error::custom(message).into());
+        let Some(list) = self.whole_list.take().filter(|_| self.reader.pending() == 0) else {
+            return unreadable("the list is truncated");
         };
-        // Guards against changes, or an error in an object, that would stand for all that there is.
+        // Changes, or an error reported as a JSON object, must not replace the whole list.
         if !list.whole {
-            return unreadable("the answer is no whole list");
+            return unreadable("the answer is not a whole list");
         }
-        Ok(if self.apply(&list)? == Verdict::Again { Input::Older } else { Input::Taken })
+        Ok(if self.apply(&list)? == Verdict::IgnoreAndRetry { Input::OlderList } else { Input::ListTaken })
     }
 
-    /// What an event means to the clock, and what of it is news for the log.
+    /// Translates an event for the schedule, with a description for the log.
     fn read(&mut self, event: Event) -> (Input, String) {
-        let was_long = self.reader.pending() > SHORT;
-        let (input, words) = self.read_event(event);
+        let was_long = self.reader.pending() > LONG_LIST;
+        let (input, reason) = self.read_event(event);
         match input {
-            // Guards against many megabytes that are of no use and would be read again and again.
-            Input::Unreadable | Input::Ended if was_long => {
-                (Input::TooLong, format!("a long list was spoilt: {words}"))
+            // A long list that turns out to be unusable gets the longer pauses of a list over a limit, so that many
+            // megabytes are not read in vain again and again.
+            Input::Unreadable | Input::Closed if was_long => {
+                (Input::OverLimit, format!("a long list was unusable: {reason}"))
             }
-            Input::Head if self.reader.pending() > SHORT => (Input::More, words),
-            _ => (input, words),
+            Input::Headers if self.reader.pending() > LONG_LIST => (Input::LongListData, reason),
+            _ => (input, reason),
         }
     }
 
     fn read_event(&mut self, event: Event) -> (Input, String) {
         let read = match event {
-            Event::Head => Ok(Input::Head),
-            Event::Bytes(bytes) if self.asked == Ask::Watch => self.read_watch(&bytes),
-            Event::Bytes(bytes) => self.read_part(&bytes),
-            Event::Ended if self.asked == Ask::Whole => self.read_whole(),
-            Event::Ended => return (Input::Ended, "the watch has ended".to_string()),
-            Event::Status(status) => return (Input::Refused, format!("discovery answers {status}")),
+            Event::Headers => Ok(Input::Headers),
+            Event::Bytes(bytes) if self.request == Request::Watch => self.read_watch(&bytes),
+            Event::Bytes(bytes) => self.read_list(&bytes),
+            Event::End if self.request == Request::List => self.finish_list(),
+            Event::End => return (Input::Closed, "the watch was closed by its source".to_string()),
+            Event::Status(status) => return (Input::Rejected, format!("discovery answers {status}")),
             Event::Failed(e) if e.kind() == io::ErrorKind::ConnectionRefused => {
-                return (Input::Refused, e.to_string());
+                return (Input::Rejected, e.to_string());
             }
-            Event::Failed(e) => return (Input::Ended, e.to_string()),
+            Event::Failed(e) => return (Input::Closed, e.to_string()),
         };
         match read {
-            Ok(Input::Gap) => (Input::Gap, "changes are missing".to_string()),
-            Ok(Input::Older) => (Input::Older, "the list is from before what is held".to_string()),
+            Ok(Input::VersionGap) => {
+                (Input::VersionGap, "changes of earlier versions are missing".to_string())
+            }
+            Ok(Input::OlderList) => {
+                (Input::OlderList, "the list is older than the one that is held".to_string())
+            }
             Ok(input) => (input, String::new()),
-            Err(Fault::Unreadable(e)) => (Input::Unreadable, e.to_string()),
-            Err(Fault::TooLong(words)) => (Input::TooLong, words),
+            Err(ReadError::Unreadable(e)) => (Input::Unreadable, e.to_string()),
+            Err(ReadError::OverLimit(reason)) => (Input::OverLimit, reason),
         }
     }
 
     async fn run(mut self) {
         loop {
-            let due = self.clock.instant(self.told.due());
-            let (input, words) = tokio::select! {
+            let due = self.clock.instant(self.schedule.due());
+            let (input, reason) = tokio::select! {
                 biased;
-                () = moved(&mut self.address) => (Input::Moved, String::new()),
-                event = next(&mut self.events) => self.read(event),
-                () = tokio::time::sleep_until(due.into()) => (Input::Due, "discovery is silent".to_string()),
+                () = address_changed(&mut self.address) => (Input::AddressChanged, String::new()),
+                event = next_event(&mut self.events) => self.read(event),
+                () = tokio::time::sleep_until(due.into()) => (Input::Timer, "discovery is silent".to_string()),
             };
-            let (now, failed) = (self.clock.now(), self.told.failed_in_row());
-            let too_long = self.told.too_long_in_row();
-            if input == Input::Moved {
-                self.held.moved(self.told.passes_lower_until(now));
+            let (now, failed) = (self.clock.now(), self.schedule.consecutive_failures());
+            let too_long = self.schedule.consecutive_over_limit();
+            if input == Input::AddressChanged {
+                self.version.address_changed(self.schedule.ignores_lower_until(now));
             }
-            let effect = self.told.put(now, input, self.chance.f64());
+            let effect = self.schedule.handle(now, input, self.rng.f64());
             self.last_heard.note(now, input, effect);
             match effect {
                 Effect::Nothing => {}
-                Effect::Begin(what) => self.begin(what),
-                Effect::Drop => self.drop_ask(),
+                Effect::Send(request) => self.send(request),
+                Effect::Cancel => self.cancel(),
             }
-            match (too_long, self.told.too_long_in_row()) {
-                (0, 1) => log::warn!("{words}: the list that is held stays in force"),
-                (before, after) if after > before => log::debug!("still {words}"),
+            match (too_long, self.schedule.consecutive_over_limit()) {
+                (0, 1) => log::warn!("{reason}: the list that is held stays in force"),
+                (before, after) if after > before => log::debug!("still {reason}"),
                 _ => {}
             }
-            // The first failure in a row is worth a line, the others are not.
-            match (failed, self.told.failed_in_row()) {
-                (0, 1) => log::warn!("the list cannot be followed: {words}"),
+            // Only the first failure in a row is logged as a warning.
+            match (failed, self.schedule.consecutive_failures()) {
+                (0, 1) => log::warn!("the list cannot be followed: {reason}"),
                 (before, after) if after > before => {
-                    log::debug!("the list still cannot be followed: {words}")
+                    log::debug!("the list still cannot be followed: {reason}")
                 }
                 _ => {}
             }
-            if self.told.may_begin() {
-                self.listener.borrow_mut().release();
+            if self.schedule.allows_calls() {
+                self.listener.borrow_mut().release_calls();
             }
         }
     }
 }
 
-/// What comes next of an ask, if one is out.
-async fn next(events: &mut Option<mpsc::Receiver<Event>>) -> Event {
+/// The next event of the current request; waits forever if there is none.
+async fn next_event(events: &mut Option<mpsc::Receiver<Event>>) -> Event {
     let event = match events {
         Some(events) => events.recv().await,
         None => std::future::pending().await,
@@ -378,14 +396,14 @@
         Some(event) => event,
         None => {
             *events = None;
-            Event::Ended
+            Event::End
         }
     }
 }
 
-/// Follows the list from the version that is held. `push`: lists are pushed to an agent, so calls are held until
-/// it was asked, for a quarter of a second at most. `limits` are those of one list,
-/// and `seed` spreads the couriers' asks.
+/// Follows the list from the version that is held. With `push`, lists are pushed to an agent on this machine, and calls
+/// are held until it was asked, for a quarter of a second at most. `limits` apply to one list; `seed` makes couriers
+/// pause differently between requests.
 pub fn follow<L: Listener>(
     listener: Rc<RefCell<L>>,
     clock: Clock,
@@ -394,16 +412,16 @@
     push: bool,
     (limits, seed): (Limits, u64),
 ) -> impl Future<Output = ()> {
-    let told = Told::new(push, clock.now());
-    // Here and not in the task, before which another might begin calls.
-    if !told.may_begin() {
-        listener.borrow_mut().hold();
+    let schedule = Schedule::new(push, clock.now());
+    // Not in the returned future: another task might start calls before it is first polled.
+    if !schedule.allows_calls() {
+        listener.borrow_mut().hold_calls();
     }
-    follower(listener, clock, address, (told, Held::new(index)), (limits, seed)).run()
+    follower(listener, clock, address, (schedule, HeldVersion::new(index)), (limits, seed)).run()
 }
 
-/// Follows the list at a relay: from the content that is held, where the relay checks it, or else from the whole list.
-/// What is heard is noted in `last_heard`.
+/// Follows the list at a relay: with a watch from the content that is held, which the relay compares by its hash, or else
+/// from the whole list. Records in `last_heard` when data arrived.
 pub fn follow_relay<L: Listener>(
     listener: Rc<RefCell<L>>,
     clock: Clock,
@@ -414,8 +432,8 @@
 ) -> impl Future<Output = ()> {
     let now = clock.now();
     let start = match from {
-        Some(content) => (Told::resuming(now), Held::new(content.index)),
-        None => (Told::new(false, now), Held::new(0)),
+        Some(content) => (Schedule::resuming(now), HeldVersion::new(content.index)),
+        None => (Schedule::new(false, now), HeldVersion::new(0)),
     };
     let follower = follower(listener, clock, address, start, limits);
     Follower { is_relay: true, last_heard, ..follower }.run()
@@ -425,7 +443,7 @@
     listener: Rc<RefCell<L>>,
     clock: Clock,
     address: watch::Receiver<SocketAddr>,
-    (told, held): (Told, Held),
+    (schedule, version): (Schedule, HeldVersion),
     (limits, seed): (Limits, u64),
 ) -> Follower<L> {
     Follower {
@@ -434,23 +452,23 @@
         last_heard: LastHeard::default(),
         address,
         clock,
-        told,
-        held,
-        chance: fastrand::Rng::with_seed(seed),
+        schedule,
+        version,
+        rng: fastrand::Rng::with_seed(seed),
         limits,
         reader: Reader::new(limits),
-        list: None,
-        asked: Ask::Whole,
-        first: true,
+        whole_list: None,
+        request: Request::List,
+        is_first: true,
         task: JoinSet::new(),
         events: None,
     }
 }
 
-/// Done when another address has been given.
-pub async fn moved(address: &mut watch::Receiver<SocketAddr>) {
+/// Completes when the address has changed.
+pub async fn address_changed(address: &mut watch::Receiver<SocketAddr>) {
     if address.changed().await.is_err() {
-        // Nobody is left to give one.
+        // The sender is gone, so the address cannot change any more.
         std::future::pending().await
     }
 }
--- a/crates/courier/src/entries.rs
+++ b/crates/courier/src/entries.rs
@@ -1,15 +1,15 @@
-//! The list's entries as they are held while a list comes, and kept on file: packed one after the other, about fifty
-//! bytes each.
+//! Compact entries of the list: serialized with postcard one after the other, about fifty bytes each. This is their form
+//! while a list is received and in the list file.
 
 use meadowhold::interface::EndpointStatus;
 use serde::{Deserialize, Serialize};
 
 use crate::discovery::{Entry, List};
 
-/// An entry, by reference into where it is packed.
+/// An entry that borrows its texts, mostly from packed bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Listing<'a> {
-    /// First, so that a packed entry can be found by its name.
+pub struct EntryRef<'a> {
+    /// The first field, so that `packed_name` can read it without decoding the rest.
     pub name: &'a str,
     pub address: &'a str,
     pub zone: &'a str,
@@ -20,25 +20,25 @@
     pub since_ms: u64,
 }
 
-const GONE: u8 = 0;
+const REMOVED: u8 = 0;
 const SERVING: u8 = 1;
 const DRAINING: u8 = 2;
 
-impl<'a> Listing<'a> {
-    pub fn gone(name: &'a str) -> Listing<'a> {
-        Listing { name, ..Listing::default() }
+impl<'a> EntryRef<'a> {
+    pub fn removed(name: &'a str) -> EntryRef<'a> {
+        EntryRef { name, ..EntryRef::default() }
     }
 
-    pub fn with_status(self, status: &str) -> Listing<'a> {
-        let status = match life(status) {
+    pub fn with_status(self, status: &str) -> EntryRef<'a> {
+        let status = match endpoint_status(status) {
             EndpointStatus::Ready => SERVING,
             EndpointStatus::Draining => DRAINING,
-            EndpointStatus::Removed => GONE,
+            EndpointStatus::Removed => REMOVED,
         };
-        Listing { status, ..self }
+        EntryRef { status, ..self }
     }
 
-    pub fn life(&self) -> EndpointStatus {
+    pub fn endpoint_status(&self) -> EndpointStatus {
         match self.status {
             SERVING => EndpointStatus::Ready,
             DRAINING => EndpointStatus::Draining,
@@ -55,8 +55,8 @@
     }
 }
 
-/// What the list's word for an endpoint's state means.
-pub fn life(status: &str) -> EndpointStatus {
+/// Translates the status of an entry; any unknown one counts as deleted.
+pub fn endpoint_status(status: &str) -> EndpointStatus {
     match status {
         "SERVING" => EndpointStatus::Ready,
         "DRAINING" => EndpointStatus::Draining,
@@ -64,15 +64,15 @@
     }
 }
 
-impl<'a> From<&'a Entry> for Listing<'a> {
-    fn from(entry: &'a Entry) -> Listing<'a> {
+impl<'a> From<&'a Entry> for EntryRef<'a> {
+    fn from(entry: &'a Entry) -> EntryRef<'a> {
         let Entry { name, address, zone, kind, group, status, weight, since_ms } = entry;
         let (group, weight, since_ms) = (*group, *weight, *since_ms);
-        Listing { name, address, zone, kind, group, status: GONE, weight, since_ms }.with_status(status)
+        EntryRef { name, address, zone, kind, group, status: REMOVED, weight, since_ms }.with_status(status)
     }
 }
 
-/// Entries in the order in which they were listed.
+/// Packed entries in the order in which they were listed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Entries {
     bytes: Vec<u8>,
@@ -80,21 +80,20 @@
 }
 
 impl Entries {
-    pub fn push(&mut self, entry: &Listing) {
-        // Into a vector of bytes nothing of this kind can fail.
+    pub fn push(&mut self, entry: &EntryRef) {
+        // Writing to a vector cannot fail.
         if postcard::to_io(entry, &mut self.bytes).is_ok() {
             self.count += 1;
         }
     }
 
-    /// One entry alone.
-    pub fn of(entry: &Listing) -> Entries {
+    pub fn single(entry: &EntryRef) -> Entries {
         let mut one = Entries::default();
         one.push(entry);
         one
     }
 
-    /// One that is packed already.
+    /// Appends an entry that is already packed.
     pub fn push_packed(&mut self, packed: &[u8]) {
         self.bytes.extend_from_slice(packed);
         self.count += 1;
@@ -112,20 +111,20 @@
         &self.bytes
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = Listing<'_>> {
-        packed(&self.bytes).map_while(|(entry, _)| entry)
+    pub fn iter(&self) -> impl Iterator<Item = EntryRef<'_>> {
+        unpack(&self.bytes).map_while(|(entry, _)| entry)
     }
 }
 
-/// The entries in these bytes, each with its own bytes; `None` at the first place where there is none, and then no more.
-pub fn packed(bytes: &[u8]) -> impl Iterator<Item = (Option<Listing<'_>>, &[u8])> {
+/// Decodes packed entries, each with its own bytes. Ends after the first one that cannot be decoded, which is `None`.
+pub fn unpack(bytes: &[u8]) -> impl Iterator<Item = (Option<EntryRef<'_>>, &[u8])> {
     let mut rest = bytes;
     std::iter::from_fn(move || {
         if rest.is_empty() {
             return None;
         }
         let before = rest;
-        match postcard::take_from_bytes::<Listing>(before) {
+        match postcard::take_from_bytes::<EntryRef>(before) {
             Ok((entry, after)) => {
                 rest = after;
                 Some((Some(entry), &before[..before.len() - after.len()]))
@@ -138,15 +137,16 @@
     })
 }
 
-/// The name of a packed entry. It is asked for more often than all else of one, and mostly has its length in one byte.
-pub fn name_of(packed: &[u8]) -> &[u8] {
+/// The name of a packed entry, without decoding the rest: hash tables of entries need it often. The length of most names
+/// fits in one byte.
+pub fn packed_name(packed: &[u8]) -> &[u8] {
     match packed.split_first() {
         Some((&length @ ..0x80, rest)) => rest.get(..usize::from(length)).unwrap_or_default(),
         _ => postcard::take_from_bytes::<&[u8]>(packed).map_or(&[], |(name, _)| name),
     }
 }
 
-/// A whole list, or changes to one.
+/// A whole list, or changes to a list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Update {
     pub index: u64,
@@ -155,11 +155,11 @@
 }
 
 impl Update {
-    /// How many more are listed with this than are now; `has`: whether one of this name is.
-    pub fn added(&self, has: impl Fn(&str) -> bool) -> usize {
+    /// How many entries these changes add; `has` tells whether an entry of this name exists.
+    pub fn count_added(&self, has: impl Fn(&str) -> bool) -> usize {
         self.entries
             .iter()
-            .filter(|entry| entry.life() != EndpointStatus::Removed && !has(entry.name))
+            .filter(|entry| entry.endpoint_status() != EndpointStatus::Removed && !has(entry.name))
             .count()
     }
 }
--- a/crates/courier/src/exchange.rs
+++ b/crates/courier/src/exchange.rs
@@ -27,7 +27,7 @@
     class_for_restored, max_stored_size, ClassTerms, Journal, JournalContents, OwedMail, Record, Sent,
     Verdict, UNKNOWN_ZONE,
 };
-use crate::memory::{deployment, Keeper};
+use crate::memory::{deployment, ListStore};
 use crate::numbers::Classes;
 use crate::{http, must};
 
@@ -277,7 +277,7 @@
     next_serial: u64,
     next_incarnation: u64,
     journal: Journal,
-    keeper: Keeper,
+    keeper: ListStore,
     journal_failed: bool,
     inputs: Vec<Input>,
     actions: Vec<Action>,
@@ -402,7 +402,7 @@
         kinds.resize(settings.kinds.len(), String::new());
         let (folder, allowance) = journal.location();
         let mut exchange = Exchange {
-            keeper: Keeper::new(folder, allowance, deployment),
+            keeper: ListStore::new(folder, allowance, deployment),
             names: NameTable {
                 zones,
                 zones_in_journal: 0,
@@ -779,7 +779,7 @@
         self.index = list.index;
         self.tally.record_list_version(list.index);
         self.endpoints.iter_mut().filter(|_| list.whole).for_each(|peer| peer.ready = false);
-        self.keeper.take_up(list);
+        self.keeper.apply(list);
         self.inputs.push(Input::ListBegin { complete: list.whole });
         let mut places: Option<(&str, &str, usize, usize)> = None;
         for entry in list.entries.iter() {
@@ -791,7 +791,7 @@
             }
             let (zone, kind) = places.map_or((0, 0), |(.., zone, kind)| (zone, kind));
             let (address, since, group) = (Address::read(entry.address), entry.since_ms, entry.group);
-            let mut life = entry.life();
+            let mut life = entry.endpoint_status();
             let name = entry.name.as_bytes();
             let endpoint = match self.endpoint_names.get(name) {
                 None if life == EndpointStatus::Removed => continue,
@@ -1258,19 +1258,20 @@
 }
 
 impl Listener for Exchange {
-    fn listed(&mut self, list: &Update) {
+    fn apply_update(&mut self, list: &Update) {
         self.apply_list(list);
     }
 
-    fn count_with(&self, changes: &Update) -> usize {
-        self.endpoint_names.len() + changes.added(|name| self.endpoint_names.get(name.as_bytes()).is_some())
+    fn count_after(&self, changes: &Update) -> usize {
+        self.endpoint_names.len()
+            + changes.count_added(|name| self.endpoint_names.get(name.as_bytes()).is_some())
     }
 
-    fn hold(&mut self) {
+    fn hold_calls(&mut self) {
         Exchange::hold(self);
     }
 
-    fn release(&mut self) {
+    fn release_calls(&mut self) {
         Exchange::release(self);
     }
 }
--- a/crates/courier/src/hollow.rs
+++ b/crates/courier/src/hollow.rs
@@ -20,7 +20,7 @@
 use crate::entries::Update;
 use crate::exchange::{duration, Clock, IN_FORCE};
 use crate::members;
-use crate::memory::{deployment, Keeper};
+use crate::memory::{deployment, ListStore};
 use crate::relays;
 
 /// A real courier writes its file at the end of a turn. Here that waits, so that those who share the process have
@@ -33,7 +33,7 @@
 pub struct Hollow {
     name: String,
     clock: Clock,
-    keeper: Keeper,
+    keeper: ListStore,
     /// Version of the list that was taken up last, and the last by which a turn was taken.
     index: u64,
     in_force: u64,
@@ -51,21 +51,21 @@
 }
 
 impl Listener for Hollow {
-    fn listed(&mut self, list: &Update) {
+    fn apply_update(&mut self, list: &Update) {
         self.index = list.index;
-        self.keeper.take_up(list);
+        self.keeper.apply(list);
         self.notify.notify_one();
     }
 
-    fn count_with(&self, changes: &Update) -> usize {
-        self.keeper.count_with(changes)
+    fn count_after(&self, changes: &Update) -> usize {
+        self.keeper.count_after(changes)
     }
 
-    fn hold(&mut self) {
+    fn hold_calls(&mut self) {
         self.held = true;
     }
 
-    fn release(&mut self) {
+    fn release_calls(&mut self) {
         if std::mem::take(&mut self.held) {
             self.notify.notify_one();
         }
@@ -87,7 +87,7 @@
     let fleet = members::start(&name, peers.as_ref())?;
     fs::create_dir_all(&state)?;
     let clock = Clock::new();
-    let mut keeper = Keeper::new(&state, disk, deployment(&decoded));
+    let mut keeper = ListStore::new(&state, disk, deployment(&decoded));
     // As a real one: the configuration's version, and not the kept one.
     let index = known.index;
     let begun = keeper.recall(known, clock.now(), |_| false);
@@ -95,7 +95,7 @@
     let hollow = Hollow { name: name.clone(), clock, keeper, index: 0, in_force: 0, held: false, notify };
     let hollow = Rc::new(RefCell::new(hollow));
     let (push, seed) = (!decoded.settings.poll_list, decoded.settings.seed);
-    hollow.borrow_mut().listed(&begun);
+    hollow.borrow_mut().apply_update(&begun);
     let mut parts = JoinSet::new();
     parts.spawn_local(drive(hollow.clone(), duration(decoded.settings.timer_resolution)));
     let (listener, limits) = (before(hollow), (list, seed));
--- a/crates/courier/src/notices.rs
+++ b/crates/courier/src/notices.rs
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-use crate::discovery::moved;
+use crate::discovery::address_changed;
 use crate::exchange::{Notice, Shared};
 use crate::journal::Verdict;
 use crate::platform::Connection;
@@ -166,7 +166,7 @@
             }
         }
         tokio::select! {
-            () = moved(&mut address) => pause = RETRY_PAUSES.0,
+            () = address_changed(&mut address) => pause = RETRY_PAUSES.0,
             () = sleep(pause) => pause = (pause * 2).min(RETRY_PAUSES.1),
         }
     }
--- a/crates/courier/src/reader.rs
+++ b/crates/courier/src/reader.rs
@@ -1,5 +1,5 @@
-//! Reads lists as they come: the text of one entry at a time, and of the object itself what is left without its
-//! entries, is held and given to serde_json; entries that were read are packed. An object counts once it is complete.
+//! Incremental reader of lists. Holds the text of one entry at a time and the text of the object without its entries (the
+//! frame), and parses both with serde_json; parsed entries are packed. An object is returned once it is complete.
 
 use std::borrow::Cow;
 
@@ -8,57 +8,57 @@
 use serde_json::Value;
 
 use crate::discovery::{Entry, List};
-use crate::entries::{Entries, Listing, Update};
+use crate::entries::{Entries, EntryRef, Update};
 
-/// Of one entry, in bytes of text: a longer one is passed over.
-const MOST_ENTRY: usize = 16 << 10;
-/// Of an object without its entries.
-const MOST_FRAME: usize = 64 << 10;
+/// The longest text of one entry, in bytes; a longer entry is skipped.
+const MAX_ENTRY_BYTES: usize = 16 << 10;
+/// The longest text of an object without its entries, in bytes.
+const MAX_FRAME_BYTES: usize = 64 << 10;
 
-/// Of one object that is read: its entries, and bytes of its text.
+/// Limits of one object: its entries, and the bytes of its text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     pub entries: usize,
     pub bytes: usize,
 }
 
-/// Three hundred thousand destinations with two endpoints each.
+/// Room for three hundred thousand destinations with two endpoints each.
 impl Default for Limits {
     fn default() -> Self {
         Limits { entries: 700_000, bytes: 128_000_000 }
     }
 }
 
-/// Why nothing more is read of an answer.
+/// Why reading a response was aborted.
 #[derive(Debug)]
-pub enum Fault {
+pub enum ReadError {
     Unreadable(serde_json::Error),
-    /// It is past a limit of the configuration, which the words name.
-    TooLong(String),
+    /// The list is over a limit of the configuration; the text names it.
+    OverLimit(String),
 }
 
-impl From<serde_json::Error> for Fault {
-    fn from(error: serde_json::Error) -> Fault {
-        Fault::Unreadable(error)
+impl From<serde_json::Error> for ReadError {
+    fn from(error: serde_json::Error) -> ReadError {
+        ReadError::Unreadable(error)
     }
 }
 
-fn unreadable(words: &str) -> Fault {
-    Fault::Unreadable(serde_json::Error::custom(words))
+fn unreadable(message: &str) -> ReadError {
+    ReadError::Unreadable(serde_json::Error::custom(message))
 }
 
 impl Limits {
-    pub fn too_many(&self) -> Fault {
-        Fault::TooLong(format!("the list has more than {} entries (limits.list_entries)", self.entries))
+    pub fn too_many_entries(&self) -> ReadError {
+        ReadError::OverLimit(format!("the list has more than {} entries (limits.list_entries)", self.entries))
     }
 
-    fn too_long(&self) -> Fault {
+    fn too_many_bytes(&self) -> ReadError {
         let megabytes = self.bytes as f64 / 1e6;
-        Fault::TooLong(format!("the list is longer than {megabytes} MB (limits.list_mb)"))
+        ReadError::OverLimit(format!("the list is longer than {megabytes} MB (limits.list_mb)"))
     }
 }
 
-/// An entry as it is listed; nothing of it is copied that has no escapes.
+/// An entry as it appears in JSON. Strings without escapes are borrowed from the text.
 #[derive(Deserialize)]
 struct Raw<'a> {
     #[serde(borrow)]
@@ -81,28 +81,28 @@
 #[derive(Default)]
 pub struct Reader {
     limits: Limits,
-    /// How deep within objects and lists that is, within a text, and within a text after a backslash.
+    /// The nesting depth of objects and arrays, and whether the position is in a string, and there after a backslash.
     depth: u32,
-    text: bool,
+    in_string: bool,
     escaped: bool,
-    /// The object without its entries.
+    /// The text of the object without its entries.
     frame: Vec<u8>,
-    /// Where in the frame the last text of the object itself is, and whether that was the name of the entries, of which
-    /// the value comes next.
-    word: (usize, usize),
-    named: bool,
-    /// Within the list of entries, and there after a comma.
-    listing: bool,
-    comma: bool,
+    /// The range of the frame with the last string at the top level of the object, and whether that was the key
+    /// `endpoints`, whose value comes next.
+    last_string: (usize, usize),
+    after_entries_key: bool,
+    /// The position is in the array of entries, and there after a comma.
+    in_entries: bool,
+    after_comma: bool,
+    /// The text of the current entry, cut at `MAX_ENTRY_BYTES`.
     entry: Vec<u8>,
-    /// The entry is longer than one may be.
-    long: bool,
-    seen: usize,
-    /// Entries that cannot be read.
-    spoilt: usize,
+    entry_too_long: bool,
+    entry_count: usize,
+    /// How many entries could not be read.
+    unreadable: usize,
     entries: Entries,
-    /// Bytes of the object.
-    read: usize,
+    /// Bytes of the current object that were read.
+    object_bytes: usize,
 }
 
 impl Reader {
@@ -110,183 +110,185 @@
         Reader { limits, ..Reader::default() }
     }
 
-    /// Bytes that were read of an object that is not complete.
+    /// The bytes read of an object that is not complete yet.
     pub fn pending(&self) -> usize {
         if self.depth == 0 {
             0
         } else {
-            self.read
+            self.object_bytes
         }
     }
 
-    /// Reads on; `each` is given what is complete. Whether there was something between objects, such as an empty line.
+    /// Reads more text and passes each completed object to `on_update`. Returns whether there was white space outside
+    /// objects, such as an empty line.
     pub fn read(
         &mut self,
         bytes: &[u8],
-        mut each: impl FnMut(Update) -> Result<(), Fault>,
-    ) -> Result<bool, Fault> {
-        let (mut rest, mut blank) = (bytes, false);
+        mut on_update: impl FnMut(Update) -> Result<(), ReadError>,
+    ) -> Result<bool, ReadError> {
+        let (mut rest, mut separated) = (bytes, false);
         while let Some((&byte, after)) = rest.split_first() {
-            if self.depth == 0 && is_blank(byte) {
-                (rest, blank) = (after, true);
+            if self.depth == 0 && is_whitespace(byte) {
+                (rest, separated) = (after, true);
                 continue;
             }
-            // All of a text at once, up to what may end it: nothing in it counts.
-            let run = match self.listing && self.text && !self.escaped {
+            // Within a string of an entry, skip to the next byte that may end it: none before it has a meaning.
+            let run = match self.in_entries && self.in_string && !self.escaped {
                 true => memchr::memchr2(b'"', b'\\', rest).unwrap_or(rest.len()),
                 false => 0,
             };
-            self.read += run.max(1);
-            if self.read > self.limits.bytes {
-                return Err(self.limits.too_long());
+            self.object_bytes += run.max(1);
+            if self.object_bytes > self.limits.bytes {
+                return Err(self.limits.too_many_bytes());
             }
             if run > 0 {
-                let fits = run.min(MOST_ENTRY.saturating_sub(self.entry.len()));
+                let fits = run.min(MAX_ENTRY_BYTES.saturating_sub(self.entry.len()));
                 self.entry.extend_from_slice(&rest[..fits]);
-                self.long |= fits < run;
+                self.entry_too_long |= fits < run;
                 rest = &rest[run..];
                 continue;
             }
             rest = after;
-            if self.listing {
-                self.list(byte)?;
-            } else if self.frame(byte)? {
-                each(self.complete()?)?;
+            if self.in_entries {
+                self.entries_byte(byte)?;
+            } else if self.frame_byte(byte)? {
+                on_update(self.finish_object()?)?;
             }
         }
-        Ok(blank)
+        Ok(separated)
     }
 
-    /// Keeps count of the depth.
-    fn count(&mut self, byte: u8) {
+    /// Tracks strings and the nesting depth.
+    fn track_nesting(&mut self, byte: u8) {
         match byte {
             _ if self.escaped => self.escaped = false,
-            b'\\' if self.text => self.escaped = true,
-            b'"' => self.text = !self.text,
-            _ if self.text => {}
+            b'\\' if self.in_string => self.escaped = true,
+            b'"' => self.in_string = !self.in_string,
+            _ if self.in_string => {}
             b'{' | b'[' => self.depth = self.depth.saturating_add(1),
             b'}' | b']' => self.depth = self.depth.saturating_sub(1),
             _ => {}
         }
     }
 
-    /// A byte of the object that is none of its entries; whether it was the last one.
-    fn frame(&mut self, byte: u8) -> Result<bool, Fault> {
-        let (own, before) = (self.depth == 1 && !self.text, self.frame.len());
+    /// Processes a byte of the frame. Returns whether it completes the object.
+    fn frame_byte(&mut self, byte: u8) -> Result<bool, ReadError> {
+        let (at_top_level, before) = (self.depth == 1 && !self.in_string, self.frame.len());
         if self.depth == 0 && byte != b'{' && byte != b'[' {
-            return Err(unreadable("what comes is no object"));
+            return Err(unreadable("the answer is not a JSON object"));
         }
-        // Guards against an object that fills the memory with what is no entry.
-        if before == MOST_FRAME {
-            return Err(unreadable("the object has too much besides its entries"));
+        // Bounds the memory that an object takes besides its entries.
+        if before == MAX_FRAME_BYTES {
+            return Err(unreadable("the object has more than 64 KiB besides its entries"));
         }
         self.frame.push(byte);
-        let in_text = self.text;
-        self.count(byte);
+        let in_text = self.in_string;
+        self.track_nesting(byte);
         match byte {
-            b'"' if own => self.word.0 = before,
-            b'"' if self.depth == 1 && in_text && !self.text => self.word.1 = before + 1,
+            b'"' if at_top_level => self.last_string.0 = before,
+            b'"' if self.depth == 1 && in_text && !self.in_string => self.last_string.1 = before + 1,
             _ => {}
         }
-        if own && byte == b':' {
-            let word = &self.frame[self.word.0.min(self.word.1)..self.word.1];
-            self.named = serde_json::from_slice::<Cow<str>>(word).is_ok_and(|word| word == "endpoints");
-        } else if own && !is_blank(byte) {
-            self.listing = self.named && byte == b'[';
-            self.named = false;
+        if at_top_level && byte == b':' {
+            let word = &self.frame[self.last_string.0.min(self.last_string.1)..self.last_string.1];
+            self.after_entries_key =
+                serde_json::from_slice::<Cow<str>>(word).is_ok_and(|word| word == "endpoints");
+        } else if at_top_level && !is_whitespace(byte) {
+            self.in_entries = self.after_entries_key && byte == b'[';
+            self.after_entries_key = false;
         }
         Ok(self.depth == 0)
     }
 
-    /// A byte within the list of entries.
-    fn list(&mut self, byte: u8) -> Result<(), Fault> {
-        let between = self.depth == 2 && !self.text;
+    /// Processes a byte of the array of entries.
+    fn entries_byte(&mut self, byte: u8) -> Result<(), ReadError> {
+        let between = self.depth == 2 && !self.in_string;
         match byte {
-            b',' if between && self.entry.is_empty() => return Err(unreadable("an entry is missing")),
+            b',' if between && self.entry.is_empty() => return Err(unreadable("no entry before a comma")),
             b',' if between => {
-                self.finish()?;
-                self.comma = true;
+                self.finish_entry()?;
+                self.after_comma = true;
             }
-            b']' if between && self.entry.is_empty() && self.comma => {
-                return Err(unreadable("a comma has nothing after it"));
+            b']' if between && self.entry.is_empty() && self.after_comma => {
+                return Err(unreadable("trailing comma in the entries"));
             }
             b']' if between => {
                 if !self.entry.is_empty() {
-                    self.finish()?;
+                    self.finish_entry()?;
                 }
-                (self.listing, self.comma) = (false, false);
-                self.frame(byte)?;
+                (self.in_entries, self.after_comma) = (false, false);
+                self.frame_byte(byte)?;
             }
-            b'}' if between => return Err(unreadable("the list of entries has another end")),
-            _ if between && self.entry.is_empty() && is_blank(byte) => {}
+            b'}' if between => return Err(unreadable("the entries end with '}' instead of ']'")),
+            _ if between && self.entry.is_empty() && is_whitespace(byte) => {}
             _ => {
-                if self.entry.len() < MOST_ENTRY {
+                if self.entry.len() < MAX_ENTRY_BYTES {
                     self.entry.push(byte);
                 } else {
-                    self.long = true;
+                    self.entry_too_long = true;
                 }
-                self.count(byte);
+                self.track_nesting(byte);
             }
         }
         Ok(())
     }
 
-    /// An entry has come. Guards against one that cannot be read and would cost all the others: it counts as not
-    /// listed, also if it is one of changes and was listed before.
-    fn finish(&mut self) -> Result<(), Fault> {
-        self.comma = false;
-        if self.seen == self.limits.entries {
-            return Err(self.limits.too_many());
+    /// Parses a complete entry. One that cannot be read does not make the whole list unusable: it counts as deleted if it
+    /// has a name, also where it is part of a change and was listed before.
+    fn finish_entry(&mut self) -> Result<(), ReadError> {
+        self.after_comma = false;
+        if self.entry_count == self.limits.entries {
+            return Err(self.limits.too_many_entries());
         }
-        self.seen += 1;
-        let mut words = None;
-        if std::mem::take(&mut self.long) {
-            words = Some("it is too long".to_string());
+        self.entry_count += 1;
+        let mut problem = None;
+        if std::mem::take(&mut self.entry_too_long) {
+            problem = Some("its text is longer than 16 KiB".to_string());
         } else if let Ok(raw) = serde_json::from_slice::<Raw>(&self.entry) {
             let Raw { name, address, zone, kind, group, status, weight, since_ms } = &raw;
             let (group, weight, since_ms) = (*group, *weight, *since_ms);
             let listing =
-                Listing { name, address, zone, kind, group, weight, since_ms, ..Listing::default() };
+                EntryRef { name, address, zone, kind, group, weight, since_ms, ..EntryRef::default() };
             self.entries.push(&listing.with_status(status));
         } else {
-            // What is no JSON spoils the whole.
+            // Invalid JSON makes the whole object unreadable; valid JSON that is no entry only this entry.
             let value: Value = serde_json::from_slice(&self.entry)?;
             match Entry::deserialize(&value) {
-                Ok(entry) => self.entries.push(&Listing::from(&entry)),
+                Ok(entry) => self.entries.push(&EntryRef::from(&entry)),
                 Err(e) => {
-                    words = Some(e.to_string());
+                    problem = Some(e.to_string());
                     let name = value["name"].as_str();
-                    name.into_iter().for_each(|name| self.entries.push(&Listing::gone(name)));
+                    name.into_iter().for_each(|name| self.entries.push(&EntryRef::removed(name)));
                 }
             }
         }
         self.entry.clear();
-        if let Some(words) = words {
-            // One line for all of a list.
-            if self.spoilt == 0 {
-                log::warn!("an entry of the list: {words}");
+        if let Some(problem) = problem {
+            // Only the first one of a list is logged, and later their number.
+            if self.unreadable == 0 {
+                log::warn!("an entry of the list cannot be read: {problem}");
             }
-            self.spoilt += 1;
+            self.unreadable += 1;
         }
         Ok(())
     }
 
-    /// The object that has come.
-    fn complete(&mut self) -> Result<Update, Fault> {
-        let Reader { frame, mut entries, spoilt, .. } = std::mem::replace(self, Reader::new(self.limits));
-        if spoilt > 1 {
-            log::warn!("{spoilt} entries of the list cannot be read");
+    /// Parses the frame of a complete object and resets the reader.
+    fn finish_object(&mut self) -> Result<Update, ReadError> {
+        let Reader { frame, mut entries, unreadable, .. } = std::mem::replace(self, Reader::new(self.limits));
+        if unreadable > 1 {
+            log::warn!("{unreadable} entries of the list cannot be read");
         }
         let list: List = serde_json::from_slice(&frame)?;
-        // An object may be written as a list of its values, and then has its entries here.
+        // serde_json also accepts an object as an array of its values; the entries are then still in the frame.
         if entries.len() + list.endpoints.len() > self.limits.entries {
-            return Err(self.limits.too_many());
+            return Err(self.limits.too_many_entries());
         }
         list.endpoints.iter().for_each(|entry| entries.push(&entry.into()));
         Ok(Update { index: list.index, whole: list.snapshot, entries })
     }
 }
 
-fn is_blank(byte: u8) -> bool {
+fn is_whitespace(byte: u8) -> bool {
     matches!(byte, b' ' | b'\t' | b'\n' | b'\r')
 }
--- a/crates/courier/src/relay/hub.rs
+++ b/crates/courier/src/relay/hub.rs
@@ -14,9 +14,9 @@
 use tokio::sync::watch;
 
 use crate::discovery::{Entry, Listener};
-use crate::entries::{Listing, Update};
+use crate::entries::{EntryRef, Update};
 use crate::exchange::Clock;
-use crate::memory::Kept;
+use crate::memory::KeptEntry;
 use crate::relays::{Heard, Held, Holder};
 
 use super::config::Bounds;
@@ -82,9 +82,9 @@
     refused: bool,
 }
 
-fn item(entry: Listing) -> CatalogEntry {
-    let text = Kept::from(&entry).text();
-    let gone = entry.life() == EndpointStatus::Removed;
+fn item(entry: EntryRef) -> CatalogEntry {
+    let text = KeptEntry::from(&entry).to_json();
+    let gone = entry.endpoint_status() == EndpointStatus::Removed;
     CatalogEntry { name: entry.name.to_string(), destination: entry.group, text: text.into(), removed: gone }
 }
 
@@ -312,19 +312,19 @@
 }
 
 impl Listener for Hub {
-    fn listed(&mut self, list: &Update) {
+    fn apply_update(&mut self, list: &Update) {
         let offer = self.heard.offer(list);
         self.put(offer, list.entries.iter().map(item).collect());
     }
 
-    fn count_with(&self, changes: &Update) -> usize {
-        self.store.entries() + changes.added(|name| self.store.contains(name))
+    fn count_after(&self, changes: &Update) -> usize {
+        self.store.entries() + changes.count_added(|name| self.store.contains(name))
     }
 
     /// Nothing begins here.
-    fn hold(&mut self) {}
+    fn hold_calls(&mut self) {}
 
-    fn release(&mut self) {}
+    fn release_calls(&mut self) {}
 
     fn held_content(&self) -> Option<Content> {
         let version = self.store.version()?;
--- a/crates/courier/src/relays.rs
+++ b/crates/courier/src/relays.rs
@@ -24,7 +24,7 @@
 use crate::discovery::{self, LastHeard, Listener};
 use crate::entries::Update;
 use crate::exchange::Clock;
-use crate::memory::Kept;
+use crate::memory::KeptEntry;
 use crate::platform::Connection;
 use crate::reader::Limits;
 
@@ -115,10 +115,10 @@
             self.is_whole = true;
         }
         for entry in list.entries.iter() {
-            match entry.life() {
+            match entry.endpoint_status() {
                 EndpointStatus::Removed => self.content.remove(entry.name),
                 EndpointStatus::Ready | EndpointStatus::Draining => {
-                    self.content.insert(entry.name, &Kept::from(&entry).text())
+                    self.content.insert(entry.name, &KeptEntry::from(&entry).to_json())
                 }
             }
         }
@@ -126,12 +126,12 @@
 }
 
 impl<L: Listener> Listener for Guard<L> {
-    fn listed(&mut self, list: &Update) {
+    fn apply_update(&mut self, list: &Update) {
         let offer = self.heard.offer(list);
         match self.versions.apply(&offer, Vec::new()) {
             Verdict::Apply => {
                 self.note_content(list);
-                self.inner.borrow_mut().listed(list);
+                self.inner.borrow_mut().apply_update(list);
             }
             Verdict::RequestSnapshot => self.heard.wants_whole = true,
             Verdict::Ignore | Verdict::Reject(_) => {
@@ -141,16 +141,16 @@
         }
     }
 
-    fn count_with(&self, changes: &Update) -> usize {
-        self.inner.borrow().count_with(changes)
+    fn count_after(&self, changes: &Update) -> usize {
+        self.inner.borrow().count_after(changes)
     }
 
-    fn hold(&mut self) {
-        self.inner.borrow_mut().hold();
+    fn hold_calls(&mut self) {
+        self.inner.borrow_mut().hold_calls();
     }
 
-    fn release(&mut self) {
-        self.inner.borrow_mut().release();
+    fn release_calls(&mut self) {
+        self.inner.borrow_mut().release_calls();
     }
 
     fn held_content(&self) -> Option<Content> {
--- a/crates/courier/tests/replaced.rs
+++ b/crates/courier/tests/replaced.rs
@@ -19,7 +19,7 @@
 fn names_and_indices_of_removed_endpoints_are_released() {
     let folder = Folder::new();
     let mut process = Process::start(&folder, 3_000_000, START, None);
-    let held = process.exchange.count_with(&Update::default());
+    let held = process.exchange.count_after(&Update::default());
     let mut largest = 0;
     for i in 0..REPLACEMENTS {
         let entry = |name: u64, status: &str| {
@@ -40,7 +40,7 @@
         process.pass(SECOND / 100);
         process.calls();
     }
-    assert_eq!(process.exchange.count_with(&Update::default()), held);
+    assert_eq!(process.exchange.count_after(&Update::default()), held);
     assert!(largest < 64, "an index of {largest} where {held} are listed");
     assert_eq!(process.exchange.audit(), Vec::<String>::new());
 }
