--- a/crates/courier/src/clients.rs
+++ b/crates/courier/src/clients.rs
@@ -122,7 +122,7 @@
     let clients =
         Rc::new(Clients { shared, max_sockets, open, touches, sockets, ended, unacknowledged, discard });
     let each = phase.clone();
-    let mut short = false;
+    let mut out_of_descriptors = false;
     loop {
         clients.wait_for_room().await;
         let accepted = tokio::select! {
@@ -131,12 +131,12 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                short = false;
+                out_of_descriptors = false;
                 clients.accept(stream, &each);
             }
             Err(e) => {
                 // Most likely out of descriptors: other connections are being closed.
-                if !std::mem::replace(&mut short, true) {
+                if !std::mem::replace(&mut out_of_descriptors, true) {
                     log::warn!("a client cannot be accepted: {e}");
                 }
                 tokio::time::sleep(Duration::from_millis(20)).await;
@@ -146,10 +146,10 @@
     // Connections left in the listen backlog would be reset when the listener closes, together with the
     // requests that they have sent. The operating system is asked directly, since the runtime may not have
     // seen the last ones yet.
-    let Ok(line) = listener.into_std() else { return };
+    let Ok(backlog) = listener.into_std() else { return };
     loop {
         clients.wait_for_room().await;
-        let stream = match line.accept() {
+        let stream = match backlog.accept() {
             Ok((stream, _)) => stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)),
             // The client has left; there may be others behind it.
             Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => continue,
@@ -329,7 +329,7 @@
     /// whatever becomes of the connection.
     async fn write(&self, stream: &mut TcpStream, answers: &mut Answers) -> io::Result<bool> {
         let mut written = 0;
-        let whole = async {
+        let write_all = async {
             while written < answers.bytes.len() {
                 match stream.write(&answers.bytes[written..]).await? {
                     0 => return Err(io::ErrorKind::WriteZero.into()),
@@ -338,15 +338,15 @@
             }
             Ok(())
         };
-        let whole = timeout(COMMAND_TIMEOUT, whole).await;
+        let written_all = timeout(COMMAND_TIMEOUT, write_all).await;
         for (end, serial, id) in answers.taken.drain(..) {
             // A mail with the same id whose acceptance another client has read must stay.
             if self.unacknowledged.borrow_mut().remove(&id) && end > written {
-                self.shared.borrow_mut().client_gone(serial);
+                self.shared.borrow_mut().withdraw(serial);
             }
         }
         answers.bytes.clear();
-        whole.map_or(Ok(false), |whole| whole.map(|()| true))
+        written_all.map_or(Ok(false), |result| result.map(|()| true))
     }
 
     /// Answers every complete command, up to a bound on the pending answers.
@@ -420,7 +420,7 @@
         return Err("ERR a key is up to 128 plain characters");
     }
     let lifetime = http::pair_value(text, "d").and_then(|d| d.parse().ok()).map(Duration::from_millis);
-    let dest = http::pair_value(text, "dest").and_then(|dest| dest.parse().ok());
+    let destination = http::pair_value(text, "dest").and_then(|text| text.parse().ok());
     let class = http::pair_value(text, "c").ok_or("ERR no class")?;
     // Copied, since a slice such as the id in an undelivered notice would keep the whole read buffer alive,
     // with the bodies of finished mails and other clients' commands.
@@ -430,7 +430,7 @@
         key: names.slice(id.len()..id.len() + key.len()),
         order_key: names.slice(id.len() + key.len()..),
         class: pairs.slice_ref(class.as_bytes()),
-        destination: dest.ok_or("ERR no destination")?,
+        destination: destination.ok_or("ERR no destination")?,
         lifetime: lifetime.ok_or("ERR no time")?.min(MAX_LIFETIME),
         body: Bytes::copy_from_slice(body),
     })
--- a/crates/courier/src/endpoints.rs
+++ b/crates/courier/src/endpoints.rs
@@ -54,7 +54,7 @@
     link: Option<HttpConnection>,
     endpoints: Rc<Endpoints>,
     /// The connection has carried an earlier call.
-    kept: bool,
+    reused: bool,
 }
 
 impl Drop for CountedConnection {
@@ -102,16 +102,16 @@
     sweep
 }
 
-/// Maps the status of an answer to the report for every mail of the call. `kept`: the call used a connection
+/// Maps the status of an answer to the report for every mail of the call. `reused`: the call used a connection
 /// that had carried an earlier one.
-pub fn report_by_status(head: &Head, is_batch: bool, kept: bool) -> ConnectReport {
+pub fn report_by_status(head: &Head, is_batch: bool, reused: bool) -> ConnectReport {
     let (outcome, finished) = match head.status {
         200 => (Outcome::Relayed, true),
         429 => (Outcome::Refused, false),
         503 if head.over_slots => (Outcome::Unsent, false),
         // An endpoint whose connection table is full answers a new connection with 503 and closes it. Taken
         // for a rate limit, this would make every courier hold on to the connections that it has.
-        503 if !head.keep_alive && !kept => (Outcome::Unreached, false),
+        503 if !head.keep_alive && !reused => (Outcome::Unreached, false),
         503 => (Outcome::Refused, false),
         504 => (Outcome::Unsent, false),
         410 => (Outcome::Unsent, true),
@@ -187,9 +187,9 @@
 
     /// Keeps a connection for later calls, unless the endpoint has moved or restarted while the call was in
     /// flight: its old address may belong to another process by now.
-    fn return_idle(&self, call: &Call, mut counted: CountedConnection) {
+    fn return_idle(&self, call: &Call, mut connection: CountedConnection) {
         let current = self.shared.borrow().is_current(call);
-        if let Some(link) = if current { counted.link.take() } else { None } {
+        if let Some(link) = if current { connection.link.take() } else { None } {
             let idle = Idle { link, since: Instant::now() };
             self.idle.borrow_mut().entry(call.incarnation).or_default().push_back(idle);
             self.freed.notify_one();
@@ -212,7 +212,7 @@
     async fn connection(self: &Rc<Self>, call: &Call, until: Instant) -> Result<CountedConnection, Outcome> {
         loop {
             if let Some(link) = if call.new_connection { None } else { self.take_idle(call.incarnation) } {
-                return Ok(CountedConnection { link: Some(link), endpoints: self.clone(), kept: true });
+                return Ok(CountedConnection { link: Some(link), endpoints: self.clone(), reused: true });
             }
             if self.make_room() {
                 break;
@@ -226,44 +226,47 @@
         self.open.set(self.open.get() + 1);
         let until = until.min(Instant::now() + self.limits.get().connect_timeout);
         match timeout_at(until.into(), HttpConnection::open(address)).await {
-            Ok(Ok(link)) => Ok(CountedConnection { link: Some(link), endpoints: self.clone(), kept: false }),
+            Ok(Ok(link)) => {
+                Ok(CountedConnection { link: Some(link), endpoints: self.clone(), reused: false })
+            }
             failed => {
                 self.close(1);
                 // A local shortage of descriptors or ports does not make the endpoint unreachable.
-                let ours =
+                let is_local =
                     matches!(failed, Ok(Err(e)) if e.raw_os_error().is_some_and(|e| EXHAUSTED.contains(&e)));
-                Err(if ours { Outcome::Unsent } else { Outcome::Unreached })
+                Err(if is_local { Outcome::Unsent } else { Outcome::Unreached })
             }
         }
     }
 
     async fn call(self: Rc<Self>, mut call: Call) {
-        let last = call.mails.iter().map(|mail| mail.until).max().unwrap_or_default();
+        let last_timeout = call.mails.iter().map(|mail| mail.times_out_at).max().unwrap_or_default();
         if !self.limits.get().may_overlap {
             // Mails must not overlap: one that times out may be sent again only once this call is closed, so
             // all time out together.
-            call.mails.iter_mut().for_each(|mail| mail.until = last.min(mail.due));
+            call.mails.iter_mut().for_each(|mail| mail.times_out_at = last_timeout.min(mail.deadline));
         }
-        let until = self.clock.instant(last);
+        let until = self.clock.instant(last_timeout);
         let mut mails = std::mem::take(&mut call.mails);
         let Some(connection) = self.expire_until_ready(&mut mails, self.connection(&call, until)).await
         else {
             return;
         };
-        let mut counted = match connection {
-            Ok(counted) => counted,
+        let mut connection = match connection {
+            Ok(connection) => connection,
             Err(outcome) => return self.report_outcome(&mails, &ConnectReport::of(outcome)),
         };
         let mut mails = self.shared.borrow_mut().begin(&call, mails);
         if mails.is_empty() {
-            return self.return_idle(&call, counted);
+            return self.return_idle(&call, connection);
         }
         let request = self.request(&call, &mails, until);
-        let Some(link) = counted.link.as_mut() else { return };
+        let Some(link) = connection.link.as_mut() else { return };
         // Until the last byte is written nothing can have run. The write must be over before any mail of the
         // call expires and before the endpoint may forget its key: after that the mail must not run.
-        let ends = mails.iter().map(|mail| mail.due.min(mail.latest)).min().unwrap_or(last);
-        let written_by = until.min(self.clock.instant(ends));
+        let first_end =
+            mails.iter().map(|mail| mail.deadline.min(mail.send_before)).min().unwrap_or(last_timeout);
+        let written_by = until.min(self.clock.instant(first_end));
         if !matches!(timeout_at(written_by.into(), link.send(&request)).await, Ok(Ok(()))) {
             return self.report_outcome(&mails, &ConnectReport::of(Outcome::Unreached));
         }
@@ -274,7 +277,7 @@
         // An answer that comes after a mail of the call has expired may belong to that mail, so it does not
         // count for the others.
         let now = self.clock.now();
-        let spans_expiry = mails.iter().any(|mail| mail.due <= now);
+        let spans_expiry = mails.iter().any(|mail| mail.deadline <= now);
         match answer {
             Answer::Read(head, _) if spans_expiry => {
                 self.report_outcome(&mails, &report_with_head(Outcome::Spoilt, false, &head))
@@ -283,17 +286,17 @@
                 self.report_outcome(&mails, &ConnectReport::of(Outcome::Spoilt))
             }
             Answer::Read(head, body) => {
-                self.report_answer(&mails, &head, body.as_deref(), counted.kept);
-                let whole = body.is_some() || link.read_body(head.body, MAX_ANSWER).await.is_ok();
-                if head.keep_alive && whole {
-                    self.return_idle(&call, counted);
+                self.report_answer(&mails, &head, body.as_deref(), connection.reused);
+                let complete = body.is_some() || link.read_body(head.body, MAX_ANSWER).await.is_ok();
+                if head.keep_alive && complete {
+                    self.return_idle(&call, connection);
                 }
             }
             // The connection is closed: any bytes left on it belong to no call.
             Answer::Unread(outcome) => {
                 self.report_outcome(
                     &mails,
-                    &ConnectReport { reused_connection: counted.kept, ..ConnectReport::of(outcome) },
+                    &ConnectReport { reused_connection: connection.reused, ..ConnectReport::of(outcome) },
                 );
             }
         }
@@ -320,15 +323,16 @@
     ) -> Option<T> {
         let mut ready = std::pin::pin!(ready);
         loop {
-            let next = mails.iter().map(|mail| mail.due).min()?;
+            let next = mails.iter().map(|mail| mail.deadline).min()?;
             tokio::select! {
                 biased;
                 ready = &mut ready => return Some(ready),
                 () = sleep_until(self.clock.instant(next).into()) => {}
             }
-            let (over, left) = std::mem::take(mails).into_iter().partition(|mail| mail.due == next);
-            *mails = left;
-            self.report_outcome(&over, &ConnectReport::of(Outcome::Unsent));
+            let (expired, remaining) =
+                std::mem::take(mails).into_iter().partition(|mail| mail.deadline == next);
+            *mails = remaining;
+            self.report_outcome(&expired, &ConnectReport::of(Outcome::Unsent));
         }
     }
 
@@ -337,20 +341,21 @@
     async fn wait_for_answer<T>(&self, mails: &mut [CallMail], answer: impl Future<Output = T>) -> Option<T> {
         let mut answer = std::pin::pin!(answer);
         loop {
-            let next: Time = mails.iter().filter(|l| l.until > 0).map(|l| l.until).min()?;
+            let next: Time =
+                mails.iter().filter(|mail| mail.times_out_at > 0).map(|mail| mail.times_out_at).min()?;
             tokio::select! {
                 biased;
                 answer = &mut answer => return Some(answer),
                 () = sleep_until(self.clock.instant(next).into()) => {}
             }
-            for mail in mails.iter_mut().filter(|l| l.until == next) {
-                mail.until = 0; // reported
+            for mail in mails.iter_mut().filter(|mail| mail.times_out_at == next) {
+                mail.times_out_at = 0; // reported
                 self.shared.borrow_mut().connect_ended(mail.serial, ConnectReport::of(Outcome::Silent));
             }
         }
     }
 
-    fn report_answer(&self, mails: &[CallMail], head: &Head, body: Option<&[u8]>, kept: bool) {
+    fn report_answer(&self, mails: &[CallMail], head: &Head, body: Option<&[u8]>, reused: bool) {
         let is_batch = mails.len() > 1;
         let items = body
             .filter(|_| is_batch && head.status == 200)
@@ -361,7 +366,7 @@
                     let item = items.iter().find(|item| item.id.as_bytes() == mail.id);
                     report_by_item(item.map(|item| item.state.as_str()), head)
                 }
-                None => report_by_status(head, is_batch, kept),
+                None => report_by_status(head, is_batch, reused),
             };
             self.report_outcome(std::slice::from_ref(mail), &report);
         }
@@ -372,7 +377,7 @@
     fn report_outcome(&self, mails: &[CallMail], report: &ConnectReport) {
         let mut exchange = self.shared.borrow_mut();
         for mail in mails {
-            if mail.until > 0 {
+            if mail.times_out_at > 0 {
                 exchange.connect_ended(mail.serial, report.clone());
             } else if report.finished {
                 exchange.relayed_late(mail.serial);
--- a/crates/courier/src/exchange.rs
+++ b/crates/courier/src/exchange.rs
@@ -66,7 +66,7 @@
     }
 
     pub fn instant(&self, at: Time) -> Instant {
-        self.start + duration(at.saturating_sub(self.base))
+        self.start + to_duration(at.saturating_sub(self.base))
     }
 }
 
@@ -80,7 +80,7 @@
     (duration.as_micros() / 100) as Time
 }
 
-pub fn duration(time: Time) -> Duration {
+pub fn to_duration(time: Time) -> Duration {
     Duration::from_micros(time.saturating_mul(100))
 }
 
@@ -114,11 +114,11 @@
     pub key: Bytes,
     pub body: Bytes,
     /// When its connect times out, as the decision module set it.
-    pub until: Time,
-    pub due: Time,
+    pub times_out_at: Time,
+    pub deadline: Time,
     /// The last byte of its call must be sent before this: from then on the endpoint may have forgotten the
     /// key of an earlier connect and would not recognise a repeat.
-    pub latest: Time,
+    pub send_before: Time,
 }
 
 /// One call to one endpoint.
@@ -249,12 +249,12 @@
     max_open: usize,
     batch_limits: Vec<usize>,
     /// For each kind, whether its endpoints are limited individually rather than per destination.
-    limited_alone: Vec<bool>,
+    per_endpoint_limits: Vec<bool>,
     /// The queue classes by number: those of the settings, and those that mails of an earlier process or
     /// version still use.
     classes: Classes,
     ordering_gap: Time,
-    resolution: Time,
+    timer_resolution: Time,
     mail_serials: Interner<u64>,
     endpoint_names: Interner<Box<[u8]>>,
     destinations: Interner<u64>,
@@ -267,7 +267,7 @@
     paused_units: Vec<audit::Unit>,
     owed: BTreeMap<u64, Owed>,
     ids: HashMap<Bytes, u64>,
-    rests: Vec<(Bytes, Time)>,
+    keys_in_flight: Vec<(Bytes, Time)>,
     /// Restored mails that have not been submitted to the decision module yet.
     backlog: Backlog,
     open_mails: usize,
@@ -290,8 +290,8 @@
     /// Notes to the other couriers, if there are any.
     notes: Option<UnboundedSender<(Bytes, PeerNote)>>,
     /// Version of the latest list, and of the list as of the last turn.
-    index: u64,
-    in_force: u64,
+    list_version: u64,
+    list_in_force: u64,
     /// Independent counts for the audit.
     tally: Tally,
     pub counts: Counts,
@@ -401,10 +401,10 @@
             },
             max_open: settings.max_mails,
             batch_limits: settings.kinds.iter().map(|kind| kind.max_batch).collect(),
-            limited_alone: settings.kinds.iter().map(|kind| kind.per_endpoint_limits).collect(),
+            per_endpoint_limits: settings.kinds.iter().map(|kind| kind.per_endpoint_limits).collect(),
             classes: Classes { classes: settings.classes.clone(), terms, by_name },
             ordering_gap: settings.ordering_gap,
-            resolution: settings.timer_resolution,
+            timer_resolution: settings.timer_resolution,
             control: Control::new(settings),
             clock,
             mail_serials: Interner::default(),
@@ -416,7 +416,7 @@
             paused_units: Vec::new(),
             owed: BTreeMap::new(),
             ids: HashMap::new(),
-            rests: Vec::new(),
+            keys_in_flight: Vec::new(),
             backlog: Backlog::default(),
             open_mails: 0,
             next_serial: found.owed.keys().next_back().map_or(1, |last| last + 1),
@@ -434,8 +434,8 @@
             orders,
             notices,
             notes,
-            index: 0,
-            in_force: 0,
+            list_version: 0,
+            list_in_force: 0,
             tally: Tally { found: found.owed.len() as u64, ..Tally::default() },
             counts: Counts::default(),
             versions: Versions::default(),
@@ -461,7 +461,7 @@
         }
         let mut mails = Vec::with_capacity(found.owed.len());
         let mut keys: HashMap<Bytes, u64> = HashMap::new();
-        self.rests = found.rests;
+        self.keys_in_flight = found.rests;
         for (serial, mut owed) in found.owed {
             // A connect in flight when the process ended may have run, and may still be running.
             let out = owed.out.take();
@@ -469,7 +469,7 @@
             // If the clock was set back, the time of the connect is unknown.
             owed.ran = owed.ran.map(|(at, zone)| (if at > now { 0 } else { at }, zone));
             if out.is_some() && !owed.item.is_empty() {
-                self.rests.push((owed.item.clone(), now));
+                self.keys_in_flight.push((owed.item.clone(), now));
                 self.append_record(&Record::Rest { item: &owed.item, since: now });
             }
             self.ids.insert(owed.id.clone(), serial);
@@ -489,9 +489,9 @@
             }
             self.owed.insert(serial, owed);
         }
-        self.drop_elapsed_rests();
-        for i in 0..self.rests.len() {
-            let (item, since) = self.rests[i].clone();
+        self.drop_elapsed_keys();
+        for i in 0..self.keys_in_flight.len() {
+            let (item, since) = self.keys_in_flight[i].clone();
             let key = self.order_keys.intern(item);
             self.inputs.push(Input::KeyInFlight { key, at: since });
         }
@@ -542,7 +542,7 @@
             return Answer::Failed("ERR unknown class");
         };
         // A destination that no list has named does not exist, and its mails would never be relayed.
-        let Some(dest) = self.destinations.get(&offer.destination) else {
+        let Some(destination) = self.destinations.get(&offer.destination) else {
             self.counts.failed += 1;
             return Answer::Failed("ERR unknown destination");
         };
@@ -566,7 +566,7 @@
         let serial = self.next_serial;
         log::debug!("mail {serial} of class {class} for destination {} received", owed.dest);
         if self.open_mails >= self.max_open
-            || self.control.would_reject(dest, class, owed.due)
+            || self.control.would_reject(destination, class, owed.due)
             || !self.journal.has_room(&owed)
             || !self.append_record(&Record::Taken { serial, owed: &owed })
         {
@@ -621,13 +621,13 @@
             if at == names.kinds.len() {
                 names.kinds.push(name);
                 self.batch_limits.push(kind.max_batch);
-                self.limited_alone.push(kind.per_endpoint_limits);
+                self.per_endpoint_limits.push(kind.per_endpoint_limits);
             }
             self.batch_limits[at] = kind.max_batch;
             names.other_kind = at;
         }
         (names.report, names.fields) = (report, fields);
-        let by_number = self.batch_limits.iter().zip(&self.limited_alone);
+        let by_number = self.batch_limits.iter().zip(&self.per_endpoint_limits);
         let settings = Settings {
             kinds: by_number
                 .map(|(&batch, &apart)| Kind { max_batch: batch, per_endpoint_limits: apart })
@@ -637,9 +637,9 @@
             ..settings
         };
         self.classes = classes;
-        (self.max_open, self.ordering_gap, self.resolution) =
+        (self.max_open, self.ordering_gap, self.timer_resolution) =
             (settings.max_mails, settings.ordering_gap, settings.timer_resolution);
-        let timeouts = (duration(settings.connection_timeout), duration(settings.idle_timeout));
+        let timeouts = (to_duration(settings.connection_timeout), to_duration(settings.idle_timeout));
         let _ =
             self.orders.send(Order::SetTimeouts { connect_timeout: timeouts.0, idle_timeout: timeouts.1 });
         self.inputs.push(Input::Settings(Box::new(settings)));
@@ -647,17 +647,17 @@
     }
 
     /// Drops ordering gaps that have elapsed.
-    fn drop_elapsed_rests(&mut self) {
+    fn drop_elapsed_keys(&mut self) {
         let now = self.clock.now();
-        self.rests.retain(|(_, since)| since + self.ordering_gap > now);
+        self.keys_in_flight.retain(|(_, since)| since + self.ordering_gap > now);
     }
 
     /// Appends a record to the journal; false if it could not be written.
     fn append_record(&mut self, record: &Record) -> bool {
         if self.journal.is_grown(record) {
-            self.drop_elapsed_rests();
+            self.drop_elapsed_keys();
             self.counts.compactions += 1;
-            if let Err(e) = self.journal.compact(&self.owed, &self.rests) {
+            if let Err(e) = self.journal.compact(&self.owed, &self.keys_in_flight) {
                 // Warns once for as long as the failure lasts.
                 let level = if self.journal_failed { log::Level::Debug } else { log::Level::Warn };
                 log::log!(level, "the journal cannot be written anew: {e}");
@@ -695,7 +695,7 @@
     }
 
     /// Withdraws a mail whose client left before it could read the acceptance, or that was relayed late.
-    pub fn client_gone(&mut self, serial: u64) {
+    pub fn withdraw(&mut self, serial: u64) {
         if self.owed.get(&serial).is_some_and(|owed| owed.verdict.is_none()) {
             self.counts.hangups += 1;
             self.finish(serial);
@@ -715,7 +715,7 @@
     pub fn relayed_late(&mut self, serial: u64) {
         if self.owed.contains_key(&serial) {
             self.counts.late += 1;
-            self.client_gone(serial);
+            self.withdraw(serial);
         }
     }
 
@@ -745,7 +745,7 @@
 
     /// Starts with the saved list or the one in the configuration, whichever is newer. `ours` tells whether a
     /// list that was saved for another deployment (`memory::deployment`) may be used.
-    pub fn recall(&mut self, known: List, ours: impl Fn(&str) -> bool) {
+    pub fn restore_list(&mut self, known: List, ours: impl Fn(&str) -> bool) {
         let list = self.keeper.recall(known, self.clock.now(), ours);
         self.apply_list(&list);
     }
@@ -757,51 +757,50 @@
 
     /// The same for a list in its compact form.
     pub fn apply_list(&mut self, list: &Update) {
-        if list.index < self.index {
+        if list.index < self.list_version {
             // Counted, but applied: only the task that follows the list can tell whether another agent uses
             // its own version numbers, and rejecting those forever would be worse than an outdated entry.
             self.counts.older += 1;
-            log::warn!("list version {} is lower than the earlier version {}", list.index, self.index);
+            log::warn!("list version {} is lower than the earlier version {}", list.index, self.list_version);
         }
-        self.index = list.index;
+        self.list_version = list.index;
         self.tally.listed(list.index);
-        self.endpoints.iter_mut().filter(|_| list.whole).for_each(|peer| peer.ready = false);
+        self.endpoints.iter_mut().filter(|_| list.whole).for_each(|state| state.ready = false);
         self.keeper.take_up(list);
         self.inputs.push(Input::ListBegin { complete: list.whole });
-        let mut places: Option<(&str, &str, usize, usize)> = None;
+        let mut previous: Option<(&str, &str, usize, usize)> = None;
         for entry in list.entries.iter() {
             // Most entries have the same zone and kind as the one before.
-            if places.is_none_or(|(zone, kind, ..)| (zone, kind) != (entry.zone, entry.kind)) {
+            if previous.is_none_or(|(zone, kind, ..)| (zone, kind) != (entry.zone, entry.kind)) {
                 let kind = self.names.kinds.iter().position(|kind| *kind == name(entry.kind));
                 let kind = kind.unwrap_or(self.names.other_kind);
-                places = Some((entry.zone, entry.kind, self.names.zone(entry.zone), kind));
+                previous = Some((entry.zone, entry.kind, self.names.zone(entry.zone), kind));
             }
-            let (zone, kind) = places.map_or((0, 0), |(.., zone, kind)| (zone, kind));
+            let (zone, kind) = previous.map_or((0, 0), |(.., zone, kind)| (zone, kind));
             let (address, since, group) = (Address::read(entry.address), entry.since_ms, entry.group);
-            let mut life = entry.life();
+            let mut status = entry.life();
             let name = entry.name.as_bytes();
             let endpoint = match self.endpoint_names.get(name) {
-                None if life == EndpointStatus::Removed => continue,
+                None if status == EndpointStatus::Removed => continue,
                 None => self.endpoint_names.intern(name.into()),
                 Some(endpoint) => endpoint,
             };
             let incarnation = self.next_incarnation;
-            let on_file = if zone < self.names.zones_in_journal { zone as u16 } else { NO_ZONE };
-            let (zone_on_file, kind_of) = (on_file, kind as u32);
+            let zone_in_journal = if zone < self.names.zones_in_journal { zone as u16 } else { NO_ZONE };
             let new = EndpointState {
                 incarnation,
                 address,
                 since,
-                zone: zone_on_file,
+                zone: zone_in_journal,
                 destination: group,
-                kind: kind_of,
+                kind: kind as u32,
                 ready: false,
             };
             match self.endpoints.get_mut(endpoint) {
                 None => self.endpoints.push(new),
                 Some(old) if old.incarnation == 0 => *old = new,
                 // The name has moved to another destination: mails for the old one must not go there.
-                Some(old) if old.destination != group => life = EndpointStatus::Removed,
+                Some(old) if old.destination != group => status = EndpointStatus::Removed,
                 // Moved or restarted: open connections lead nowhere.
                 Some(old) if old.address != new.address || old.since != since => {
                     (old.address, old.since) = (new.address, since);
@@ -811,15 +810,15 @@
                 Some(_) => {}
             }
             self.next_incarnation += 1;
-            let peer = &mut self.endpoints[endpoint];
-            peer.ready = life == EndpointStatus::Ready;
-            let group = peer.destination;
+            let state = &mut self.endpoints[endpoint];
+            state.ready = status == EndpointStatus::Ready;
+            let group = state.destination;
             self.inputs.push(Input::ListEntry(ListEntry {
                 endpoint,
                 destination: self.destinations.intern(group),
                 zone,
                 kind,
-                status: life,
+                status,
                 rate: entry.weight,
             }));
         }
@@ -852,12 +851,12 @@
             && self.is_current(call)
             && self.control.may_call(endpoint, now);
         let sent: Sent = (now, self.endpoints[endpoint].zone);
-        let (mut going, mut staying) = (Vec::with_capacity(mails.len()), Vec::new());
+        let (mut beginning, mut unsent) = (Vec::with_capacity(mails.len()), Vec::new());
         for carried in mails {
             let serial = carried.serial;
             let owed = self.owed.contains_key(&serial);
             // A mail may have expired while its call waited for a connection.
-            let in_time = now < carried.until.min(carried.latest);
+            let in_time = now < carried.times_out_at.min(carried.send_before);
             if may && owed && in_time && self.append_record(&Record::Out { serial, sent }) {
                 let owed = self.owed.get_mut(&serial);
                 owed.into_iter().for_each(|owed| {
@@ -872,16 +871,16 @@
                     begun == Some(false),
                     "a call begins with a connect that is not out"
                 );
-                going.push(carried);
+                beginning.push(carried);
             } else {
-                staying.push(serial);
+                unsent.push(serial);
             }
         }
-        staying.into_iter().for_each(|serial| self.connect_ended(serial, ConnectReport::of(Outcome::Unsent)));
-        let early =
-            !going.is_empty() && (self.tally.is_held(unit, now) || self.control.is_on_hold(endpoint, now));
+        unsent.into_iter().for_each(|serial| self.connect_ended(serial, ConnectReport::of(Outcome::Unsent)));
+        let early = !beginning.is_empty()
+            && (self.tally.is_held(unit, now) || self.control.is_on_hold(endpoint, now));
         must!(self.counts.broken, !early, "a call begins before a told wait is over");
-        going
+        beginning
     }
 
     /// Whether the endpoint of a call has neither moved nor restarted since the call was decided on.
@@ -914,7 +913,7 @@
             if sent.is_some() {
                 owed.ran = owed.ran.or(sent.filter(|_| ran));
                 if rests && !owed.item.is_empty() {
-                    self.rests.push((owed.item.clone(), now));
+                    self.keys_in_flight.push((owed.item.clone(), now));
                 }
                 self.append_record(&Record::Back { serial, ran, rests, at: now });
             }
@@ -990,8 +989,8 @@
         for call in calls {
             let _ = self.orders.send(Order::Call(call));
         }
-        if self.index != std::mem::replace(&mut self.in_force, self.index) {
-            log::trace!(target: IN_FORCE, "list {} is in force", self.index);
+        if self.list_version != std::mem::replace(&mut self.list_in_force, self.list_version) {
+            log::trace!(target: IN_FORCE, "list {} is in force", self.list_version);
         }
         self.turns += 1;
         if cfg!(debug_assertions) || self.turns.is_multiple_of(audit::EVERY) {
@@ -1005,10 +1004,10 @@
 
     /// The unit of limits and waits that an endpoint belongs to.
     fn unit(&self, endpoint: usize) -> audit::Unit {
-        let peer = &self.endpoints[endpoint];
-        match self.limited_alone.get((peer.kind as usize).min(self.limited_alone.len() - 1)) {
+        let state = &self.endpoints[endpoint];
+        match self.per_endpoint_limits.get((state.kind as usize).min(self.per_endpoint_limits.len() - 1)) {
             Some(true) => audit::Unit::Route(endpoint),
-            _ => audit::Unit::Dest(peer.destination),
+            _ => audit::Unit::Dest(state.destination),
         }
     }
 
@@ -1024,7 +1023,7 @@
             groups: &|endpoint| self.endpoints[endpoint].destination,
             on_file: self.journal.live(),
             taken: self.counts.taken,
-            index: self.index,
+            index: self.list_version,
             older: self.counts.older,
             tally: &self.tally,
         })
@@ -1073,7 +1072,7 @@
             ("two calls made one", Some(_), _) => {
                 self.connects_out.iter_mut().flatten().for_each(|flight| flight.call = 0);
             }
-            ("a version", ..) => self.index -= 1,
+            ("a version", ..) => self.list_version -= 1,
             ("an older list", ..) => self.counts.older += 1,
             ("a told wait", Some(mail), _) => {
                 let endpoint = self.connects_out[mail].map_or(0, |flight| flight.endpoint);
@@ -1095,7 +1094,7 @@
         calls: &mut Vec<Call>,
         mail: usize,
         endpoint: usize,
-        until: Time,
+        times_out_at: Time,
         new_connection: bool,
     ) {
         let serial = self.mail_serials.id(mail).copied();
@@ -1111,21 +1110,21 @@
         log::debug!(
             "mail {serial} for destination {}: connect to endpoint {endpoint}, timeout {}",
             owed.dest,
-            until - self.last_turn
+            times_out_at - self.last_turn
         );
         let carried = CallMail {
             serial,
             id: owed.id.clone(),
             key: owed.key.clone(),
             body: owed.body.clone(),
-            until,
-            due: owed.due,
-            latest: self.send_deadline(owed),
+            times_out_at,
+            deadline: owed.due,
+            send_before: self.send_deadline(owed),
         };
-        let peer = &self.endpoints[endpoint];
-        let most = self.batch_limits[(peer.kind as usize).min(self.batch_limits.len() - 1)];
+        let state = &self.endpoints[endpoint];
+        let max_batch = self.batch_limits[(state.kind as usize).min(self.batch_limits.len() - 1)];
         let size = http::size_in_batch(&carried.id, &carried.key, &carried.body);
-        let fits = |c: &Call| c.mails.len() < most && c.size + size <= http::MAX_BODY;
+        let fits = |c: &Call| c.mails.len() < max_batch && c.size + size <= http::MAX_BODY;
         // Two calls of the decision module must not be merged: a probe would carry several mails.
         let slot = self.control.call_of(mail).map_or(usize::MAX, |(slot, _)| slot);
         let at = calls.iter().position(|c| c.slot == slot && fits(c)).unwrap_or(calls.len());
@@ -1136,7 +1135,7 @@
                 call.new_connection |= new_connection;
             }
             None => {
-                let (incarnation, address, mails) = (peer.incarnation, peer.address.get(), vec![carried]);
+                let (incarnation, address, mails) = (state.incarnation, state.address.get(), vec![carried]);
                 calls.push(Call { endpoint, slot, incarnation, address, new_connection, mails, size });
             }
         }
@@ -1157,19 +1156,19 @@
         owed.verdict = Some(verdict);
         self.journal.shrink(owed.body.len() as u64);
         owed.body.clear();
-        let (id, dest, left) = (owed.id.clone(), owed.dest, owed.due.saturating_sub(now));
+        let (id, destination, left) = (owed.id.clone(), owed.dest, owed.due.saturating_sub(now));
         self.open_mails -= 1;
         self.counts.given_up += 1;
         // A mail that is handed back may be submitted elsewhere, so a later process must not send it too:
         // unless the journal records that it was given up, it is bounced without a promise.
-        let noted = self.append_record(&Record::GivenUp { serial, verdict });
-        let verdict = if noted { verdict } else { Verdict::Dead };
+        let recorded = self.append_record(&Record::GivenUp { serial, verdict });
+        let verdict = if recorded { verdict } else { Verdict::Dead };
         if let Some(owed) = self.owed.get_mut(&serial) {
             owed.verdict = Some(verdict);
         }
         let words = String::from_utf8_lossy(&id);
         log::debug!(
-            "message {words}, mail {serial} for destination {dest}: given up, {verdict:?}, {} ms left",
+            "message {words}, mail {serial} for destination {destination}: given up, {verdict:?}, {} ms left",
             left / 10
         );
         self.send_notice(Notice { serial, id, verdict });
@@ -1189,7 +1188,7 @@
 
     /// The earliest time of the next turn, by the timer resolution of the settings.
     fn earliest_turn(&self) -> Time {
-        self.last_turn + self.resolution
+        self.last_turn + self.timer_resolution
     }
 
     /// Holds back all turns, and so all calls, until `release`; mails are accepted meanwhile.
--- a/crates/courier/src/hollow.rs
+++ b/crates/courier/src/hollow.rs
@@ -18,7 +18,7 @@
 use crate::config::Config;
 use crate::discovery::{self, Listener};
 use crate::entries::Update;
-use crate::exchange::{duration, Clock, IN_FORCE};
+use crate::exchange::{to_duration, Clock, IN_FORCE};
 use crate::members;
 use crate::memory::{deployment, Keeper};
 use crate::relays;
@@ -97,7 +97,7 @@
     let (push, seed) = (!decoded.settings.poll_list, decoded.settings.seed);
     hollow.borrow_mut().listed(&begun);
     let mut parts = JoinSet::new();
-    parts.spawn_local(drive(hollow.clone(), duration(decoded.settings.timer_resolution)));
+    parts.spawn_local(drive(hollow.clone(), to_duration(decoded.settings.timer_resolution)));
     let (listener, limits) = (before(hollow), (list, seed));
     match relays {
         None => parts.spawn_local(discovery::follow(listener, clock, discovery, index, push, limits)),
@@ -139,7 +139,7 @@
             let mut hollow = hollow.borrow_mut();
             let now = hollow.clock.now();
             hollow.keeper.save(now);
-            write_at = Instant::now() + duration(WRITES_AGAIN);
+            write_at = Instant::now() + to_duration(WRITES_AGAIN);
         }
     }
 }
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -95,8 +95,8 @@
     let Config { name, listen, state, sockets, disk, known, decoded, peers, relays, list, .. } = config;
     let for_clients = sockets / 3;
     let limits = endpoints::Limits {
-        connect_timeout: exchange::duration(decoded.settings.connection_timeout),
-        idle_timeout: exchange::duration(decoded.settings.idle_timeout),
+        connect_timeout: exchange::to_duration(decoded.settings.connection_timeout),
+        idle_timeout: exchange::to_duration(decoded.settings.idle_timeout),
         max_connections: sockets - OWN_SOCKETS - for_clients,
         may_overlap: decoded.may_overlap,
     };
@@ -126,7 +126,7 @@
     // The configuration's version, not the kept one. Guards against a registry that has counted anew meanwhile:
     // its lists would be held to be from before.
     let index = known.index;
-    exchange.recall(known, |kept| held.has_kept_for(kept));
+    exchange.restore_list(known, |kept| held.has_kept_for(kept));
     changes::begin(&mut exchange, &mut held, &state, disk);
     let clock = exchange.clock;
     let shared: Shared = Rc::new(RefCell::new(exchange));
--- a/crates/courier/tests/audit.rs
+++ b/crates/courier/tests/audit.rs
@@ -167,7 +167,7 @@
         if let Answer::Taken(serial) = self.exchange.hand_in(offer) {
             self.taken += 1;
             if self.chance.u8(..20) == 0 {
-                self.exchange.client_gone(serial);
+                self.exchange.withdraw(serial);
             }
         }
     }
@@ -279,7 +279,7 @@
             }
             990..996 => {
                 let gone = self.out.first().map(|mail| mail.serial);
-                gone.into_iter().for_each(|serial| self.exchange.client_gone(serial));
+                gone.into_iter().for_each(|serial| self.exchange.withdraw(serial));
             }
             996..998 => {
                 let found = Found::load(&self.folder.path).unwrap().0;
@@ -405,7 +405,7 @@
     let calls = handed_in(&mut day, "once", 1);
     let mail = day.exchange.begin(&calls[0], calls[0].mails.clone()).remove(0);
     day.exchange.connect_ended(mail.serial, ConnectReport::of(Outcome::Broken));
-    day.exchange.client_gone(mail.serial);
+    day.exchange.withdraw(mail.serial);
     day.turn();
     assert_eq!((day.exchange.in_hand(), day.exchange.counts.broken, day.owed_notices.len()), (0, 0, 0));
 }
@@ -439,7 +439,7 @@
             );
         }
         let left: Vec<u64> = Found::load(&day.folder.path).unwrap().0.owed.into_keys().collect();
-        left.into_iter().for_each(|serial| day.exchange.client_gone(serial));
+        left.into_iter().for_each(|serial| day.exchange.withdraw(serial));
         day.turn();
         assert_eq!(day.exchange.in_hand(), 0);
     }
--- a/crates/courier/tests/behind.rs
+++ b/crates/courier/tests/behind.rs
@@ -79,40 +79,40 @@
 #[test]
 fn once_only_mails_do_not_wait_for_the_probe_of_a_failed_endpoint() {
     for seed in 0..10 {
-        let mut world = setup(seed);
+        let mut fixture = setup(seed);
         let outcome = |endpoint| if endpoint == 0 { Outcome::Unreached } else { Outcome::Relayed };
         for i in 0..200 {
             if i % 2 == 0 {
-                world.put(i, "again");
+                fixture.put(i, "again");
             }
-            world.turn(outcome);
+            fixture.turn(outcome);
         }
         // Some of these mails may have used up their connects.
-        while world.notices.try_recv().is_ok() {}
+        while fixture.notices.try_recv().is_ok() {}
         // From here on only once-only mails come; the first endpoint is known to be down, and its next probe
         // is due.
         let mut served = 0;
         for i in 200..1200 {
             if i % 10 == 0 {
-                world.put(i, "once");
+                fixture.put(i, "once");
             }
-            served += world.turn(outcome).iter().filter(|&&endpoint| endpoint == 1).count();
+            served += fixture.turn(outcome).iter().filter(|&&endpoint| endpoint == 1).count();
         }
         assert!(served >= 99, "seed {seed}: the healthy endpoint took {served} of 100");
-        assert!(world.notices.try_recv().is_err(), "seed {seed}: a mail was given up");
+        assert!(fixture.notices.try_recv().is_err(), "seed {seed}: a mail was given up");
     }
 }
 
 #[test]
 fn a_repeat_goes_to_the_zone_that_knows_its_key_though_another_endpoint_is_cheaper() {
     for seed in 0..20 {
-        let mut world = setup(seed);
-        world.put(1, "tagged");
+        let mut fixture = setup(seed);
+        fixture.put(1, "tagged");
         let mut called = Vec::new();
         for i in 0..300 {
-            called.extend(world.turn(|_| if i == 0 { Outcome::Error } else { Outcome::Relayed }));
+            called.extend(fixture.turn(|_| if i == 0 { Outcome::Error } else { Outcome::Relayed }));
         }
         assert!(matches!(called[..], [a, b] if a == b), "seed {seed}: {called:?}");
-        assert_eq!(world.exchange.in_hand(), 0);
+        assert_eq!(fixture.exchange.in_hand(), 0);
     }
 }
--- a/crates/courier/tests/crash_points.rs
+++ b/crates/courier/tests/crash_points.rs
@@ -149,14 +149,14 @@
     fill(folder);
     let mut gone = 0;
     while let Answer::Taken(serial) = process.put(&format!("gone-{gone}"), "once", 1) {
-        process.exchange.client_gone(serial);
+        process.exchange.withdraw(serial);
         gone += 1;
     }
     assert!((100..2000).contains(&gone), "{gone}");
     // Smaller records fill what a message has left.
     for answer in spare {
         let Answer::Taken(serial) = answer else { panic!("{answer:?}") };
-        process.exchange.client_gone(serial);
+        process.exchange.withdraw(serial);
     }
     process
 }
@@ -234,9 +234,9 @@
                 process.exchange.connect_ended(first.mails[0].serial, ConnectReport::of(Outcome::Silent));
             }
             let repeat = process.calls().pop().unwrap();
-            assert_eq!(repeat.mails[0].latest, sent + SECOND, "the last byte's latest time");
+            assert_eq!(repeat.mails[0].send_before, sent + SECOND, "the last byte's latest time");
             let mut mails = repeat.mails.clone();
-            mails[0].until = Time::MAX;
+            mails[0].times_out_at = Time::MAX;
             process.pass(connected * 10);
             let begun = process.exchange.begin(&repeat, mails).len();
             assert_eq!(begun == 1, begins, "{restart} {decided} {connected}");
--- a/crates/courier/tests/renamed.rs
+++ b/crates/courier/tests/renamed.rs
@@ -18,7 +18,7 @@
 use meadowhold::interner::Interner;
 use meadowhold_courier::discovery::List;
 use meadowhold_courier::exchange::{
-    duration, Answer, Call, Clock, ConnectReport, Exchange, Notice, Offer, Order,
+    to_duration, Answer, Call, Clock, ConnectReport, Exchange, Notice, Offer, Order,
 };
 use meadowhold_courier::journal::Journal;
 use meadowhold_settings::{decode_json, Decoded};
@@ -422,7 +422,7 @@
             order_key: message.key.map_or(text("0000"), |key| text(&format!("{}{key}", self.names.item))),
             class: text(self.names.classes[message.class]),
             destination: self.names.destinations[message.dest],
-            lifetime: duration(message.lifetime),
+            lifetime: to_duration(message.lifetime),
             body: Bytes::from_static(b"body"),
         });
         self.environment.count(match answer {
@@ -445,7 +445,7 @@
             let serials: Vec<u64> = going.iter().map(|mail| mail.serial).collect();
             self.trace.push(format!("begins: {serials:?}"));
             for mail in going {
-                let end = self.environment.end(mail.until - now);
+                let end = self.environment.end(mail.times_out_at - now);
                 self.out.push((now + end.after, mail.serial, end));
             }
         }
@@ -457,7 +457,7 @@
             self.exchange.connect_ended(
                 serial,
                 ConnectReport {
-                    retry_after: duration(wait),
+                    retry_after: to_duration(wait),
                     reused_connection: kept,
                     load,
                     ..ConnectReport::of(outcome)
@@ -474,8 +474,11 @@
                 Order::SetTimeouts { .. } => {}
                 Order::CloseIdle(incarnation) => decided.push(format!("close {incarnation}")),
                 Order::Call(call) => {
-                    let sent: Vec<(u64, Time, Time)> =
-                        call.mails.iter().map(|mail| (mail.serial, mail.until, mail.due)).collect();
+                    let sent: Vec<(u64, Time, Time)> = call
+                        .mails
+                        .iter()
+                        .map(|mail| (mail.serial, mail.times_out_at, mail.deadline))
+                        .collect();
                     let Call { endpoint, slot, incarnation, address, new_connection, size: _, mails: _ } =
                         call;
                     decided.push(format!(
@@ -517,7 +520,7 @@
             run.hand_in(number, &message);
         }
         let gone = run.out.first().filter(|_| run.environment.client_leaves()).map(|(_, serial, _)| *serial);
-        gone.into_iter().for_each(|serial| run.exchange.client_gone(serial));
+        gone.into_iter().for_each(|serial| run.exchange.withdraw(serial));
         if let Some((at, news)) = run.environment.peer_note() {
             run.exchange.note_received(names.endpoint(at).as_bytes(), news);
         }
