--- a/crates/courier/tests/behind.rs
+++ b/crates/courier/tests/behind.rs
@@ -91,14 +91,14 @@
         while fixture.notices.try_recv().is_ok() {}
         // From here on only once-only mails come; the first endpoint is known to be down, and its next probe
         // is due.
-        let mut served = 0;
+        let mut relayed = 0;
         for i in 200..1200 {
             if i % 10 == 0 {
                 fixture.put(i, "once");
             }
-            served += fixture.turn(outcome).iter().filter(|&&endpoint| endpoint == 1).count();
+            relayed += fixture.turn(outcome).iter().filter(|&&endpoint| endpoint == 1).count();
         }
-        assert!(served >= 99, "seed {seed}: the healthy endpoint took {served} of 100");
+        assert!(relayed >= 99, "seed {seed}: the healthy endpoint took {relayed} of 100");
         assert!(fixture.notices.try_recv().is_err(), "seed {seed}: a mail was given up");
     }
 }
--- a/crates/courier/tests/courier.rs
+++ b/crates/courier/tests/courier.rs
@@ -14,7 +14,7 @@
 };
 use serde_json::{json, Value};
 
-const LATE: &str = "d=4000";
+const LIFETIME: &str = "d=4000";
 
 fn unchanged(_: &mut Value) {}
 
@@ -236,7 +236,7 @@
 fn a_call_that_breaks_after_one_mail_timed_out_reports_only_the_others() {
     let (platform, endpoint, courier) = setup("many", &[Reply::After(1000, Box::new(Reply::Break))]);
     let mut mails = put("0", "again", "again", "d=500", b"x");
-    mails.extend(put("0", "once", "once", LATE, b"x"));
+    mails.extend(put("0", "once", "once", LIFETIME, b"x"));
     assert_eq!(courier.client().say(&mails), "+OK");
     until("the mails to be finished", || courier.owes_nothing());
     assert_eq!(endpoint.calls().len(), 1);
@@ -278,7 +278,7 @@
     let (platform, endpoint, mut courier) = setup("single", &[Reply::Silence]);
     let mut client = courier.client();
     for id in ["01", "02", "03"] {
-        assert_eq!(client.say(&put("beef", id, "turns", LATE, b"x")), "+OK");
+        assert_eq!(client.say(&put("beef", id, "turns", LIFETIME, b"x")), "+OK");
     }
     until("the first call", || !endpoint.calls().is_empty());
     courier.kill();
@@ -304,7 +304,7 @@
         let mut client = courier.client();
         for i in 0..20 {
             let id = format!("{round}-{i}");
-            assert_eq!(client.put(&id, if i % 2 == 0 { "again" } else { "once" }, LATE), "+OK");
+            assert_eq!(client.put(&id, if i % 2 == 0 { "again" } else { "once" }, LIFETIME), "+OK");
             sent.push(id);
         }
         thread::sleep(Duration::from_millis(round * 3));
@@ -326,12 +326,12 @@
     let (platform, endpoint, mut courier) = setup("single", &[Reply::After(1200, Box::new(OK))]);
     let (mut idle, mut client) = (courier.client(), courier.client());
     assert_eq!(idle.say(b"PING\r\n"), "+PONG");
-    assert_eq!(client.put("01", "once", LATE), "+OK");
+    assert_eq!(client.put("01", "once", LIFETIME), "+OK");
     until("the call", || !endpoint.calls().is_empty());
     courier.signal("-TERM");
     assert_eq!(idle.line(), "", "the connection of an idle client is closed");
     let mut late = courier.client();
-    assert_eq!(late.put("02", "once", LATE), "+OK", "a new client is answered");
+    assert_eq!(late.put("02", "once", LIFETIME), "+OK", "a new client is answered");
     assert_eq!(late.line(), "", "and its connection closed");
     until("the process to exit", || courier.ended().is_some());
     assert!(courier.ended().unwrap().success());
@@ -343,8 +343,8 @@
 #[test]
 fn odd_and_hostile_clients_get_an_error_or_are_disconnected() {
     let (_platform, _endpoint, courier) = setup("single", &[]);
-    let big = put("0", "01", "again", LATE, &[b'x'; 65_537]);
-    let most = put("0", "02", "again", LATE, &[b'\n'; 65_536]);
+    let big = put("0", "01", "again", LIFETIME, &[b'x'; 65_537]);
+    let most = put("0", "02", "again", LIFETIME, &[b'\n'; 65_536]);
     let rows: [(&[u8], &str); 14] = [
         (b"PING\r\n", "+PONG"),
         (b"\r\nping\r\n", "+PONG"),
@@ -353,9 +353,9 @@
         (b"*1\r\n$7\r\nMSG.PUT\r\n", "-ERR wrong number of arguments"),
         (b"*99\r\n", "-ERR a command has too many words"),
         (b"\x16\x03\x01\x02\x00\x01\xfc\n", "-ERR unknown command"),
-        (&put("0", "0\r\nX: y", "again", LATE, b""), "-ERR an id is 1 to 128 plain characters"),
+        (&put("0", "0\r\nX: y", "again", LIFETIME, b""), "-ERR an id is 1 to 128 plain characters"),
         (&put("0", "01", "again", "d=9,k=\"", b""), "-ERR a key is up to 128 plain characters"),
-        (&put("0", "01", "what", LATE, b""), "-ERR unknown class"),
+        (&put("0", "01", "what", LIFETIME, b""), "-ERR unknown class"),
         (&put("0", "01", "again", "d=x", b""), "-ERR no time"),
         (&big, "-ERR a word is too long"),
         (&most, "+OK"),
@@ -402,7 +402,11 @@
     let mut many: Vec<Client> = (0..200).map(|_| courier.client()).collect();
     let most = (0..50).map(|_| courier.sockets()).max().unwrap();
     assert!(most < 85 + 20, "{most} sockets, more than a third and the process's own");
-    assert_eq!(courier.client().put("04", "again", LATE), "+OK", "the longest idle connection is evicted");
+    assert_eq!(
+        courier.client().put("04", "again", LIFETIME),
+        "+OK",
+        "the longest idle connection is evicted"
+    );
     let answers = many.iter_mut().map(|client| client.say(b"PING\r\n"));
     let kept = answers.filter(|answer| answer == "+PONG").count();
     assert!((20..200).contains(&kept), "{kept}");
@@ -419,7 +423,7 @@
     let mut client = courier.client();
     let mut answers = Vec::new();
     for i in 0..60 {
-        answers.push(client.say(&put("0", &format!("{i}"), "again", LATE, &[b'x'; 8000])));
+        answers.push(client.say(&put("0", &format!("{i}"), "again", LIFETIME, &[b'x'; 8000])));
     }
     let taken = answers.iter().filter(|answer| *answer == "+OK").count();
     assert!((10..30).contains(&taken) && answers[59] == "-BUSY", "{taken}");
@@ -438,7 +442,7 @@
         until(what, || {
             next += 1;
             let (id, before) = (next.to_string(), endpoint.calls().len());
-            assert_eq!(client.put(&id, "again", LATE), "+OK");
+            assert_eq!(client.put(&id, "again", LIFETIME), "+OK");
             thread::sleep(Duration::from_millis(50));
             endpoint.calls().len() > before
         });
@@ -468,7 +472,7 @@
     old.told.lock().unwrap().refuse = usize::MAX;
     let mut client = courier.client();
     for (id, calls) in [("01", 1), ("02", 2)] {
-        assert_eq!(client.put(id, "once", LATE), "+OK");
+        assert_eq!(client.put(id, "once", LIFETIME), "+OK");
         until("its call", || first.calls().len() == calls);
     }
     until("a rejected notice", || old.told.lock().unwrap().refuse < usize::MAX);
@@ -487,7 +491,7 @@
     until("the notice at the new address", || new.notices() == [("02".into(), "dead".into())]);
     until("the list of the new address", || {
         let id = format!("n{}", second.calls().len());
-        assert_eq!(client.put(&id, "again", LATE), "+OK");
+        assert_eq!(client.put(&id, "again", LIFETIME), "+OK");
         thread::sleep(Duration::from_millis(30));
         !second.calls().is_empty()
     });
@@ -502,7 +506,7 @@
     platform.list("e0", own_address(), "single", 7, "DRAINING");
     let courier = Courier::start(&platform, unchanged);
     assert_eq!(courier.client().put("02", "once", "d=4000,dest=8"), "-ERR unknown destination");
-    assert_eq!(courier.client().put("01", "once", LATE), "+OK");
+    assert_eq!(courier.client().put("01", "once", LIFETIME), "+OK");
     let endpoint = Endpoint::new(&[]);
     platform.list("e9", endpoint.address, "single", 8, "SERVING");
     platform.list("e1", endpoint.address, "single", 7, "SERVING");
@@ -515,7 +519,7 @@
     let (_platform, endpoint, courier) = setup("single", &[]);
     let mut client = courier.client();
     for i in 0..5 {
-        assert_eq!(client.put(&i.to_string(), "again", LATE), "+OK");
+        assert_eq!(client.put(&i.to_string(), "again", LIFETIME), "+OK");
         until("the call", || endpoint.calls().len() == i + 1);
     }
     // One connection carries consecutive calls; it is closed within two seconds of idleness.
@@ -539,7 +543,7 @@
         });
         let mut client = courier.client();
         for i in 0..4 {
-            assert_eq!(client.put(&i.to_string(), "again", LATE), "+OK");
+            assert_eq!(client.put(&i.to_string(), "again", LIFETIME), "+OK");
             until("the mail to be finished", || courier.owes_nothing());
         }
         assert_eq!((endpoint.calls().len(), endpoint.connections().0), (5, connections), "{fields}");
@@ -558,7 +562,7 @@
     });
     let mut client = courier.client();
     for i in 0..20 {
-        assert_eq!(client.put(&i.to_string(), "once", LATE), "+OK");
+        assert_eq!(client.put(&i.to_string(), "once", LIFETIME), "+OK");
     }
     until("the mails to be finished", || courier.owes_nothing());
     assert_eq!((first.calls().len(), platform.notices()), (20, vec![]));
@@ -600,7 +604,7 @@
         c["peers"] = peers(hears, &[other.local_addr().unwrap()]);
     });
     let mut client = courier.client();
-    assert_eq!(client.put("told", "again", LATE), "+OK");
+    assert_eq!(client.put("told", "again", LIFETIME), "+OK");
     let mut note = [0; 64];
     let (length, from) = other.recv_from(&mut note).unwrap();
     assert_eq!((from, &note[..length]), (hears, &b"\x01\x00\x01\x2ce1"[..]));
@@ -618,7 +622,7 @@
         other.send_to(note, hears).unwrap();
         // Answered after the note was read, since both were waiting in the courier's sockets.
         assert_eq!(client.say(b"PING\r\n"), "+PONG");
-        assert_eq!(client.put(id, "again", LATE), "+OK");
+        assert_eq!(client.put(id, "again", LIFETIME), "+OK");
         until(id, || endpoint.ids().last().is_some_and(|last| last == id));
         let took = endpoint.calls().last().unwrap().at - start;
         assert!(took >= Duration::from_millis(wait), "{id}: {took:?}");
@@ -654,7 +658,7 @@
     for n in 0..30 {
         for (shape, clients) in clients.iter_mut().enumerate() {
             for (i, client) in clients.iter_mut().enumerate() {
-                assert_eq!(client.put(&format!("{shape}{i}{n:02}"), "once", LATE), "+OK");
+                assert_eq!(client.put(&format!("{shape}{i}{n:02}"), "once", LIFETIME), "+OK");
             }
         }
     }
@@ -666,10 +670,10 @@
     let mut relayed = [0, 0];
     for (shape, i, n) in (0..120).map(|mail| (mail / 60, mail / 30 % 2, mail % 30)) {
         let id = format!("{shape}{i}{n:02}");
-        let served = seen.iter().filter(|call| call.1 == id && call.2.is_none()).count();
-        let told = ended.iter().filter(|ended| **ended == id).count();
-        assert_eq!(served + told, 1, "{id}: relayed {served} times, {told} notices");
-        relayed[shape] += served;
+        let times_relayed = seen.iter().filter(|call| call.1 == id && call.2.is_none()).count();
+        let notices = ended.iter().filter(|ended| **ended == id).count();
+        assert_eq!(times_relayed + notices, 1, "{id}: relayed {times_relayed} times, {notices} notices");
+        relayed[shape] += times_relayed;
     }
     // A courier that was told to wait sends nothing; calls that had left before are allowed for.
     for (at, id, wait) in &seen {
--- a/crates/courier/tests/crossing_clients.rs
+++ b/crates/courier/tests/crossing_clients.rs
@@ -26,7 +26,7 @@
 use tokio::sync::{mpsc::unbounded_channel, watch};
 use tokio::task::LocalSet;
 
-const LATE: &str = "d=8000";
+const LIFETIME: &str = "d=8000";
 
 fn setup(change: impl FnOnce(&mut Value)) -> (Platform, Endpoint, Courier) {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&[]));
@@ -118,7 +118,7 @@
 fn only_mails_whose_acceptance_may_have_reached_the_client_are_kept() {
     on_one_thread(async {
         let served = InProcess::new();
-        let one = |name: &str| put("0", name, "again", LATE, b"x");
+        let one = |name: &str| put("0", name, "again", LIFETIME, b"x");
         // Where the answers are cut depends on the socket buffers: before, within, between or after those
         // that matter.
         let mut ways: Vec<Vec<u8>> = vec![
@@ -137,13 +137,17 @@
             client.write_all(way).await.unwrap();
             clients.push(client);
         }
-        let mut told = 0;
+        let mut acknowledged = 0;
         for client in &mut clients {
-            told += count_ok(&served.read_to_close(client).await);
+            acknowledged += count_ok(&served.read_to_close(client).await);
         }
         let counts = served.shared.borrow().counts;
-        assert!(counts.taken as usize > told && told > 2, "some are cut off: {told} of {}", counts.taken);
-        assert_eq!(served.in_hand(), told, "{counts:?}");
+        assert!(
+            counts.taken as usize > acknowledged && acknowledged > 2,
+            "some are cut off: {acknowledged} of {}",
+            counts.taken
+        );
+        assert_eq!(served.in_hand(), acknowledged, "{counts:?}");
         assert_eq!(served.phase.send_replace(Phase::Closing), Phase::Serving);
     });
 }
@@ -154,7 +158,7 @@
         let served = InProcess::new();
         let mut client = served.client();
         client
-            .write_all(&[put("0", "01", "once", LATE, b"x"), unknown_commands(1800)].concat())
+            .write_all(&[put("0", "01", "once", LIFETIME, b"x"), unknown_commands(1800)].concat())
             .await
             .unwrap();
         let mut first = [0; 5];
@@ -169,7 +173,7 @@
 fn a_mail_whose_acceptance_another_client_has_read_is_not_dropped() {
     on_one_thread(async {
         let served = InProcess::new();
-        let mail = put("0", "01", "once", LATE, b"x");
+        let mail = put("0", "01", "once", LIFETIME, b"x");
         let (mut deaf, mut other) = (served.client(), served.client());
         // The first was accepted but its client cannot learn so, since it does not read its answers.
         deaf.write_all(&[unknown_commands(600), mail.clone()].concat()).await.unwrap();
@@ -188,8 +192,8 @@
 #[test]
 fn a_request_that_is_read_late_is_answered_however_long_the_connection_was_idle() {
     let (_platform, endpoint, courier) = setup(|_| {});
-    let big = put("0", "big", "once", LATE, &[b'x'; 60_000]);
-    let half = put("0", "half", "once", LATE, &[b'x'; 60_000]);
+    let big = put("0", "big", "once", LIFETIME, &[b'x'; 60_000]);
+    let half = put("0", "half", "once", LIFETIME, &[b'x'; 60_000]);
     let mut clients: Vec<Client> = (0..3).map(|_| courier.client()).collect();
     let first: [&[u8]; 3] = [b"PING\r\n", b"PING\r\n", &[b"PING\r\n", &half[..100]].concat()];
     for (client, first) in clients.iter_mut().zip(first) {
@@ -199,7 +203,7 @@
     let stopped = Instant::now();
     // Past the idle timeout and the command timeout, by more than a second.
     sleep_until(stopped, 3400);
-    let rest: [&[u8]; 3] = [&put("0", "small", "once", LATE, b"x"), &big, &half[100..]];
+    let rest: [&[u8]; 3] = [&put("0", "small", "once", LIFETIME, b"x"), &big, &half[100..]];
     for (client, rest) in clients.iter_mut().zip(rest) {
         client.stream.get_mut().write_all(rest).unwrap();
     }
@@ -218,7 +222,7 @@
     until("the connections to be used up", || courier.sockets() >= 300);
     for i in 0..10 {
         let asked = Instant::now();
-        assert_eq!(courier.client().put(&i.to_string(), "again", LATE), "+OK");
+        assert_eq!(courier.client().put(&i.to_string(), "again", LIFETIME), "+OK");
         // It took 1.5 s and more when each idle client was closed before the first descriptor was free.
         assert!(asked.elapsed() < Duration::from_millis(900), "{i}: {:?}", asked.elapsed());
     }
@@ -340,11 +344,11 @@
         assert_eq!(client.line(), "+OK", "{i}");
     }
     sent.join().unwrap().unwrap();
-    let heard = || {
+    let accepted_count = || {
         let posts = posts.lock().unwrap();
         posts.iter().filter(|post| post.0 == 204).map(|post| post.1.lines().count()).sum::<usize>()
     };
-    until("the others' notices", || heard() == count - 3);
+    until("the others' notices", || accepted_count() == count - 3);
     // Found by bisection. Earlier, a batch with one of them was sent again after each accepted notice.
     let refused = posts.lock().unwrap().iter().filter(|post| post.0 == 400).count();
     assert!(refused < 60, "{refused}");
@@ -367,7 +371,7 @@
         let endpoint = Endpoint::new(&[Reply::Status(500, "")]);
         platform.list("e1", endpoint.address, "single", 7, "SERVING");
         let mut courier = Courier::start(&platform, |c| c["discovery"] = json!(address.to_string()));
-        assert_eq!(courier.client().put("01", "once", LATE), "+OK");
+        assert_eq!(courier.client().put("01", "once", LIFETIME), "+OK");
         until("its notice", || !posts.lock().unwrap().is_empty());
         courier.signal(name);
         until("the process to exit", || courier.ended().is_some());
--- a/crates/courier/tests/exchange.rs
+++ b/crates/courier/tests/exchange.rs
@@ -87,13 +87,13 @@
 
 #[test]
 fn a_call_does_not_begin_at_an_endpoint_that_is_draining_or_asked_to_wait() {
-    for told in ["drain", "wait"] {
+    for reason in ["drain", "wait"] {
         let mut fixture = setup("single");
         let first = serial(fixture.put("01", "once", 1));
         let call = fixture.call();
         serial(fixture.put("02", "once", 1));
         // This happens while the first call waits for its connection.
-        if told == "drain" {
+        if reason == "drain" {
             fixture.exchange.listed(&list("DRAINING", "single"));
             fixture.exchange.turn();
         } else {
@@ -102,8 +102,8 @@
             fixture.exchange.connect_ended(second.mails[0].serial, report(Outcome::Refused));
             fixture.exchange.turn();
         }
-        assert!(fixture.exchange.begin(&call, call.mails.clone()).is_empty(), "{told}");
-        assert!(fixture.calls().is_empty(), "{told}: the mail waits");
+        assert!(fixture.exchange.begin(&call, call.mails.clone()).is_empty(), "{reason}");
+        assert!(fixture.calls().is_empty(), "{reason}: the mail waits");
         // It was never sent, so it can be sent later; nothing was given up.
         assert_eq!((first, fixture.exchange.in_hand(), fixture.exchange.in_flight()), (1, 2, 0));
         assert!(fixture.notices.try_recv().is_err());
--- a/crates/courier/tests/other_folder.rs
+++ b/crates/courier/tests/other_folder.rs
@@ -333,7 +333,7 @@
     /// Connects that have begun and may have run: when, and in which zone.
     ran: Vec<(Time, String)>,
     over: bool,
-    told: Option<Verdict>,
+    notice: Option<Verdict>,
 }
 
 /// Consecutive processes with random settings on one folder, each killed at a random time.
@@ -381,7 +381,7 @@
         for mail in begun {
             let id = String::from_utf8(mail.id.to_vec()).unwrap();
             let history = self.histories.get_mut(&id).unwrap();
-            assert!(!history.over && history.told.is_none(), "{id} is finished already");
+            assert!(!history.over && history.notice.is_none(), "{id} is finished already");
             let strict = classes.iter().any(|c| c["Name"] == history.name && c["Effect"] == "non_idempotent");
             if let Some((first, where_first)) = history.ran.first() {
                 self.repeats += 1;
@@ -413,14 +413,14 @@
         for (id, verdict) in process.ends() {
             let history = self.histories.get_mut(&id).unwrap();
             assert!(
-                !history.over && history.told.is_none_or(|told| told == verdict),
+                !history.over && history.notice.is_none_or(|notice| notice == verdict),
                 "{id} is finished twice"
             );
             let harmless = history.ran.is_empty()
                 || history.effect == "read_like"
                 || (history.effect == "idempotency_key" && !history.by_zone);
             assert!(verdict == Verdict::Dead || harmless, "{id}: handed back though it may have run");
-            history.told = Some(verdict);
+            history.notice = Some(verdict);
         }
     }
 
@@ -487,7 +487,7 @@
         let open: Vec<_> = restarts
             .histories
             .iter()
-            .filter(|(_, history)| !history.over && history.told.is_none())
+            .filter(|(_, history)| !history.over && history.notice.is_none())
             .collect();
         assert!(open.is_empty(), "seed {seed}: {:?}", open.iter().map(|(id, _)| id).collect::<Vec<_>>());
         repeats += restarts.repeats;
