--- a/crates/courier/src/clients.rs
+++ b/crates/courier/src/clients.rs
@@ -21,7 +21,7 @@
 const LINGER: Duration = Duration::from_secs(3);
 /// How long to wait for an evicted connection to close before the next is evicted.
 const EVICTION_WAIT: Duration = Duration::from_millis(10);
-/// How many connections that were never answered are evicted at once.
+/// How many connections that were never answered are evicted together.
 const EVICTED_AT_ONCE: usize = 4;
 const DISCARD_SIZE: usize = 1 << 16;
 /// Time limit for the rest of a command after its first byte, and for a client to read its answers. Clients
--- a/crates/courier/src/exchange.rs
+++ b/crates/courier/src/exchange.rs
@@ -76,6 +76,7 @@
     }
 }
 
+/// Converts to the decision module's unit of a tenth of a millisecond.
 pub fn to_time(duration: Duration) -> Time {
     (duration.as_micros() / 100) as Time
 }
@@ -255,6 +256,7 @@
     classes: Classes,
     ordering_gap: Time,
     timer_resolution: Time,
+    /// The decision module's indices of mails, endpoints, destinations and ordering keys.
     mail_serials: Interner<u64>,
     endpoint_names: Interner<Box<[u8]>>,
     destinations: Interner<u64>,
@@ -267,6 +269,7 @@
     paused_units: Vec<audit::Unit>,
     owed: BTreeMap<u64, Owed>,
     ids: HashMap<Bytes, u64>,
+    /// Ordering keys with a connect that may still be running, and since when.
     keys_in_flight: Vec<(Bytes, Time)>,
     /// Restored mails that have not been submitted to the decision module yet.
     backlog: Backlog,
--- a/crates/courier/src/notices.rs
+++ b/crates/courier/src/notices.rs
@@ -20,7 +20,7 @@
 
 const MAX_BATCH: usize = 256;
 const MAX_ANSWER: usize = 64 * 1024;
-/// The platform normally answers at once. After this time the notices are sent again while they are still
+/// The platform normally answers immediately. After this time the notices are sent again while they are still
 /// useful.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
 /// Interval at which a notice that the platform rejects is sent again, one at a time.
