--- a/crates/courier/src/endpoints.rs
+++ b/crates/courier/src/endpoints.rs
@@ -83,7 +83,7 @@
                 Some(Order::Call(call)) => {
                     tokio::task::spawn_local(endpoints.clone().call(call));
                 }
-                Some(Order::CloseIdle(place)) => endpoints.close_idle(place),
+                Some(Order::CloseIdle(incarnation)) => endpoints.close_idle(incarnation),
                 Some(Order::SetTimeouts { connect_timeout, idle_timeout }) => {
                     sweep = sweep_timer(idle_timeout);
                     endpoints.limits.set(Limits { connect_timeout, idle_timeout, ..endpoints.limits.get() });
--- a/crates/courier/tests/renamed.rs
+++ b/crates/courier/tests/renamed.rs
@@ -227,10 +227,10 @@
     }
 
     fn peer_note(&mut self) -> Option<(usize, PeerNote)> {
-        let news = [PeerNote::Down, PeerNote::Recovered, PeerNote::Refusing(self.chance.u64(..4000))]
+        let note = [PeerNote::Down, PeerNote::Recovered, PeerNote::Refusing(self.chance.u64(..4000))]
             [self.chance.usize(..3)];
-        let heard = (self.chance.usize(..ENDPOINTS), news);
-        (self.chance.u8(..40) == 0).then_some(heard)
+        let note = (self.chance.usize(..ENDPOINTS), note);
+        (self.chance.u8(..40) == 0).then_some(note)
     }
 
     /// Whether the client of a mail in flight leaves now.
@@ -312,9 +312,9 @@
         }
         let gone = out.first().filter(|_| environment.client_leaves()).map(|&(_, mail, _)| mail);
         inputs.extend(gone.map(|mail| Input::ClientGone { mail }));
-        let heard = environment.peer_note();
-        let heard = heard.and_then(|(at, news)| Some((endpoints.get(&names.endpoint(at))?, news)));
-        inputs.extend(heard.map(|(endpoint, news)| Input::PeerNote { endpoint, note: news }));
+        let note = environment.peer_note();
+        let note = note.and_then(|(at, note)| Some((endpoints.get(&names.endpoint(at))?, note)));
+        inputs.extend(note.map(|(endpoint, note)| Input::PeerNote { endpoint, note }));
         let mut actions = Vec::new();
         let wake = control.step(environment.now, &inputs, &mut actions);
         trace.push(format!("turn {turn}: {actions:?}, {wake:?}"));
@@ -357,11 +357,11 @@
 fn open(names: &Names, folder: &Folder, now: Time) -> (Exchange, Channels) {
     let (orders_in, orders) = unbounded_channel();
     let (notices_in, notices) = unbounded_channel();
-    let (news_in, news) = unbounded_channel();
+    let (notes_in, notes) = unbounded_channel();
     let journal = Journal::open(&folder.path, 3_000_000).unwrap();
     let clock = Clock::still(now);
-    let exchange = Exchange::with_clock(clock, decode(names), journal, orders_in, notices_in, Some(news_in));
-    (exchange, (orders, notices, news))
+    let exchange = Exchange::with_clock(clock, decode(names), journal, orders_in, notices_in, Some(notes_in));
+    (exchange, (orders, notices, notes))
 }
 
 fn text(text: &str) -> Bytes {
@@ -495,9 +495,9 @@
             self.environment.count("notices");
             self.exchange.notice_accepted(notice.serial);
         }
-        while let Ok((name, news)) = self.channels.2.try_recv() {
+        while let Ok((name, note)) = self.channels.2.try_recv() {
             let at = (0..ENDPOINTS).find(|&at| self.names.endpoint(at).as_bytes() == name);
-            decided.push(format!("note {at:?} {news:?}"));
+            decided.push(format!("note {at:?} {note:?}"));
         }
         self.trace.push(decided.join("; "));
     }
@@ -521,8 +521,8 @@
         }
         let gone = run.out.first().filter(|_| run.environment.client_leaves()).map(|(_, serial, _)| *serial);
         gone.into_iter().for_each(|serial| run.exchange.withdraw(serial));
-        if let Some((at, news)) = run.environment.peer_note() {
-            run.exchange.note_received(names.endpoint(at).as_bytes(), news);
+        if let Some((at, note)) = run.environment.peer_note() {
+            run.exchange.note_received(names.endpoint(at).as_bytes(), note);
         }
         run.turn(turn);
         told = run.environment.change();
