--- a/crates/courier/src/changes.rs
+++ b/crates/courier/src/changes.rs
@@ -11,7 +11,9 @@
 use crate::exchange::{Clock, Exchange, Shared, Versions};
 use crate::kept_settings::{self, Kept};
 use crate::memory::deployment;
-use crate::version::{decide, Faults, Moment, Numbered, Stamp, Step, Sum, Whole};
+use crate::version::{
+    decide, Checksum, CourierState, Decision, Faults, Fingerprint, VersionId, VersionNumber,
+};
 
 /// A configuration that a running courier is offered. What comes back: whether its `discovery` is to be followed now,
 /// and where that is, or that nothing of it can be read; nothing if it is turned down.
@@ -24,11 +26,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct Held {
     /// Nothing where versions are no matter.
-    whole: Option<Whole>,
+    whole: Option<Fingerprint>,
     /// The newest version that was ever in force here.
-    newest: Option<Stamp>,
+    newest: Option<VersionId>,
     /// What a list in the folder may be kept for: by this process, and before that by those whose versions it follows.
-    lists: Vec<Sum>,
+    lists: Vec<Checksum>,
     /// To be put on file before it is said to be in force.
     fresh: Option<Kept>,
     versions: Versions,
@@ -40,9 +42,9 @@
     pub held: Held,
 }
 
-fn words(whole: Option<&Whole>, faults: Faults) -> String {
-    let number = match whole.map(|whole| whole.numbered) {
-        Some(Numbered::As(number)) => format!("version {number}"),
+fn words(whole: Option<&Fingerprint>, faults: Faults) -> String {
+    let number = match whole.map(|whole| whole.version) {
+        Some(VersionNumber::Valid(number)) => format!("version {number}"),
         _ => "without a version that can be read".to_string(),
     };
     format!("settings {number} are turned down: {}", Refused { file: None, faults })
@@ -51,8 +53,8 @@
 /// Guards against a file that grows with each start.
 const MOST_LISTS: usize = 16;
 
-fn lists(config: &Config, before: Vec<Sum>) -> Vec<Sum> {
-    let mut lists = vec![Sum::of(&deployment(&config.decoded).into())];
+fn lists(config: &Config, before: Vec<Checksum>) -> Vec<Checksum> {
+    let mut lists = vec![Checksum::of(&deployment(&config.decoded).into())];
     lists.extend(before.into_iter().filter(|sum| *sum != lists[0]).collect::<Vec<_>>());
     lists.truncate(MOST_LISTS);
     lists
@@ -69,9 +71,9 @@
 pub fn start() -> Result<Start, Refused> {
     let kept = Config::folder().and_then(|folder| kept_settings::load(&folder));
     let Offered { text, whole, read } = Config::at_start();
-    let newest = kept.as_ref().and_then(Kept::stamp);
-    match decide(Moment::Start, newest.as_ref(), whole.as_ref(), faults(&read)) {
-        Step::TurnDown(faults) => {
+    let newest = kept.as_ref().and_then(Kept::version_id);
+    match decide(CourierState::Starting, newest.as_ref(), whole.as_ref(), faults(&read)) {
+        Decision::Reject(faults) => {
             let refused = Refused { file: None, faults: faults.clone() };
             let refused = read.err().unwrap_or(refused);
             let Some(kept) = kept else { return Err(refused) };
@@ -95,15 +97,15 @@
             let now = Clock::new().now();
             let before = kept.as_ref().filter(|_| config.version.is_some());
             let lists = lists(&config, before.map(|kept| kept.lists.clone()).unwrap_or_default());
-            let fresh = text.filter(|_| step == Step::Take);
+            let fresh = text.filter(|_| step == Decision::Apply);
             let fresh = fresh.and_then(|text| Kept::new(text, now, lists.clone()));
-            let since = kept.filter(|_| step == Step::Known).map_or(now, |kept| kept.since);
+            let since = kept.filter(|_| step == Decision::AlreadyHeld).map_or(now, |kept| kept.since);
             if let (None, Some(stamp)) = (config.version, newest) {
                 log::warn!("settings without a version are taken; version {} was held before", stamp.number);
             }
             let versions =
                 Versions { in_force: config.version.map(|number| (number, since)), rejected: None };
-            let newest = whole.as_ref().and_then(Whole::stamp).or(newest);
+            let newest = whole.as_ref().and_then(Fingerprint::version_id).or(newest);
             Ok(Start { config, held: Held { whole, newest, lists, fresh, versions } })
         }
     }
@@ -148,25 +150,25 @@
     let Offered { text, whole, read } = offered;
     let mut faults = faults(&read);
     if let (Some(running), Some(whole)) = (&held.whole, &whole) {
-        let needs_start = running.needs_start(whole);
+        let needs_start = running.restart_required(whole);
         for (place, words) in needs_start {
             faults.entry(place).or_insert(words);
         }
     }
-    let runs_with = held.versions.in_force.is_some();
-    let moment = if runs_with { Moment::RunsWith } else { Moment::RunsWithout };
-    let step = decide(moment, held.newest.as_ref(), whole.as_ref(), faults);
+    let versioned = held.versions.in_force.is_some();
+    let state = if versioned { CourierState::RunningVersioned } else { CourierState::RunningUnversioned };
+    let step = decide(state, held.newest.as_ref(), whole.as_ref(), faults);
     let now = exchange.clock.now();
     let faults = match (step, read, whole.clone()) {
-        (Step::Take, Ok(config), Some(whole)) => {
+        (Decision::Apply, Ok(config), Some(whole)) => {
             let discovery = config.discovery;
             let fresh = text.and_then(|text| Kept::new(text, now, held.lists.clone()));
             match in_force(exchange, config, fresh, (folder, allowance)) {
                 Ok(number) => {
                     let before = held.whole.take();
-                    held.newest = whole.stamp();
+                    held.newest = whole.version_id();
                     held.whole = Some(match before {
-                        Some(before) => whole.after(before),
+                        Some(before) => whole.retain_kinds_of(before),
                         None => whole,
                     });
                     held.versions = Versions { in_force: Some((number, now)), rejected: None };
@@ -177,7 +179,7 @@
                 Err(faults) => faults,
             }
         }
-        (Step::TurnDown(faults), ..) => faults,
+        (Decision::Reject(faults), ..) => faults,
         (_, read, _) => return Some(read.map(|config| config.discovery)),
     };
     let words = words(whole.as_ref(), faults);
@@ -209,13 +211,13 @@
 impl Held {
     /// Whether a list that was kept for this is ours, though our classes have changed since.
     pub fn has_kept_for(&self, deployment: &str) -> bool {
-        self.lists.contains(&Sum::of(&deployment.into()))
+        self.lists.contains(&Checksum::of(&deployment.into()))
     }
 
     /// What an exchange runs by that was given this configuration; for who has no start of his own.
     pub fn of(text: &[u8], now: Time) -> Held {
-        let whole = Whole::read(text);
-        let newest = whole.as_ref().and_then(Whole::stamp);
+        let whole = Fingerprint::read(text);
+        let newest = whole.as_ref().and_then(Fingerprint::version_id);
         let in_force = newest.map(|stamp| (stamp.number, now));
         Held { whole, newest, versions: Versions { in_force, rejected: None }, ..Held::default() }
     }
--- a/crates/courier/src/config.rs
+++ b/crates/courier/src/config.rs
@@ -17,7 +17,7 @@
 use crate::members::{Members, MOST_MEMBERS};
 use crate::reader;
 use crate::relays::MOST_RELAYS;
-use crate::version::{Faults, Whole};
+use crate::version::{Faults, Fingerprint};
 
 pub struct Config {
     pub name: String,
@@ -167,7 +167,7 @@
 pub struct Offered {
     /// The file, where it has a version.
     pub text: Option<Vec<u8>>,
-    pub whole: Option<Whole>,
+    pub whole: Option<Fingerprint>,
     pub read: Result<Config, Refused>,
 }
 
@@ -299,8 +299,8 @@
     /// From the file's text, and from variables by name.
     pub fn of(text: &[u8], variable: &dyn Fn(&str) -> Option<String>) -> Offered {
         let read = Config::read(text, variable);
-        let whole = Whole::read(text);
-        let numbered = whole.as_ref().is_some_and(|whole| whole.stamp().is_some());
+        let whole = Fingerprint::read(text);
+        let numbered = whole.as_ref().is_some_and(|whole| whole.version_id().is_some());
         Offered { text: numbered.then(|| text.to_vec()), whole, read }
     }
 }
--- a/crates/courier/src/kept_settings.rs
+++ b/crates/courier/src/kept_settings.rs
@@ -8,7 +8,7 @@
 use meadowhold::interface::Time;
 use serde_json::{json, Value};
 
-use crate::version::{Stamp, Sum, Whole};
+use crate::version::{Checksum, Fingerprint, VersionId};
 
 const NAME: &str = "settings";
 const FRESH: &str = "settings.new";
@@ -26,24 +26,24 @@
 pub struct Kept {
     /// Since when, by the system's clock, in tenths of a millisecond.
     pub since: Time,
-    pub whole: Whole,
+    pub whole: Fingerprint,
     /// What the list in the folder may be kept for (`memory::deployment`), by the process that put this on file or by
     /// one before, the latest first. Guards against a list that is passed over as another deployment's because a class
     /// has changed meanwhile.
-    pub lists: Vec<Sum>,
+    pub lists: Vec<Checksum>,
     /// The file's text; without spaces, and without the list that it knew, where that is too long.
     pub text: Vec<u8>,
 }
 
 impl Kept {
     /// `None` where it has no number.
-    pub fn new(text: Vec<u8>, since: Time, lists: Vec<Sum>) -> Option<Kept> {
-        let whole = Whole::read(&text).filter(|whole| whole.stamp().is_some())?;
+    pub fn new(text: Vec<u8>, since: Time, lists: Vec<Checksum>) -> Option<Kept> {
+        let whole = Fingerprint::read(&text).filter(|whole| whole.version_id().is_some())?;
         Some(Kept { since, whole, lists, text })
     }
 
-    pub fn stamp(&self) -> Option<Stamp> {
-        self.whole.stamp()
+    pub fn version_id(&self) -> Option<VersionId> {
+        self.whole.version_id()
     }
 
     /// The file's bytes, `most` at most.
@@ -64,7 +64,7 @@
 
     /// A line of what is known of the text, and the text.
     fn with(&self, text: &[u8]) -> Vec<u8> {
-        let (content, known) = (self.whole.content, self.whole.fixed.get("known"));
+        let (content, known) = (self.whole.content, self.whole.restart_only.get("known"));
         let known = known.map(|sum| json!([sum.0, sum.1]));
         let line = json!({"since": self.since, "content": [content.0, content.1], "known": known,
             "lists": self.lists.iter().map(|sum| [sum.0.into(), sum.1]).collect::<Vec<[u64; 2]>>()});
@@ -91,14 +91,15 @@
     fn from_body(body: &[u8]) -> Option<Kept> {
         let end = body.iter().position(|&b| b == b'\n')?;
         let line: Value = serde_json::from_slice(&body[..end]).ok()?;
-        let sum =
-            |value: &Value| Some(Sum(u32::try_from(value.get(0)?.as_u64()?).ok()?, value.get(1)?.as_u64()?));
+        let sum = |value: &Value| {
+            Some(Checksum(u32::try_from(value.get(0)?.as_u64()?).ok()?, value.get(1)?.as_u64()?))
+        };
         let (since, content, known) = (line["since"].as_u64()?, sum(&line["content"])?, sum(&line["known"]));
         let lists = line["lists"].as_array()?.iter().filter_map(sum).collect();
         let mut kept = Kept::new(body[end + 1..].to_vec(), since, lists)?;
         // What the file itself said, the list that it knew included.
         kept.whole.content = content;
-        kept.whole.fixed.extend(known.map(|sum| ("known".to_string(), sum)));
+        kept.whole.restart_only.extend(known.map(|sum| ("known".to_string(), sum)));
         Some(kept)
     }
 }
--- a/crates/courier/src/version.rs
+++ b/crates/courier/src/version.rs
@@ -11,234 +11,254 @@
 
 /// Tells one content from another, however it is spaced and in whatever order its keys stand.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sum(pub u32, pub u64);
+pub struct Checksum(pub u32, pub u64);
 
-impl Sum {
-    pub fn of(value: &Value) -> Sum {
+impl Checksum {
+    pub fn of(value: &Value) -> Checksum {
         let text = value.to_string();
-        Sum(crc32fast::hash(text.as_bytes()), text.len() as u64)
+        Checksum(crc32fast::hash(text.as_bytes()), text.len() as u64)
     }
 }
 
 /// A version's number and content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Stamp {
+pub struct VersionId {
     pub number: u64,
-    pub content: Sum,
+    pub content: Checksum,
 }
 
 /// The number that a configuration bears.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Numbered {
-    Not,
-    Unreadably,
-    As(u64),
+pub enum VersionNumber {
+    Absent,
+    Invalid,
+    Valid(u64),
 }
 
 /// A configuration as far as versions of it are compared.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Whole {
-    pub numbered: Numbered,
-    pub content: Sum,
+pub struct Fingerprint {
+    pub version: VersionNumber,
+    pub content: Checksum,
     /// What cannot change without a start, by place.
-    pub fixed: BTreeMap<String, Sum>,
+    pub restart_only: BTreeMap<String, Checksum>,
     /// Whether the endpoints of a kind are limited each on its own.
-    pub apart: BTreeMap<String, bool>,
+    pub own_limits: BTreeMap<String, bool>,
 }
 
 /// Places in the file of what is used once, at the start; `limits` key by key.
-const FIXED: [&str; 6] = ["name", "listen", "seed", "known", "peers", "relays"];
+const RESTART_ONLY_KEYS: [&str; 6] = ["name", "listen", "seed", "known", "peers", "relays"];
 /// The same of settings, each with what its absence means: who follows the list was started so; shares that were
 /// reckoned from listed rates stand until the list comes; what is out was promised that it is alone, or not.
-const FIXED_SETTINGS: [(&str, &str); 3] =
+const RESTART_ONLY_SETTINGS: [(&str, &str); 3] =
     [("MembershipMode", ""), ("Weights", ""), ("Limits.MayDuplicate", "false")];
 /// A kind's waits, paces and holds are kept by endpoint or by destination from its first endpoint on.
-const APART: &str = "FamilyInfo.OwnLimits";
+const OWN_LIMITS: &str = "FamilyInfo.OwnLimits";
 
-impl Whole {
+impl Fingerprint {
     /// `None` where the text is no JSON object.
-    pub fn read(text: &[u8]) -> Option<Whole> {
-        Whole::of(&serde_json::from_slice(text).ok()?)
+    pub fn read(text: &[u8]) -> Option<Fingerprint> {
+        Fingerprint::of(&serde_json::from_slice(text).ok()?)
     }
 
-    pub fn of(value: &Value) -> Option<Whole> {
+    pub fn of(value: &Value) -> Option<Fingerprint> {
         let object = value.as_object()?;
-        let mut fixed: BTreeMap<String, Sum> = BTreeMap::new();
-        let named = FIXED.iter().filter_map(|key| Some((key.to_string(), Sum::of(object.get(*key)?))));
-        fixed.extend(named);
+        let mut restart_only: BTreeMap<String, Checksum> = BTreeMap::new();
+        let named = RESTART_ONLY_KEYS
+            .iter()
+            .filter_map(|key| Some((key.to_string(), Checksum::of(object.get(*key)?))));
+        restart_only.extend(named);
         match object.get("limits") {
             Some(Value::Object(limits)) => {
-                fixed.extend(limits.iter().map(|(key, value)| (format!("limits.{key}"), Sum::of(value))));
+                restart_only
+                    .extend(limits.iter().map(|(key, value)| (format!("limits.{key}"), Checksum::of(value))));
             }
-            Some(other) => drop(fixed.insert("limits".to_string(), Sum::of(other))),
+            Some(other) => drop(restart_only.insert("limits".to_string(), Checksum::of(other))),
             None => {}
         }
         let settings = object.get("settings").unwrap_or(&Value::Null);
-        for (key, absent) in FIXED_SETTINGS {
+        for (key, absent) in RESTART_ONLY_SETTINGS {
             let text = raw_values(settings, [key])[0].clone().unwrap_or_else(|| absent.to_string());
-            let text = if key == "Weights" { is_rate(&text).to_string() } else { text };
-            fixed.insert(format!("setting {key}"), Sum::of(&text.into()));
+            let text = if key == "Weights" { uses_listed_rates(&text).to_string() } else { text };
+            restart_only.insert(format!("setting {key}"), Checksum::of(&text.into()));
         }
-        let numbered = match object.get("version") {
-            None | Some(Value::Null) => Numbered::Not,
-            Some(number) => number.as_u64().filter(|&n| n > 0).map_or(Numbered::Unreadably, Numbered::As),
+        let version = match object.get("version") {
+            None | Some(Value::Null) => VersionNumber::Absent,
+            Some(number) => {
+                number.as_u64().filter(|&n| n > 0).map_or(VersionNumber::Invalid, VersionNumber::Valid)
+            }
         };
-        Some(Whole { numbered, content: Sum::of(value), fixed, apart: apart(settings) })
+        Some(Fingerprint {
+            version,
+            content: Checksum::of(value),
+            restart_only,
+            own_limits: own_limits_by_kind(settings),
+        })
     }
 
-    pub fn stamp(&self) -> Option<Stamp> {
-        match self.numbered {
-            Numbered::As(number) => Some(Stamp { number, content: self.content }),
+    pub fn version_id(&self) -> Option<VersionId> {
+        match self.version {
+            VersionNumber::Valid(number) => Some(VersionId { number, content: self.content }),
             _ => None,
         }
     }
 
     /// What another configuration has otherwise and a courier that runs by this one cannot take up.
-    pub fn needs_start(&self, other: &Whole) -> Faults {
-        let places = self.fixed.keys().chain(other.fixed.keys());
-        let differs = places.filter(|place| self.fixed.get(*place) != other.fixed.get(*place));
-        let words = || "cannot change without a start".to_string();
-        let mut faults: Faults = differs.map(|place| (place.clone(), words())).collect();
-        let moved =
-            other.apart.iter().filter(|(kind, apart)| self.apart.get(*kind).is_some_and(|a| a != *apart));
-        let moved: Vec<&str> = moved.map(|(kind, _)| kind.as_str()).collect();
-        if !moved.is_empty() {
-            faults.insert(format!("setting {APART}"), format!("{} for {}", words(), moved.join(", ")));
+    pub fn restart_required(&self, other: &Fingerprint) -> Faults {
+        let places = self.restart_only.keys().chain(other.restart_only.keys());
+        let differs = places.filter(|place| self.restart_only.get(*place) != other.restart_only.get(*place));
+        let problem = || "cannot change without a start".to_string();
+        let mut faults: Faults = differs.map(|place| (place.clone(), problem())).collect();
+        let changed = other
+            .own_limits
+            .iter()
+            .filter(|(kind, own)| self.own_limits.get(*kind).is_some_and(|held| held != *own));
+        let changed: Vec<&str> = changed.map(|(kind, _)| kind.as_str()).collect();
+        if !changed.is_empty() {
+            faults
+                .insert(format!("setting {OWN_LIMITS}"), format!("{} for {}", problem(), changed.join(", ")));
         }
         faults
     }
 
     /// This one in the place of another that has run so far.
-    pub fn after(mut self, before: Whole) -> Whole {
-        for (kind, apart) in before.apart {
-            self.apart.entry(kind).or_insert(apart);
+    pub fn retain_kinds_of(mut self, previous: Fingerprint) -> Fingerprint {
+        for (kind, own_limits) in previous.own_limits {
+            self.own_limits.entry(kind).or_insert(own_limits);
         }
         self
     }
 }
 
-fn is_rate(weights: &str) -> bool {
+fn uses_listed_rates(weights: &str) -> bool {
     matches!(weights, "nominal" | "rough")
 }
 
-fn apart(settings: &Value) -> BTreeMap<String, bool> {
-    let [kinds, apart] = raw_values(settings, ["Kinds", APART]).map(Option::unwrap_or_default);
-    let apart: Vec<bool> = apart.split(',').map(|item| item == "true").collect();
+fn own_limits_by_kind(settings: &Value) -> BTreeMap<String, bool> {
+    let [kinds, own_limits] = raw_values(settings, ["Kinds", OWN_LIMITS]).map(Option::unwrap_or_default);
+    let own_limits: Vec<bool> = own_limits.split(',').map(|item| item == "true").collect();
     let kinds = kinds.split(',').enumerate();
-    kinds.map(|(i, kind)| (kind.to_string(), apart.get(i).or(apart.last()) == Some(&true))).collect()
+    kinds
+        .map(|(i, kind)| (kind.to_string(), own_limits.get(i).or(own_limits.last()) == Some(&true)))
+        .collect()
 }
 
 /// Who asks what to do with an offered configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Moment {
-    Start,
+pub enum CourierState {
+    Starting,
     /// A courier that runs by settings without a version, or with one.
-    RunsWithout,
-    RunsWith,
+    RunningUnversioned,
+    RunningVersioned,
 }
 
 /// How what is offered stands to the version that is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum Comparison {
     /// It has no number.
-    Without,
+    Unversioned,
     /// Its number cannot be read.
     Unreadable,
     Newer,
     /// The same number, with the same content or another.
     Same,
-    Other,
+    Conflicting,
     Older,
 }
 
 /// What is done with it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum Decision {
     /// As where there are no versions.
-    AsBefore,
-    Take,
+    HandleUnversioned,
+    Apply,
     /// It is held already.
-    Known,
+    AlreadyHeld,
     /// For all of these reasons.
-    TurnDown(Faults),
+    Reject(Faults),
 }
 
 /// What a row of the table says; whether there is a fault beside it decides of `Unless`.
 #[derive(Clone, Copy)]
-enum Row {
-    AsBefore,
-    Unless,
-    Known,
+enum Rule {
+    HandleUnversioned,
+    ApplyIfValid,
+    AlreadyHeld,
     /// With these words of its number.
-    Down(&'static str),
+    Reject(&'static str),
 }
 
-use Moment::{RunsWith, RunsWithout, Start};
-use Order::{Newer, Older, Other, Same, Unreadable, Without};
+use Comparison::{Conflicting, Newer, Older, Same, Unreadable, Unversioned};
+use CourierState::{RunningUnversioned, RunningVersioned, Starting};
 
-const OTHER: Row = Row::Down("has another content than the one of its number that is held");
-const OLDER: Row = Row::Down("is older than the one that is held");
+const REJECT_CONFLICTING: Rule = Rule::Reject("has another content than the one of its number that is held");
+const REJECT_OLDER: Rule = Rule::Reject("is older than the one that is held");
 
 /// (whether a version is held, who asks, how what is offered stands to it, what is done); all that may be is listed.
-const TABLE: [(bool, Moment, Order, Row); 24] = [
-    (false, Start, Without, Row::AsBefore),
-    (false, Start, Unreadable, Row::AsBefore),
-    (false, Start, Newer, Row::Unless),
-    (false, RunsWithout, Without, Row::AsBefore),
-    (false, RunsWithout, Unreadable, Row::AsBefore),
-    (false, RunsWithout, Newer, Row::Unless),
-    (true, Start, Without, Row::AsBefore),
-    (true, Start, Unreadable, Row::Down("")),
-    (true, Start, Newer, Row::Unless),
-    (true, Start, Same, Row::Known),
-    (true, Start, Other, OTHER),
-    (true, Start, Older, OLDER),
+const RULES: [(bool, CourierState, Comparison, Rule); 24] = [
+    (false, Starting, Unversioned, Rule::HandleUnversioned),
+    (false, Starting, Unreadable, Rule::HandleUnversioned),
+    (false, Starting, Newer, Rule::ApplyIfValid),
+    (false, RunningUnversioned, Unversioned, Rule::HandleUnversioned),
+    (false, RunningUnversioned, Unreadable, Rule::HandleUnversioned),
+    (false, RunningUnversioned, Newer, Rule::ApplyIfValid),
+    (true, Starting, Unversioned, Rule::HandleUnversioned),
+    (true, Starting, Unreadable, Rule::Reject("")),
+    (true, Starting, Newer, Rule::ApplyIfValid),
+    (true, Starting, Same, Rule::AlreadyHeld),
+    (true, Starting, Conflicting, REJECT_CONFLICTING),
+    (true, Starting, Older, REJECT_OLDER),
     // An earlier process held one, and this one was started without.
-    (true, RunsWithout, Without, Row::AsBefore),
-    (true, RunsWithout, Unreadable, Row::AsBefore),
-    (true, RunsWithout, Newer, Row::Unless),
-    (true, RunsWithout, Same, Row::Unless),
-    (true, RunsWithout, Other, OTHER),
-    (true, RunsWithout, Older, OLDER),
-    (true, RunsWith, Without, Row::Down("is missing, and one is in force")),
-    (true, RunsWith, Unreadable, Row::Down("")),
-    (true, RunsWith, Newer, Row::Unless),
-    (true, RunsWith, Same, Row::Known),
-    (true, RunsWith, Other, OTHER),
-    (true, RunsWith, Older, OLDER),
+    (true, RunningUnversioned, Unversioned, Rule::HandleUnversioned),
+    (true, RunningUnversioned, Unreadable, Rule::HandleUnversioned),
+    (true, RunningUnversioned, Newer, Rule::ApplyIfValid),
+    (true, RunningUnversioned, Same, Rule::ApplyIfValid),
+    (true, RunningUnversioned, Conflicting, REJECT_CONFLICTING),
+    (true, RunningUnversioned, Older, REJECT_OLDER),
+    (true, RunningVersioned, Unversioned, Rule::Reject("is missing, and one is in force")),
+    (true, RunningVersioned, Unreadable, Rule::Reject("")),
+    (true, RunningVersioned, Newer, Rule::ApplyIfValid),
+    (true, RunningVersioned, Same, Rule::AlreadyHeld),
+    (true, RunningVersioned, Conflicting, REJECT_CONFLICTING),
+    (true, RunningVersioned, Older, REJECT_OLDER),
 ];
 
 /// How a configuration stands to the version that is held.
-pub fn order(held: Option<&Stamp>, offered: Option<&Whole>) -> Order {
+pub fn compare(held: Option<&VersionId>, offered: Option<&Fingerprint>) -> Comparison {
     let Some(offered) = offered else { return Unreadable };
-    match (offered.numbered, held) {
-        (Numbered::Not, _) => Without,
-        (Numbered::Unreadably, _) => Unreadable,
-        (Numbered::As(_), None) => Newer,
-        (Numbered::As(number), Some(held)) => match number.cmp(&held.number) {
+    match (offered.version, held) {
+        (VersionNumber::Absent, _) => Unversioned,
+        (VersionNumber::Invalid, _) => Unreadable,
+        (VersionNumber::Valid(_), None) => Newer,
+        (VersionNumber::Valid(number), Some(held)) => match number.cmp(&held.number) {
             std::cmp::Ordering::Greater => Newer,
             std::cmp::Ordering::Less => Older,
             std::cmp::Ordering::Equal if held.content == offered.content => Same,
-            std::cmp::Ordering::Equal => Other,
+            std::cmp::Ordering::Equal => Conflicting,
         },
     }
 }
 
 /// Takes what is offered as a whole, or turns it down. `held`: the newest version that this courier has held, by this
 /// process or an earlier one. `faults`: all that is wrong with it, what cannot change now included.
-pub fn decide(moment: Moment, held: Option<&Stamp>, offered: Option<&Whole>, mut faults: Faults) -> Step {
-    let order = order(held, offered);
-    let listed = TABLE.iter().find(|row| (row.0, row.1, row.2) == (held.is_some(), moment, order));
-    match listed.map_or(OLDER, |row| row.3) {
-        Row::AsBefore => Step::AsBefore,
-        Row::Known => Step::Known,
-        Row::Unless if faults.is_empty() => Step::Take,
-        Row::Unless => Step::TurnDown(faults),
-        Row::Down(words) => {
-            if !words.is_empty() {
-                faults.entry("version".to_string()).or_insert_with(|| words.to_string());
+pub fn decide(
+    state: CourierState,
+    held: Option<&VersionId>,
+    offered: Option<&Fingerprint>,
+    mut faults: Faults,
+) -> Decision {
+    let comparison = compare(held, offered);
+    let listed = RULES.iter().find(|row| (row.0, row.1, row.2) == (held.is_some(), state, comparison));
+    match listed.map_or(REJECT_OLDER, |row| row.3) {
+        Rule::HandleUnversioned => Decision::HandleUnversioned,
+        Rule::AlreadyHeld => Decision::AlreadyHeld,
+        Rule::ApplyIfValid if faults.is_empty() => Decision::Apply,
+        Rule::ApplyIfValid => Decision::Reject(faults),
+        Rule::Reject(problem) => {
+            if !problem.is_empty() {
+                faults.entry("version".to_string()).or_insert_with(|| problem.to_string());
             }
-            Step::TurnDown(faults)
+            Decision::Reject(faults)
         }
     }
 }
--- a/crates/courier/src/version/tests.rs
+++ b/crates/courier/src/version/tests.rs
@@ -3,31 +3,33 @@
 use super::*;
 use serde_json::json;
 
-const MOMENTS: [Moment; 3] = [Start, RunsWithout, RunsWith];
-const ORDERS: [Order; 6] = [Without, Unreadable, Newer, Same, Other, Older];
+const STATES: [CourierState; 3] = [Starting, RunningUnversioned, RunningVersioned];
+const COMPARISONS: [Comparison; 6] = [Unversioned, Unreadable, Newer, Same, Conflicting, Older];
 
-fn whole(change: impl FnOnce(&mut Value)) -> Whole {
+fn fingerprint(change: impl FnOnce(&mut Value)) -> Fingerprint {
     let mut value = json!({"name": "n1", "listen": "127.0.0.1:1", "seed": "1", "version": 7,
         "discovery": "127.0.0.1:2", "limits": {"sockets": 256, "disk_mb": 3}, "known": {"index": 1},
         "settings": {"Kinds": ["a", "b"], "FamilyInfo": {"Slots": 4, "OwnLimits": [true, false]},
         "MembershipMode": "push", "Weights": "nominal", "Limits": {"MaxOpen": 9}}});
     change(&mut value);
-    Whole::of(&value).unwrap()
+    Fingerprint::of(&value).unwrap()
 }
 
-fn numbered(version: Value) -> Whole {
-    whole(|value| value["version"] = version)
+fn with_version(version: Value) -> Fingerprint {
+    fingerprint(|value| value["version"] = version)
 }
 
 #[test]
 fn all_that_may_be_is_listed_once() {
-    for moment in MOMENTS {
-        for order in ORDERS {
+    for state in STATES {
+        for comparison in COMPARISONS {
             for held in [false, true] {
-                let rows = TABLE.iter().filter(|row| (row.0, row.1, row.2) == (held, moment, order)).count();
+                let rows =
+                    RULES.iter().filter(|row| (row.0, row.1, row.2) == (held, state, comparison)).count();
                 // What runs by a version holds one, and only what is held can be compared with.
-                let may = held || moment != RunsWith && !matches!(order, Same | Other | Older);
-                assert_eq!(rows, usize::from(may), "{held} {moment:?} {order:?}");
+                let may =
+                    held || state != RunningVersioned && !matches!(comparison, Same | Conflicting | Older);
+                assert_eq!(rows, usize::from(may), "{held} {state:?} {comparison:?}");
             }
         }
     }
@@ -35,29 +37,29 @@
 
 #[test]
 fn a_version_is_taken_whole_if_it_is_newer_and_without_fault_and_never_otherwise() {
-    let held = numbered(json!(7)).stamp().unwrap();
+    let held = with_version(json!(7)).version_id().unwrap();
     let fault = || Faults::from([("limits.sockets".to_string(), "is under 64".to_string())]);
-    let offers = [
-        (Some(numbered(Value::Null)), Without),
-        (Some(numbered(json!("8"))), Unreadable),
-        (Some(numbered(json!(0))), Unreadable),
-        (Some(numbered(json!(8.5))), Unreadable),
-        (Some(numbered(json!(-8))), Unreadable),
+    let candidates = [
+        (Some(with_version(Value::Null)), Unversioned),
+        (Some(with_version(json!("8"))), Unreadable),
+        (Some(with_version(json!(0))), Unreadable),
+        (Some(with_version(json!(8.5))), Unreadable),
+        (Some(with_version(json!(-8))), Unreadable),
         (None, Unreadable),
-        (Some(numbered(json!(8))), Newer),
-        (Some(numbered(json!(u64::MAX))), Newer),
-        (Some(numbered(json!(7))), Same),
-        (Some(whole(|value| value["settings"]["Limits"]["MaxOpen"] = json!(10))), Other),
-        (Some(numbered(json!(6))), Older),
+        (Some(with_version(json!(8))), Newer),
+        (Some(with_version(json!(u64::MAX))), Newer),
+        (Some(with_version(json!(7))), Same),
+        (Some(fingerprint(|value| value["settings"]["Limits"]["MaxOpen"] = json!(10))), Conflicting),
+        (Some(with_version(json!(6))), Older),
     ];
-    for (offered, expected) in offers {
-        assert_eq!(order(Some(&held), offered.as_ref()), expected);
-        for moment in MOMENTS {
+    for (candidate, expected) in candidates {
+        assert_eq!(compare(Some(&held), candidate.as_ref()), expected);
+        for state in STATES {
             for faults in [Faults::new(), fault()] {
-                let step = decide(moment, Some(&held), offered.as_ref(), faults.clone());
-                let takes = expected == Newer || moment == RunsWithout && expected == Same;
-                assert_eq!(step == Step::Take, takes && faults.is_empty(), "{moment:?} {expected:?}");
-                if let Step::TurnDown(reasons) = step {
+                let decision = decide(state, Some(&held), candidate.as_ref(), faults.clone());
+                let takes = expected == Newer || state == RunningUnversioned && expected == Same;
+                assert_eq!(decision == Decision::Apply, takes && faults.is_empty(), "{state:?} {expected:?}");
+                if let Decision::Reject(reasons) = decision {
                     assert!(!reasons.is_empty() || expected == Unreadable);
                     assert!(faults.keys().all(|place| reasons.contains_key(place)), "every fault is told");
                 }
@@ -65,22 +67,25 @@
         }
     }
     // Without any version all is as it was.
-    for moment in [Start, RunsWithout] {
+    for state in [Starting, RunningUnversioned] {
         for faults in [Faults::new(), fault()] {
-            assert_eq!(decide(moment, None, Some(&numbered(Value::Null)), faults.clone()), Step::AsBefore);
-            assert_eq!(decide(moment, None, None, faults), Step::AsBefore);
+            assert_eq!(
+                decide(state, None, Some(&with_version(Value::Null)), faults.clone()),
+                Decision::HandleUnversioned
+            );
+            assert_eq!(decide(state, None, None, faults), Decision::HandleUnversioned);
         }
     }
 }
 
 #[test]
 fn spaces_and_the_order_of_keys_make_no_other_content() {
-    let one = Whole::read(br#"{"version": 3, "settings": {"a": 1, "b": [1, 2]}}"#).unwrap();
-    let same = Whole::read(b"{\"settings\":{\"b\":[1,2],\n\"a\":1},\"version\":3}").unwrap();
-    let other = Whole::read(br#"{"version": 3, "settings": {"a": 1, "b": [2, 1]}}"#).unwrap();
+    let one = Fingerprint::read(br#"{"version": 3, "settings": {"a": 1, "b": [1, 2]}}"#).unwrap();
+    let same = Fingerprint::read(b"{\"settings\":{\"b\":[1,2],\n\"a\":1},\"version\":3}").unwrap();
+    let other = Fingerprint::read(br#"{"version": 3, "settings": {"a": 1, "b": [2, 1]}}"#).unwrap();
     assert_eq!(one, same);
     assert_ne!(one.content, other.content);
-    assert_eq!(Whole::read(b"[]"), None);
+    assert_eq!(Fingerprint::read(b"[]"), None);
 }
 
 #[test]
@@ -103,25 +108,25 @@
         ("/settings/Limits", json!({"MayDuplicate": true}), &["setting Limits.MayDuplicate"]),
         ("/settings/FamilyInfo/OwnLimits", json!([false, true]), &["setting FamilyInfo.OwnLimits"]),
     ];
-    let running = whole(|_| ());
+    let running = fingerprint(|_| ());
     for (path, value, places) in rows {
-        let other = whole(|whole| *whole.pointer_mut(path).unwrap() = value);
-        let found: Vec<String> = running.needs_start(&other).into_keys().collect();
+        let other = fingerprint(|whole| *whole.pointer_mut(path).unwrap() = value);
+        let found: Vec<String> = running.restart_required(&other).into_keys().collect();
         assert_eq!(found, places, "{path}");
     }
-    let gone = whole(|value| drop(value.as_object_mut().unwrap().remove("seed")));
-    assert_eq!(running.needs_start(&gone).into_keys().collect::<Vec<_>>(), ["seed"]);
-    let peers = whole(|value| value["peers"] = json!({"listen": "127.0.0.1:5", "others": []}));
-    assert_eq!(running.needs_start(&peers).into_keys().collect::<Vec<_>>(), ["peers"]);
+    let gone = fingerprint(|value| drop(value.as_object_mut().unwrap().remove("seed")));
+    assert_eq!(running.restart_required(&gone).into_keys().collect::<Vec<_>>(), ["seed"]);
+    let peers = fingerprint(|value| value["peers"] = json!({"listen": "127.0.0.1:5", "others": []}));
+    assert_eq!(running.restart_required(&peers).into_keys().collect::<Vec<_>>(), ["peers"]);
 }
 
 #[test]
 fn a_kind_that_was_gone_comes_back_as_it_was_or_not_without_a_start() {
-    let first = whole(|_| ());
-    let without = whole(|value| value["settings"]["Kinds"] = json!(["c"]));
-    let otherwise = whole(|value| value["settings"]["FamilyInfo"]["OwnLimits"] = json!([false]));
-    let now = without.after(first.clone());
-    assert_eq!(now.needs_start(&first), Faults::new());
-    let words = now.needs_start(&otherwise).into_values().collect::<Vec<_>>();
+    let first = fingerprint(|_| ());
+    let without = fingerprint(|value| value["settings"]["Kinds"] = json!(["c"]));
+    let otherwise = fingerprint(|value| value["settings"]["FamilyInfo"]["OwnLimits"] = json!([false]));
+    let now = without.retain_kinds_of(first.clone());
+    assert_eq!(now.restart_required(&first), Faults::new());
+    let words = now.restart_required(&otherwise).into_values().collect::<Vec<_>>();
     assert_eq!(words, ["cannot change without a start for a"]);
 }
--- a/crates/courier/tests/settings_exchange.rs
+++ b/crates/courier/tests/settings_exchange.rs
@@ -19,7 +19,7 @@
 use meadowhold_courier::journal::{Found, Journal, Terms, Verdict};
 use meadowhold_courier::kept_settings::{self, Kept};
 use meadowhold_courier::numbers::Classes;
-use meadowhold_courier::version::Sum;
+use meadowhold_courier::version::Checksum;
 use serde_json::{json, Value};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 
@@ -390,7 +390,8 @@
 fn what_is_kept_is_read_whole_or_passed_over() {
     let folder = Folder::new();
     let kept =
-        Kept::new(config(7, &three()).to_string().into_bytes(), START, vec![Sum(7, 9), Sum(8, 1)]).unwrap();
+        Kept::new(config(7, &three()).to_string().into_bytes(), START, vec![Checksum(7, 9), Checksum(8, 1)])
+            .unwrap();
     kept_settings::save(&folder.path, ALLOWANCE, &kept).unwrap();
     assert_eq!(kept_settings::load(&folder.path), Some(kept.clone()));
     let whole = fs::read(folder.path.join("settings")).unwrap();
@@ -405,7 +406,8 @@
     let mut long = config(8, &three());
     long["known"] = json!({"index": 1, "endpoints": vec![json!({"name": "e".repeat(400)}); 400]});
     let long =
-        Kept::new(serde_json::to_vec_pretty(&long).unwrap(), START, vec![Sum(7, 9), Sum(8, 1)]).unwrap();
+        Kept::new(serde_json::to_vec_pretty(&long).unwrap(), START, vec![Checksum(7, 9), Checksum(8, 1)])
+            .unwrap();
     kept_settings::save(&folder.path, ALLOWANCE, &long).unwrap();
     let found = kept_settings::load(&folder.path).unwrap();
     assert_eq!(found.whole, long.whole);
