--- a/crates/courier/src/changes.rs
+++ b/crates/courier/src/changes.rs
@@ -7,9 +7,9 @@
 use meadowhold::interface::Time;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::config::{Config, Offered, Refused};
+use crate::config::{Candidate, Config, ConfigError};
 use crate::exchange::{Clock, Exchange, Shared, Versions};
-use crate::kept_settings::{self, Kept};
+use crate::kept_settings::{self, SavedSettings};
 use crate::memory::deployment;
 use crate::version::{
     decide, Checksum, CourierState, Decision, Faults, Fingerprint, VersionId, VersionNumber,
@@ -18,8 +18,8 @@
 /// A configuration that a running courier is offered. What comes back: whether its `discovery` is to be followed now,
 /// and where that is, or that nothing of it can be read; nothing if it is turned down.
 pub struct Change {
-    pub offered: Offered,
-    pub answer: oneshot::Sender<Option<Result<SocketAddr, Refused>>>,
+    pub offered: Candidate,
+    pub answer: oneshot::Sender<Option<Result<SocketAddr, ConfigError>>>,
 }
 
 /// What a courier runs by.
@@ -32,7 +32,7 @@
     /// What a list in the folder may be kept for: by this process, and before that by those whose versions it follows.
     lists: Vec<Checksum>,
     /// To be put on file before it is said to be in force.
-    fresh: Option<Kept>,
+    fresh: Option<SavedSettings>,
     versions: Versions,
 }
 
@@ -47,7 +47,7 @@
         Some(VersionNumber::Valid(number)) => format!("version {number}"),
         _ => "without a version that can be read".to_string(),
     };
-    format!("settings {number} are turned down: {}", Refused { file: None, faults })
+    format!("settings {number} are turned down: {}", ConfigError { file: None, faults })
 }
 
 /// Guards against a file that grows with each start.
@@ -60,7 +60,7 @@
     lists
 }
 
-fn faults(read: &Result<Config, Refused>) -> Faults {
+fn faults(read: &Result<Config, ConfigError>) -> Faults {
     read.as_ref().err().map(|refused| refused.faults.clone()).unwrap_or_default()
 }
 
@@ -68,16 +68,16 @@
 ///
 /// # Errors
 /// What is wrong with the file, where nothing is kept that could stand in for it.
-pub fn start() -> Result<Start, Refused> {
-    let kept = Config::folder().and_then(|folder| kept_settings::load(&folder));
-    let Offered { text, whole, read } = Config::at_start();
-    let newest = kept.as_ref().and_then(Kept::version_id);
+pub fn start() -> Result<Start, ConfigError> {
+    let kept = Config::state_folder().and_then(|folder| kept_settings::load(&folder));
+    let Candidate { text, fingerprint: whole, result: read } = Config::at_start();
+    let newest = kept.as_ref().and_then(SavedSettings::version_id);
     match decide(CourierState::Starting, newest.as_ref(), whole.as_ref(), faults(&read)) {
         Decision::Reject(faults) => {
-            let refused = Refused { file: None, faults: faults.clone() };
+            let refused = ConfigError { file: None, faults: faults.clone() };
             let refused = read.err().unwrap_or(refused);
             let Some(kept) = kept else { return Err(refused) };
-            let config = match Config::kept(&kept.text) {
+            let config = match Config::from_saved(&kept.text) {
                 Ok(config) => config,
                 Err(e) => {
                     log::warn!("the settings that were kept cannot stand in: {e}");
@@ -86,19 +86,19 @@
             };
             let words = words(whole.as_ref(), faults);
             log::warn!("{words}");
-            let lists = lists(&config, kept.lists);
+            let lists = lists(&config, kept.deployments);
             let in_force = newest.map(|stamp| (stamp.number, kept.since));
             let versions = Versions { in_force, rejected: Some(words) };
-            let whole = Some(kept.whole);
+            let whole = Some(kept.fingerprint);
             Ok(Start { config, held: Held { whole, newest, lists, fresh: None, versions } })
         }
         step => {
             let config = read?;
             let now = Clock::new().now();
             let before = kept.as_ref().filter(|_| config.version.is_some());
-            let lists = lists(&config, before.map(|kept| kept.lists.clone()).unwrap_or_default());
+            let lists = lists(&config, before.map(|kept| kept.deployments.clone()).unwrap_or_default());
             let fresh = text.filter(|_| step == Decision::Apply);
-            let fresh = fresh.and_then(|text| Kept::new(text, now, lists.clone()));
+            let fresh = fresh.and_then(|text| SavedSettings::new(text, now, lists.clone()));
             let since = kept.filter(|_| step == Decision::AlreadyHeld).map_or(now, |kept| kept.since);
             if let (None, Some(stamp)) = (config.version, newest) {
                 log::warn!("settings without a version are taken; version {} was held before", stamp.number);
@@ -144,10 +144,10 @@
 pub fn take(
     exchange: &mut Exchange,
     held: &mut Held,
-    offered: Offered,
+    offered: Candidate,
     (folder, allowance): (&Path, u64),
-) -> Option<Result<SocketAddr, Refused>> {
-    let Offered { text, whole, read } = offered;
+) -> Option<Result<SocketAddr, ConfigError>> {
+    let Candidate { text, fingerprint: whole, result: read } = offered;
     let mut faults = faults(&read);
     if let (Some(running), Some(whole)) = (&held.whole, &whole) {
         let needs_start = running.restart_required(whole);
@@ -162,7 +162,7 @@
     let faults = match (step, read, whole.clone()) {
         (Decision::Apply, Ok(config), Some(whole)) => {
             let discovery = config.discovery;
-            let fresh = text.and_then(|text| Kept::new(text, now, held.lists.clone()));
+            let fresh = text.and_then(|text| SavedSettings::new(text, now, held.lists.clone()));
             match in_force(exchange, config, fresh, (folder, allowance)) {
                 Ok(number) => {
                     let before = held.whole.take();
@@ -193,7 +193,7 @@
 fn in_force(
     exchange: &mut Exchange,
     config: Config,
-    fresh: Option<Kept>,
+    fresh: Option<SavedSettings>,
     (folder, allowance): (&Path, u64),
 ) -> Result<u64, Faults> {
     let only = |place: &str, words: String| Faults::from([(place.to_string(), words)]);
--- a/crates/courier/src/command.rs
+++ b/crates/courier/src/command.rs
@@ -1,6 +1,6 @@
 //! The command line: sub-commands and what they print.
 
-mod lines;
+mod logging;
 
 use std::ffi::OsString;
 use std::net::SocketAddr;
@@ -46,7 +46,7 @@
     Relay {
         file: Option<PathBuf>,
         #[command(subcommand)]
-        ask: Option<RelayAsk>,
+        command: Option<RelayCommand>,
     },
     /// print the version
     Version,
@@ -56,19 +56,19 @@
 
 #[derive(Subcommand)]
 #[command(disable_help_subcommand = true)]
-enum RelayAsk {
+enum RelayCommand {
     /// say which version the relay at ADDRESS holds, and where it is in force
     Status { address: SocketAddr },
 }
 
 /// Runs the command that these words, the first of them the program's name, ask for.
-pub fn run(words: impl IntoIterator<Item = OsString>) -> Result<(), String> {
-    let arguments = match Arguments::try_parse_from(words) {
+pub fn run(arguments: impl IntoIterator<Item = OsString>) -> Result<(), String> {
+    let arguments = match Arguments::try_parse_from(arguments) {
         Ok(arguments) => arguments,
         Err(e) => match e.kind() {
             ErrorKind::DisplayHelp => return help(),
             ErrorKind::DisplayVersion => return version(),
-            _ => return Err(plain(&e)),
+            _ => return Err(usage_error(&e)),
         },
     };
     match arguments.command {
@@ -78,7 +78,7 @@
         Some(Command::Owed { folder: None }) => {
             owed(Path::new(&std::env::var_os("ROUTER_STATE").ok_or("ROUTER_STATE is not set")?))
         }
-        Some(Command::Relay { ask: Some(RelayAsk::Status { address }), .. }) => relay_status(address),
+        Some(Command::Relay { command: Some(RelayCommand::Status { address }), .. }) => relay_status(address),
         Some(Command::Relay { file: Some(file), .. }) => relay(&file),
         Some(Command::Relay { .. }) => Err("relay needs FILE, or status ADDRESS; see meadowhold help".into()),
         Some(Command::Version) => version(),
@@ -87,7 +87,7 @@
 }
 
 /// The first line of what clap says, which names the word that is wrong.
-fn plain(error: &clap::Error) -> String {
+fn usage_error(error: &clap::Error) -> String {
     let words = error.to_string();
     let first = words.lines().next().unwrap_or_default();
     format!("{}; see meadowhold help", first.trim_start_matches("error: "))
@@ -104,7 +104,7 @@
 }
 
 fn serve() -> Result<(), String> {
-    lines::start()?;
+    logging::start()?;
     let start = changes::start().map_err(|refused| refused.to_string())?;
     let runtime = runtime()?;
     let ended = tokio::task::LocalSet::new().block_on(&runtime, async {
@@ -117,13 +117,13 @@
         let (changes, changes_in) = mpsc::unbounded_channel();
         tokio::task::spawn_local(async move {
             while hangup.recv().await.is_some() {
-                read_again(&changes, &discovery).await;
+                reload(&changes, &discovery).await;
             }
         });
         let stop = async move {
             tokio::select! { _ = terminate.recv() => {}, _ = interrupt.recv() => {} }
         };
-        crate::serve_changing(start, discovery_in, changes_in, stop).await.map_err(|e| e.to_string())
+        crate::serve_with_changes(start, discovery_in, changes_in, stop).await.map_err(|e| e.to_string())
     });
     runtime.shutdown_background();
     ended
@@ -131,9 +131,9 @@
 
 /// Of a configuration that is put in the place of the first, a running courier takes up where discovery is, and its
 /// settings if it has a version.
-async fn read_again(changes: &mpsc::UnboundedSender<Change>, discovery: &watch::Sender<SocketAddr>) {
+async fn reload(changes: &mpsc::UnboundedSender<Change>, discovery: &watch::Sender<SocketAddr>) {
     let (answer, heard) = oneshot::channel();
-    let _ = changes.send(Change { offered: Config::again(), answer });
+    let _ = changes.send(Change { offered: Config::reload(), answer });
     match heard.await {
         Ok(Some(Ok(address))) => {
             log::info!("the configuration is read anew: discovery at {address}");
@@ -151,7 +151,7 @@
 }
 
 fn relay(file: &Path) -> Result<(), String> {
-    lines::start()?;
+    logging::start()?;
     let config = relay::config::Config::load(file).map_err(|refused| refused.to_string())?;
     let runtime = runtime()?;
     let ended = tokio::task::LocalSet::new().block_on(&runtime, async {
@@ -159,12 +159,12 @@
         let (mut terminate, mut interrupt) =
             (handler(SignalKind::terminate())?, handler(SignalKind::interrupt())?);
         let mut hangup = handler(SignalKind::hangup())?;
-        let (anew, anew_in) = watch::channel(None);
+        let (reloaded, reloaded_in) = watch::channel(None);
         let path = file.to_path_buf();
         tokio::task::spawn_local(async move {
             while hangup.recv().await.is_some() {
                 match relay::config::Config::load(&path) {
-                    Ok(config) => drop(anew.send_replace(Some(config))),
+                    Ok(config) => drop(reloaded.send_replace(Some(config))),
                     // Guards against a file that is half written or wrong: nothing changes.
                     Err(words) => log::error!("the configuration cannot be read anew: {words}"),
                 }
@@ -173,7 +173,7 @@
         let stop = async move {
             tokio::select! { _ = terminate.recv() => {}, _ = interrupt.recv() => {} }
         };
-        relay::run(config, anew_in, stop).await.map_err(|e| e.to_string())
+        relay::run(config, reloaded_in, stop).await.map_err(|e| e.to_string())
     });
     runtime.shutdown_background();
     ended
--- a/crates/courier/src/command/lines.rs
+++ b/crates/courier/src/command/logging.rs
@@ -1,6 +1,6 @@
 //! The lines of the log: `[2026-12-02T00:22:46.012345Z INFO  meadowhold_courier::clients] words`.
 
-use std::fmt::{Debug, Result as Written};
+use std::fmt::{Debug, Result as FmtResult};
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use tracing_subscriber::field::Visit;
@@ -14,28 +14,28 @@
 /// Writes to standard error what `RUST_LOG` asks for, and takes in the records of `log` too, of this program
 /// and of what it is built on.
 pub fn start() -> Result<(), String> {
-    let wanted = std::env::var("RUST_LOG").unwrap_or_default();
-    let (targets, unread) = targets(&wanted);
-    let lines = layer().event_format(Line).with_writer(std::io::stderr).with_ansi(false);
+    let directives = std::env::var("RUST_LOG").unwrap_or_default();
+    let (targets, invalid) = parse_targets(&directives);
+    let lines = layer().event_format(LineFormat).with_writer(std::io::stderr).with_ansi(false);
     tracing_subscriber::registry().with(targets).with(lines).try_init().map_err(|e| e.to_string())?;
-    unread.iter().for_each(|piece| log::warn!("RUST_LOG: what is {piece}?"));
+    invalid.iter().for_each(|item| log::warn!("RUST_LOG: what is {item}?"));
     Ok(())
 }
 
-/// Levels, by target: `debug`, or `warn,meadowhold_courier::discovery=debug`. With them the pieces that cannot
+/// Levels, by target: `debug`, or `warn,meadowhold_courier::discovery=debug`. With them the items that cannot
 /// be read, which change nothing.
-fn targets(wanted: &str) -> (Targets, Vec<&str>) {
-    let pieces = wanted.split(',').map(str::trim).filter(|piece| !piece.is_empty());
-    let (read, unread): (Vec<&str>, Vec<&str>) = pieces.partition(|piece| piece.parse::<Targets>().is_ok());
-    let targets = read.join(",").parse().ok().filter(|_| !read.is_empty());
-    (targets.unwrap_or(Targets::new().with_default(LevelFilter::INFO)), unread)
+fn parse_targets(directives: &str) -> (Targets, Vec<&str>) {
+    let items = directives.split(',').map(str::trim).filter(|item| !item.is_empty());
+    let (valid, invalid): (Vec<&str>, Vec<&str>) = items.partition(|item| item.parse::<Targets>().is_ok());
+    let targets = valid.join(",").parse().ok().filter(|_| !valid.is_empty());
+    (targets.unwrap_or(Targets::new().with_default(LevelFilter::INFO)), invalid)
 }
 
 /// The library's own form takes twice the time for what comes from `log`, as nearly all does here: it builds
 /// the metadata anew for each line, and looks for spans.
-struct Line;
+struct LineFormat;
 
-impl<S, N> FormatEvent<S, N> for Line
+impl<S, N> FormatEvent<S, N> for LineFormat
 where
     S: tracing_core::Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
@@ -45,16 +45,16 @@
         context: &FmtContext<'_, S, N>,
         mut to: Writer<'_>,
         event: &tracing_core::Event<'_>,
-    ) -> Written {
+    ) -> FmtResult {
         let metadata = event.metadata();
         // Guards against a clock before 1970, which has no such form.
         let now = humantime::format_rfc3339_micros(SystemTime::now().max(UNIX_EPOCH));
         write!(to, "[{now} {:<5} ", metadata.level().as_str())?;
         // So the library marks a record of `log`, and gives its words and where it is from as fields.
         if metadata.target() == "log" {
-            event.record(&mut Only("log.target", to.by_ref()));
+            event.record(&mut SingleField("log.target", to.by_ref()));
             to.write_str("] ")?;
-            event.record(&mut Only("message", to.by_ref()));
+            event.record(&mut SingleField("message", to.by_ref()));
         } else {
             write!(to, "{}] ", metadata.target())?;
             context.format_fields(to.by_ref(), event)?;
@@ -64,9 +64,9 @@
 }
 
 /// Writes the one field of this name.
-struct Only<'a>(&'static str, Writer<'a>);
+struct SingleField<'a>(&'static str, Writer<'a>);
 
-impl Visit for Only<'_> {
+impl Visit for SingleField<'_> {
     fn record_debug(&mut self, field: &tracing_core::Field, value: &dyn Debug) {
         if field.name() == self.0 {
             // Nobody is left to tell of a log that cannot be written.
--- a/crates/courier/src/config.rs
+++ b/crates/courier/src/config.rs
@@ -14,7 +14,7 @@
 use serde_path_to_error::{Path, Segment};
 
 use crate::discovery::List;
-use crate::members::{Members, MOST_MEMBERS};
+use crate::members::{Members, MAX_MEMBERS};
 use crate::reader;
 use crate::relays::MOST_RELAYS;
 use crate::version::{Faults, Fingerprint};
@@ -28,7 +28,7 @@
     /// Bytes that the folder that lasts may hold.
     pub disk: u64,
     /// What a list may have at most to be taken up.
-    pub list: reader::Limits,
+    pub list_limits: reader::Limits,
     pub known: List,
     pub decoded: Decoded,
     pub peers: Option<Peers>,
@@ -63,26 +63,26 @@
     #[serde(default)]
     known: List,
     #[serde(default)]
-    #[garde(custom(given))]
+    #[garde(custom(validate_settings))]
     settings: Value,
     #[garde(dive)]
     peers: Option<PeersText>,
-    #[garde(inner(length(min = 1, max = MOST_RELAYS)), custom(many_addresses))]
+    #[garde(inner(length(min = 1, max = MOST_RELAYS)), custom(validate_addresses))]
     relays: Option<Vec<String>>,
-    #[garde(custom(counted))]
+    #[garde(custom(validate_version))]
     version: Option<u64>,
 }
 
 #[derive(Deserialize, Validate)]
 #[serde(default)]
 struct Limits {
-    #[garde(custom(enough))]
+    #[garde(custom(validate_sockets))]
     sockets: usize,
-    #[garde(custom(size))]
+    #[garde(custom(validate_megabytes))]
     disk_mb: f64,
-    #[garde(custom(some))]
+    #[garde(custom(validate_list_entries))]
     list_entries: usize,
-    #[garde(custom(size))]
+    #[garde(custom(validate_megabytes))]
     list_mb: f64,
 }
 
@@ -95,85 +95,85 @@
 
 /// Guards against a file of nothing but faults, over which a courier that runs would stand still: each fault
 /// that is found costs another look at the whole.
-const MOST_FAULTS: usize = 32;
+const MAX_FAULTS: usize = 32;
 
 /// Guards against a note that is sent thousands of times over; as many as members, so that one list serves both.
-const MOST_PEERS: usize = MOST_MEMBERS;
+const MAX_PEERS: usize = MAX_MEMBERS;
 
 /// A value that must be there is optional here, and its absence found afterwards: so it hides no other fault.
 #[derive(Default, Deserialize, Validate)]
 #[serde(default, deny_unknown_fields)]
 #[garde(allow_unvalidated)]
 struct PeersText {
-    #[garde(required, custom(one_address))]
+    #[garde(required, custom(validate_address))]
     listen: Option<String>,
-    #[garde(required, length(max = MOST_PEERS), custom(many_addresses))]
+    #[garde(required, length(max = MAX_PEERS), custom(validate_addresses))]
     others: Option<Vec<String>>,
     members: Option<Members>,
 }
 
 impl PeersText {
-    fn read(self) -> Option<Peers> {
+    fn into_peers(self) -> Option<Peers> {
         let others = self.others?.iter().map(|other| other.parse().ok()).collect::<Option<_>>()?;
         Some(Peers { listen: self.listen?.parse().ok()?, others, members: self.members })
     }
 }
 
 /// Guards against a courier with descriptors for itself only.
-fn enough(sockets: &usize, (): &()) -> garde::Result {
-    holds(*sockets >= 64, || "is under 64".to_string())
+fn validate_sockets(sockets: &usize, (): &()) -> garde::Result {
+    ensure(*sockets >= 64, || "is under 64".to_string())
 }
 
-fn some(entries: &usize, (): &()) -> garde::Result {
-    holds(*entries > 0, || "admits none".to_string())
+fn validate_list_entries(entries: &usize, (): &()) -> garde::Result {
+    ensure(*entries > 0, || "admits none".to_string())
 }
 
-fn size(megabytes: &f64, (): &()) -> garde::Result {
-    holds(*megabytes > 0.0 && *megabytes < 1e9, || "is no size".to_string())
+fn validate_megabytes(megabytes: &f64, (): &()) -> garde::Result {
+    ensure(*megabytes > 0.0 && *megabytes < 1e9, || "is no size".to_string())
 }
 
-fn counted(version: &Option<u64>, (): &()) -> garde::Result {
-    holds(*version != Some(0), || "is under 1".to_string())
+fn validate_version(version: &Option<u64>, (): &()) -> garde::Result {
+    ensure(*version != Some(0), || "is under 1".to_string())
 }
 
-fn given(settings: &Value, (): &()) -> garde::Result {
-    let words = if settings.is_null() { "is missing" } else { "is no object" };
-    holds(settings.is_object(), || words.to_string())
+fn validate_settings(settings: &Value, (): &()) -> garde::Result {
+    let problem = if settings.is_null() { "is missing" } else { "is no object" };
+    ensure(settings.is_object(), || problem.to_string())
 }
 
-pub(crate) fn one_address(text: &Option<String>, (): &()) -> garde::Result {
-    all_addresses(text.as_slice())
+pub(crate) fn validate_address(text: &Option<String>, (): &()) -> garde::Result {
+    check_addresses(text.as_slice())
 }
 
-pub(crate) fn many_addresses(texts: &Option<Vec<String>>, (): &()) -> garde::Result {
-    all_addresses(texts.as_deref().unwrap_or_default())
+pub(crate) fn validate_addresses(texts: &Option<Vec<String>>, (): &()) -> garde::Result {
+    check_addresses(texts.as_deref().unwrap_or_default())
 }
 
-fn all_addresses(texts: &[String]) -> garde::Result {
+fn check_addresses(texts: &[String]) -> garde::Result {
     let wrong = texts.iter().filter(|text| text.parse::<SocketAddr>().is_err());
     let wrong: Vec<&str> = wrong.map(String::as_str).collect();
-    holds(wrong.is_empty(), || format!("is no address: {}", wrong.join(", ")))
+    ensure(wrong.is_empty(), || format!("is no address: {}", wrong.join(", ")))
 }
 
-fn holds(it_does: bool, words: impl FnOnce() -> String) -> garde::Result {
-    if it_does {
+fn ensure(holds: bool, problem: impl FnOnce() -> String) -> garde::Result {
+    if holds {
         Ok(())
     } else {
-        Err(garde::Error::new(words()))
+        Err(garde::Error::new(problem()))
     }
 }
 
 /// A configuration as it is found: what tells it from another as far as that can be read, and what it says.
-pub struct Offered {
+pub struct Candidate {
     /// The file, where it has a version.
     pub text: Option<Vec<u8>>,
-    pub whole: Option<Fingerprint>,
-    pub read: Result<Config, Refused>,
+    pub fingerprint: Option<Fingerprint>,
+    pub result: Result<Config, ConfigError>,
 }
 
 /// Why there is no configuration: every fault that was found.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Refused {
+pub struct ConfigError {
     /// The file, if there is one.
     pub file: Option<String>,
     /// What is wrong, by place: a path in the file such as `limits.sockets`, a variable's name, or nothing for
@@ -181,22 +181,22 @@
     pub faults: Faults,
 }
 
-impl Refused {
-    fn only(place: &str, words: impl Into<String>) -> Refused {
-        Refused { file: None, faults: Faults::from([(place.to_string(), words.into())]) }
+impl ConfigError {
+    fn single(place: &str, problem: impl Into<String>) -> ConfigError {
+        ConfigError { file: None, faults: Faults::from([(place.to_string(), problem.into())]) }
     }
 }
 
 /// One line: `FILE: PLACE words; PLACE words`.
-impl fmt::Display for Refused {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let mut before = "";
         if let Some(file) = &self.file {
             write!(f, "{file}: ")?;
         }
-        for (place, words) in &self.faults {
+        for (place, problem) in &self.faults {
             let gap = if place.is_empty() { "" } else { " " };
-            let fault = format!("{before}{place}{gap}{words}");
+            let fault = format!("{before}{place}{gap}{problem}");
             // Guards against a name or a text of the file that would break the line.
             f.write_str(&fault.replace(char::is_control, " "))?;
             before = "; ";
@@ -205,51 +205,52 @@
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for ConfigError {}
 
 fn unreadable(error: &serde_json::Error) -> String {
     format!("cannot be read: {error}")
 }
 
 /// The file, and what cannot be read in it; without what cannot be read, so that the rest can be looked into.
-pub(crate) fn parse<T: DeserializeOwned>(text: &[u8]) -> Result<(T, Faults), Refused> {
+pub(crate) fn parse<T: DeserializeOwned>(text: &[u8]) -> Result<(T, Faults), ConfigError> {
     let mut from = serde_json::Deserializer::from_slice(text);
-    let refused = match serde_path_to_error::deserialize(&mut from) {
+    let error = match serde_path_to_error::deserialize(&mut from) {
         Ok(file) => match from.end() {
             Ok(()) => return Ok((file, Faults::new())),
-            Err(e) => return Err(Refused::only("", unreadable(&e))),
+            Err(e) => return Err(ConfigError::single("", unreadable(&e))),
         },
-        Err(refused) => refused,
+        Err(error) => error,
     };
-    let first = (refused.path().to_string(), unreadable(refused.inner()));
+    let first = (error.path().to_string(), unreadable(error.inner()));
     // Text that is no JSON has one fault, where it breaks.
-    let mut value: Value = serde_json::from_slice(text).map_err(|e| Refused::only("", unreadable(&e)))?;
+    let mut value: Value =
+        serde_json::from_slice(text).map_err(|e| ConfigError::single("", unreadable(&e)))?;
     let mut faults = Faults::new();
     // Items taken out so far, by list: those after them have moved up.
-    let mut taken = BTreeMap::new();
+    let mut removed = BTreeMap::new();
     loop {
-        let refused = match serde_path_to_error::deserialize::<_, T>(&value) {
+        let error = match serde_path_to_error::deserialize::<_, T>(&value) {
             Ok(file) => {
                 // Such as a name that is there twice: of this the value keeps nothing.
                 faults.entry(first.0).or_insert(first.1);
                 return Ok((file, faults));
             }
-            Err(refused) => refused,
+            Err(error) => error,
         };
-        let place = take(&mut value, refused.path(), &mut taken);
+        let place = remove_at(&mut value, error.path(), &mut removed);
         let known = place.as_ref().is_some_and(|place| faults.contains_key(place));
-        faults.insert(place.clone().unwrap_or_default(), unreadable(refused.inner()));
+        faults.insert(place.clone().unwrap_or_default(), unreadable(error.inner()));
         // What cannot be taken out hides what is left, and would be found again without end.
-        if place.is_none() || known || faults.len() == MOST_FAULTS {
-            return Err(Refused { file: None, faults });
+        if place.is_none() || known || faults.len() == MAX_FAULTS {
+            return Err(ConfigError { file: None, faults });
         }
     }
 }
 
 /// Takes the value at `path` out, and says at which place of the text it was; `None` if it is not there.
-fn take(whole: &mut Value, path: &Path, taken: &mut BTreeMap<String, usize>) -> Option<String> {
+fn remove_at(root: &mut Value, path: &Path, removed: &mut BTreeMap<String, usize>) -> Option<String> {
     let mut segments = path.iter().peekable();
-    let (mut value, mut place) = (whole, String::new());
+    let (mut value, mut place) = (root, String::new());
     while let Some(segment) = segments.next() {
         let last = segments.peek().is_none();
         match segment {
@@ -264,7 +265,7 @@
             }
             Segment::Seq { index } => {
                 let below = value.as_array_mut().filter(|items| *index < items.len())?;
-                let before = taken.entry(place.clone()).or_default();
+                let before = removed.entry(place.clone()).or_default();
                 place += &format!("[{}]", *index + *before);
                 if last {
                     below.remove(*index);
@@ -292,16 +293,16 @@
     }
     let read = text.as_deref().map(|text| text.parse().map_err(|_| format!("is no address: {text}")));
     let read = read.unwrap_or(Err("is not set".to_string()));
-    read.map_err(|words| faults.insert(format!("{key} or {name}"), words)).ok()
+    read.map_err(|problem| faults.insert(format!("{key} or {name}"), problem)).ok()
 }
 
-impl Offered {
+impl Candidate {
     /// From the file's text, and from variables by name.
-    pub fn of(text: &[u8], variable: &dyn Fn(&str) -> Option<String>) -> Offered {
-        let read = Config::read(text, variable);
-        let whole = Fingerprint::read(text);
-        let numbered = whole.as_ref().is_some_and(|whole| whole.version_id().is_some());
-        Offered { text: numbered.then(|| text.to_vec()), whole, read }
+    pub fn of(text: &[u8], variable: &dyn Fn(&str) -> Option<String>) -> Candidate {
+        let result = Config::read(text, variable);
+        let fingerprint = Fingerprint::read(text);
+        let versioned = fingerprint.as_ref().is_some_and(|fingerprint| fingerprint.version_id().is_some());
+        Candidate { text: versioned.then(|| text.to_vec()), fingerprint, result }
     }
 }
 
@@ -311,56 +312,56 @@
 
 impl Config {
     /// Reads the file that `ROUTER_CONFIG` names; other variables go before what it says.
-    pub fn from_environment() -> Result<Config, Refused> {
+    pub fn from_environment() -> Result<Config, ConfigError> {
         Config::load(&variable)
     }
 
     /// The file anew, in a process that runs: what it says of discovery now goes before the variable, which
     /// is as old as the process.
-    pub fn again() -> Offered {
+    pub fn reload() -> Candidate {
         let variable = |name: &str| variable(name).filter(|_| name != "ROUTER_DISCOVERY");
-        Config::offered(&variable)
+        Config::load_candidate(&variable)
     }
 
-    fn load(variable: &dyn Fn(&str) -> Option<String>) -> Result<Config, Refused> {
-        Config::offered(variable).read
+    fn load(variable: &dyn Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
+        Config::load_candidate(variable).result
     }
 
     /// The same with what tells the file's version from another, as far as that can be read.
-    fn offered(variable: &dyn Fn(&str) -> Option<String>) -> Offered {
+    fn load_candidate(variable: &dyn Fn(&str) -> Option<String>) -> Candidate {
         const FILE: &str = "ROUTER_CONFIG";
-        let text = variable(FILE).ok_or_else(|| Refused::only(FILE, "is not set")).and_then(|path| {
+        let text = variable(FILE).ok_or_else(|| ConfigError::single(FILE, "is not set")).and_then(|path| {
             let text = std::fs::read(&path);
             text.map(|text| (path.clone(), text))
-                .map_err(|e| Refused::only(&path, format!("cannot be read: {e}")))
+                .map_err(|e| ConfigError::single(&path, format!("cannot be read: {e}")))
         });
         match text {
             Ok((path, text)) => {
-                let Offered { text, whole, read } = Offered::of(&text, variable);
-                let read = read.map_err(|refused| Refused { file: Some(path), ..refused });
-                Offered { text, whole, read }
+                let Candidate { text, fingerprint, result } = Candidate::of(&text, variable);
+                let result = result.map_err(|error| ConfigError { file: Some(path), ..error });
+                Candidate { text, fingerprint, result }
             }
-            Err(refused) => Offered { text: None, whole: None, read: Err(refused) },
+            Err(error) => Candidate { text: None, fingerprint: None, result: Err(error) },
         }
     }
 
     /// The file as a start finds it.
-    pub fn at_start() -> Offered {
-        Config::offered(&variable)
+    pub fn at_start() -> Candidate {
+        Config::load_candidate(&variable)
     }
 
     /// What an earlier process kept of it, in the place of the file.
-    pub fn kept(text: &[u8]) -> Result<Config, Refused> {
+    pub fn from_saved(text: &[u8]) -> Result<Config, ConfigError> {
         Config::read(text, &variable)
     }
 
     /// The folder that lasts, as far as it is known.
-    pub fn folder() -> Option<PathBuf> {
+    pub fn state_folder() -> Option<PathBuf> {
         variable("ROUTER_STATE").map(PathBuf::from)
     }
 
     /// From the file's text, and from variables by name, which go before what it says.
-    pub fn read(text: &[u8], variable: &dyn Fn(&str) -> Option<String>) -> Result<Config, Refused> {
+    pub fn read(text: &[u8], variable: &dyn Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let (file, mut faults) = parse::<File>(text)?;
         // Any text serves as a seed; the platform's is hexadecimal.
         let seed = u64::from_str_radix(&file.seed, 16);
@@ -392,13 +393,13 @@
         if state.is_none() {
             faults.insert("ROUTER_STATE".to_string(), "is not set".to_string());
         }
-        let peers = file.peers.and_then(PeersText::read);
+        let peers = file.peers.and_then(PeersText::into_peers);
         // Their faults are told already.
         let relays = file.relays.map(|all| all.iter().filter_map(|relay| relay.parse().ok()).collect());
         let (true, Some(listen), Some(discovery), Some(state), Some(decoded)) =
             (faults.is_empty(), listen, discovery, state, decoded)
         else {
-            return Err(Refused { file: None, faults });
+            return Err(ConfigError { file: None, faults });
         };
         Ok(Config {
             name: variable("ROUTER_NAME").unwrap_or(file.name),
@@ -407,7 +408,7 @@
             state: state.into(),
             sockets: file.limits.sockets,
             disk: (file.limits.disk_mb * 1e6) as u64,
-            list: reader::Limits {
+            list_limits: reader::Limits {
                 entries: file.limits.list_entries,
                 bytes: (file.limits.list_mb * 1e6) as usize,
             },
--- a/crates/courier/src/hollow.rs
+++ b/crates/courier/src/hollow.rs
@@ -83,8 +83,8 @@
     stop: impl Future<Output = ()>,
     before: impl FnOnce(Rc<RefCell<Hollow>>) -> Rc<RefCell<L>>,
 ) -> io::Result<()> {
-    let Config { name, state, disk, list, known, decoded, peers, relays, .. } = config;
-    let fleet = members::start(&name, peers.as_ref())?;
+    let Config { name, state, disk, list_limits, known, decoded, peers, relays, .. } = config;
+    let membership = members::start(&name, peers.as_ref())?;
     fs::create_dir_all(&state)?;
     let clock = Clock::new();
     let mut keeper = Keeper::new(&state, disk, deployment(&decoded));
@@ -96,23 +96,23 @@
     let hollow = Rc::new(RefCell::new(hollow));
     let (push, seed) = (!decoded.settings.poll_list, decoded.settings.seed);
     hollow.borrow_mut().listed(&begun);
-    let mut parts = JoinSet::new();
-    parts.spawn_local(drive(hollow.clone(), duration(decoded.settings.timer_resolution)));
-    let (listener, limits) = (before(hollow), (list, seed));
+    let mut tasks = JoinSet::new();
+    tasks.spawn_local(drive(hollow.clone(), duration(decoded.settings.timer_resolution)));
+    let (listener, limits) = (before(hollow), (list_limits, seed));
     match relays {
-        None => parts.spawn_local(discovery::follow(listener, clock, discovery, index, push, limits)),
-        Some(relays) => parts.spawn_local(relays::follow_for(listener, clock, name, relays, index, limits)),
+        None => tasks.spawn_local(discovery::follow(listener, clock, discovery, index, push, limits)),
+        Some(relays) => tasks.spawn_local(relays::follow_for(listener, clock, name, relays, index, limits)),
     };
-    if let Some(fleet) = &fleet {
-        parts.spawn_local(fleet.clone().follow());
+    if let Some(membership) = &membership {
+        tasks.spawn_local(membership.clone().run());
     }
     tokio::select! {
         () = stop => {}
         // Guards against a courier that seems to run with a part of it gone.
-        _ = parts.join_next() => return Err(io::Error::other("a part of the courier has failed")),
+        _ = tasks.join_next() => return Err(io::Error::other("a part of the courier has failed")),
     }
-    if let Some(fleet) = fleet {
-        fleet.leave().await;
+    if let Some(membership) = membership {
+        membership.leave().await;
     }
     Ok(())
 }
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -62,17 +62,17 @@
 }
 
 /// Descriptors kept for the process itself, the journal, discovery and notices.
-const OWN_SOCKETS: usize = 32;
+const RESERVED_DESCRIPTORS: usize = 32;
 /// At a planned end: for so long new clients are accepted, calls begin (and clients that came last are served),
 /// and calls out are waited for.
 /// The platform kills no sooner than 3.7 s after it asks.
-const ACCEPT_ON: Duration = Duration::from_millis(500);
-const BEGIN_ON: Duration = Duration::from_millis(2500);
-const WAIT_ON: Duration = Duration::from_millis(3400);
+const ACCEPT_PERIOD: Duration = Duration::from_millis(500);
+const CALL_START_PERIOD: Duration = Duration::from_millis(2500);
+const CALL_END_PERIOD: Duration = Duration::from_millis(3400);
 /// The next process is started 0.6 s after that kill.
-const NEXT_AFTER: Duration = Duration::from_millis(4300);
+const NEXT_PROCESS_DELAY: Duration = Duration::from_millis(4300);
 /// Figures are logged so often.
-const EVERY: Duration = Duration::from_secs(60);
+const COUNTS_LOG_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Runs a courier within a `LocalSet` until `stop` is done and what is out has ended. The list is followed, and
 /// notices are told, at the last address that `discovery` gave.
@@ -82,29 +82,30 @@
     stop: impl Future<Output = ()>,
 ) -> io::Result<()> {
     let (_none, changes) = mpsc::unbounded_channel();
-    serve_changing(Start { config, held: Held::default() }, discovery, changes, stop).await
+    serve_with_changes(Start { config, held: Held::default() }, discovery, changes, stop).await
 }
 
 /// The same, by settings that may change meanwhile.
-pub async fn serve_changing(
+pub async fn serve_with_changes(
     Start { config, mut held }: Start,
     discovery: watch::Receiver<SocketAddr>,
     changes: mpsc::UnboundedReceiver<Change>,
     stop: impl Future<Output = ()>,
 ) -> io::Result<()> {
-    let Config { name, listen, state, sockets, disk, known, decoded, peers, relays, list, .. } = config;
+    let Config { name, listen, state, sockets, disk, known, decoded, peers, relays, list_limits, .. } =
+        config;
     let for_clients = sockets / 3;
     let limits = endpoints::Limits {
         connect_timeout: exchange::duration(decoded.settings.connection_timeout),
         idle_timeout: exchange::duration(decoded.settings.idle_timeout),
-        max_connections: sockets - OWN_SOCKETS - for_clients,
+        max_connections: sockets - RESERVED_DESCRIPTORS - for_clients,
         may_overlap: decoded.may_overlap,
     };
     // First, so that a second start by mistake touches nothing.
     let bound = TcpListener::bind(listen).await;
     let listener = bound.map_err(|e| io::Error::new(e.kind(), format!("cannot listen at {listen}: {e}")))?;
     let (news, news_in) = mpsc::unbounded_channel();
-    let fleet = members::start(&name, peers.as_ref())?;
+    let membership = members::start(&name, peers.as_ref())?;
     let notes = match peers {
         None => None,
         Some(peers) => {
@@ -131,46 +132,46 @@
     let clock = exchange.clock;
     let shared: Shared = Rc::new(RefCell::new(exchange));
     let (phase, phase_in) = watch::channel(Phase::Serving);
-    let mut parts = JoinSet::new();
-    parts.spawn_local(exchange::run_turns(shared.clone()));
-    parts.spawn_local(endpoints::run(shared.clone(), orders_in, limits));
-    parts.spawn_local(notices::run(shared.clone(), discovery.clone(), notices_in));
-    let limits = (list, seed);
+    let mut tasks = JoinSet::new();
+    tasks.spawn_local(exchange::run_turns(shared.clone()));
+    tasks.spawn_local(endpoints::run(shared.clone(), orders_in, limits));
+    tasks.spawn_local(notices::run(shared.clone(), discovery.clone(), notices_in));
+    let limits = (list_limits, seed);
     match relays {
-        None => parts.spawn_local(discovery::follow(shared.clone(), clock, discovery, index, push, limits)),
+        None => tasks.spawn_local(discovery::follow(shared.clone(), clock, discovery, index, push, limits)),
         Some(relays) => {
-            parts.spawn_local(relays::follow_for(shared.clone(), clock, name.clone(), relays, index, limits))
+            tasks.spawn_local(relays::follow_for(shared.clone(), clock, name.clone(), relays, index, limits))
         }
     };
     let clients = Rc::new(Cell::new(0));
     let listening =
-        parts.spawn_local(clients::listen(shared.clone(), listener, for_clients, clients.clone(), phase_in));
-    parts.spawn_local(log_counts(shared.clone()));
-    parts.spawn_local(changes::follow(shared.clone(), held, (state, disk), changes));
+        tasks.spawn_local(clients::listen(shared.clone(), listener, for_clients, clients.clone(), phase_in));
+    tasks.spawn_local(log_counts(shared.clone()));
+    tasks.spawn_local(changes::follow(shared.clone(), held, (state, disk), changes));
     if let Some((socket, others)) = notes {
-        parts.spawn_local(notes::exchange(shared.clone(), socket, others, news_in));
+        tasks.spawn_local(notes::run(shared.clone(), socket, others, news_in));
     }
-    if let Some(fleet) = &fleet {
-        parts.spawn_local(fleet.clone().follow());
+    if let Some(membership) = &membership {
+        tasks.spawn_local(membership.clone().run());
     }
     log::info!("{name} serves at {listen}");
     tokio::select! {
         () = stop => {}
         // Guards against a courier that seems to run with a part of it gone.
-        _ = parts.join_next() => return Err(io::Error::other("a part of the courier has failed")),
+        _ = tasks.join_next() => return Err(io::Error::other("a part of the courier has failed")),
     }
 
     log::info!("{name} ends: {} mails in hand", shared.borrow().in_hand());
     // Before the moment from which the stop is reckoned, which no turn may come before.
-    shared.borrow_mut().begin_shutdown(BEGIN_ON, NEXT_AFTER);
-    let asked = Instant::now();
+    shared.borrow_mut().begin_shutdown(CALL_START_PERIOD, NEXT_PROCESS_DELAY);
+    let stop_requested = Instant::now();
     // New clients and mails are served as ever for as long as the platform still sends them here.
     phase.send_replace(Phase::Draining);
-    sleep(ACCEPT_ON).await;
+    sleep(ACCEPT_PERIOD).await;
     phase.send_replace(Phase::NotAccepting);
     // Guards against an exit, and so a reset, under a client that has not been answered yet, or whose answer
     // is still on its way.
-    let none = |count: fn(&Exchange) -> usize| {
+    let drained = |count: fn(&Exchange) -> usize| {
         let (shared, clients, listening) = (shared.clone(), clients.clone(), listening.clone());
         async move {
             while count(&shared.borrow()) + clients.get() > 0 || !listening.is_finished() {
@@ -178,12 +179,14 @@
             }
         }
     };
-    let _ = timeout(BEGIN_ON.saturating_sub(asked.elapsed()), none(Exchange::in_hand)).await;
+    let _ =
+        timeout(CALL_START_PERIOD.saturating_sub(stop_requested.elapsed()), drained(Exchange::in_hand)).await;
     shared.borrow_mut().stop();
     phase.send_replace(Phase::Closing);
-    let _ = timeout(WAIT_ON.saturating_sub(asked.elapsed()), none(Exchange::unfinished)).await;
-    if let Some(fleet) = fleet {
-        fleet.leave().await;
+    let _ = timeout(CALL_END_PERIOD.saturating_sub(stop_requested.elapsed()), drained(Exchange::unfinished))
+        .await;
+    if let Some(membership) = membership {
+        membership.leave().await;
     }
     let exchange = shared.borrow();
     log::info!("{name} has ended: {} mails in hand, {:?}", exchange.in_hand(), exchange.counts);
@@ -194,7 +197,7 @@
 async fn log_counts(shared: Shared) {
     let mut last = exchange::Counts::default();
     loop {
-        sleep(EVERY).await;
+        sleep(COUNTS_LOG_INTERVAL).await;
         let exchange = shared.borrow();
         let (counts, in_hand) = (exchange.counts, exchange.in_hand());
         if counts != last {
--- a/crates/courier/src/main.rs
+++ b/crates/courier/src/main.rs
@@ -6,8 +6,8 @@
 fn main() -> ExitCode {
     match meadowhold_courier::command::run(std::env::args_os()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(words) => {
-            eprintln!("meadowhold: {words}");
+        Err(message) => {
+            eprintln!("meadowhold: {message}");
             ExitCode::FAILURE
         }
     }
--- a/crates/courier/src/members.rs
+++ b/crates/courier/src/members.rs
@@ -19,10 +19,10 @@
 
 /// The fleet that is planned for has 1,300; this leaves room for half as many again. Guards against a list by which what
 /// is kept of each member takes a courier's memory.
-pub const MOST_MEMBERS: usize = 2048;
+pub const MAX_MEMBERS: usize = 2048;
 /// The farewell to the others is waited for so long.
-const FAREWELL: Duration = Duration::from_millis(100);
-const LOOK: Duration = Duration::from_millis(2);
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Where membership is spoken, by UDP: here, and at the others, who alone are listened to.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
@@ -47,8 +47,8 @@
             let address: Result<SocketAddrV4, _> = text.parse();
             address.map_err(|_| format!("peers.members.{field} is no IPv4 address and port: {text}"))
         };
-        if text.others.len() > MOST_MEMBERS {
-            return Err(format!("peers.members.others names more than {MOST_MEMBERS}"));
+        if text.others.len() > MAX_MEMBERS {
+            return Err(format!("peers.members.others names more than {MAX_MEMBERS}"));
         }
         let listen = one("listen", &text.listen)?;
         let others = text.others.iter().map(|other| one("others", other)).collect::<Result<_, _>>()?;
@@ -60,15 +60,15 @@
     }
 }
 
-pub struct Fleet {
+pub struct Membership {
     handle: RefCell<Handle>,
-    woken: Arc<Notify>,
+    wake: Arc<Notify>,
     /// Whether the thread has ended.
     ended: Cell<bool>,
 }
 
 /// Starts the thread where the configuration says so.
-pub fn start(name: &str, peers: Option<&Peers>) -> io::Result<Option<Rc<Fleet>>> {
+pub fn start(name: &str, peers: Option<&Peers>) -> io::Result<Option<Rc<Membership>>> {
     let Some(Members { listen, others }) = peers.and_then(|peers| peers.members.clone()) else {
         return Ok(None);
     };
@@ -78,34 +78,34 @@
     let seed = clock.as_nanos() as u64 ^ u64::from(listen.ip().to_bits()).rotate_left(32);
     let start = clock.as_millis() as u64;
     let setup = Setup { name: view::name(&name), at: listen, others, start, seed };
-    let woken = Arc::new(Notify::new());
-    let wake = woken.clone();
-    let handle = thread::start(setup, move || wake.notify_one());
+    let wake = Arc::new(Notify::new());
+    let notify = wake.clone();
+    let handle = thread::start(setup, move || notify.notify_one());
     let handle =
         handle.map_err(|e| io::Error::new(e.kind(), format!("cannot hear members at {listen}: {e}")))?;
-    Ok(Some(Rc::new(Fleet { handle: RefCell::new(handle), woken, ended: Cell::new(false) })))
+    Ok(Some(Rc::new(Membership { handle: RefCell::new(handle), wake, ended: Cell::new(false) })))
 }
 
-impl Fleet {
+impl Membership {
     /// Who is up, as far as the facts have come.
-    pub fn with_view<R>(&self, look: impl FnOnce(&View) -> R) -> R {
-        look(&self.handle.borrow().view)
+    pub fn with_view<R>(&self, read: impl FnOnce(&View) -> R) -> R {
+        read(&self.handle.borrow().view)
     }
 
     /// Takes up the facts as they come. Never ends: a courier works on without knowing the others.
-    pub async fn follow(self: Rc<Fleet>) {
+    pub async fn run(self: Rc<Membership>) {
         loop {
-            self.woken.notified().await;
-            self.take_up();
+            self.wake.notified().await;
+            self.process_events();
             // Guards against an end that is missed: the thread calls for the last time just before it.
             while self.handle.borrow().closing() && !self.ended.get() {
-                sleep(LOOK).await;
-                self.take_up();
+                sleep(POLL_INTERVAL).await;
+                self.process_events();
             }
         }
     }
 
-    fn take_up(&self) {
+    fn process_events(&self) {
         let mut handle = self.handle.borrow_mut();
         let now = (handle.start.elapsed().as_micros() / 100) as meadowhold_fleet::Time;
         while let Some(fact) = handle.fact() {
@@ -146,11 +146,11 @@
         self.handle.borrow_mut().wish(Wish::Leave);
         let ended = async {
             while !self.ended.get() {
-                self.take_up();
-                sleep(LOOK).await;
+                self.process_events();
+                sleep(POLL_INTERVAL).await;
             }
         };
-        if timeout(FAREWELL, ended).await.is_err() {
+        if timeout(LEAVE_TIMEOUT, ended).await.is_err() {
             log::warn!("membership has not ended in time");
         }
     }
--- a/crates/courier/src/relay/config.rs
+++ b/crates/courier/src/relay/config.rs
@@ -7,7 +7,7 @@
 use meadowhold_catalog::store::{Bounds as Held, MAX_PARTITIONS};
 use serde::Deserialize;
 
-use crate::config::{self, many_addresses, one_address, Refused};
+use crate::config::{self, validate_address, validate_addresses, ConfigError};
 use crate::reader::Limits;
 use crate::relays::MOST_RELAYS;
 
@@ -75,11 +75,11 @@
 #[garde(allow_unvalidated)]
 struct File {
     name: String,
-    #[garde(required, custom(one_address))]
+    #[garde(required, custom(validate_address))]
     listen: Option<String>,
-    #[garde(custom(one_address))]
+    #[garde(custom(validate_address))]
     source: Option<String>,
-    #[garde(inner(length(min = 1, max = MOST_RELAYS)), custom(many_addresses))]
+    #[garde(inner(length(min = 1, max = MOST_RELAYS)), custom(validate_addresses))]
     relays: Option<Vec<String>>,
     #[garde(required)]
     state: Option<PathBuf>,
@@ -93,18 +93,18 @@
 impl Config {
     /// # Errors
     /// Every fault of the file, with its place.
-    pub fn load(path: &Path) -> Result<Config, Refused> {
+    pub fn load(path: &Path) -> Result<Config, ConfigError> {
         let file = Some(path.display().to_string());
-        let text = std::fs::read(path).map_err(|e| Refused {
+        let text = std::fs::read(path).map_err(|e| ConfigError {
             file: None,
             faults: [(path.display().to_string(), format!("cannot be read: {e}"))].into(),
         })?;
-        Config::read(&text).map_err(|refused| Refused { file, ..refused })
+        Config::read(&text).map_err(|refused| ConfigError { file, ..refused })
     }
 
     /// # Errors
     /// The same, of the file's text.
-    pub fn read(text: &[u8]) -> Result<Config, Refused> {
+    pub fn read(text: &[u8]) -> Result<Config, ConfigError> {
         let (file, mut faults) = config::parse::<File>(text)?;
         if let Err(report) = file.validate() {
             for (place, error) in report.iter() {
@@ -127,7 +127,7 @@
         let listen = file.listen.as_ref().and_then(address);
         let (true, Some(listen), Some(source), Some(state)) = (faults.is_empty(), listen, source, file.state)
         else {
-            return Err(Refused { file: None, faults });
+            return Err(ConfigError { file: None, faults });
         };
         let name = if file.name.is_empty() { listen.to_string() } else { file.name };
         let partitions = file.partitions.unwrap_or(1024);
--- a/crates/courier/tests/codecs.rs
+++ b/crates/courier/tests/codecs.rs
@@ -204,10 +204,10 @@
         (PeerNote::Refusing(Time::MAX / 2), PeerNote::Refusing(600_000)),
     ];
     for (told, heard) in cases {
-        assert_eq!(notes::read(&notes::write(b"e1", told)), Some((&b"e1"[..], heard)));
+        assert_eq!(notes::decode(&notes::encode(b"e1", told)), Some((&b"e1"[..], heard)));
     }
     let long = [&[1, 1, 0, 0][..], &[b'x'; 201]].concat();
     for odd in [&b""[..], b"\x01\0\0", b"\x01\0\0\0", b"\x02\0\0\0e1", b"\x01\x03\0\0e1", &long] {
-        assert_eq!(notes::read(odd), None, "{odd:?}");
+        assert_eq!(notes::decode(odd), None, "{odd:?}");
     }
 }
--- a/crates/courier/tests/config.rs
+++ b/crates/courier/tests/config.rs
@@ -17,18 +17,18 @@
 const EXAMPLE: &str = include_str!("../../../deploy/example.json");
 
 /// As the platform gives it, and with a field that is not known today.
-fn whole() -> Value {
+fn example() -> Value {
     json!({"name": "n1", "listen": "127.0.0.1:6379", "discovery": "127.0.0.1:8500", "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256, "disk_mb": 3}, "new": {"to": ["come"]},
         "known": {"index": 3, "snapshot": true, "endpoints": []}, "settings": settings()})
 }
 
-fn only_state(name: &str) -> Option<String> {
+fn only_router_state(name: &str) -> Option<String> {
     (name == "ROUTER_STATE").then(|| "state".to_string())
 }
 
 /// What is said of a configuration, `None` if it is taken.
-fn refusal(text: &[u8], variable: &dyn Fn(&str) -> Option<String>) -> Option<String> {
+fn config_error(text: &[u8], variable: &dyn Fn(&str) -> Option<String>) -> Option<String> {
     Config::read(text, variable).err().map(|refused| refused.to_string())
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-fn code_and_words(command: &mut Command) -> (i32, String, String) {
+fn exit_code_and_output(command: &mut Command) -> (i32, String, String) {
     let Output { status, stdout, stderr } = command.stdin(Stdio::null()).output().unwrap();
     let text = |bytes| String::from_utf8(bytes).unwrap();
     (status.code().expect("no signal ended it"), text(stdout), text(stderr))
@@ -173,13 +173,13 @@
     ];
     let folder = Folder::new();
     for (changes, places) in rows {
-        let mut config = whole();
+        let mut config = example();
         for (path, value) in changes {
             change(&mut config, path, value);
         }
         for subcommand in ["check", "serve"] {
             let mut command = command(&folder, &config, subcommand);
-            let (code, out, words) = code_and_words(command.env_remove("ROUTER_DISCOVERY"));
+            let (code, out, words) = exit_code_and_output(command.env_remove("ROUTER_DISCOVERY"));
             assert_eq!((code, &out[..], words.lines().count()), (1, "", 1), "{words}");
             for place in places {
                 let told = words.matches(&format!(" {place}")).count();
@@ -191,15 +191,15 @@
 
 #[test]
 fn limits_of_the_list_have_defaults_that_admit_what_is_wanted_and_are_checked() {
-    let read = |config: &Value| Config::read(config.to_string().as_bytes(), &only_state);
-    let limits = read(&whole()).map(|config| config.list).unwrap();
+    let read = |config: &Value| Config::read(config.to_string().as_bytes(), &only_router_state);
+    let limits = read(&example()).map(|config| config.list_limits).unwrap();
     assert_eq!((limits.entries, limits.bytes), (700_000, 128_000_000));
-    let mut config = whole();
+    let mut config = example();
     (config["limits"]["list_entries"], config["limits"]["list_mb"]) = (json!(9_000), json!(0.5));
-    let limits = read(&config).map(|config| config.list).unwrap();
+    let limits = read(&config).map(|config| config.list_limits).unwrap();
     assert_eq!((limits.entries, limits.bytes), (9_000, 500_000));
     (config["limits"]["list_entries"], config["limits"]["list_mb"]) = (json!(0), json!(0));
-    let words = refusal(config.to_string().as_bytes(), &only_state).unwrap();
+    let words = config_error(config.to_string().as_bytes(), &only_router_state).unwrap();
     assert_eq!(words, "limits.list_entries admits none; limits.list_mb is no size");
 }
 
@@ -208,9 +208,9 @@
     let variables = |name: &str| match name {
         "ROUTER_NAME" => Some("n9".to_string()),
         "ROUTER_LISTEN" => Some("127.0.0.9:1".to_string()),
-        name => only_state(name),
+        name => only_router_state(name),
     };
-    let mut file = whole();
+    let mut file = example();
     file["listen"] = json!("no address, and nobody asks");
     let config = Config::read(file.to_string().as_bytes(), &variables).unwrap();
     assert_eq!((&config.name[..], &config.listen.to_string()[..]), ("n9", "127.0.0.9:1"));
@@ -219,38 +219,39 @@
 
     let wrong = |name: &str| (name == "ROUTER_DISCOVERY").then(|| "nowhere".to_string());
     assert_eq!(
-        refusal(whole().to_string().as_bytes(), &wrong).unwrap(),
+        config_error(example().to_string().as_bytes(), &wrong).unwrap(),
         "ROUTER_STATE is not set; discovery or ROUTER_DISCOVERY is no address: nowhere"
     );
 }
 
 #[test]
 fn peers_are_read_when_notes_are_allowed() {
-    let mut file = whole();
+    let mut file = example();
     file["settings"]["Limits"]["MayTell"] = json!(true);
     file["peers"] = json!({"listen": "127.0.0.1:1", "others": ["127.0.0.2:1", "127.0.0.3:1"]});
-    let peers = Config::read(file.to_string().as_bytes(), &only_state).unwrap().peers.unwrap();
+    let peers = Config::read(file.to_string().as_bytes(), &only_router_state).unwrap().peers.unwrap();
     assert_eq!((peers.listen.port(), peers.others.len()), (1, 2));
 }
 
 #[test]
 fn a_text_that_ends_too_early_is_refused_plainly_wherever_it_ends() {
-    assert_eq!(refusal(EXAMPLE.as_bytes(), &only_state), None);
+    assert_eq!(config_error(EXAMPLE.as_bytes(), &only_router_state), None);
     let text = EXAMPLE.trim_end().as_bytes();
     for end in 0..text.len() {
-        let words = refusal(&text[..end], &only_state).unwrap_or_else(|| panic!("taken at byte {end}"));
+        let words =
+            config_error(&text[..end], &only_router_state).unwrap_or_else(|| panic!("taken at byte {end}"));
         let plain = words.contains("EOF while parsing") && words.contains(" at line ");
         assert!(plain && words.lines().count() == 1, "at byte {end}: {words}");
     }
     // What follows the end is no part of it, and bytes that are no text are none.
     let mut more = text.to_vec();
     more.push(b'}');
-    assert!(refusal(&more, &only_state).unwrap().contains("trailing characters at line "));
-    assert!(refusal(b"{\"name\": \"\xff\"}", &only_state).unwrap().contains(" at line 1"));
+    assert!(config_error(&more, &only_router_state).unwrap().contains("trailing characters at line "));
+    assert!(config_error(b"{\"name\": \"\xff\"}", &only_router_state).unwrap().contains(" at line 1"));
     // A name that is there twice is a fault of its own.
     let twice = EXAMPLE.replacen('{', "{\"name\": \"other\", ", 1);
-    assert!(refusal(twice.as_bytes(), &only_state).unwrap().contains("duplicate field `name`"));
-    assert!(refusal("[".repeat(100_000).as_bytes(), &only_state).is_some());
+    assert!(config_error(twice.as_bytes(), &only_router_state).unwrap().contains("duplicate field `name`"));
+    assert!(config_error("[".repeat(100_000).as_bytes(), &only_router_state).is_some());
 }
 
 /// Every place in a value, as pointers.
@@ -284,9 +285,11 @@
     ];
     let mut refused = 0;
     file["peers"]["a\nb"] = json!(null);
-    assert!(refusal(file.to_string().as_bytes(), &only_state).unwrap().contains("peers.a b cannot be read"));
+    assert!(config_error(file.to_string().as_bytes(), &only_router_state)
+        .unwrap()
+        .contains("peers.a b cannot be read"));
     file["peers"] = json!({"listen": "127.0.0.1:1", "others": vec![1; 100_000]});
-    assert!(refusal(file.to_string().as_bytes(), &only_state)
+    assert!(config_error(file.to_string().as_bytes(), &only_router_state)
         .unwrap()
         .contains("peers.others[31] cannot be"));
     file["peers"]["others"] = json!(["127.0.0.2:1"]);
@@ -294,7 +297,7 @@
         for value in &values {
             let mut file = file.clone();
             *file.pointer_mut(&place).unwrap() = value.clone();
-            if let Some(words) = refusal(file.to_string().as_bytes(), &only_state) {
+            if let Some(words) = config_error(file.to_string().as_bytes(), &only_router_state) {
                 refused += 1;
                 assert!(words.lines().count() == 1, "{place} {value}: {words}");
                 let first = place.split('/').nth(1).unwrap_or_default().trim_end_matches('s');
@@ -335,11 +338,11 @@
     // With nothing in it yet.
     drop(Journal::open(&folder.path.join("state"), 3_000_000).unwrap());
     for (arguments, code, out, words) in rows {
-        let template = command(&folder, &whole(), "check");
+        let template = command(&folder, &example(), "check");
         let mut command = Command::new(template.get_program());
         command.args(arguments).current_dir(&folder.path).env_clear();
         command.envs(template.get_envs().filter_map(|(name, value)| Some((name, value?))));
-        let got = code_and_words(&mut command);
+        let got = exit_code_and_output(&mut command);
         assert_eq!((got.0, &got.2[..]), (code, words), "{arguments:?}: {got:?}");
         assert!(got.1.contains(out) && got.1.is_empty() == (code != 0), "{arguments:?}: {got:?}");
         if out == "owed" {
@@ -372,7 +375,7 @@
     for (subcommand, path, expected) in rows {
         let mut command = Command::new(env!("CARGO_BIN_EXE_meadowhold"));
         command.arg(subcommand).env_clear().envs(path.map(|path| ("ROUTER_CONFIG", path)));
-        let (code, out, words) = code_and_words(&mut command);
+        let (code, out, words) = exit_code_and_output(&mut command);
         assert_eq!((code, &out[..], words.lines().count()), (1, "", 1), "{words}");
         assert!(words.starts_with("meadowhold: ") && words.contains(expected), "{words}");
     }
@@ -390,9 +393,9 @@
 
 /// The log of a courier that fails to follow the list a few times, and is given a broken file. Each of the
 /// four levels has its lines in it.
-fn log_of_a_bad_start(wanted: Option<&str>) -> String {
+fn log_of_failing_courier(wanted: Option<&str>) -> String {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (folder, mut config) = (Folder::new(), whole());
+    let (folder, mut config) = (Folder::new(), example());
     config["listen"] = json!(own_address().to_string());
     config["discovery"] = json!(discovery.local_addr().unwrap().to_string());
     let asked = Arc::new(AtomicUsize::new(0));
@@ -441,7 +444,7 @@
     thread::scope(|scope| {
         for (wanted, levels) in rows {
             scope.spawn(move || {
-                let log = log_of_a_bad_start(wanted);
+                let log = log_of_failing_courier(wanted);
                 for level in ["ERROR", "WARN", "INFO", "DEBUG"] {
                     let line = |line: &str| line.split_whitespace().nth(1) == Some(level);
                     let written = log.lines().any(line);
--- a/crates/courier/tests/settings_exchange.rs
+++ b/crates/courier/tests/settings_exchange.rs
@@ -11,13 +11,13 @@
 use common::{settings, until, Folder};
 use meadowhold::interface::{Effect, Outcome, QueueClass, Time, SECOND};
 use meadowhold_courier::changes::{take, Held};
-use meadowhold_courier::config::Offered;
+use meadowhold_courier::config::Candidate;
 use meadowhold_courier::discovery::List;
 use meadowhold_courier::exchange::{
     Answer, Call, CallMail, Clock, ConnectReport, Exchange, Notice, Offer, Order,
 };
 use meadowhold_courier::journal::{Found, Journal, Terms, Verdict};
-use meadowhold_courier::kept_settings::{self, Kept};
+use meadowhold_courier::kept_settings::{self, SavedSettings};
 use meadowhold_courier::numbers::Classes;
 use meadowhold_courier::version::Checksum;
 use serde_json::{json, Value};
@@ -87,7 +87,7 @@
             opened => journal.replace(opened.unwrap()).is_none(),
         });
         let text = config.to_string().into_bytes();
-        let decoded = Offered::of(&text, &variable).read.unwrap().decoded;
+        let decoded = Candidate::of(&text, &variable).result.unwrap().decoded;
         let clock = Clock::still(now);
         let journal = journal.unwrap();
         let mut exchange = Exchange::with_clock(clock, decoded, journal, orders_in, notices_in, None);
@@ -99,7 +99,7 @@
 
     /// Whether a text in the place of the configuration is taken.
     fn offer(&mut self, text: &[u8]) -> bool {
-        let offered = Offered::of(text, &variable);
+        let offered = Candidate::of(text, &variable);
         let place = (&*self.folder.path, ALLOWANCE);
         let heard = take(&mut self.exchange, &mut self.held, offered, place);
         // What is taken is told of to those who make the calls.
@@ -389,35 +389,41 @@
 #[test]
 fn what_is_kept_is_read_whole_or_passed_over() {
     let folder = Folder::new();
-    let kept =
-        Kept::new(config(7, &three()).to_string().into_bytes(), START, vec![Checksum(7, 9), Checksum(8, 1)])
-            .unwrap();
+    let kept = SavedSettings::new(
+        config(7, &three()).to_string().into_bytes(),
+        START,
+        vec![Checksum(7, 9), Checksum(8, 1)],
+    )
+    .unwrap();
     kept_settings::save(&folder.path, ALLOWANCE, &kept).unwrap();
     assert_eq!(kept_settings::load(&folder.path), Some(kept.clone()));
     let whole = fs::read(folder.path.join("settings")).unwrap();
     for at in 0..whole.len() {
-        assert!(Kept::read(&whole[..at]).is_err(), "cut at {at}");
+        assert!(SavedSettings::decode(&whole[..at]).is_err(), "cut at {at}");
         let mut spoilt = whole.clone();
         spoilt[at] ^= 1 << (at % 8);
-        assert!(Kept::read(&spoilt).is_err(), "spoilt at {at}");
+        assert!(SavedSettings::decode(&spoilt).is_err(), "spoilt at {at}");
     }
-    assert!(Kept::read(&[&whole[..], b"x"].concat()).is_err());
+    assert!(SavedSettings::decode(&[&whole[..], b"x"].concat()).is_err());
     // Too long for its part of the folder: the list that the file knew goes, what it said stays known.
     let mut long = config(8, &three());
     long["known"] = json!({"index": 1, "endpoints": vec![json!({"name": "e".repeat(400)}); 400]});
-    let long =
-        Kept::new(serde_json::to_vec_pretty(&long).unwrap(), START, vec![Checksum(7, 9), Checksum(8, 1)])
-            .unwrap();
+    let long = SavedSettings::new(
+        serde_json::to_vec_pretty(&long).unwrap(),
+        START,
+        vec![Checksum(7, 9), Checksum(8, 1)],
+    )
+    .unwrap();
     kept_settings::save(&folder.path, ALLOWANCE, &long).unwrap();
     let found = kept_settings::load(&folder.path).unwrap();
-    assert_eq!(found.whole, long.whole);
+    assert_eq!(found.fingerprint, long.fingerprint);
     assert!(!String::from_utf8(found.text.clone()).unwrap().contains("known"));
     // No room at all, or no number: what was there stays.
     assert!(kept_settings::save(&folder.path, 50_000, &kept).is_err());
     assert_eq!(kept_settings::load(&folder.path), Some(found));
     let mut without = config(9, &three());
     without["version"] = Value::Null;
-    assert_eq!(Kept::new(without.to_string().into_bytes(), START, Vec::new()), None);
+    assert_eq!(SavedSettings::new(without.to_string().into_bytes(), START, Vec::new()), None);
 }
 
 #[test]
@@ -458,7 +464,7 @@
     for _ in 0..3000 {
         let classes: Vec<Value> = (0..chance.usize(1..6)).map(|_| random_class(&mut chance, 5)).collect();
         let text = config(1, &classes).to_string();
-        let decoded = Offered::of(text.as_bytes(), &variable).read.unwrap().decoded;
+        let decoded = Candidate::of(text.as_bytes(), &variable).result.unwrap().decoded;
         let used: BTreeSet<usize> = messages.iter().map(|message| message.0).collect();
         let new = &decoded.settings.classes;
         held = held.next_version(&decoded.classes, new, |class| used.contains(&class)).unwrap();
--- a/crates/rig/src/scale/day.rs
+++ b/crates/rig/src/scale/day.rs
@@ -380,7 +380,7 @@
                 fault(key, format!("{value} is out of bounds; give {low} to {high}"));
             }
         };
-        let most = meadowhold_courier::members::MOST_MEMBERS.min(2000);
+        let most = meadowhold_courier::members::MAX_MEMBERS.min(2000);
         bound("couriers", self.couriers as f64, 1.0, most as f64);
         bound("real", self.real as f64, 1.0, self.couriers.clamp(1, 150) as f64);
         // One more than the real ones where there are hollow ones; the run itself and its guard count too.
