--- a/crates/courier/src/config.rs
+++ b/crates/courier/src/config.rs
@@ -1,5 +1,5 @@
-//! What a courier is told at its start: a file of JSON, and variables of the environment. All that is out of
-//! order is told at once, each fault with its place.
+//! The courier's configuration: a JSON file, and environment variables that override it. All faults are reported
+//! at once, each with its place.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -25,29 +25,30 @@
     pub discovery: SocketAddr,
     pub state: PathBuf,
     pub sockets: usize,
-    /// Bytes that the folder that lasts may hold.
+    /// Maximum size of the state folder in bytes.
     pub disk: u64,
-    /// What a list may have at most to be taken up.
+    /// A list beyond these limits is not applied.
     pub list_limits: reader::Limits,
     pub known: List,
     pub decoded: Decoded,
     pub peers: Option<Peers>,
-    /// Where the list is followed, if not at the platform's agent; notices go there all the same.
+    /// Relays that the list is read from instead of the platform's agent. Notices go to the agent in either case.
     pub relays: Option<Vec<SocketAddr>>,
-    /// The number of the settings' version; without one they are those of the start.
+    /// Version number of the settings. Settings without one stay unchanged until the next start.
     pub version: Option<u64>,
 }
 
-/// Where notes from other couriers are heard, and where they are.
+/// Where this courier receives notes from other couriers, and their addresses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peers {
     pub listen: SocketAddr,
     pub others: Vec<SocketAddr>,
-    /// Where membership is spoken, if it is.
+    /// Addresses for the membership protocol, if it is used.
     pub members: Option<Members>,
 }
 
-/// Text, so that a variable may go before what the file says, whatever that is.
+/// The file as it is written. Addresses are kept as text, so that an environment variable can replace even an
+/// invalid one.
 #[derive(Deserialize, Validate)]
 #[garde(allow_unvalidated)]
 struct File {
@@ -93,14 +94,15 @@
     }
 }
 
-/// Guards against a file of nothing but faults, over which a courier that runs would stand still: each fault
-/// that is found costs another look at the whole.
+/// Each fault costs another pass over the whole file, so a file of nothing but faults would block a running
+/// courier.
 const MAX_FAULTS: usize = 32;
 
-/// Guards against a note that is sent thousands of times over; as many as members, so that one list serves both.
+/// Bounds the datagrams that are sent for each note. Equal to the maximum number of members, so that one list of
+/// addresses can serve both.
 const MAX_PEERS: usize = MAX_MEMBERS;
 
-/// A value that must be there is optional here, and its absence found afterwards: so it hides no other fault.
+/// Required values are optional here and checked after parsing, so that a missing one does not hide other faults.
 #[derive(Default, Deserialize, Validate)]
 #[serde(default, deny_unknown_fields)]
 #[garde(allow_unvalidated)]
@@ -119,13 +121,13 @@
     }
 }
 
-/// Guards against a courier with descriptors for itself only.
+/// With fewer, a courier would have hardly any descriptors left besides those it needs for itself.
 fn validate_sockets(sockets: &usize, (): &()) -> garde::Result {
     ensure(*sockets >= 64, || "is under 64".to_string())
 }
 
 fn validate_list_entries(entries: &usize, (): &()) -> garde::Result {
-    ensure(*entries > 0, || "admits none".to_string())
+    ensure(*entries > 0, || "must be at least 1".to_string())
 }
 
 fn validate_megabytes(megabytes: &f64, (): &()) -> garde::Result {
@@ -137,7 +139,7 @@
 }
 
 fn validate_settings(settings: &Value, (): &()) -> garde::Result {
-    let problem = if settings.is_null() { "is missing" } else { "is no object" };
+    let problem = if settings.is_null() { "is missing" } else { "is not an object" };
     ensure(settings.is_object(), || problem.to_string())
 }
 
@@ -163,21 +165,22 @@
     }
 }
 
-/// A configuration as it is found: what tells it from another as far as that can be read, and what it says.
+/// A configuration that is about to be validated or applied, with the fingerprint that identifies its version.
 pub struct Candidate {
-    /// The file, where it has a version.
+    /// Text of the file, if it has a version number.
     pub text: Option<Vec<u8>>,
+    /// `None` if the text is not a JSON object.
     pub fingerprint: Option<Fingerprint>,
     pub result: Result<Config, ConfigError>,
 }
 
-/// Why there is no configuration: every fault that was found.
+/// All faults of a configuration that cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
-    /// The file, if there is one.
+    /// Path of the file, unless the place of the fault names it or there is none.
     pub file: Option<String>,
-    /// What is wrong, by place: a path in the file such as `limits.sockets`, a variable's name, or nothing for
-    /// the file as a whole.
+    /// Faults by place: a path in the file such as `limits.sockets`, the name of an environment variable, or an
+    /// empty text for the file as a whole.
     pub faults: Faults,
 }
 
@@ -187,7 +190,7 @@
     }
 }
 
-/// One line: `FILE: PLACE words; PLACE words`.
+/// One line: `FILE: PLACE fault; PLACE fault`.
 impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let mut before = "";
@@ -197,7 +200,7 @@
         for (place, problem) in &self.faults {
             let gap = if place.is_empty() { "" } else { " " };
             let fault = format!("{before}{place}{gap}{problem}");
-            // Guards against a name or a text of the file that would break the line.
+            // Names and values from the file may contain line breaks.
             f.write_str(&fault.replace(char::is_control, " "))?;
             before = "; ";
         }
@@ -211,7 +214,8 @@
     format!("cannot be read: {error}")
 }
 
-/// The file, and what cannot be read in it; without what cannot be read, so that the rest can be looked into.
+/// Parses a file and reports what cannot be read. Unreadable values are removed from the result, so that the rest
+/// can still be validated.
 pub(crate) fn parse<T: DeserializeOwned>(text: &[u8]) -> Result<(T, Faults), ConfigError> {
     let mut from = serde_json::Deserializer::from_slice(text);
     let error = match serde_path_to_error::deserialize(&mut from) {
@@ -222,16 +226,16 @@
         Err(error) => error,
     };
     let first = (error.path().to_string(), unreadable(error.inner()));
-    // Text that is no JSON has one fault, where it breaks.
+    // Invalid JSON is reported as a single fault at its position.
     let mut value: Value =
         serde_json::from_slice(text).map_err(|e| ConfigError::single("", unreadable(&e)))?;
     let mut faults = Faults::new();
-    // Items taken out so far, by list: those after them have moved up.
+    // Number of items removed so far from each list, to find the original index of the items after them.
     let mut removed = BTreeMap::new();
     loop {
         let error = match serde_path_to_error::deserialize::<_, T>(&value) {
             Ok(file) => {
-                // Such as a name that is there twice: of this the value keeps nothing.
+                // Some faults, such as a duplicate key, are not visible in the parsed value.
                 faults.entry(first.0).or_insert(first.1);
                 return Ok((file, faults));
             }
@@ -240,14 +244,14 @@
         let place = remove_at(&mut value, error.path(), &mut removed);
         let known = place.as_ref().is_some_and(|place| faults.contains_key(place));
         faults.insert(place.clone().unwrap_or_default(), unreadable(error.inner()));
-        // What cannot be taken out hides what is left, and would be found again without end.
+        // A fault that cannot be removed hides the remaining ones and would be found again forever.
         if place.is_none() || known || faults.len() == MAX_FAULTS {
             return Err(ConfigError { file: None, faults });
         }
     }
 }
 
-/// Takes the value at `path` out, and says at which place of the text it was; `None` if it is not there.
+/// Removes the value at `path` and returns its place in the original text, or `None` if there is no such value.
 fn remove_at(root: &mut Value, path: &Path, removed: &mut BTreeMap<String, usize>) -> Option<String> {
     let mut segments = path.iter().peekable();
     let (mut value, mut place) = (root, String::new());
@@ -280,14 +284,14 @@
     None
 }
 
-/// An address from a variable, or else from the file, where it has another name.
+/// Parses an address from an environment variable or, if that is not set, from the file under `key`.
 fn address(
     (name, variable): (&str, Option<String>),
     (key, file): (&str, Option<String>),
     faults: &mut Faults,
 ) -> Option<SocketAddr> {
     let text = variable.or(file);
-    // What is in the file and cannot be read is told already.
+    // An unreadable value in the file has already been reported.
     if text.is_none() && faults.contains_key(key) {
         return None;
     }
@@ -297,7 +301,7 @@
 }
 
 impl Candidate {
-    /// From the file's text, and from variables by name.
+    /// Reads the file's text and the environment variables that `variable` returns.
     pub fn of(text: &[u8], variable: &dyn Fn(&str) -> Option<String>) -> Candidate {
         let result = Config::read(text, variable);
         let fingerprint = Fingerprint::read(text);
@@ -311,13 +315,13 @@
 }
 
 impl Config {
-    /// Reads the file that `ROUTER_CONFIG` names; other variables go before what it says.
+    /// Reads the file that `ROUTER_CONFIG` names. Other environment variables take precedence over its values.
     pub fn from_environment() -> Result<Config, ConfigError> {
         Config::load(&variable)
     }
 
-    /// The file anew, in a process that runs: what it says of discovery now goes before the variable, which
-    /// is as old as the process.
+    /// Reads the file again in a running process. Its discovery address now takes precedence over the environment
+    /// variable, which dates from the start of the process.
     pub fn reload() -> Candidate {
         let variable = |name: &str| variable(name).filter(|_| name != "ROUTER_DISCOVERY");
         Config::load_candidate(&variable)
@@ -327,7 +331,7 @@
         Config::load_candidate(variable).result
     }
 
-    /// The same with what tells the file's version from another, as far as that can be read.
+    /// Reads the file that `ROUTER_CONFIG` names, with its fingerprint.
     fn load_candidate(variable: &dyn Fn(&str) -> Option<String>) -> Candidate {
         const FILE: &str = "ROUTER_CONFIG";
         let text = variable(FILE).ok_or_else(|| ConfigError::single(FILE, "is not set")).and_then(|path| {
@@ -345,30 +349,30 @@
         }
     }
 
-    /// The file as a start finds it.
+    /// Reads the file at the start of a process.
     pub fn at_start() -> Candidate {
         Config::load_candidate(&variable)
     }
 
-    /// What an earlier process kept of it, in the place of the file.
+    /// Reads the text that an earlier process saved, in place of the file.
     pub fn from_saved(text: &[u8]) -> Result<Config, ConfigError> {
         Config::read(text, &variable)
     }
 
-    /// The folder that lasts, as far as it is known.
+    /// The state folder, if `ROUTER_STATE` is set.
     pub fn state_folder() -> Option<PathBuf> {
         variable("ROUTER_STATE").map(PathBuf::from)
     }
 
-    /// From the file's text, and from variables by name, which go before what it says.
+    /// Reads the file's text and the environment variables that `variable` returns, which take precedence.
     pub fn read(text: &[u8], variable: &dyn Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let (file, mut faults) = parse::<File>(text)?;
-        // Any text serves as a seed; the platform's is hexadecimal.
+        // The platform's seed is hexadecimal; any other text is hashed.
         let seed = u64::from_str_radix(&file.seed, 16);
         let seed = seed.unwrap_or_else(|_| u64::from(crc32fast::hash(file.seed.as_bytes())));
         if let Err(report) = file.validate() {
             for (place, error) in report.iter() {
-                // A place that cannot be read has been taken out, and is not missing.
+                // An unreadable value was removed above and must not be reported as missing.
                 faults.entry(place.to_string()).or_insert_with(|| error.to_string());
             }
         }
@@ -382,8 +386,8 @@
         };
         if let (Some(_), Some(decoded)) = (&file.peers, &decoded) {
             if !decoded.settings.peer_notes {
-                let words = "are named, and setting Limits.MayTell does not allow notes";
-                faults.entry("peers".to_string()).or_insert_with(|| words.to_string());
+                let problem = "are configured, but setting Limits.MayTell does not allow notes";
+                faults.entry("peers".to_string()).or_insert_with(|| problem.to_string());
             }
         }
         let mut at = |name, place, text| address((name, variable(name)), (place, text), &mut faults);
@@ -394,7 +398,7 @@
             faults.insert("ROUTER_STATE".to_string(), "is not set".to_string());
         }
         let peers = file.peers.and_then(PeersText::into_peers);
-        // Their faults are told already.
+        // Invalid addresses have already been reported.
         let relays = file.relays.map(|all| all.iter().filter_map(|relay| relay.parse().ok()).collect());
         let (true, Some(listen), Some(discovery), Some(state), Some(decoded)) =
             (faults.is_empty(), listen, discovery, state, decoded)
--- a/crates/courier/src/version.rs
+++ b/crates/courier/src/version.rs
@@ -1,15 +1,15 @@
-//! Versions of the settings: whether one that is offered is taken as a whole or turned down, and why. No I/O and no
-//! clock, so that any source can feed it.
+//! Versions of the settings: decides whether a new configuration is applied as a whole or rejected, and why. It does
+//! no I/O and uses no clock, so that it does not depend on where a configuration comes from.
 
 use std::collections::BTreeMap;
 
 use meadowhold_settings::raw_values;
 use serde_json::Value;
 
-/// What is wrong, by place: a path in the file, or `setting` and a path in the settings.
+/// Faults by place: a path in the file, or `setting` and a path in the settings.
 pub type Faults = BTreeMap<String, String>;
 
-/// Tells one content from another, however it is spaced and in whatever order its keys stand.
+/// CRC-32 and length of a JSON value's canonical text; independent of white space and of the order of keys.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Checksum(pub u32, pub u64);
 
@@ -20,14 +20,14 @@
     }
 }
 
-/// A version's number and content.
+/// Identifies a version by its number and its content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VersionId {
     pub number: u64,
     pub content: Checksum,
 }
 
-/// The number that a configuration bears.
+/// The `version` of a configuration: a whole number from 1 on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionNumber {
     Absent,
@@ -35,28 +35,29 @@
     Valid(u64),
 }
 
-/// A configuration as far as versions of it are compared.
+/// The parts of a configuration by which two versions of it are compared.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fingerprint {
     pub version: VersionNumber,
     pub content: Checksum,
-    /// What cannot change without a start, by place.
+    /// Checksums of the values that only a restart can change, by place.
     pub restart_only: BTreeMap<String, Checksum>,
-    /// Whether the endpoints of a kind are limited each on its own.
+    /// For each kind, whether its endpoints have limits of their own.
     pub own_limits: BTreeMap<String, bool>,
 }
 
-/// Places in the file of what is used once, at the start; `limits` key by key.
+/// Keys of the file that are used only at the start. The keys under `limits` are compared one by one.
 const RESTART_ONLY_KEYS: [&str; 6] = ["name", "listen", "seed", "known", "peers", "relays"];
-/// The same of settings, each with what its absence means: who follows the list was started so; shares that were
-/// reckoned from listed rates stand until the list comes; what is out was promised that it is alone, or not.
+/// Settings that only a restart can change, each with the value that applies when it is absent. `MembershipMode`: the
+/// task that follows the list was started for one mode. `Weights`: shares computed from the rates in the list stay
+/// until the next list. `Limits.MayDuplicate`: connects in flight were started under one of its values.
 const RESTART_ONLY_SETTINGS: [(&str, &str); 3] =
     [("MembershipMode", ""), ("Weights", ""), ("Limits.MayDuplicate", "false")];
-/// A kind's waits, paces and holds are kept by endpoint or by destination from its first endpoint on.
+/// The waits, paces and holds of a kind are stored either by endpoint or by destination, from its first endpoint on.
 const OWN_LIMITS: &str = "FamilyInfo.OwnLimits";
 
 impl Fingerprint {
-    /// `None` where the text is no JSON object.
+    /// `None` if the text is not a JSON object.
     pub fn read(text: &[u8]) -> Option<Fingerprint> {
         Fingerprint::of(&serde_json::from_slice(text).ok()?)
     }
@@ -103,11 +104,11 @@
         }
     }
 
-    /// What another configuration has otherwise and a courier that runs by this one cannot take up.
+    /// The changes in `other` that a courier running with this configuration cannot apply without a restart.
     pub fn restart_required(&self, other: &Fingerprint) -> Faults {
         let places = self.restart_only.keys().chain(other.restart_only.keys());
         let differs = places.filter(|place| self.restart_only.get(*place) != other.restart_only.get(*place));
-        let problem = || "cannot change without a start".to_string();
+        let problem = || "cannot change without a restart".to_string();
         let mut faults: Faults = differs.map(|place| (place.clone(), problem())).collect();
         let changed = other
             .own_limits
@@ -121,7 +122,7 @@
         faults
     }
 
-    /// This one in the place of another that has run so far.
+    /// Adds the kinds that only `previous` has, so that a kind that is removed and comes back is still compared.
     pub fn retain_kinds_of(mut self, previous: Fingerprint) -> Fingerprint {
         for (kind, own_limits) in previous.own_limits {
             self.own_limits.entry(kind).or_insert(own_limits);
@@ -143,58 +144,61 @@
         .collect()
 }
 
-/// Who asks what to do with an offered configuration.
+/// State of the courier that a configuration is decided for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CourierState {
     Starting,
-    /// A courier that runs by settings without a version, or with one.
+    /// The settings in force have no version.
     RunningUnversioned,
+    /// The settings in force have a version.
     RunningVersioned,
 }
 
-/// How what is offered stands to the version that is held.
+/// Result of comparing a configuration with the held version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Comparison {
-    /// It has no number.
+    /// It has no version number.
     Unversioned,
-    /// Its number cannot be read.
+    /// Its version number cannot be read.
     Unreadable,
     Newer,
-    /// The same number, with the same content or another.
+    /// Same number and same content.
     Same,
+    /// Same number but different content.
     Conflicting,
     Older,
 }
 
-/// What is done with it.
+/// What to do with a configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// As where there are no versions.
+    /// Treat it as a courier without versions does.
     HandleUnversioned,
     Apply,
-    /// It is held already.
+    /// This version is already held.
     AlreadyHeld,
-    /// For all of these reasons.
+    /// Reject it for all of these faults.
     Reject(Faults),
 }
 
-/// What a row of the table says; whether there is a fault beside it decides of `Unless`.
+/// Outcome of a row of `RULES`. `ApplyIfValid` depends on whether there are faults.
 #[derive(Clone, Copy)]
 enum Rule {
     HandleUnversioned,
     ApplyIfValid,
     AlreadyHeld,
-    /// With these words of its number.
+    /// Reject, with this fault for `version`; if it is empty, reading the number has already reported one.
     Reject(&'static str),
 }
 
 use Comparison::{Conflicting, Newer, Older, Same, Unreadable, Unversioned};
 use CourierState::{RunningUnversioned, RunningVersioned, Starting};
 
-const REJECT_CONFLICTING: Rule = Rule::Reject("has another content than the one of its number that is held");
-const REJECT_OLDER: Rule = Rule::Reject("is older than the one that is held");
+const REJECT_CONFLICTING: Rule = Rule::Reject("has the number of the held version but different content");
+const REJECT_OLDER: Rule = Rule::Reject("is older than the held version");
 
-/// (whether a version is held, who asks, how what is offered stands to it, what is done); all that may be is listed.
+/// Rows of (a version is held, state of the courier, result of the comparison, rule). All possible combinations are
+/// listed.
 const RULES: [(bool, CourierState, Comparison, Rule); 24] = [
     (false, Starting, Unversioned, Rule::HandleUnversioned),
     (false, Starting, Unreadable, Rule::HandleUnversioned),
@@ -208,14 +212,14 @@
     (true, Starting, Same, Rule::AlreadyHeld),
     (true, Starting, Conflicting, REJECT_CONFLICTING),
     (true, Starting, Older, REJECT_OLDER),
-    // An earlier process held one, and this one was started without.
+    // An earlier process held a version; this one was started without.
     (true, RunningUnversioned, Unversioned, Rule::HandleUnversioned),
     (true, RunningUnversioned, Unreadable, Rule::HandleUnversioned),
     (true, RunningUnversioned, Newer, Rule::ApplyIfValid),
     (true, RunningUnversioned, Same, Rule::ApplyIfValid),
     (true, RunningUnversioned, Conflicting, REJECT_CONFLICTING),
     (true, RunningUnversioned, Older, REJECT_OLDER),
-    (true, RunningVersioned, Unversioned, Rule::Reject("is missing, and one is in force")),
+    (true, RunningVersioned, Unversioned, Rule::Reject("is missing, but the settings in force have one")),
     (true, RunningVersioned, Unreadable, Rule::Reject("")),
     (true, RunningVersioned, Newer, Rule::ApplyIfValid),
     (true, RunningVersioned, Same, Rule::AlreadyHeld),
@@ -223,7 +227,7 @@
     (true, RunningVersioned, Older, REJECT_OLDER),
 ];
 
-/// How a configuration stands to the version that is held.
+/// Compares a configuration with the held version.
 pub fn compare(held: Option<&VersionId>, offered: Option<&Fingerprint>) -> Comparison {
     let Some(offered) = offered else { return Unreadable };
     match (offered.version, held) {
@@ -239,8 +243,8 @@
     }
 }
 
-/// Takes what is offered as a whole, or turns it down. `held`: the newest version that this courier has held, by this
-/// process or an earlier one. `faults`: all that is wrong with it, what cannot change now included.
+/// Decides whether a configuration is applied as a whole or rejected. `held` is the newest version that this process or
+/// an earlier one has held. `faults` has all faults of the configuration, including changes that need a restart.
 pub fn decide(
     state: CourierState,
     held: Option<&VersionId>,
--- a/crates/courier/src/version/tests.rs
+++ b/crates/courier/src/version/tests.rs
@@ -1,4 +1,4 @@
-//! The table of versions, and what tells one configuration from another.
+//! The rules for versions of the settings, and the comparison of configurations.
 
 use super::*;
 use serde_json::json;
@@ -26,7 +26,7 @@
             for held in [false, true] {
                 let rows =
                     RULES.iter().filter(|row| (row.0, row.1, row.2) == (held, state, comparison)).count();
-                // What runs by a version holds one, and only what is held can be compared with.
+                // A courier that runs with a version holds one, and a comparison needs a held version.
                 let may =
                     held || state != RunningVersioned && !matches!(comparison, Same | Conflicting | Older);
                 assert_eq!(rows, usize::from(may), "{held} {state:?} {comparison:?}");
@@ -61,12 +61,15 @@
                 assert_eq!(decision == Decision::Apply, takes && faults.is_empty(), "{state:?} {expected:?}");
                 if let Decision::Reject(reasons) = decision {
                     assert!(!reasons.is_empty() || expected == Unreadable);
-                    assert!(faults.keys().all(|place| reasons.contains_key(place)), "every fault is told");
+                    assert!(
+                        faults.keys().all(|place| reasons.contains_key(place)),
+                        "every fault is reported"
+                    );
                 }
             }
         }
     }
-    // Without any version all is as it was.
+    // Without any version, configurations are handled as unversioned.
     for state in [Starting, RunningUnversioned] {
         for faults in [Faults::new(), fault()] {
             assert_eq!(
@@ -128,5 +131,5 @@
     let now = without.retain_kinds_of(first.clone());
     assert_eq!(now.restart_required(&first), Faults::new());
     let words = now.restart_required(&otherwise).into_values().collect::<Vec<_>>();
-    assert_eq!(words, ["cannot change without a start for a"]);
+    assert_eq!(words, ["cannot change without a restart for a"]);
 }
--- a/crates/courier/tests/config.rs
+++ b/crates/courier/tests/config.rs
@@ -153,7 +153,7 @@
                 ("/listen", Some(json!({}))),
             ],
             [
-                "peers are named, and setting Limits.MayTell",
+                "peers are configured, but setting Limits.MayTell",
                 "limits cannot be read: invalid type",
                 "listen cannot be read: invalid type",
             ],
@@ -200,7 +200,7 @@
     assert_eq!((limits.entries, limits.bytes), (9_000, 500_000));
     (config["limits"]["list_entries"], config["limits"]["list_mb"]) = (json!(0), json!(0));
     let words = config_error(config.to_string().as_bytes(), &only_router_state).unwrap();
-    assert_eq!(words, "limits.list_entries admits none; limits.list_mb is no size");
+    assert_eq!(words, "limits.list_entries must be at least 1; limits.list_mb is no size");
 }
 
 #[test]
--- a/crates/courier/tests/settings.rs
+++ b/crates/courier/tests/settings.rs
@@ -235,10 +235,10 @@
         config
     };
     let rows: [(Value, &[&str]); 7] = [
-        (version(&base, 4), &["version 4 are turned down: version is older than the one that is held"]),
+        (version(&base, 4), &["version 4 are turned down: version is older than the held version"]),
         (
             with(5, &|config| config["settings"]["Limits"]["MaxOpen"] = json!(65)),
-            &["version 5 are turned down: version has another content than the one of its number that is held"],
+            &["version 5 are turned down: version has the number of the held version but different content"],
         ),
         (
             with(6, &|config| {
@@ -252,16 +252,16 @@
                 config["settings"]["Limits"]["MaxOpen"] = json!(65);
             }),
             &[
-                "known cannot change without a start; limits.disk_mb cannot change without a start; listen cannot",
-                "; name cannot change without a start; seed cannot change without a start; setting FamilyInfo",
-                "OwnLimits cannot change without a start for single; setting MembershipMode cannot change",
+                "known cannot change without a restart; limits.disk_mb cannot change without a restart; listen cannot",
+                "; name cannot change without a restart; seed cannot change without a restart; setting FamilyInfo",
+                "OwnLimits cannot change without a restart for single; setting MembershipMode cannot change",
             ],
         ),
         (with(7, &|config| config["version"] = json!("7")), &["without a version that can be read are turned"]),
         (with(7, &|config| config["version"] = json!(0)), &["version is under 1"]),
         (
             with(7, &|config| drop(config.as_object_mut().unwrap().remove("version"))),
-            &["version is missing, and one is in force"],
+            &["version is missing, but the settings in force have one"],
         ),
         (json!(7), &["cannot be read: invalid type"]),
     ];
@@ -532,7 +532,7 @@
     courier.says("settings version 1 are in force");
     assert!(courier.takes("v1"));
     courier.offer(&courier.config.to_string());
-    courier.says("version is missing, and one is in force");
+    courier.says("version is missing, but the settings in force have one");
     assert!(courier.takes("v1"));
 }
 
@@ -551,7 +551,7 @@
     let rows: [(String, u64, Option<&str>); 8] = [
         (version(&base, 3).to_string(), 3, None),
         (version(&base, 2).to_string(), 3, Some("version 2 are turned down: version is older")),
-        (other(3), 3, Some("version 3 are turned down: version has another content")),
+        (other(3), 3, Some("version 3 are turned down: version has the number of the held version but")),
         ("".to_string(), 3, Some("are turned down: cannot be read: EOF")),
         (version(&base, 5).to_string(), 5, None),
         (version(&base, 4).to_string(), 5, Some("version 4 are turned down: version is older")),
