--- a/crates/courier/src/version/tests.rs
+++ b/crates/courier/src/version/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn all_that_may_be_is_listed_once() {
+fn every_possible_combination_has_exactly_one_rule() {
     for state in STATES {
         for comparison in COMPARISONS {
             for held in [false, true] {
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_version_is_taken_whole_if_it_is_newer_and_without_fault_and_never_otherwise() {
+fn a_version_is_applied_only_if_it_is_newer_and_has_no_faults() {
     let held = with_version(json!(7)).version_id().unwrap();
     let fault = || Faults::from([("limits.sockets".to_string(), "is under 64".to_string())]);
     let candidates = [
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn spaces_and_the_order_of_keys_make_no_other_content() {
+fn white_space_and_key_order_do_not_change_the_content() {
     let one = Fingerprint::read(br#"{"version": 3, "settings": {"a": 1, "b": [1, 2]}}"#).unwrap();
     let same = Fingerprint::read(b"{\"settings\":{\"b\":[1,2],\n\"a\":1},\"version\":3}").unwrap();
     let other = Fingerprint::read(br#"{"version": 3, "settings": {"a": 1, "b": [2, 1]}}"#).unwrap();
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn what_cannot_change_without_a_start_is_named_and_nothing_else() {
+fn exactly_the_changes_that_need_a_restart_are_reported() {
     let rows: [(&str, Value, &[&str]); 16] = [
         ("/version", json!(8), &[]),
         ("/discovery", json!("127.0.0.1:3"), &[]),
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_kind_that_was_gone_comes_back_as_it_was_or_not_without_a_start() {
+fn a_kind_that_comes_back_with_other_limits_needs_a_restart() {
     let first = fingerprint(|_| ());
     let without = fingerprint(|value| value["settings"]["Kinds"] = json!(["c"]));
     let otherwise = fingerprint(|value| value["settings"]["FamilyInfo"]["OwnLimits"] = json!([false]));
