--- a/crates/courier/src/kept_settings.rs
+++ b/crates/courier/src/kept_settings.rs
@@ -1,5 +1,5 @@
-//! The last good version of the configuration, on file in the folder that lasts: one small file, written whole under
-//! another name and renamed. A start that finds a bad or an older configuration goes on with it.
+//! Saves the last valid version of the configuration in the state folder. The file is written under a temporary name
+//! and renamed. A courier that finds an invalid or older configuration at its start uses the saved one.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -12,31 +12,33 @@
 
 const FILE_NAME: &str = "settings";
 const TEMP_FILE_NAME: &str = "settings.new";
-/// A later version's file is passed over.
+/// File type and format version. Files of another format version are ignored.
 const MAGIC: &[u8] = b"meadowhold settings 1\n";
 const HEADER: usize = 8;
 const BLOCK: u64 = 512;
-/// Hundredths of the folder's allowance. Twice that while it is written anew; journal and memory take up to 96.
+/// Share of the folder's allowance, in percent. Twice as much is used while the file is rewritten; the journal and the
+/// memory file use up to 96 %.
 const PERCENT: u64 = 2;
-/// Guards against a file that fills the memory of the process: the allowance is not known when it is read.
+/// Longer files are not read, as they could exhaust the memory of the process. The folder's allowance is not known
+/// yet when the file is read.
 const MAX_LENGTH: u64 = 64 << 20;
 
-/// A version that was in force.
+/// A version of the configuration that was in force.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SavedSettings {
-    /// Since when, by the system's clock, in tenths of a millisecond.
+    /// When it came into force: system time in tenths of a millisecond.
     pub since: Time,
     pub fingerprint: Fingerprint,
-    /// What the list in the folder may be kept for (`memory::deployment`), by the process that put this on file or by
-    /// one before, the latest first. Guards against a list that is passed over as another deployment's because a class
-    /// has changed meanwhile.
+    /// Checksums of the deployments (`memory::deployment`) that the list in the folder may have been saved for, by the
+    /// process that wrote this file or by earlier ones, latest first. Without them, a changed queue class would make
+    /// the saved list look like that of another deployment, and it would be ignored.
     pub deployments: Vec<Checksum>,
-    /// The file's text; without spaces, and without the list that it knew, where that is too long.
+    /// Text of the configuration file. If it is too long, white space is left out, and if need be the known list.
     pub text: Vec<u8>,
 }
 
 impl SavedSettings {
-    /// `None` where it has no number.
+    /// Returns `None` if the configuration has no version number.
     pub fn new(text: Vec<u8>, since: Time, deployments: Vec<Checksum>) -> Option<SavedSettings> {
         let fingerprint =
             Fingerprint::read(&text).filter(|fingerprint| fingerprint.version_id().is_some())?;
@@ -47,7 +49,7 @@
         self.fingerprint.version_id()
     }
 
-    /// The file's bytes, `max_length` at most.
+    /// Encodes the file in at most `max_length` bytes.
     fn encode_within(&self, max_length: u64) -> io::Result<Vec<u8>> {
         let mut bytes = self.encode(&self.text);
         if bytes.len() as u64 > max_length {
@@ -58,12 +60,12 @@
                 bytes = self.encode(text.to_string().as_bytes());
             }
         }
-        let words = "the version is over its part of the folder";
+        let problem = "the settings exceed their share of the folder's allowance";
         let fits = bytes.len() as u64 <= max_length;
-        fits.then_some(bytes).ok_or_else(|| io::Error::new(io::ErrorKind::StorageFull, words))
+        fits.then_some(bytes).ok_or_else(|| io::Error::new(io::ErrorKind::StorageFull, problem))
     }
 
-    /// A line of what is known of the text, and the text.
+    /// Encodes a header, a line with what cannot be derived from `text`, and `text`.
     fn encode(&self, text: &[u8]) -> Vec<u8> {
         let (content, known) = (self.fingerprint.content, self.fingerprint.restart_only.get("known"));
         let known = known.map(|sum| json!([sum.0, sum.1]));
@@ -77,16 +79,16 @@
         out
     }
 
-    /// What a file's bytes say; the words tell an operator why nothing is taken from them.
+    /// Decodes the bytes of a file. The error tells an operator why the file is not used.
     pub fn decode(bytes: &[u8]) -> Result<SavedSettings, &'static str> {
-        let rest = bytes.strip_prefix(MAGIC).ok_or("it is no such file")?;
-        let (header, body) = rest.split_at_checked(HEADER).ok_or("it is cut short")?;
+        let rest = bytes.strip_prefix(MAGIC).ok_or("not a settings file of this format version")?;
+        let (header, body) = rest.split_at_checked(HEADER).ok_or("the file is truncated")?;
         let number =
             |at: usize| u32::from_be_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]]);
         if body.len() as u64 != u64::from(number(0)) || crc32fast::hash(body) != number(4) {
-            return Err("its checksum is wrong");
+            return Err("wrong length or checksum");
         }
-        SavedSettings::decode_body(body).ok_or("it cannot be read")
+        SavedSettings::decode_body(body).ok_or("the content cannot be parsed")
     }
 
     fn decode_body(body: &[u8]) -> Option<SavedSettings> {
@@ -98,37 +100,38 @@
         let (since, content, known) = (line["since"].as_u64()?, sum(&line["content"])?, sum(&line["known"]));
         let deployments = line["lists"].as_array()?.iter().filter_map(sum).collect();
         let mut saved = SavedSettings::new(body[end + 1..].to_vec(), since, deployments)?;
-        // What the file itself said, the list that it knew included.
+        // Checksums of the original text, which included the known list.
         saved.fingerprint.content = content;
         saved.fingerprint.restart_only.extend(known.map(|sum| ("known".to_string(), sum)));
         Some(saved)
     }
 }
 
-/// What the folder keeps; `None` where there is nothing, or nothing that can be used, which is worth one line.
+/// Loads the settings saved in the folder. Returns `None` if there is no file, or if it cannot be used, which is
+/// logged.
 pub fn load(folder: &Path) -> Option<SavedSettings> {
     let path = folder.join(FILE_NAME);
     let read = match fs::metadata(&path) {
         Err(e) if e.kind() == io::ErrorKind::NotFound => return None,
         Err(e) => Err(e.to_string()),
-        Ok(found) if found.len() > MAX_LENGTH => Err("it is too long".to_string()),
+        Ok(found) if found.len() > MAX_LENGTH => Err("the file is too long".to_string()),
         Ok(_) => {
             let bytes = fs::read(&path).map_err(|e| e.to_string());
             bytes.and_then(|bytes| SavedSettings::decode(&bytes).map_err(str::to_string))
         }
     };
-    read.inspect_err(|words| log::warn!("the settings that were kept are passed over: {words}")).ok()
+    read.inspect_err(|problem| log::warn!("ignoring the saved settings: {problem}")).ok()
 }
 
-/// Puts a new file in the place of the old one.
+/// Replaces the file in the folder.
 ///
 /// # Errors
-/// The system's, or that it would be over its part of the folder's allowance, in bytes; the old file stays then.
+/// I/O errors, or `StorageFull` if the file would exceed its share of `allowance` bytes. The old file stays in place.
 pub fn save(folder: &Path, allowance: u64, settings: &SavedSettings) -> io::Result<()> {
     let bytes = settings.encode_within((allowance / 100 * PERCENT).saturating_sub(BLOCK))?;
     let path = folder.join(TEMP_FILE_NAME);
     let mut file = File::create(&path)?;
     let written = file.write_all(&bytes).and_then(|()| fs::rename(&path, folder.join(FILE_NAME)));
-    // Guards against half a file that takes room until the next start.
+    // A partial file would use space until the next start.
     written.inspect_err(|_| drop(fs::remove_file(&path)))
 }
--- a/crates/courier/src/members.rs
+++ b/crates/courier/src/members.rs
@@ -1,5 +1,5 @@
-//! Who is alive among the couriers: the thread that finds it out, and what comes from it. Without `peers.members` in
-//! the configuration there is neither thread nor socket.
+//! Membership: which of the other couriers are up. Runs the membership protocol in a thread of its own and processes
+//! its events. Without `peers.members` in the configuration there is neither a thread nor a socket.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -17,14 +17,15 @@
 
 use crate::config::Peers;
 
-/// The fleet that is planned for has 1,300; this leaves room for half as many again. Guards against a list by which what
-/// is kept of each member takes a courier's memory.
+/// The planned fleet has 1,300 couriers; this allows half as many again. Bounds the memory that a courier uses for the
+/// state of members.
 pub const MAX_MEMBERS: usize = 2048;
-/// The farewell to the others is waited for so long.
+/// How long a courier waits at its end for the leave message to be sent.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(100);
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Where membership is spoken, by UDP: here, and at the others, who alone are listened to.
+/// UDP addresses of the membership protocol: this courier's and those of the others. Datagrams from other addresses
+/// are ignored.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(try_from = "MembersText")]
 pub struct Members {
@@ -45,16 +46,18 @@
     fn try_from(text: MembersText) -> Result<Members, String> {
         let one = |field: &str, text: &String| {
             let address: Result<SocketAddrV4, _> = text.parse();
-            address.map_err(|_| format!("peers.members.{field} is no IPv4 address and port: {text}"))
+            address.map_err(|_| format!("peers.members.{field} is not an IPv4 address and port: {text}"))
         };
         if text.others.len() > MAX_MEMBERS {
-            return Err(format!("peers.members.others names more than {MAX_MEMBERS}"));
+            return Err(format!("peers.members.others has more than {MAX_MEMBERS} addresses"));
         }
         let listen = one("listen", &text.listen)?;
         let others = text.others.iter().map(|other| one("others", other)).collect::<Result<_, _>>()?;
-        // Guards against addresses under which nobody can be known.
+        // Other couriers cannot reach such an address.
         if listen.port() == 0 || listen.ip().is_unspecified() {
-            return Err(format!("peers.members.listen must be what the others call: {listen}"));
+            return Err(format!(
+                "peers.members.listen must be an address that other couriers can reach: {listen}"
+            ));
         }
         Ok(Members { listen, others })
     }
@@ -63,41 +66,42 @@
 pub struct Membership {
     handle: RefCell<Handle>,
     wake: Arc<Notify>,
-    /// Whether the thread has ended.
+    /// The thread has ended.
     ended: Cell<bool>,
 }
 
-/// Starts the thread where the configuration says so.
+/// Starts the thread if the configuration asks for it.
 pub fn start(name: &str, peers: Option<&Peers>) -> io::Result<Option<Rc<Membership>>> {
     let Some(Members { listen, others }) = peers.and_then(|peers| peers.members.clone()) else {
         return Ok(None);
     };
     let clock = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     let name = if name.is_empty() { listen.to_string() } else { name.to_string() };
-    // Chance need not be secret, only unlike the others': by the clock's last digits, and the address.
+    // The seed need not be secret, only different from that of other couriers: from the clock and the address.
     let seed = clock.as_nanos() as u64 ^ u64::from(listen.ip().to_bits()).rotate_left(32);
     let start = clock.as_millis() as u64;
     let setup = Setup { name: view::name(&name), at: listen, others, start, seed };
     let wake = Arc::new(Notify::new());
     let notify = wake.clone();
     let handle = thread::start(setup, move || notify.notify_one());
-    let handle =
-        handle.map_err(|e| io::Error::new(e.kind(), format!("cannot hear members at {listen}: {e}")))?;
+    let handle = handle.map_err(|e| {
+        io::Error::new(e.kind(), format!("cannot listen for membership messages at {listen}: {e}"))
+    })?;
     Ok(Some(Rc::new(Membership { handle: RefCell::new(handle), wake, ended: Cell::new(false) })))
 }
 
 impl Membership {
-    /// Who is up, as far as the facts have come.
+    /// Calls `read` with the current view of the members.
     pub fn with_view<R>(&self, read: impl FnOnce(&View) -> R) -> R {
         read(&self.handle.borrow().view)
     }
 
-    /// Takes up the facts as they come. Never ends: a courier works on without knowing the others.
+    /// Processes events as they arrive. Never returns, so that a courier goes on working if membership fails.
     pub async fn run(self: Rc<Membership>) {
         loop {
             self.wake.notified().await;
             self.process_events();
-            // Guards against an end that is missed: the thread calls for the last time just before it.
+            // The thread sends its last wake-up just before it ends, so its end has to be polled for.
             while self.handle.borrow().closing() && !self.ended.get() {
                 sleep(POLL_INTERVAL).await;
                 self.process_events();
@@ -117,7 +121,7 @@
                 Fact::Part { cut_off, tally, .. } => {
                     let (up, named) = (tally.up(), tally.named());
                     match cut_off {
-                        // That all are unheard of is how each begins.
+                        // At the start nothing has been heard of any other member yet.
                         true if tally.unheard + 1 == named => {}
                         true => log::warn!("cut off from the other couriers: {up} of {named} are up"),
                         false => log::info!("joined with the other couriers: {up} of {named} are up"),
@@ -128,20 +132,20 @@
         match handle.end() {
             None => {}
             Some(Some(End { counts, fault })) => {
-                log::info!("membership has ended: {counts:?}, {} wishes lost", handle.lost);
-                if let Some(words) = fault {
-                    log::error!("membership: {words}");
+                log::info!("membership has ended: {counts:?}, {} requests lost", handle.lost);
+                if let Some(fault) = fault {
+                    log::error!("membership: {fault}");
                 }
                 self.ended.set(true);
             }
             Some(None) => {
-                log::error!("membership has failed; this courier works on without knowing the others");
+                log::error!("membership has failed; this courier continues without it");
                 self.ended.set(true);
             }
         }
     }
 
-    /// Tells the others that this courier goes, for so long as that may take.
+    /// Tells the other couriers that this one leaves, and waits for the thread to end, up to `LEAVE_TIMEOUT`.
     pub async fn leave(&self) {
         self.handle.borrow_mut().wish(Wish::Leave);
         let ended = async {
@@ -151,7 +155,7 @@
             }
         };
         if timeout(LEAVE_TIMEOUT, ended).await.is_err() {
-            log::warn!("membership has not ended in time");
+            log::warn!("membership did not end within {LEAVE_TIMEOUT:?}");
         }
     }
 }
@@ -161,10 +165,10 @@
     match news {
         News::Up => log::info!("member {name} at {at} is up"),
         News::Back => log::info!("member {name} at {at} is back"),
-        News::Restarted => log::info!("member {name} at {at} has started anew"),
+        News::Restarted => log::info!("member {name} at {at} has restarted"),
         News::Down => log::info!("member {name} at {at} is down"),
-        News::Suspected => log::debug!("member {name} at {at} is silent"),
-        News::Cleared => log::debug!("member {name} at {at} was silent for a moment"),
+        News::Suspected => log::debug!("member {name} at {at} is suspected to be down"),
+        News::Cleared => log::debug!("member {name} at {at} is no longer suspected"),
         News::Nothing => {}
     }
 }
--- a/crates/courier/src/notes.rs
+++ b/crates/courier/src/notes.rs
@@ -1,5 +1,5 @@
-//! Notes between couriers, a datagram each: what one saw of an endpoint that the others may like to know. They may
-//! be late or lost, and nothing is owed for them. Without `peers` in the configuration there is no socket.
+//! Notes between couriers, one datagram each: what one courier observed of an endpoint. Notes may be late or lost, and
+//! none is acknowledged. Without `peers` in the configuration there is no socket.
 
 use std::net::SocketAddr;
 
@@ -10,13 +10,13 @@
 
 use crate::exchange::Shared;
 
-/// The first byte of a note; another form takes another.
+/// First byte of a note; another format needs another value.
 const FORMAT_VERSION: u8 = 1;
 const MAX_NAME: usize = 200;
-/// Nobody is told to wait for longer by a note: told waits of a minute are an outage.
+/// Longest wait that a note can carry, in milliseconds. A wait of a minute counts as an outage.
 const MAX_WAIT: u16 = 60_000;
 
-/// Form, what is told, the wait in milliseconds (rounded up), and the endpoint's name.
+/// Encodes a note: format version, code of the event, wait in milliseconds (rounded up), and the endpoint's name.
 pub fn encode(name: &[u8], event: PeerNote) -> Vec<u8> {
     let (code, wait) = match event {
         PeerNote::Refusing(wait) => (0, wait.div_ceil(10).min(MAX_WAIT.into()) as u16),
@@ -27,7 +27,7 @@
     [&[FORMAT_VERSION, code, high, low], name].concat()
 }
 
-/// What is no note that this courier knows is none.
+/// Decodes a note. Returns `None` for an unknown format or event, and for an empty or overlong name.
 pub fn decode(note: &[u8]) -> Option<(&[u8], PeerNote)> {
     let [FORMAT_VERSION, code, high, low, name @ ..] = note else { return None };
     let event = match code {
@@ -39,7 +39,7 @@
     (!name.is_empty() && name.len() <= MAX_NAME).then_some((name, event))
 }
 
-/// Sends what this courier tells, and hears the others; whoever is not among them is not listened to.
+/// Sends the notes of this courier to `others` and receives theirs. Datagrams from other addresses are ignored.
 pub async fn run(
     shared: Shared,
     socket: UdpSocket,
@@ -55,14 +55,14 @@
                         shared.borrow_mut().note_received(name, event);
                     }
                 }
-                // An error is that of an earlier note that found nobody.
+                // An error reports that an earlier note could not be delivered.
                 Ok(_) | Err(_) => tokio::task::yield_now().await,
             },
             outgoing = outgoing.recv() => {
                 let Some((name, event)) = outgoing else { return };
                 let note = encode(&name, event);
                 for &other in &others {
-                    // Guards against a full buffer that holds up what is heard: the note is lost.
+                    // If the send buffer is full the note is dropped, as waiting would delay incoming notes.
                     let _ = socket.try_send_to(&note, other);
                 }
             }
--- a/crates/courier/src/platform.rs
+++ b/crates/courier/src/platform.rs
@@ -1,5 +1,5 @@
-//! One HTTP connection to the platform, for the list and the notices, on hyper. A request goes out once: nothing
-//! here sends one again by itself, or opens a connection unasked.
+//! An HTTP connection to the platform, for the list and the notices, based on hyper. Requests are never retried here
+//! and connections are never opened implicitly.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,19 +14,19 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
 
-/// What is read at once, and the most of an answer's head. Guards a courier of little memory against more.
+/// Size of the read buffer and maximum size of a response head, to bound the memory of a connection.
 const BUFFER: usize = 16 * 1024;
 
-/// Closed when it is dropped.
+/// A connection; dropping it closes it.
 pub struct Connection {
     requests: SendRequest<Full<Bytes>>,
     host: String,
-    /// Drives the connection, and ends with it.
+    /// The task that drives the connection; dropping the set aborts it.
     _driver: JoinSet<()>,
 }
 
 impl Connection {
-    /// Within a `LocalSet`. Errors are those of the system.
+    /// Opens a connection. Must be called within a `LocalSet`. Errors are I/O errors.
     pub async fn open(address: SocketAddr) -> io::Result<Connection> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
@@ -34,19 +34,19 @@
         let (requests, connection) = handshake.await.map_err(io::Error::other)?;
         let mut driver = JoinSet::new();
         driver.spawn_local(async move {
-            // What goes wrong is told to who asked.
+            // Errors are returned to the caller of `send`.
             let _ = connection.await;
         });
         Ok(Connection { requests, host: address.to_string(), _driver: driver })
     }
 
-    /// Whether it can carry a request: still open, and the answer before has been read.
+    /// Whether a request can be sent: the connection is open and the previous response has been read.
     pub fn is_usable(&self) -> bool {
         self.requests.is_ready()
     }
 
-    /// Sends a request and waits for the head of its answer. Errors: the connection broke, or the answer cannot
-    /// be read; the request may have arrived.
+    /// Sends a request and waits for the head of its response. On an error, the connection broke or the response is
+    /// invalid; the request may have arrived.
     pub async fn send(&mut self, mut request: Request<Full<Bytes>>) -> io::Result<Response<Incoming>> {
         let host = HeaderValue::from_str(&self.host).map_err(io::Error::other)?;
         request.headers_mut().insert(HOST, host);
--- a/crates/courier/tests/members.rs
+++ b/crates/courier/tests/members.rs
@@ -1,4 +1,4 @@
-//! Couriers' processes that know who among them is alive: seen in the lines that they log.
+//! Membership of real courier processes, observed in their logs.
 
 mod common;
 
@@ -20,7 +20,7 @@
 }
 
 impl Process {
-    /// With `members`, a socket that the system has just given free, on an address of its own.
+    /// `members`: the address for membership, on a port that is currently free, and those of the others.
     fn start(platform: &Platform, name: &str, members: Option<(SocketAddr, &[SocketAddr])>) -> Process {
         let listen = own_address();
         let (folder, mut config) = (Folder::new(), config(platform, listen));
@@ -37,7 +37,7 @@
         fs::read_to_string(self.folder.path.join("log")).unwrap_or_default()
     }
 
-    /// How often it has said so.
+    /// How often the log contains `words`.
     fn times(&self, words: &str) -> usize {
         self.said().matches(words).count()
     }
@@ -109,7 +109,7 @@
         others.all(|one| one.times(&line(i, what)) == times)
     };
 
-    // One is killed outright, and its next process is a new member.
+    // One is killed, and its next process is a new member.
     let begin = Instant::now();
     all[1].child.kill().unwrap();
     all[1].child.wait().unwrap();
@@ -119,7 +119,7 @@
     answers(all[1].listen);
     until("that m1 is back", || known(&all, 1, "back", 1));
 
-    // One stands still for five seconds: down, and back as soon as it goes on.
+    // One is stopped for five seconds: it is down, and back as soon as it continues.
     let begin = Instant::now();
     all[3].signal("-STOP");
     until("that m3 is down", || known(&all, 3, "down", 1));
@@ -130,13 +130,13 @@
     until("that m3 is back", || known(&all, 3, "back", 1));
     eprintln!("m3 found back after {:?}", begin.elapsed());
 
-    // One ends as planned: it says goodbye, and nobody waits for a probe to fail.
+    // One shuts down: it tells the others, which do not have to wait for a probe to fail.
     all[4].signal("-TERM");
     until("its end", || all[4].child.try_wait().unwrap().is_some());
     assert_eq!(all[4].times("membership has ended"), 1);
     assert!(all[4].said().contains("faults: 0"));
     until("that m4 is down", || known(&all[..4], 4, "down", 1));
-    // Nobody else was ever held to be down.
+    // No other member was ever considered down.
     for i in [0, 2] {
         assert!(known(&all, i, "down", 0));
     }
@@ -151,8 +151,8 @@
     let with = Process::start(&platform, "m1", Some((hears[0], &hears)));
     assert_eq!((without.threads(), with.threads()), (1, 2));
     assert_eq!((without.datagram_sockets(), with.datagram_sockets()), (1, 2));
-    // The socket, what it waits with, and what wakes it; connections of the test's own may still be closing.
-    until("three files more", || with.files() == without.files() + 3);
+    // The socket, the poller and its waker; connections of the test itself may still be closing.
+    until("three more open files", || with.files() == without.files() + 3);
 }
 
 #[test]
@@ -161,21 +161,33 @@
     let taken = UdpSocket::bind("127.0.0.1:0").unwrap();
     let taken = taken.local_addr().unwrap().to_string();
     let rows = [
-        (json!({"listen": "here", "others": []}), "peers.members.listen is no IPv4 address and port: here"),
+        (
+            json!({"listen": "here", "others": []}),
+            "peers.members.listen is not an IPv4 address and port: here",
+        ),
         (
             json!({"listen": "[::1]:1", "others": []}),
-            "peers.members.listen is no IPv4 address and port: [::1]:1",
+            "peers.members.listen is not an IPv4 address and port: [::1]:1",
+        ),
+        (
+            json!({"listen": "127.0.0.1:0", "others": []}),
+            "peers.members.listen must be an address that other couriers can reach",
+        ),
+        (
+            json!({"listen": "0.0.0.0:99", "others": []}),
+            "peers.members.listen must be an address that other couriers can reach",
         ),
-        (json!({"listen": "127.0.0.1:0", "others": []}), "peers.members.listen must be what the others call"),
-        (json!({"listen": "0.0.0.0:99", "others": []}), "peers.members.listen must be what the others call"),
         (
             json!({"listen": "127.0.0.1:9", "others": [""]}),
-            "peers.members.others is no IPv4 address and port",
+            "peers.members.others is not an IPv4 address and port",
+        ),
+        (
+            json!({"listen": "127.0.0.1:9", "others": vec!["127.0.0.1:9"; 2049]}),
+            "peers.members.others has more than 2048 addresses",
         ),
-        (json!({"listen": "127.0.0.1:9", "others": vec!["127.0.0.1:9"; 2049]}), "names more than 2048"),
         (json!({"listen": "127.0.0.1:9"}), "missing field `others`"),
         (json!({"listen": "127.0.0.1:9", "others": [], "x": 1}), "unknown field `x`"),
-        (json!({"listen": taken, "others": []}), "cannot hear members at"),
+        (json!({"listen": taken, "others": []}), "cannot listen for membership messages at"),
     ];
     for (members, words) in rows {
         let (folder, mut config) = (Folder::new(), config(&platform, own_address()));
--- a/crates/courier/tests/settings.rs
+++ b/crates/courier/tests/settings.rs
@@ -587,7 +587,7 @@
     assert!(!ended_well && said.contains("settings is missing"), "{said}");
     courier.started = 100;
     courier.start_again(&version(&base, 2).to_string());
-    assert!(courier.said().contains("the settings that were kept are passed over: its checksum is wrong"));
+    assert!(courier.said().contains("ignoring the saved settings: wrong length or checksum"));
     assert_eq!(courier.in_force(), [2]);
     courier.ends_well();
 }
