--- a/crates/courier/src/command.rs
+++ b/crates/courier/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line: sub-commands and what they print.
+//! The command line: subcommands and their output.
 
 mod logging;
 
@@ -16,7 +16,7 @@
 use crate::journal::Found;
 use crate::relay;
 
-/// What each sub-command does is said here once, for `meadowhold help` too.
+// Doc comments of the subcommands below are their texts in `meadowhold help`.
 #[derive(Parser)]
 #[command(
     name = "meadowhold",
@@ -61,7 +61,7 @@
     Status { address: SocketAddr },
 }
 
-/// Runs the command that these words, the first of them the program's name, ask for.
+/// Runs the subcommand that the arguments ask for. The first argument is the program's name.
 pub fn run(arguments: impl IntoIterator<Item = OsString>) -> Result<(), String> {
     let arguments = match Arguments::try_parse_from(arguments) {
         Ok(arguments) => arguments,
@@ -86,7 +86,7 @@
     }
 }
 
-/// The first line of what clap says, which names the word that is wrong.
+/// The first line of clap's error, which names the invalid argument.
 fn usage_error(error: &clap::Error) -> String {
     let words = error.to_string();
     let first = words.lines().next().unwrap_or_default();
@@ -105,11 +105,11 @@
 
 fn serve() -> Result<(), String> {
     logging::start()?;
-    let start = changes::start().map_err(|refused| refused.to_string())?;
+    let start = changes::start().map_err(|error| error.to_string())?;
     let runtime = runtime()?;
     let ended = tokio::task::LocalSet::new().block_on(&runtime, async {
-        // From here on, before anything is touched, none of these signals ends the process by itself.
-        let handler = |kind| signal(kind).map_err(|e| format!("no signal can be heard: {e}"));
+        // Handlers are installed before any file or socket is opened, so that no signal ends the process halfway.
+        let handler = |kind| signal(kind).map_err(|e| format!("cannot install a signal handler: {e}"));
         let (mut terminate, mut interrupt) =
             (handler(SignalKind::terminate())?, handler(SignalKind::interrupt())?);
         let mut hangup = handler(SignalKind::hangup())?;
@@ -129,19 +129,19 @@
     ended
 }
 
-/// Of a configuration that is put in the place of the first, a running courier takes up where discovery is, and its
-/// settings if it has a version.
+/// Reloads the configuration in a running courier, which applies its discovery address and, if it has a version, its
+/// settings.
 async fn reload(changes: &mpsc::UnboundedSender<Change>, discovery: &watch::Sender<SocketAddr>) {
     let (answer, heard) = oneshot::channel();
     let _ = changes.send(Change { offered: Config::reload(), answer });
     match heard.await {
         Ok(Some(Ok(address))) => {
-            log::info!("the configuration is read anew: discovery at {address}");
+            log::info!("configuration reloaded: discovery at {address}");
             discovery.send_if_modified(|now| std::mem::replace(now, address) != address);
         }
-        // Guards against a file that is half written or wrong: nothing changes.
-        Ok(Some(Err(words))) => log::error!("the configuration cannot be read anew: {words}"),
-        // Turned down, which has been said, or the courier ends.
+        // A file that is invalid or partly written changes nothing.
+        Ok(Some(Err(error))) => log::error!("cannot reload the configuration: {error}"),
+        // The configuration was rejected, which has been logged, or the courier ends.
         Ok(None) | Err(_) => {}
     }
 }
@@ -152,10 +152,10 @@
 
 fn relay(file: &Path) -> Result<(), String> {
     logging::start()?;
-    let config = relay::config::Config::load(file).map_err(|refused| refused.to_string())?;
+    let config = relay::config::Config::load(file).map_err(|error| error.to_string())?;
     let runtime = runtime()?;
     let ended = tokio::task::LocalSet::new().block_on(&runtime, async {
-        let handler = |kind| signal(kind).map_err(|e| format!("no signal can be heard: {e}"));
+        let handler = |kind| signal(kind).map_err(|e| format!("cannot install a signal handler: {e}"));
         let (mut terminate, mut interrupt) =
             (handler(SignalKind::terminate())?, handler(SignalKind::interrupt())?);
         let mut hangup = handler(SignalKind::hangup())?;
@@ -165,8 +165,8 @@
             while hangup.recv().await.is_some() {
                 match relay::config::Config::load(&path) {
                     Ok(config) => drop(reloaded.send_replace(Some(config))),
-                    // Guards against a file that is half written or wrong: nothing changes.
-                    Err(words) => log::error!("the configuration cannot be read anew: {words}"),
+                    // A file that is invalid or partly written changes nothing.
+                    Err(error) => log::error!("cannot reload the configuration: {error}"),
                 }
             }
         });
@@ -186,7 +186,7 @@
 }
 
 fn check() -> Result<(), String> {
-    let config = Config::from_environment().map_err(|refused| refused.to_string())?;
+    let config = Config::from_environment().map_err(|error| error.to_string())?;
     let set = &config.decoded.settings;
     println!("{} would serve at {}", config.name, config.listen);
     println!("list and notices: {}; journal: {}", config.discovery, config.state.display());
--- a/crates/courier/src/command/logging.rs
+++ b/crates/courier/src/command/logging.rs
@@ -1,4 +1,5 @@
-//! The lines of the log: `[2026-12-02T00:22:46.012345Z INFO  meadowhold_courier::clients] words`.
+//! Logging to standard error, in lines such as
+//! `[2026-12-02T00:22:46.012345Z INFO  meadowhold_courier::clients] message`.
 
 use std::fmt::{Debug, Result as FmtResult};
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -11,19 +12,19 @@
 use tracing_subscriber::registry::LookupSpan;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// Writes to standard error what `RUST_LOG` asks for, and takes in the records of `log` too, of this program
-/// and of what it is built on.
+/// Starts logging as `RUST_LOG` asks for, including the records that this program and its dependencies write through
+/// the `log` crate.
 pub fn start() -> Result<(), String> {
     let directives = std::env::var("RUST_LOG").unwrap_or_default();
     let (targets, invalid) = parse_targets(&directives);
     let lines = layer().event_format(LineFormat).with_writer(std::io::stderr).with_ansi(false);
     tracing_subscriber::registry().with(targets).with(lines).try_init().map_err(|e| e.to_string())?;
-    invalid.iter().for_each(|item| log::warn!("RUST_LOG: what is {item}?"));
+    invalid.iter().for_each(|item| log::warn!("RUST_LOG: ignoring invalid directive {item}"));
     Ok(())
 }
 
-/// Levels, by target: `debug`, or `warn,meadowhold_courier::discovery=debug`. With them the items that cannot
-/// be read, which change nothing.
+/// Parses levels by target, such as `debug` or `warn,meadowhold_courier::discovery=debug`. Also returns the invalid
+/// items, which are ignored.
 fn parse_targets(directives: &str) -> (Targets, Vec<&str>) {
     let items = directives.split(',').map(str::trim).filter(|item| !item.is_empty());
     let (valid, invalid): (Vec<&str>, Vec<&str>) = items.partition(|item| item.parse::<Targets>().is_ok());
@@ -31,8 +32,8 @@
     (targets.unwrap_or(Targets::new().with_default(LevelFilter::INFO)), invalid)
 }
 
-/// The library's own form takes twice the time for what comes from `log`, as nearly all does here: it builds
-/// the metadata anew for each line, and looks for spans.
+/// Formats a line of the log. The library's own format takes twice as long for records of the `log` crate, which nearly
+/// all are: it rebuilds the metadata for each line and looks for spans.
 struct LineFormat;
 
 impl<S, N> FormatEvent<S, N> for LineFormat
@@ -47,10 +48,10 @@
         event: &tracing_core::Event<'_>,
     ) -> FmtResult {
         let metadata = event.metadata();
-        // Guards against a clock before 1970, which has no such form.
+        // Times before 1970 cannot be formatted.
         let now = humantime::format_rfc3339_micros(SystemTime::now().max(UNIX_EPOCH));
         write!(to, "[{now} {:<5} ", metadata.level().as_str())?;
-        // So the library marks a record of `log`, and gives its words and where it is from as fields.
+        // The target of a record of the `log` crate; its message and its real target are fields.
         if metadata.target() == "log" {
             event.record(&mut SingleField("log.target", to.by_ref()));
             to.write_str("] ")?;
@@ -63,13 +64,13 @@
     }
 }
 
-/// Writes the one field of this name.
+/// Writes only the field of this name.
 struct SingleField<'a>(&'static str, Writer<'a>);
 
 impl Visit for SingleField<'_> {
     fn record_debug(&mut self, field: &tracing_core::Field, value: &dyn Debug) {
         if field.name() == self.0 {
-            // Nobody is left to tell of a log that cannot be written.
+            // An error of the log itself cannot be reported.
             let _ = write!(self.1, "{value:?}");
         }
     }
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -1,5 +1,5 @@
-//! A courier on sockets, round meadowhold's decisions. `serve` runs one; each file has one job, and clients
-//! and endpoints meet only in the exchange.
+//! A courier: the I/O around the decisions of the `meadowhold` package. `serve` runs one. Each module has one task, and
+//! the client side and the endpoint side are connected only through the exchange.
 #![forbid(unsafe_code)]
 
 pub mod audit;
@@ -49,7 +49,7 @@
 use exchange::{Exchange, Shared};
 use journal::Journal;
 
-/// What must hold: asserted in debug builds, counted and logged in release builds.
+/// Checks an invariant: asserts it in debug builds, counts and logs a violation in release builds.
 #[macro_export]
 macro_rules! must {
     ($count:expr, $holds:expr, $words:expr) => {
@@ -61,21 +61,20 @@
     };
 }
 
-/// Descriptors kept for the process itself, the journal, discovery and notices.
+/// File descriptors reserved for the process itself, the journal, discovery and notices.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// At a planned end: for so long new clients are accepted, calls begin (and clients that came last are served),
-/// and calls out are waited for.
-/// The platform kills no sooner than 3.7 s after it asks.
+/// Periods of a shutdown, from the request on: new clients are accepted (`ACCEPT_PERIOD`), calls are started and the
+/// last clients served (`CALL_START_PERIOD`), and calls in flight are awaited (`CALL_END_PERIOD`). The platform kills
+/// the process no sooner than 3.7 s after the request.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(500);
 const CALL_START_PERIOD: Duration = Duration::from_millis(2500);
 const CALL_END_PERIOD: Duration = Duration::from_millis(3400);
-/// The next process is started 0.6 s after that kill.
+/// The next process starts 0.6 s after that kill.
 const NEXT_PROCESS_DELAY: Duration = Duration::from_millis(4300);
-/// Figures are logged so often.
 const COUNTS_LOG_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Runs a courier within a `LocalSet` until `stop` is done and what is out has ended. The list is followed, and
-/// notices are told, at the last address that `discovery` gave.
+/// Runs a courier within a `LocalSet` until `stop` completes and the calls in flight have ended. The list is read from,
+/// and notices are sent to, the latest address in `discovery`.
 pub async fn serve(
     config: Config,
     discovery: watch::Receiver<SocketAddr>,
@@ -85,7 +84,7 @@
     serve_with_changes(Start { config, held: Held::default() }, discovery, changes, stop).await
 }
 
-/// The same, by settings that may change meanwhile.
+/// Like `serve`, but applies changed configurations from `changes` while it runs.
 pub async fn serve_with_changes(
     Start { config, mut held }: Start,
     discovery: watch::Receiver<SocketAddr>,
@@ -101,7 +100,7 @@
         max_connections: sockets - RESERVED_DESCRIPTORS - for_clients,
         may_overlap: decoded.may_overlap,
     };
-    // First, so that a second start by mistake touches nothing.
+    // Bound first, so that a courier started twice by mistake fails before it touches any file.
     let bound = TcpListener::bind(listen).await;
     let listener = bound.map_err(|e| io::Error::new(e.kind(), format!("cannot listen at {listen}: {e}")))?;
     let (news, news_in) = mpsc::unbounded_channel();
@@ -111,7 +110,7 @@
         Some(peers) => {
             let bound = UdpSocket::bind(peers.listen).await;
             let failed = |e: io::Error| {
-                io::Error::new(e.kind(), format!("cannot hear notes at {}: {e}", peers.listen))
+                io::Error::new(e.kind(), format!("cannot listen for notes at {}: {e}", peers.listen))
             };
             Some((bound.map_err(failed)?, peers.others))
         }
@@ -124,8 +123,8 @@
     let news = notes.is_some().then_some(news);
     let (push, seed) = (!decoded.settings.poll_list, decoded.settings.seed);
     let mut exchange = Exchange::new(decoded, journal, orders, notices, news);
-    // The configuration's version, not the kept one. Guards against a registry that has counted anew meanwhile:
-    // its lists would be held to be from before.
+    // Uses the list version of the configuration, not the saved one: if the registry has restarted its numbering, its
+    // lists would be taken for older ones.
     let index = known.index;
     exchange.recall(known, |kept| held.has_kept_for(kept));
     changes::begin(&mut exchange, &mut held, &state, disk);
@@ -157,20 +156,20 @@
     log::info!("{name} serves at {listen}");
     tokio::select! {
         () = stop => {}
-        // Guards against a courier that seems to run with a part of it gone.
+        // A courier must not go on running without one of its tasks.
         _ = tasks.join_next() => return Err(io::Error::other("a part of the courier has failed")),
     }
 
-    log::info!("{name} ends: {} mails in hand", shared.borrow().in_hand());
-    // Before the moment from which the stop is reckoned, which no turn may come before.
+    log::info!("{name} is shutting down: {} mails in hand", shared.borrow().in_hand());
+    // Called before `stop_requested` is taken, so that the call start period known to the decisions has ended when the
+    // periods below, measured from that moment, run out: no turn may come before it.
     shared.borrow_mut().begin_shutdown(CALL_START_PERIOD, NEXT_PROCESS_DELAY);
     let stop_requested = Instant::now();
-    // New clients and mails are served as ever for as long as the platform still sends them here.
+    // New clients and mails are accepted for as long as the platform still sends them here.
     phase.send_replace(Phase::Draining);
     sleep(ACCEPT_PERIOD).await;
     phase.send_replace(Phase::NotAccepting);
-    // Guards against an exit, and so a reset, under a client that has not been answered yet, or whose answer
-    // is still on its way.
+    // Waits for the clients as well: exiting would reset connections on which an answer is pending or in transit.
     let drained = |count: fn(&Exchange) -> usize| {
         let (shared, clients, listening) = (shared.clone(), clients.clone(), listening.clone());
         async move {
@@ -193,7 +192,7 @@
     Ok(())
 }
 
-/// A line a minute while there is something to say.
+/// Logs the counts once a minute if they have changed.
 async fn log_counts(shared: Shared) {
     let mut last = exchange::Counts::default();
     loop {
--- a/crates/courier/src/main.rs
+++ b/crates/courier/src/main.rs
@@ -1,4 +1,4 @@
-//! The command `meadowhold`.
+//! The `meadowhold` command.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
--- a/crates/courier/tests/config.rs
+++ b/crates/courier/tests/config.rs
@@ -1,4 +1,4 @@
-//! What the command says and how it ends: of its arguments, of the configuration, in its log.
+//! Output and exit codes of the command: arguments, configuration faults, and the log.
 
 mod common;
 
@@ -16,7 +16,7 @@
 
 const EXAMPLE: &str = include_str!("../../../deploy/example.json");
 
-/// As the platform gives it, and with a field that is not known today.
+/// A configuration as the platform provides it, with an additional unknown field.
 fn example() -> Value {
     json!({"name": "n1", "listen": "127.0.0.1:6379", "discovery": "127.0.0.1:8500", "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256, "disk_mb": 3}, "new": {"to": ["come"]},
@@ -27,12 +27,12 @@
     (name == "ROUTER_STATE").then(|| "state".to_string())
 }
 
-/// What is said of a configuration, `None` if it is taken.
+/// The error for a configuration, or `None` if it is valid.
 fn config_error(text: &[u8], variable: &dyn Fn(&str) -> Option<String>) -> Option<String> {
     Config::read(text, variable).err().map(|refused| refused.to_string())
 }
 
-/// Puts a value at a path such as `/limits/sockets`; nothing, for the whole to lack it.
+/// Sets the value at a path such as `/limits/sockets`, or removes it if `value` is `None`.
 fn change(config: &mut Value, path: &str, value: Option<Value>) {
     let (above, key) = path.rsplit_once('/').unwrap();
     let above = config.pointer_mut(above).unwrap();
@@ -40,14 +40,14 @@
         (Value::Object(map), Some(value)) => drop(map.insert(key.to_string(), value)),
         (Value::Object(map), None) => drop(map.remove(key)),
         (Value::Array(items), Some(value)) => items[key.parse::<usize>().unwrap()] = value,
-        _ => panic!("{path} is no place"),
+        _ => panic!("{path} does not exist"),
     }
 }
 
 fn exit_code_and_output(command: &mut Command) -> (i32, String, String) {
     let Output { status, stdout, stderr } = command.stdin(Stdio::null()).output().unwrap();
     let text = |bytes| String::from_utf8(bytes).unwrap();
-    (status.code().expect("no signal ended it"), text(stdout), text(stderr))
+    (status.code().expect("the process was killed by a signal"), text(stdout), text(stderr))
 }
 
 #[test]
@@ -183,7 +183,7 @@
             assert_eq!((code, &out[..], words.lines().count()), (1, "", 1), "{words}");
             for place in places {
                 let told = words.matches(&format!(" {place}")).count();
-                assert_eq!(told, 1, "{place} is told {told} times: {words}");
+                assert_eq!(told, 1, "{place} is reported {told} times: {words}");
             }
         }
     }
@@ -211,7 +211,7 @@
         name => only_router_state(name),
     };
     let mut file = example();
-    file["listen"] = json!("no address, and nobody asks");
+    file["listen"] = json!("not an address, and not used");
     let config = Config::read(file.to_string().as_bytes(), &variables).unwrap();
     assert_eq!((&config.name[..], &config.listen.to_string()[..]), ("n9", "127.0.0.9:1"));
     assert_eq!((config.discovery.port(), config.sockets, config.disk), (8500, 256, 3_000_000));
@@ -238,23 +238,23 @@
     assert_eq!(config_error(EXAMPLE.as_bytes(), &only_router_state), None);
     let text = EXAMPLE.trim_end().as_bytes();
     for end in 0..text.len() {
-        let words =
-            config_error(&text[..end], &only_router_state).unwrap_or_else(|| panic!("taken at byte {end}"));
+        let words = config_error(&text[..end], &only_router_state)
+            .unwrap_or_else(|| panic!("accepted when cut at byte {end}"));
         let plain = words.contains("EOF while parsing") && words.contains(" at line ");
         assert!(plain && words.lines().count() == 1, "at byte {end}: {words}");
     }
-    // What follows the end is no part of it, and bytes that are no text are none.
+    // Trailing characters and invalid UTF-8 are rejected.
     let mut more = text.to_vec();
     more.push(b'}');
     assert!(config_error(&more, &only_router_state).unwrap().contains("trailing characters at line "));
     assert!(config_error(b"{\"name\": \"\xff\"}", &only_router_state).unwrap().contains(" at line 1"));
-    // A name that is there twice is a fault of its own.
+    // Duplicate keys are reported.
     let twice = EXAMPLE.replacen('{', "{\"name\": \"other\", ", 1);
     assert!(config_error(twice.as_bytes(), &only_router_state).unwrap().contains("duplicate field `name`"));
     assert!(config_error("[".repeat(100_000).as_bytes(), &only_router_state).is_some());
 }
 
-/// Every place in a value, as pointers.
+/// Collects a JSON pointer to every value.
 fn places(value: &Value, at: &str, out: &mut Vec<String>) {
     out.push(at.to_string());
     match value {
@@ -305,7 +305,7 @@
             }
         }
     }
-    assert!(refused > 100, "{refused} of them are refused");
+    assert!(refused > 100, "only {refused} were rejected");
 }
 
 #[test]
@@ -335,7 +335,7 @@
         (&["drain"], 1, "", "meadowhold: unrecognized subcommand 'drain'; see meadowhold help\n"),
     ];
     let folder = Folder::new();
-    // With nothing in it yet.
+    // An empty journal.
     drop(Journal::open(&folder.path.join("state"), 3_000_000).unwrap());
     for (arguments, code, out, words) in rows {
         let template = command(&folder, &example(), "check");
@@ -356,7 +356,12 @@
                 "{}",
                 got.1
             );
-            assert_eq!(got.1.matches("\n  ").count(), commands.len() + 2, "no further ones: {}", got.1);
+            assert_eq!(
+                got.1.matches("\n  ").count(),
+                commands.len() + 2,
+                "unexpected further lines: {}",
+                got.1
+            );
         }
     }
 }
@@ -381,7 +386,7 @@
     }
 }
 
-/// Killed at the end of its test.
+/// A process that is killed when dropped.
 struct Running(Child);
 
 impl Drop for Running {
@@ -391,8 +396,8 @@
     }
 }
 
-/// The log of a courier that fails to follow the list a few times, and is given a broken file. Each of the
-/// four levels has its lines in it.
+/// Returns the log of a courier that fails to read the list a few times and is then told to reload an invalid file.
+/// At the most verbose level, the log has lines of all four levels.
 fn log_of_failing_courier(wanted: Option<&str>) -> String {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let (folder, mut config) = (Folder::new(), example());
@@ -413,12 +418,12 @@
     let mut running = Running(command.stderr(File::create(&path).unwrap()).spawn().unwrap());
     let id = running.0.id().to_string();
     let signal = |name: &str| assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
-    // The third attempt begins after what is to be said of the second.
+    // The third attempt begins after the second has been logged.
     until("attempts to read the list", || asked.load(Ordering::SeqCst) >= 3);
     fs::write(folder.path.join("config.json"), "{").unwrap();
     signal("-HUP");
     if wanted != Some("off") {
-        until("word of the broken file", || log().contains("cannot be read anew"));
+        until("the error for the invalid file", || log().contains("cannot reload the configuration"));
     }
     signal("-TERM");
     until("its end", || running.0.try_wait().unwrap().is_some());
@@ -450,11 +455,14 @@
                     let written = log.lines().any(line);
                     assert_eq!(written, levels.contains(&level), "{level} at {wanted:?}: {log}");
                 }
-                // Lines say when and where they are from.
+                // Lines have a time and a target.
                 let timed =
                     |line: &str| line.starts_with("[20") && line.contains("Z ") && line.contains("] ");
                 assert!(log.lines().all(timed), "{log}");
-                assert_eq!(log.contains("RUST_LOG: what is"), wanted.is_some_and(|w| w.contains("what")));
+                assert_eq!(
+                    log.contains("RUST_LOG: ignoring invalid directive"),
+                    wanted.is_some_and(|w| w.contains("what"))
+                );
             });
         }
     });
--- a/crates/courier/tests/settings.rs
+++ b/crates/courier/tests/settings.rs
@@ -281,7 +281,7 @@
     }
     // The same once more is no fault.
     courier.offer(&serde_json::to_string_pretty(&base).unwrap());
-    courier.says("the configuration is read anew");
+    courier.says("configuration reloaded");
     assert!(!courier.said().lines().last().unwrap().contains("turned down"));
     courier.ends_well();
 }
@@ -514,10 +514,10 @@
     changed.as_object_mut().unwrap().remove("version");
     changed["name"] = json!("n2");
     courier.offer(&changed.to_string());
-    courier.says("the configuration is read anew: discovery at");
+    courier.says("configuration reloaded: discovery at");
     assert!(courier.takes("again") && !courier.takes("v1"));
     courier.offer("{");
-    courier.says("the configuration cannot be read anew: ");
+    courier.says("cannot reload the configuration: ");
     let said = courier.said();
     assert!(!said.contains("settings version") && !said.contains("turned down"), "{said}");
     let mut files: Vec<String> = fs::read_dir(courier.folder.path.join("state"))
