--- a/crates/courier/tests/settings.rs
+++ b/crates/courier/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Versions of the settings in real couriers: in force between two turns, whole or not at all, kept through restarts,
-//! and never an older one than was said to be in force.
+//! Versions of the settings in real couriers: a version is applied between two turns as a whole or not at all, survives
+//! restarts, and is never followed by an older one than the log has reported in force.
 
 mod common;
 
@@ -21,7 +21,7 @@
 
 const LONG: Duration = Duration::from_secs(30);
 
-/// A courier's process; what each one says goes to a file of its own.
+/// A courier process. The log of each process on the folder has a file of its own.
 struct Process {
     listen: SocketAddr,
     folder: Folder,
@@ -59,7 +59,7 @@
         assert!(!said.contains("panicked") && !said.contains("ERROR"), "{said}");
     }
 
-    /// Another process on the folder, with this text in the place of its configuration.
+    /// Starts another process on the same folder, with `text` as its configuration file.
     fn start_again(&mut self, text: &str) {
         self.started += 1;
         self.child = Process::spawn(&self.folder, text, self.started);
@@ -70,7 +70,7 @@
         kill_process(Pid::from_child(&self.child), Signal::HUP).unwrap();
     }
 
-    /// Puts the text there whole, and says so.
+    /// Replaces the configuration file atomically and sends SIGHUP.
     fn offer(&self, text: &str) {
         let next = self.folder.path.join("config.next");
         fs::write(&next, text).unwrap();
@@ -82,7 +82,7 @@
         until_for(LONG, words, || self.said().contains(words));
     }
 
-    /// The versions that this process has said to be in force.
+    /// The versions that this process has logged as in force.
     fn in_force(&self) -> Vec<u64> {
         in_force(&self.said())
     }
@@ -91,7 +91,7 @@
         Client::connect(self.listen).unwrap()
     }
 
-    /// Whether a message of this class is taken on; it is of a destination that never gets it.
+    /// Whether a mail of this queue class is accepted. Its destination has no reachable endpoint.
     fn takes(&self, class: &str) -> bool {
         static NEXT: AtomicU64 = AtomicU64::new(1);
         let id = format!("t{}", NEXT.fetch_add(1, Ordering::Relaxed));
@@ -121,7 +121,7 @@
     }
 }
 
-/// Warnings, but for those of an entry of the list that cannot be read: there always is one.
+/// Warnings, except those for an invalid entry of the list, which the test platform always has.
 fn warned(said: &str) -> Vec<&str> {
     said.lines().filter(|line| line.contains("WARN") && !line.contains("an entry of the list")).collect()
 }
@@ -136,7 +136,7 @@
         "PromiseUs": 200_000, "HardLimitUs": 4_000_000, "Worth": 1.0, "LateWorth": 0.0})
 }
 
-/// A version with a class of its own, by which it can be told that all of it is in force.
+/// A version with a queue class of its own, which shows whether the version is in force.
 fn version(config: &Value, number: u64) -> Value {
     let mut config = config.clone();
     config["version"] = json!(number);
@@ -146,7 +146,7 @@
     config
 }
 
-/// Twelve faults, and where each is.
+/// A configuration with twelve faults, and their expected messages.
 fn with_twelve_faults(config: &Value) -> (Value, [&'static str; 12]) {
     let mut config = config.clone();
     config["limits"] = json!({"sockets": 8, "disk_mb": -1});
@@ -179,7 +179,7 @@
 
 fn platform() -> Platform {
     let platform = Platform::new();
-    // Nobody is there.
+    // Nothing listens at this address.
     platform.list("e0", "127.0.0.1:9".parse().unwrap(), "single", 7, "SERVING");
     platform
 }
@@ -202,8 +202,8 @@
         for place in places {
             assert_eq!(line[0].matches(place).count(), 1, "{place}: {}", line[0]);
         }
-        assert!(courier.takes("v2") && !courier.takes("v3"), "nothing has changed");
-        // The last good one stays through restarts, with the bad one in its place.
+        assert!(courier.takes("v2") && !courier.takes("v3"), "the settings have changed");
+        // The last valid version survives restarts while the file has the invalid one.
         for _ in 0..2 {
             courier.kill();
             courier.start_again(&bad.to_string());
@@ -214,7 +214,7 @@
             assert!(places.iter().all(|place| warned[0].contains(place)), "{}", warned[0]);
             assert!(courier.takes("v2") && !courier.takes("v3"));
         }
-        // The content of the first, by a new number.
+        // Rolls back to the content of version 1 under a new number.
         let mut back = version(&courier.config, 1);
         back["version"] = json!(4);
         courier.offer(&back.to_string());
@@ -272,14 +272,14 @@
         };
         let lines = down(&courier.said()).len();
         courier.offer(&offered.to_string());
-        until_for(LONG, "its answer", || down(&courier.said()).len() > lines);
+        until_for(LONG, "the rejection", || down(&courier.said()).len() > lines);
         let said = down(&courier.said());
         assert!(words.iter().all(|words| said[lines].contains(words)), "{}", said[lines]);
         assert_eq!(said.len(), lines + 1, "one line");
         assert_eq!((courier.in_force(), courier.on_file().as_ref()), (vec![5], Some(&kept)));
         assert!(courier.takes("v5"));
     }
-    // The same once more is no fault.
+    // Offering the held version again is not a fault.
     courier.offer(&serde_json::to_string_pretty(&base).unwrap());
     courier.says("configuration reloaded");
     assert!(!courier.said().lines().last().unwrap().contains("turned down"));
@@ -298,7 +298,7 @@
     println!("100 changes in {:?}", start.elapsed());
     assert_eq!(courier.in_force(), (1..=101).collect::<Vec<u64>>());
     assert!(courier.takes("v101") && !courier.takes("v100"));
-    // Each told without waiting for the last: some are passed over, none is taken after a later one.
+    // Without waiting for each: some versions may be skipped, but none is applied after a later one.
     for number in 102..=201 {
         courier.offer(&version(&courier.config, number).to_string());
     }
@@ -320,7 +320,7 @@
     let base = courier.config.clone();
     let (mut newest, mut number, mut both) = (1, 1, [0, 0]);
     for round in 0..24 {
-        // Some are taken, the last may be, or not, when the process is killed.
+        // When the process is killed, the last version may or may not have been applied.
         for _ in 0..chance.u8(1..4) {
             number += 1;
             courier.offer(&version(&base, number).to_string());
@@ -329,7 +329,7 @@
         courier.kill();
         let stated = courier.in_force().into_iter().max().unwrap();
         assert!(stated >= newest, "{}", courier.said());
-        // In the place of the file: the older ones, half of a new one, or one with faults.
+        // The file then has an older version, a truncated new one, or one with faults.
         let text = match round % 3 {
             0 => version(&base, 1).to_string(),
             1 => version(&base, number + 1).to_string()[..700].to_string(),
@@ -344,18 +344,19 @@
             assert_eq!(courier.takes(&format!("v{other}")), other == newest, "{other} of {newest}");
         }
     }
-    println!("killed after it was said {} times, before it {} times", both[0], both[1]);
+    println!("killed after the version was logged {} times, before that {} times", both[0], both[1]);
     courier.ends_well();
 }
 
-/// What a stand-in saw of calls: of each its id, and how many were in progress with it, by when it began.
+/// Calls that a test endpoint received. `begun` has, for each mail, the start of its call, its id, and the number of
+/// calls in progress.
 #[derive(Default)]
 struct Calls {
     in_progress: usize,
     begun: Vec<(Instant, String, usize)>,
 }
 
-/// An endpoint that takes so long for each call, and counts.
+/// Starts an endpoint that takes `takes` for each call and records the calls.
 fn slow(takes: Duration) -> (SocketAddr, Arc<Mutex<Calls>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -369,7 +370,7 @@
             calls.begun.extend(request.ids().into_iter().map(|id| (Instant::now(), id, now)));
         }
         thread::sleep(takes);
-        // Before the answer: a call that follows it is none beside it.
+        // Before the answer, as the next call may arrive as soon as it is sent.
         seen.lock().unwrap().in_progress -= 1;
         out.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").is_ok()
     });
@@ -390,7 +391,7 @@
         config["settings"]["Weights"] = json!("none");
         config
     };
-    // Three quarters of the slots are a destination's at most: 12, then 3, then 12.
+    // A destination may use three quarters of the slots: 12, then 3, then 12.
     let courier = Process::start(&platform, |config| *config = slots(config, 1, 16));
     let base = courier.config.clone();
     let end = Arc::new(AtomicBool::new(false));
@@ -415,7 +416,7 @@
     until_for(LONG, "the old limit", || begun(start, far()).iter().filter(|&&now| now == 12).count() > 20);
     courier.offer(&slots(&base, 2, 4).to_string());
     courier.says("settings version 2 are in force");
-    // Connections take a moment: what was decided on before may come in just after.
+    // Connecting takes time: calls decided before the change may arrive shortly after it.
     let lowered = Instant::now() + Duration::from_millis(400);
     until_for(LONG, "many calls within the new limit", || begun(lowered, far()).len() > 30);
     let raised = Instant::now();
@@ -426,7 +427,7 @@
     let within = begun(lowered, raised);
     assert!(within.iter().all(|&now| now <= 3), "{within:?}");
     assert!(begun(start, far()).iter().all(|&now| now <= 12));
-    // Nothing lost, nothing twice.
+    // No mail is lost, and none is delivered twice.
     until_for(LONG, "all ends", || {
         let (delivered, told) = (calls.lock().unwrap().begun.len(), platform.notices().len());
         (delivered + told) as u64 >= taken && calls.lock().unwrap().in_progress == 0
@@ -435,7 +436,7 @@
     let mut once = ids.clone();
     once.sort();
     once.dedup();
-    assert_eq!(once.len(), ids.len(), "a call for each, and no second");
+    assert_eq!(once.len(), ids.len(), "a mail was delivered twice");
     println!("{taken} taken, {} delivered, {} within the lowered limit", ids.len(), within.len());
     courier.ends_well();
 }
@@ -445,7 +446,7 @@
     let platform = Platform::new();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    // How often each was served; some calls are refused, or end unsent.
+    // How often each mail was taken. Some calls are refused or end unsent.
     let ran: Arc<Mutex<(u64, BTreeMap<String, usize>)>> = Arc::default();
     let seen = ran.clone();
     serve(listener, move |request, out| {
@@ -496,9 +497,9 @@
     for id in owed.keys() {
         let (ran, ends) = (calls.get(id).copied().unwrap_or(0), told.iter().filter(|n| n.0 == *id).count());
         assert!(ran + ends >= 1, "{id} is lost");
-        // What may run again may do so after a time-out, and be handed back after it.
+        // A mail that may run again may do so after a timeout, and be given up after that.
         let once = id.ends_with("-0");
-        assert!(ends <= 1 && (!once || ran <= 1), "{id} ran {ran} times, and was told of {ends} times");
+        assert!(ends <= 1 && (!once || ran <= 1), "{id} ran {ran} times and had {ends} notices");
     }
     let changes: Vec<usize> = couriers.iter().map(|courier| courier.in_force().len()).collect();
     println!("{} taken, {} given up, versions in force {changes:?}", owed.len(), told.len());
@@ -527,7 +528,7 @@
         .collect();
     files.sort();
     assert_eq!(files, ["journal", "lock", "memory"]);
-    // The first that has one is taken while it runs, and from there on there is no way back to none.
+    // The first version is applied while the courier runs; after that, a file without a version is rejected.
     courier.offer(&version(&courier.config, 1).to_string());
     courier.says("settings version 1 are in force");
     assert!(courier.takes("v1"));
@@ -542,7 +543,7 @@
     let mut courier = Process::start(&platform, |config| *config = version(config, 3));
     let base = courier.config.clone();
     courier.kill();
-    // (the file, what is in force, words of the one line about it)
+    // (the file, the version in force, text of the expected warning)
     let other = |number: u64| {
         let mut other = version(&base, number);
         other["settings"]["Limits"]["MaxOpen"] = json!(65);
@@ -567,7 +568,7 @@
         assert!(words.is_none_or(|words| warned[0].contains(words)), "{said}");
         courier.kill();
     }
-    // A file that is not there at all.
+    // No file at all.
     fs::remove_file(courier.folder.path.join("config.json")).unwrap();
     let said = File::create(courier.folder.path.join("said99")).unwrap();
     let mut absent = command(&courier.folder, &base, "serve");
@@ -577,7 +578,7 @@
     answers(courier.listen);
     assert_eq!(courier.in_force(), [6]);
     courier.kill();
-    // What is kept is spoilt: the file's serves, and a bad one ends the start as ever.
+    // The saved settings are corrupted: a valid file is used, and an invalid one ends the start.
     let path = courier.folder.path.join("state").join("settings");
     let mut bytes = fs::read(&path).unwrap();
     let middle = bytes.len() / 2;
--- a/crates/courier/tests/settings_exchange.rs
+++ b/crates/courier/tests/settings_exchange.rs
@@ -1,5 +1,6 @@
-//! Versions of the settings in one exchange, by a clock that the test holds: what was taken on keeps its effect, its key's
-//! window and its end; text that is cut or spoilt changes nothing; random changes under random load.
+//! Versions of the settings in one exchange, with a clock that the test controls: mails that were accepted keep their
+//! effect, the deduplication window of their key, and their end; truncated or corrupted text changes nothing; random
+//! changes under random load.
 
 mod common;
 
@@ -31,7 +32,7 @@
         "PromiseUs": 200_000, "HardLimitUs": 4_000_000, "Worth": 1.0, "LateWorth": 0.0})
 }
 
-/// The three effects, by their names.
+/// A queue class for each of the three effects.
 fn three() -> [Value; 3] {
     [class("again", "read_like"), class("tagged", "idempotency_key"), class("once", "non_idempotent")]
 }
@@ -59,7 +60,7 @@
     folder: Folder,
     now: Time,
     ends: BTreeMap<String, Verdict>,
-    /// Calls that were ordered and have not begun.
+    /// Calls that were requested and have not begun.
     waiting: Vec<Call>,
 }
 
@@ -80,7 +81,7 @@
     fn new(folder: Folder, config: &Value, entries: &[Entry], now: Time) -> World {
         let (orders_in, orders) = unbounded_channel();
         let (notices_in, notices) = unbounded_channel();
-        // A process that another test has just begun to start holds all our descriptors for a moment, locks too.
+        // A process that another test is starting briefly inherits all our descriptors, including the lock's.
         let mut journal = None;
         until("the folder's lock", || match Journal::open(&folder.path, ALLOWANCE) {
             Err(e) if e.to_string().contains("another courier") => false,
@@ -97,12 +98,12 @@
         World { exchange, orders, notices, held, folder, now, ends, waiting }
     }
 
-    /// Whether a text in the place of the configuration is taken.
+    /// Offers a text as the new configuration; returns whether it is applied.
     fn offer(&mut self, text: &[u8]) -> bool {
         let offered = Candidate::of(text, &variable);
         let place = (&*self.folder.path, ALLOWANCE);
         let heard = take(&mut self.exchange, &mut self.held, offered, place);
-        // What is taken is told of to those who make the calls.
+        // Applied settings set the timeouts of the endpoint connections.
         let orders: Vec<Order> = std::iter::from_fn(|| self.orders.try_recv().ok()).collect();
         let mut times = 0;
         for order in orders {
@@ -158,11 +159,11 @@
         }
         while let Ok(notice) = self.notices.try_recv() {
             let id = String::from_utf8(notice.id.to_vec()).unwrap();
-            assert_eq!(self.ends.insert(id, notice.verdict), None, "one end each");
+            assert_eq!(self.ends.insert(id, notice.verdict), None, "a mail ended twice");
         }
     }
 
-    /// The calls of the next turns, begun, up to this time from now: each mail with its endpoint.
+    /// Runs turns until calls begin, for at most `time`. Returns the mails of these calls with their endpoints.
     fn begun(&mut self, time: Time) -> Vec<(CallMail, usize)> {
         let until = self.now + time;
         loop {
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Messages in the longest call of the next turn; then all are served.
+    /// The number of mails in the largest call of the next turn. All mails are then relayed.
     fn longest(&mut self) -> Option<usize> {
         self.turn();
         let calls = std::mem::take(&mut self.waiting);
@@ -193,7 +194,7 @@
         calls.iter().map(|call| call.mails.len()).max()
     }
 
-    /// All that is sent for so long, each with this outcome; the ids in order.
+    /// Runs turns for `time` and ends each connect with `outcome`. Returns the ids of the mails in order.
     fn play(&mut self, time: Time, outcome: Outcome) -> Vec<String> {
         let (mut sent, until) = (Vec::new(), self.now + time);
         while self.now < until {
@@ -209,7 +210,7 @@
 
 #[test]
 fn what_was_taken_on_keeps_its_effect_and_what_comes_after_has_the_new_one() {
-    // (class, effect now, whether a failed attempt of the old message goes again, and of a new one)
+    // (class, new effect, whether a failed connect of an old mail is repeated, the same of a new mail)
     let rows = [
         ("tagged", "non_idempotent", true, false),
         ("again", "non_idempotent", true, false),
@@ -219,7 +220,7 @@
     ];
     for (name, effect, old, new) in rows {
         let mut world = World::new(Folder::new(), &config(1, &three()), &ENDS, START);
-        // One is out when the settings change, one waits, one comes after.
+        // One mail is in flight when the settings change, one waits, and one is accepted afterwards.
         world.takes("out", name);
         let begun = world.begun(0);
         assert_eq!(begun.len(), 1);
@@ -231,8 +232,8 @@
         let sent = world.play(5 * SECOND, Outcome::Error);
         let times = |id: &str| sent.iter().filter(|sent| *sent == id).count() + usize::from(id == "out");
         for (id, again) in [("out", old), ("parked", old), ("new", new)] {
-            assert_eq!(times(id) > 1, again, "{name} {effect}: {id} went {} times", times(id));
-            assert!(world.ends.contains_key(id), "{id} has its end");
+            assert_eq!(times(id) > 1, again, "{name} {effect}: {id} was sent {} times", times(id));
+            assert!(world.ends.contains_key(id), "{id} has not ended");
         }
         assert_eq!(world.exchange.counts.broken, 0);
     }
@@ -250,7 +251,7 @@
         world.takes("new", "tagged");
         let also = world.begun(0);
         assert_eq!((begun.len(), also.len()), (1, 1));
-        // Half a second later: within the one window, beyond the other.
+        // Half a second later: within one window, beyond the other.
         world.pass(SECOND / 2);
         begun.iter().chain(&also).for_each(|(mail, _)| {
             world.exchange.connect_ended(mail.serial, ConnectReport::of(Outcome::Error));
@@ -282,7 +283,7 @@
     let counts = world.exchange.counts;
     assert_eq!(counts.taken, counts.relayed + world.ends.len() as u64, "{counts:?}");
     assert!(counts.relayed > 15 && world.ends.values().all(|end| *end == Verdict::Dead));
-    // It comes back, with another effect.
+    // The class comes back with another effect.
     world.change(&config(3, &[class("again", "non_idempotent")]));
     world.takes("y", "again");
     assert_eq!(world.play(SECOND, Outcome::Error), ["y"]);
@@ -304,7 +305,7 @@
     second["settings"]["FamilyInfo"]["KindBatch"] = json!([3, 10, 1]);
     second["settings"]["FamilyInfo"]["OwnLimits"] = json!([false, false, true]);
     world.change(&second);
-    // The first endpoints are gone; in each zone there is another.
+    // The first endpoints are gone; each zone has another one.
     let ends: [Entry; 5] = [
         ("n0", "a", "single", 7),
         ("n1", "b", "single", 7),
@@ -317,12 +318,12 @@
     let again = world.begun(2 * SECOND);
     assert_eq!(again.len(), 1);
     let name = ends[again[0].1 - 2].1;
-    assert_eq!(name, zone, "a repeat stays where its key is known");
+    assert_eq!(name, zone, "a repeat left the zone that knows its key");
     for (dest, most) in [(8, 10), (9, 3)] {
         (0..20).for_each(|i| world.put_to(&format!("b{dest}-{i}"), "again", dest));
         assert_eq!(world.longest(), Some(most), "destination {dest}");
     }
-    // A kind that no settings name goes by the last that they name now.
+    // A kind that the settings do not name is treated as the last kind that they name.
     world.exchange.listed(&list(4, &[("n5", "a", "odd", 10)]));
     second["version"] = json!(3);
     second["settings"]["Kinds"] = json!(["new", "single", "many"]);
@@ -334,7 +335,7 @@
         (0..20).for_each(|i| world.put_to(&format!("c{dest}-{i}"), "again", dest));
         assert_eq!(world.longest(), Some(most), "destination {dest}");
     }
-    // A kind whose endpoints would be limited otherwise needs a start.
+    // Changing whether the endpoints of a kind have limits of their own needs a restart.
     second["version"] = json!(4);
     second["settings"]["FamilyInfo"]["OwnLimits"] = json!([false, true, true]);
     assert!(!world.offer(second.to_string().as_bytes()));
@@ -342,7 +343,7 @@
 
 #[test]
 fn fees_follow_their_zones_by_name() {
-    // Routes apart in two zones, of which one costs; the dear one changes with the version, not with its place.
+    // Two zones, one of which has a fee. The fee follows the zone's name, not its position in the list.
     let first = |number: u64, zones: &[&str], fees: &[f64]| {
         let mut first = config(number, &three());
         first["settings"]["Dcs"] = json!(zones);
@@ -405,7 +406,7 @@
         assert!(SavedSettings::decode(&spoilt).is_err(), "spoilt at {at}");
     }
     assert!(SavedSettings::decode(&[&whole[..], b"x"].concat()).is_err());
-    // Too long for its part of the folder: the list that the file knew goes, what it said stays known.
+    // Too long for its share of the folder: the known list is left out, but its checksum is kept.
     let mut long = config(8, &three());
     long["known"] = json!({"index": 1, "endpoints": vec![json!({"name": "e".repeat(400)}); 400]});
     let long = SavedSettings::new(
@@ -418,7 +419,7 @@
     let found = kept_settings::load(&folder.path).unwrap();
     assert_eq!(found.fingerprint, long.fingerprint);
     assert!(!String::from_utf8(found.text.clone()).unwrap().contains("known"));
-    // No room at all, or no number: what was there stays.
+    // Without enough space, or without a version number, the old file stays.
     assert!(kept_settings::save(&folder.path, 50_000, &kept).is_err());
     assert_eq!(kept_settings::load(&folder.path), Some(found));
     let mut without = config(9, &three());
@@ -430,7 +431,7 @@
 fn a_version_that_cannot_be_kept_is_turned_down() {
     let mut world = World::new(Folder::new(), &config(1, &three()), &ENDS, START);
     let next = config(2, &[class("other", "read_like")]);
-    // A folder in the place of the file that is to be written.
+    // A folder blocks the path of the file to be written.
     fs::create_dir(world.folder.path.join("settings.new")).unwrap();
     assert!(!world.offer(next.to_string().as_bytes()));
     let words = world.exchange.versions.summary(START).unwrap();
@@ -458,7 +459,7 @@
     let mut chance = fastrand::Rng::with_seed(seed);
     let rules = |c: &QueueClass| (c.effect, c.dedup_by_zone, c.dedup_window, c.ordered);
     let mut held = Classes::default();
-    // Messages in hand, by the number and the rules that they were taken on with.
+    // Mails in hand, with the class number and the rules that they were accepted with.
     let mut messages: Vec<(usize, (Effect, bool, Time, bool))> = Vec::new();
     let mut most = 0;
     for _ in 0..3000 {
@@ -471,7 +472,7 @@
         assert_eq!(held.classes.len(), held.terms.len());
         for name in &decoded.classes {
             let at = held.by_name[name.as_bytes()];
-            // Of two with one name the last counts, as at a start.
+            // Of two classes with the same name the last one counts, as at a start.
             let last = decoded.classes.iter().rposition(|other| other == name).unwrap();
             assert_eq!(held.classes[at], new[last], "{name}");
             assert_eq!(held.terms[at], Terms::new(name, &new[last]));
@@ -480,7 +481,7 @@
         for (class, was) in &messages {
             assert_eq!(rules(&held.classes[*class]), *was);
         }
-        // What a class that is gone costs is one of today's.
+        // The importance of a removed class is limited to that of the present ones.
         let top = new.iter().map(|c| c.importance).fold(0.0, f64::max);
         assert!(held.classes.iter().all(|c| c.importance <= top));
         for _ in 0..chance.usize(..4) {
@@ -490,7 +491,7 @@
         messages.retain(|_| chance.u8(..4) > 0);
         most = most.max(held.classes.len());
     }
-    println!("{most} numbers at most");
+    println!("at most {most} numbers");
     assert!(most < 40, "{most} numbers");
 }
 
@@ -498,14 +499,14 @@
 fn random_changes_under_random_load_and_restarts_keep_the_books_and_lose_nothing() {
     let (mut changes, mut taken, mut begun_in_all, mut restarts, mut ends) = (0u64, 0u64, 0u64, 0u64, 0u64);
     for seed in 1..=8 {
-        println!("seed {seed}"); // shown where it fails
+        println!("seed {seed}");
         let mut chance = fastrand::Rng::with_seed(seed);
         let classes = |chance: &mut fastrand::Rng| -> Vec<Value> {
             (0..chance.usize(1..6)).map(|_| random_class(chance, 5)).collect()
         };
         let mut now = config(1, &classes(&mut chance));
         let mut world = World::new(Folder::new(), &now, &ENDS, START);
-        // What was taken on, with the effect of then, and how often it may have run.
+        // The accepted mails, with their effect at that time and how often they may have run.
         let mut known: BTreeMap<String, (String, u64)> = BTreeMap::new();
         let mut out: Vec<CallMail> = Vec::new();
         let mut over: BTreeSet<String> = BTreeSet::new();
@@ -531,8 +532,8 @@
                     for (mail, _) in world.begun(0) {
                         let id = String::from_utf8(mail.id.to_vec()).unwrap();
                         let (effect, ran) = &known[&id];
-                        assert!(!over.contains(&id), "{id} is over");
-                        assert!(effect != "non_idempotent" || *ran == 0, "{id} may have run");
+                        assert!(!over.contains(&id), "{id} has already ended");
+                        assert!(effect != "non_idempotent" || *ran == 0, "{id} may already have run");
                         out.push(mail);
                         begun_in_all += 1;
                     }
@@ -545,7 +546,7 @@
                     let id = String::from_utf8(mail.id.to_vec()).unwrap();
                     known.get_mut(&id).unwrap().1 += u64::from(!outcome.never_ran());
                     if outcome == Outcome::Relayed {
-                        assert!(over.insert(id), "one end each");
+                        assert!(over.insert(id), "a mail ended twice");
                     }
                     world.exchange.connect_ended(mail.serial, ConnectReport::of(outcome));
                 }
@@ -571,7 +572,7 @@
                     }
                 }
                 38 if chance.u8(..4) == 0 => {
-                    // Killed, and started again by what it had kept.
+                    // The process is killed, and a new one starts with the saved files.
                     let found = Found::load(&world.folder.path).unwrap().0;
                     assert_eq!(world.exchange.audit_file(&found), Vec::<String>::new());
                     let folder = Folder::new();
@@ -593,7 +594,7 @@
                     world = World::new(folder, &now, &ENDS, world.now + chance.u64(..SECOND));
                     assert_eq!(world.exchange.in_hand(), in_hand);
                     over.extend(gone);
-                    // What was given up and not heard of is told of once more.
+                    // Notices that were not acknowledged are sent again.
                     world.turn();
                     world.ends.retain(|id, _| !over.contains(id));
                     restarts += 1;
@@ -601,7 +602,7 @@
                 _ => world.pass(chance.u64(..100)),
             }
         }
-        // No more changes: all that is owed has its end.
+        // Without further changes, every mail that is owed comes to its end.
         for mail in out.drain(..) {
             known.get_mut(std::str::from_utf8(&mail.id).unwrap()).unwrap().1 += 1;
             over.insert(String::from_utf8(mail.id.to_vec()).unwrap());
@@ -610,12 +611,12 @@
         let sent = world.play(6 * SECOND, Outcome::Relayed);
         over.extend(sent);
         over.extend(world.ends.keys().cloned());
-        assert!(known.keys().all(|id| over.contains(id)), "nothing is lost");
+        assert!(known.keys().all(|id| over.contains(id)), "a mail is lost");
         assert_eq!(world.exchange.counts.broken, 0);
         ends += world.ends.len() as u64;
     }
     println!(
-        "{changes} changes, {taken} messages, {begun_in_all} attempts, {restarts} restarts, {ends} given up"
+        "{changes} changes, {taken} mails, {begun_in_all} connects, {restarts} restarts, {ends} given up"
     );
     assert!(changes > 800 && taken > 1500 && begun_in_all > 1500 && restarts > 20);
 }
