--- a/crates/courier/tests/config.rs
+++ b/crates/courier/tests/config.rs
@@ -29,7 +29,7 @@
 
 /// The error for a configuration, or `None` if it is valid.
 fn config_error(text: &[u8], variable: &dyn Fn(&str) -> Option<String>) -> Option<String> {
-    Config::read(text, variable).err().map(|refused| refused.to_string())
+    Config::read(text, variable).err().map(|error| error.to_string())
 }
 
 /// Sets the value at a path such as `/limits/sockets`, or removes it if `value` is `None`.
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn three_faults_in_a_file_are_told_in_one_message_with_their_places() {
+fn three_faults_in_a_file_are_reported_in_one_line_with_their_places() {
     type Change = (&'static str, Option<Value>);
     let rows: [([Change; 3], [&str; 3]); 11] = [
         (
@@ -179,18 +179,18 @@
         }
         for subcommand in ["check", "serve"] {
             let mut command = command(&folder, &config, subcommand);
-            let (code, out, words) = exit_code_and_output(command.env_remove("ROUTER_DISCOVERY"));
-            assert_eq!((code, &out[..], words.lines().count()), (1, "", 1), "{words}");
+            let (code, out, stderr) = exit_code_and_output(command.env_remove("ROUTER_DISCOVERY"));
+            assert_eq!((code, &out[..], stderr.lines().count()), (1, "", 1), "{stderr}");
             for place in places {
-                let told = words.matches(&format!(" {place}")).count();
-                assert_eq!(told, 1, "{place} is reported {told} times: {words}");
+                let count = stderr.matches(&format!(" {place}")).count();
+                assert_eq!(count, 1, "{place} is reported {count} times: {stderr}");
             }
         }
     }
 }
 
 #[test]
-fn limits_of_the_list_have_defaults_that_admit_what_is_wanted_and_are_checked() {
+fn limits_of_the_list_have_defaults_and_are_validated() {
     let read = |config: &Value| Config::read(config.to_string().as_bytes(), &only_router_state);
     let limits = read(&example()).map(|config| config.list_limits).unwrap();
     assert_eq!((limits.entries, limits.bytes), (700_000, 128_000_000));
@@ -199,12 +199,12 @@
     let limits = read(&config).map(|config| config.list_limits).unwrap();
     assert_eq!((limits.entries, limits.bytes), (9_000, 500_000));
     (config["limits"]["list_entries"], config["limits"]["list_mb"]) = (json!(0), json!(0));
-    let words = config_error(config.to_string().as_bytes(), &only_router_state).unwrap();
-    assert_eq!(words, "limits.list_entries must be at least 1; limits.list_mb is no size");
+    let error = config_error(config.to_string().as_bytes(), &only_router_state).unwrap();
+    assert_eq!(error, "limits.list_entries must be at least 1; limits.list_mb is no size");
 }
 
 #[test]
-fn variables_go_before_the_file_and_are_named_when_they_are_wrong() {
+fn environment_variables_override_the_file_and_are_named_in_errors() {
     let variables = |name: &str| match name {
         "ROUTER_NAME" => Some("n9".to_string()),
         "ROUTER_LISTEN" => Some("127.0.0.9:1".to_string()),
@@ -234,14 +234,14 @@
 }
 
 #[test]
-fn a_text_that_ends_too_early_is_refused_plainly_wherever_it_ends() {
+fn a_file_truncated_at_any_byte_is_rejected_with_a_position() {
     assert_eq!(config_error(EXAMPLE.as_bytes(), &only_router_state), None);
     let text = EXAMPLE.trim_end().as_bytes();
     for end in 0..text.len() {
-        let words = config_error(&text[..end], &only_router_state)
+        let error = config_error(&text[..end], &only_router_state)
             .unwrap_or_else(|| panic!("accepted when cut at byte {end}"));
-        let plain = words.contains("EOF while parsing") && words.contains(" at line ");
-        assert!(plain && words.lines().count() == 1, "at byte {end}: {words}");
+        let located = error.contains("EOF while parsing") && error.contains(" at line ");
+        assert!(located && error.lines().count() == 1, "at byte {end}: {error}");
     }
     // Trailing characters and invalid UTF-8 are rejected.
     let mut more = text.to_vec();
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn any_value_at_any_place_is_taken_or_refused_in_one_line() {
+fn any_value_at_any_place_is_accepted_or_rejected_in_one_line() {
     let mut file: Value = serde_json::from_str(EXAMPLE).unwrap();
     file["settings"]["Limits"]["MayTell"] = json!(true);
     file["peers"] = json!({"listen": "127.0.0.1:1", "others": ["127.0.0.2:1"]});
@@ -283,7 +283,7 @@
         json!([{}]),
         json!({"": 1}),
     ];
-    let mut refused = 0;
+    let mut rejected = 0;
     file["peers"]["a\nb"] = json!(null);
     assert!(config_error(file.to_string().as_bytes(), &only_router_state)
         .unwrap()
@@ -297,19 +297,19 @@
         for value in &values {
             let mut file = file.clone();
             *file.pointer_mut(&place).unwrap() = value.clone();
-            if let Some(words) = config_error(file.to_string().as_bytes(), &only_router_state) {
-                refused += 1;
-                assert!(words.lines().count() == 1, "{place} {value}: {words}");
+            if let Some(error) = config_error(file.to_string().as_bytes(), &only_router_state) {
+                rejected += 1;
+                assert!(error.lines().count() == 1, "{place} {value}: {error}");
                 let first = place.split('/').nth(1).unwrap_or_default().trim_end_matches('s');
-                assert!(words.contains(first), "{place} {value}: {words}");
+                assert!(error.contains(first), "{place} {value}: {error}");
             }
         }
     }
-    assert!(refused > 100, "only {refused} were rejected");
+    assert!(rejected > 100, "only {rejected} were rejected");
 }
 
 #[test]
-fn each_command_says_its_words_and_ends_with_its_code() {
+fn each_command_has_its_output_and_exit_code() {
     let version = concat!("meadowhold ", env!("CARGO_PKG_VERSION"), "\n");
     let commands = ["serve", "check", "owed", "relay", "version", "help"];
     // (arguments, exit code, on standard output, on standard error)
@@ -337,13 +337,13 @@
     let folder = Folder::new();
     // An empty journal.
     drop(Journal::open(&folder.path.join("state"), 3_000_000).unwrap());
-    for (arguments, code, out, words) in rows {
+    for (arguments, code, out, stderr) in rows {
         let template = command(&folder, &example(), "check");
         let mut command = Command::new(template.get_program());
         command.args(arguments).current_dir(&folder.path).env_clear();
         command.envs(template.get_envs().filter_map(|(name, value)| Some((name, value?))));
         let got = exit_code_and_output(&mut command);
-        assert_eq!((got.0, &got.2[..]), (code, words), "{arguments:?}: {got:?}");
+        assert_eq!((got.0, &got.2[..]), (code, stderr), "{arguments:?}: {got:?}");
         assert!(got.1.contains(out) && got.1.is_empty() == (code != 0), "{arguments:?}: {got:?}");
         if out == "owed" {
             for command in commands {
@@ -367,7 +367,7 @@
 }
 
 #[test]
-fn without_its_variables_or_its_file_a_command_says_which() {
+fn a_command_names_the_variable_or_file_that_is_missing() {
     let folder = Folder::new();
     let absent = folder.path.join("absent.json");
     let rows = [
@@ -380,9 +380,9 @@
     for (subcommand, path, expected) in rows {
         let mut command = Command::new(env!("CARGO_BIN_EXE_meadowhold"));
         command.arg(subcommand).env_clear().envs(path.map(|path| ("ROUTER_CONFIG", path)));
-        let (code, out, words) = exit_code_and_output(&mut command);
-        assert_eq!((code, &out[..], words.lines().count()), (1, "", 1), "{words}");
-        assert!(words.starts_with("meadowhold: ") && words.contains(expected), "{words}");
+        let (code, out, stderr) = exit_code_and_output(&mut command);
+        assert_eq!((code, &out[..], stderr.lines().count()), (1, "", 1), "{stderr}");
+        assert!(stderr.starts_with("meadowhold: ") && stderr.contains(expected), "{stderr}");
     }
 }
 
@@ -398,7 +398,7 @@
 
 /// Returns the log of a courier that fails to read the list a few times and is then told to reload an invalid file.
 /// At the most verbose level, the log has lines of all four levels.
-fn log_of_failing_courier(wanted: Option<&str>) -> String {
+fn log_of_failing_courier(rust_log: Option<&str>) -> String {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let (folder, mut config) = (Folder::new(), example());
     config["listen"] = json!(own_address().to_string());
@@ -414,7 +414,7 @@
     let path = folder.path.join("log");
     let log = || fs::read_to_string(&path).unwrap();
     let mut command = command(&folder, &config, "serve");
-    command.env_remove("RUST_LOG").envs(wanted.map(|wanted| ("RUST_LOG", wanted)));
+    command.env_remove("RUST_LOG").envs(rust_log.map(|rust_log| ("RUST_LOG", rust_log)));
     let mut running = Running(command.stderr(File::create(&path).unwrap()).spawn().unwrap());
     let id = running.0.id().to_string();
     let signal = |name: &str| assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
@@ -422,7 +422,7 @@
     until("attempts to read the list", || asked.load(Ordering::SeqCst) >= 3);
     fs::write(folder.path.join("config.json"), "{").unwrap();
     signal("-HUP");
-    if wanted != Some("off") {
+    if rust_log != Some("off") {
         until("the error for the invalid file", || log().contains("cannot reload the configuration"));
     }
     signal("-TERM");
@@ -431,7 +431,7 @@
 }
 
 #[test]
-fn rust_log_says_which_levels_are_written() {
+fn rust_log_selects_the_levels_that_are_logged() {
     // (RUST_LOG, the levels that are written)
     let rows: [(Option<&str>, &[&str]); 11] = [
         (None, &["ERROR", "WARN", "INFO"]),
@@ -447,21 +447,21 @@
         (Some("info,meadowhold_courier=what"), &["ERROR", "WARN", "INFO"]),
     ];
     thread::scope(|scope| {
-        for (wanted, levels) in rows {
+        for (rust_log, levels) in rows {
             scope.spawn(move || {
-                let log = log_of_failing_courier(wanted);
+                let log = log_of_failing_courier(rust_log);
                 for level in ["ERROR", "WARN", "INFO", "DEBUG"] {
                     let line = |line: &str| line.split_whitespace().nth(1) == Some(level);
                     let written = log.lines().any(line);
-                    assert_eq!(written, levels.contains(&level), "{level} at {wanted:?}: {log}");
+                    assert_eq!(written, levels.contains(&level), "{level} at {rust_log:?}: {log}");
                 }
                 // Lines have a time and a target.
-                let timed =
+                let has_time_and_target =
                     |line: &str| line.starts_with("[20") && line.contains("Z ") && line.contains("] ");
-                assert!(log.lines().all(timed), "{log}");
+                assert!(log.lines().all(has_time_and_target), "{log}");
                 assert_eq!(
                     log.contains("RUST_LOG: ignoring invalid directive"),
-                    wanted.is_some_and(|w| w.contains("what"))
+                    rust_log.is_some_and(|w| w.contains("what"))
                 );
             });
         }
--- a/crates/courier/tests/members.rs
+++ b/crates/courier/tests/members.rs
@@ -33,13 +33,13 @@
         process
     }
 
-    fn said(&self) -> String {
+    fn log(&self) -> String {
         fs::read_to_string(self.folder.path.join("log")).unwrap_or_default()
     }
 
     /// How often the log contains `words`.
-    fn times(&self, words: &str) -> usize {
-        self.said().matches(words).count()
+    fn count(&self, words: &str) -> usize {
+        self.log().matches(words).count()
     }
 
     fn signal(&self, name: &str) {
@@ -47,7 +47,7 @@
         assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
     }
 
-    fn files(&self) -> usize {
+    fn open_files(&self) -> usize {
         fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
@@ -70,7 +70,7 @@
 impl Drop for Process {
     fn drop(&mut self) {
         if thread::panicking() {
-            eprintln!("{}:\n{}", self.name, self.said());
+            eprintln!("{}:\n{}", self.name, self.log());
         }
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -94,19 +94,20 @@
 #[test]
 fn five_processes_know_who_is_killed_who_stands_still_and_who_is_back() {
     let platform = Platform::new();
-    let hears: Vec<SocketAddr> = (0..5).map(|_| own_address()).collect();
-    let mut all: Vec<Process> =
-        (0..5).map(|i| Process::start(&platform, &format!("m{i}"), Some((hears[i], &hears)))).collect();
-    let line = |i: usize, what: &str| format!("member m{i} at {} is {what}", hears[i]);
+    let addresses: Vec<SocketAddr> = (0..5).map(|_| own_address()).collect();
+    let mut all: Vec<Process> = (0..5)
+        .map(|i| Process::start(&platform, &format!("m{i}"), Some((addresses[i], &addresses))))
+        .collect();
+    let line = |i: usize, what: &str| format!("member m{i} at {} is {what}", addresses[i]);
     for one in &all {
         until("that it knows all", || {
-            (0..5).filter(|&i| one.name != format!("m{i}")).all(|i| one.times(&line(i, "up")) == 1)
+            (0..5).filter(|&i| one.name != format!("m{i}")).all(|i| one.count(&line(i, "up")) == 1)
         });
-        assert_eq!(one.times("joined with the other couriers: "), 1);
+        assert_eq!(one.count("joined with the other couriers: "), 1);
     }
     let known = |all: &[Process], i: usize, what: &str, times: usize| {
         let mut others = all.iter().filter(|one| one.name != format!("m{i}"));
-        others.all(|one| one.times(&line(i, what)) == times)
+        others.all(|one| one.count(&line(i, what)) == times)
     };
 
     // One is killed, and its next process is a new member.
@@ -133,30 +134,30 @@
     // One shuts down: it tells the others, which do not have to wait for a probe to fail.
     all[4].signal("-TERM");
     until("its end", || all[4].child.try_wait().unwrap().is_some());
-    assert_eq!(all[4].times("membership has ended"), 1);
-    assert!(all[4].said().contains("faults: 0"));
+    assert_eq!(all[4].count("membership has ended"), 1);
+    assert!(all[4].log().contains("faults: 0"));
     until("that m4 is down", || known(&all[..4], 4, "down", 1));
     // No other member was ever considered down.
     for i in [0, 2] {
         assert!(known(&all, i, "down", 0));
     }
-    assert!(all.iter().all(|one| !one.said().contains("membership has failed")));
+    assert!(all.iter().all(|one| !one.log().contains("membership has failed")));
 }
 
 #[test]
 fn without_members_there_is_neither_thread_nor_socket() {
     let platform = Platform::new();
-    let hears = [own_address(), own_address()];
+    let addresses = [own_address(), own_address()];
     let without = Process::start(&platform, "m0", None);
-    let with = Process::start(&platform, "m1", Some((hears[0], &hears)));
+    let with = Process::start(&platform, "m1", Some((addresses[0], &addresses)));
     assert_eq!((without.threads(), with.threads()), (1, 2));
     assert_eq!((without.datagram_sockets(), with.datagram_sockets()), (1, 2));
     // The socket, the poller and its waker; connections of the test itself may still be closing.
-    until("three more open files", || with.files() == without.files() + 3);
+    until("three more open files", || with.open_files() == without.open_files() + 3);
 }
 
 #[test]
-fn wrong_members_end_the_start_with_one_line() {
+fn invalid_members_end_the_start_with_one_line() {
     let platform = Platform::new();
     let taken = UdpSocket::bind("127.0.0.1:0").unwrap();
     let taken = taken.local_addr().unwrap().to_string();
@@ -194,7 +195,7 @@
         config["settings"]["Limits"]["MayTell"] = json!(true);
         config["peers"] = peers(own_address(), None);
         config["peers"]["members"] = members;
-        let (success, said) = output(command(&folder, &config, "serve"));
-        assert!(!success && said.contains(words) && said.trim_end().lines().count() == 1, "{words}: {said}");
+        let (success, log) = output(command(&folder, &config, "serve"));
+        assert!(!success && log.contains(words) && log.trim_end().lines().count() == 1, "{words}: {log}");
     }
 }
--- a/crates/courier/tests/settings.rs
+++ b/crates/courier/tests/settings.rs
@@ -19,7 +19,7 @@
 use serde_json::{json, Value};
 use std::io::Write;
 
-const LONG: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A courier process. The log of each process on the folder has a file of its own.
 struct Process {
@@ -42,31 +42,31 @@
     }
 
     fn spawn(folder: &Folder, text: &str, started: usize) -> Child {
-        let said = File::create(folder.path.join(format!("said{started}"))).unwrap();
+        let log = File::create(folder.path.join(format!("log{started}"))).unwrap();
         let mut command = command(folder, &Value::Null, "serve");
         fs::write(folder.path.join("config.json"), text).unwrap();
-        command.env("RUST_LOG", "info").stderr(said).stdin(Stdio::null()).spawn().unwrap()
+        command.env("RUST_LOG", "info").stderr(log).stdin(Stdio::null()).spawn().unwrap()
     }
 
-    fn said(&self) -> String {
-        fs::read_to_string(self.folder.path.join(format!("said{}", self.started))).unwrap()
+    fn log(&self) -> String {
+        fs::read_to_string(self.folder.path.join(format!("log{}", self.started))).unwrap()
     }
 
     fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
-        let said = self.said();
-        assert!(!said.contains("panicked") && !said.contains("ERROR"), "{said}");
+        let log = self.log();
+        assert!(!log.contains("panicked") && !log.contains("ERROR"), "{log}");
     }
 
     /// Starts another process on the same folder, with `text` as its configuration file.
-    fn start_again(&mut self, text: &str) {
+    fn restart_with(&mut self, text: &str) {
         self.started += 1;
         self.child = Process::spawn(&self.folder, text, self.started);
         answers(self.listen);
     }
 
-    fn hup(&self) {
+    fn sighup(&self) {
         kill_process(Pid::from_child(&self.child), Signal::HUP).unwrap();
     }
 
@@ -75,16 +75,16 @@
         let next = self.folder.path.join("config.next");
         fs::write(&next, text).unwrap();
         fs::rename(&next, self.folder.path.join("config.json")).unwrap();
-        self.hup();
+        self.sighup();
     }
 
-    fn says(&self, words: &str) {
-        until_for(LONG, words, || self.said().contains(words));
+    fn wait_for_log(&self, words: &str) {
+        until_for(TIMEOUT, words, || self.log().contains(words));
     }
 
     /// The versions that this process has logged as in force.
     fn in_force(&self) -> Vec<u64> {
-        in_force(&self.said())
+        in_force(&self.log())
     }
 
     fn client(&self) -> Client {
@@ -92,7 +92,7 @@
     }
 
     /// Whether a mail of this queue class is accepted. Its destination has no reachable endpoint.
-    fn takes(&self, class: &str) -> bool {
+    fn accepts(&self, class: &str) -> bool {
         static NEXT: AtomicU64 = AtomicU64::new(1);
         let id = format!("t{}", NEXT.fetch_add(1, Ordering::Relaxed));
         let answer = self.client().put(&id, class, "d=300,k=77");
@@ -100,17 +100,17 @@
         answer == "+OK"
     }
 
-    fn on_file(&self) -> Option<Vec<u8>> {
+    fn saved_settings(&self) -> Option<Vec<u8>> {
         fs::read(self.folder.path.join("state").join("settings")).ok()
     }
 
-    fn ends_well(mut self) {
+    fn ends_without_errors(mut self) {
         kill_process(Pid::from_child(&self.child), Signal::TERM).unwrap();
-        until_for(LONG, "its end", || self.child.try_wait().unwrap().is_some());
-        let said = self.said();
-        let last = said.lines().last().unwrap_or_default();
-        assert!(last.contains("has ended") && last.contains("broken: 0"), "{said}");
-        assert!(!said.contains("ERROR") && !said.contains("panicked"), "{said}");
+        until_for(TIMEOUT, "its end", || self.child.try_wait().unwrap().is_some());
+        let log = self.log();
+        let last = log.lines().last().unwrap_or_default();
+        assert!(last.contains("has ended") && last.contains("broken: 0"), "{log}");
+        assert!(!log.contains("ERROR") && !log.contains("panicked"), "{log}");
     }
 }
 
@@ -122,12 +122,12 @@
 }
 
 /// Warnings, except those for an invalid entry of the list, which the test platform always has.
-fn warned(said: &str) -> Vec<&str> {
-    said.lines().filter(|line| line.contains("WARN") && !line.contains("an entry of the list")).collect()
+fn warnings(log: &str) -> Vec<&str> {
+    log.lines().filter(|line| line.contains("WARN") && !line.contains("an entry of the list")).collect()
 }
 
-fn in_force(said: &str) -> Vec<u64> {
-    let numbers = said.lines().filter_map(|line| line.split_once("settings version ")?.1.split_once(' '));
+fn in_force(log: &str) -> Vec<u64> {
+    let numbers = log.lines().filter_map(|line| line.split_once("settings version ")?.1.split_once(' '));
     numbers.filter(|(_, rest)| *rest == "are in force").map(|(number, _)| number.parse().unwrap()).collect()
 }
 
@@ -185,47 +185,47 @@
 }
 
 #[test]
-fn a_bad_version_is_turned_down_by_each_of_three_couriers_and_rolled_back_by_a_new_number() {
+fn an_invalid_version_is_rejected_and_a_rollback_uses_a_new_number() {
     let platform = platform();
     let mut couriers = [1, 2, 3].map(|_| Process::start(&platform, |config| *config = version(config, 1)));
     for courier in &mut couriers {
-        courier.says("settings version 1 are in force");
+        courier.wait_for_log("settings version 1 are in force");
         courier.offer(&version(&courier.config, 2).to_string());
-        courier.says("settings version 2 are in force");
-        assert!(courier.takes("v2") && !courier.takes("v1"));
+        courier.wait_for_log("settings version 2 are in force");
+        assert!(courier.accepts("v2") && !courier.accepts("v1"));
         let (bad, places) = with_twelve_faults(&version(&courier.config, 3));
         courier.offer(&bad.to_string());
-        courier.says("settings version 3 are turned down: ");
-        let said = courier.said();
-        let line: Vec<&str> = said.lines().filter(|line| line.contains("turned down")).collect();
-        assert_eq!(line.len(), 1, "one line: {said}");
+        courier.wait_for_log("settings version 3 are turned down: ");
+        let log = courier.log();
+        let line: Vec<&str> = log.lines().filter(|line| line.contains("turned down")).collect();
+        assert_eq!(line.len(), 1, "one line: {log}");
         for place in places {
             assert_eq!(line[0].matches(place).count(), 1, "{place}: {}", line[0]);
         }
-        assert!(courier.takes("v2") && !courier.takes("v3"), "the settings have changed");
+        assert!(courier.accepts("v2") && !courier.accepts("v3"), "the settings have changed");
         // The last valid version survives restarts while the file has the invalid one.
         for _ in 0..2 {
             courier.kill();
-            courier.start_again(&bad.to_string());
-            let said = courier.said();
-            assert_eq!(courier.in_force(), [2], "{said}");
-            let warned = warned(&said);
-            assert_eq!(warned.len(), 1, "{said}");
-            assert!(places.iter().all(|place| warned[0].contains(place)), "{}", warned[0]);
-            assert!(courier.takes("v2") && !courier.takes("v3"));
+            courier.restart_with(&bad.to_string());
+            let log = courier.log();
+            assert_eq!(courier.in_force(), [2], "{log}");
+            let warnings = warnings(&log);
+            assert_eq!(warnings.len(), 1, "{log}");
+            assert!(places.iter().all(|place| warnings[0].contains(place)), "{}", warnings[0]);
+            assert!(courier.accepts("v2") && !courier.accepts("v3"));
         }
         // Rolls back to the content of version 1 under a new number.
         let mut back = version(&courier.config, 1);
         back["version"] = json!(4);
         courier.offer(&back.to_string());
-        courier.says("settings version 4 are in force");
-        assert!(courier.takes("v1") && !courier.takes("v2"));
+        courier.wait_for_log("settings version 4 are in force");
+        assert!(courier.accepts("v1") && !courier.accepts("v2"));
     }
-    couriers.into_iter().for_each(Process::ends_well);
+    couriers.into_iter().for_each(Process::ends_without_errors);
 }
 
 #[test]
-fn older_versions_other_content_and_what_needs_a_start_are_refused_with_their_names() {
+fn older_or_conflicting_versions_and_changes_that_need_a_restart_are_rejected() {
     let platform = platform();
     let courier = Process::start(&platform, |config| *config = version(config, 5));
     let base = version(&courier.config, 5);
@@ -265,87 +265,87 @@
         ),
         (json!(7), &["cannot be read: invalid type"]),
     ];
-    let kept = courier.on_file().unwrap();
+    let kept = courier.saved_settings().unwrap();
     for (offered, words) in rows {
-        let down = |said: &str| -> Vec<String> {
-            said.lines().filter(|line| line.contains("turned down")).map(str::to_string).collect()
+        let rejections = |log: &str| -> Vec<String> {
+            log.lines().filter(|line| line.contains("turned down")).map(str::to_string).collect()
         };
-        let lines = down(&courier.said()).len();
+        let lines = rejections(&courier.log()).len();
         courier.offer(&offered.to_string());
-        until_for(LONG, "the rejection", || down(&courier.said()).len() > lines);
-        let said = down(&courier.said());
-        assert!(words.iter().all(|words| said[lines].contains(words)), "{}", said[lines]);
-        assert_eq!(said.len(), lines + 1, "one line");
-        assert_eq!((courier.in_force(), courier.on_file().as_ref()), (vec![5], Some(&kept)));
-        assert!(courier.takes("v5"));
+        until_for(TIMEOUT, "the rejection", || rejections(&courier.log()).len() > lines);
+        let log = rejections(&courier.log());
+        assert!(words.iter().all(|words| log[lines].contains(words)), "{}", log[lines]);
+        assert_eq!(log.len(), lines + 1, "one line");
+        assert_eq!((courier.in_force(), courier.saved_settings().as_ref()), (vec![5], Some(&kept)));
+        assert!(courier.accepts("v5"));
     }
     // Offering the held version again is not a fault.
     courier.offer(&serde_json::to_string_pretty(&base).unwrap());
-    courier.says("configuration reloaded");
-    assert!(!courier.said().lines().last().unwrap().contains("turned down"));
-    courier.ends_well();
+    courier.wait_for_log("configuration reloaded");
+    assert!(!courier.log().lines().last().unwrap().contains("turned down"));
+    courier.ends_without_errors();
 }
 
 #[test]
-fn a_hundred_changes_as_fast_as_they_are_read_are_each_in_force() {
+fn a_hundred_changes_in_a_row_are_each_in_force() {
     let platform = platform();
     let courier = Process::start(&platform, |config| *config = version(config, 1));
     let start = Instant::now();
     for number in 2..=101 {
         courier.offer(&version(&courier.config, number).to_string());
-        courier.says(&format!("settings version {number} are in force"));
+        courier.wait_for_log(&format!("settings version {number} are in force"));
     }
     println!("100 changes in {:?}", start.elapsed());
     assert_eq!(courier.in_force(), (1..=101).collect::<Vec<u64>>());
-    assert!(courier.takes("v101") && !courier.takes("v100"));
+    assert!(courier.accepts("v101") && !courier.accepts("v100"));
     // Without waiting for each: some versions may be skipped, but none is applied after a later one.
     for number in 102..=201 {
         courier.offer(&version(&courier.config, number).to_string());
     }
-    courier.says("settings version 201 are in force");
+    courier.wait_for_log("settings version 201 are in force");
     let numbers = courier.in_force();
     assert!(numbers.windows(2).all(|pair| pair[0] < pair[1]), "{numbers:?}");
     println!("{} of 100 in force", numbers.len() - 101);
-    assert!(courier.takes("v201"));
-    courier.ends_well();
+    assert!(courier.accepts("v201"));
+    courier.ends_without_errors();
 }
 
 #[test]
-fn whenever_it_is_killed_a_courier_has_the_old_or_the_new_version_whole_and_never_an_older_one() {
+fn a_killed_courier_restarts_with_the_old_or_the_new_version_and_never_an_older_one() {
     let seed = 11;
     println!("seed {seed}");
-    let mut chance = fastrand::Rng::with_seed(seed);
+    let mut rng = fastrand::Rng::with_seed(seed);
     let platform = platform();
     let mut courier = Process::start(&platform, |config| *config = version(config, 1));
     let base = courier.config.clone();
-    let (mut newest, mut number, mut both) = (1, 1, [0, 0]);
+    let (mut latest, mut number, mut both) = (1, 1, [0, 0]);
     for round in 0..24 {
         // When the process is killed, the last version may or may not have been applied.
-        for _ in 0..chance.u8(1..4) {
+        for _ in 0..rng.u8(1..4) {
             number += 1;
             courier.offer(&version(&base, number).to_string());
-            thread::sleep(Duration::from_micros(chance.u64(..6000)));
+            thread::sleep(Duration::from_micros(rng.u64(..6000)));
         }
         courier.kill();
-        let stated = courier.in_force().into_iter().max().unwrap();
-        assert!(stated >= newest, "{}", courier.said());
+        let logged = courier.in_force().into_iter().max().unwrap();
+        assert!(logged >= latest, "{}", courier.log());
         // The file then has an older version, a truncated new one, or one with faults.
         let text = match round % 3 {
             0 => version(&base, 1).to_string(),
             1 => version(&base, number + 1).to_string()[..700].to_string(),
             _ => with_twelve_faults(&version(&base, number + 1)).0.to_string(),
         };
-        courier.start_again(&text);
+        courier.restart_with(&text);
         let now = courier.in_force();
-        assert!(now.len() == 1 && now[0] >= stated && now[0] <= number, "{now:?} after {stated}");
-        both[usize::from(now[0] > stated)] += 1;
-        newest = now[0];
-        for other in [newest - 1, newest, newest + 1] {
-            assert_eq!(courier.takes(&format!("v{other}")), other == newest, "{other} of {newest}");
+        assert!(now.len() == 1 && now[0] >= logged && now[0] <= number, "{now:?} after {logged}");
+        both[usize::from(now[0] > logged)] += 1;
+        latest = now[0];
+        for other in [latest - 1, latest, latest + 1] {
+            assert_eq!(courier.accepts(&format!("v{other}")), other == latest, "{other} of {latest}");
         }
     }
     println!("killed after the version was logged {} times, before that {} times", both[0], both[1]);
-    courier.ends_well();
+    courier.ends_without_errors();
 }
 
 /// Calls that a test endpoint received. `begun` has, for each mail, the start of its call, its id, and the number of
@@ -357,7 +357,7 @@
 }
 
 /// Starts an endpoint that takes `takes` for each call and records the calls.
-fn slow(takes: Duration) -> (SocketAddr, Arc<Mutex<Calls>>) {
+fn slow_endpoint(takes: Duration) -> (SocketAddr, Arc<Mutex<Calls>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let calls: Arc<Mutex<Calls>> = Arc::default();
@@ -380,7 +380,7 @@
 #[test]
 fn a_limit_lowered_under_load_is_never_exceeded_by_a_new_call() {
     let platform = Platform::new();
-    let (address, calls) = slow(Duration::from_millis(120));
+    let (address, calls) = slow_endpoint(Duration::from_millis(120));
     platform.list("e0", address, "many", 7, "SERVING");
     let slots = |config: &Value, number: u64, slots: usize| {
         let mut config = config.clone();
@@ -411,24 +411,24 @@
         let calls = calls.lock().unwrap();
         calls.begun.iter().filter(|call| (from..to).contains(&call.0)).map(|call| call.2).collect()
     };
-    let far = || Instant::now() + LONG;
+    let far = || Instant::now() + TIMEOUT;
     let start = Instant::now();
-    until_for(LONG, "the old limit", || begun(start, far()).iter().filter(|&&now| now == 12).count() > 20);
+    until_for(TIMEOUT, "the old limit", || begun(start, far()).iter().filter(|&&now| now == 12).count() > 20);
     courier.offer(&slots(&base, 2, 4).to_string());
-    courier.says("settings version 2 are in force");
+    courier.wait_for_log("settings version 2 are in force");
     // Connecting takes time: calls decided before the change may arrive shortly after it.
     let lowered = Instant::now() + Duration::from_millis(400);
-    until_for(LONG, "many calls within the new limit", || begun(lowered, far()).len() > 30);
+    until_for(TIMEOUT, "many calls within the new limit", || begun(lowered, far()).len() > 30);
     let raised = Instant::now();
     courier.offer(&slots(&base, 3, 16).to_string());
-    until_for(LONG, "more calls again", || begun(raised, far()).iter().any(|&now| now > 6));
+    until_for(TIMEOUT, "more calls again", || begun(raised, far()).iter().any(|&now| now > 6));
     end.store(true, Ordering::Relaxed);
     let taken = load.join().unwrap();
     let within = begun(lowered, raised);
     assert!(within.iter().all(|&now| now <= 3), "{within:?}");
     assert!(begun(start, far()).iter().all(|&now| now <= 12));
     // No mail is lost, and none is delivered twice.
-    until_for(LONG, "all ends", || {
+    until_for(TIMEOUT, "all ends", || {
         let (delivered, told) = (calls.lock().unwrap().begun.len(), platform.notices().len());
         (delivered + told) as u64 >= taken && calls.lock().unwrap().in_progress == 0
     });
@@ -438,11 +438,11 @@
     once.dedup();
     assert_eq!(once.len(), ids.len(), "a mail was delivered twice");
     println!("{taken} taken, {} delivered, {} within the lowered limit", ids.len(), within.len());
-    courier.ends_well();
+    courier.ends_without_errors();
 }
 
 #[test]
-fn sighup_without_end_under_load_loses_nothing_and_runs_nothing_twice_in_three_couriers() {
+fn repeated_sighup_under_load_loses_no_mail_and_runs_none_twice() {
     let platform = Platform::new();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -484,7 +484,7 @@
             }
         }
     }
-    until_for(LONG, "all ends", || {
+    until_for(TIMEOUT, "all ends", || {
         let (ran, told) = (ran.lock().unwrap().1.clone(), platform.notices());
         owed.keys().all(|id| ran.contains_key(id) || told.iter().any(|notice| notice.0 == *id))
             && couriers.iter().all(|courier| {
@@ -504,23 +504,23 @@
     let changes: Vec<usize> = couriers.iter().map(|courier| courier.in_force().len()).collect();
     println!("{} taken, {} given up, versions in force {changes:?}", owed.len(), told.len());
     assert!(owed.len() > 300 && changes.iter().all(|&changes| changes > 20));
-    couriers.into_iter().for_each(Process::ends_well);
+    couriers.into_iter().for_each(Process::ends_without_errors);
 }
 
 #[test]
-fn without_a_version_a_courier_does_as_it_did() {
+fn a_file_without_a_version_changes_only_the_discovery_address() {
     let platform = platform();
     let courier = Process::start(&platform, |_| ());
     let mut changed = version(&courier.config, 1);
     changed.as_object_mut().unwrap().remove("version");
     changed["name"] = json!("n2");
     courier.offer(&changed.to_string());
-    courier.says("configuration reloaded: discovery at");
-    assert!(courier.takes("again") && !courier.takes("v1"));
+    courier.wait_for_log("configuration reloaded: discovery at");
+    assert!(courier.accepts("again") && !courier.accepts("v1"));
     courier.offer("{");
-    courier.says("cannot reload the configuration: ");
-    let said = courier.said();
-    assert!(!said.contains("settings version") && !said.contains("turned down"), "{said}");
+    courier.wait_for_log("cannot reload the configuration: ");
+    let log = courier.log();
+    assert!(!log.contains("settings version") && !log.contains("turned down"), "{log}");
     let mut files: Vec<String> = fs::read_dir(courier.folder.path.join("state"))
         .unwrap()
         .map(|file| file.unwrap().file_name().into_string().unwrap())
@@ -530,15 +530,15 @@
     assert_eq!(files, ["journal", "lock", "memory"]);
     // The first version is applied while the courier runs; after that, a file without a version is rejected.
     courier.offer(&version(&courier.config, 1).to_string());
-    courier.says("settings version 1 are in force");
-    assert!(courier.takes("v1"));
+    courier.wait_for_log("settings version 1 are in force");
+    assert!(courier.accepts("v1"));
     courier.offer(&courier.config.to_string());
-    courier.says("version is missing, but the settings in force have one");
-    assert!(courier.takes("v1"));
+    courier.wait_for_log("version is missing, but the settings in force have one");
+    assert!(courier.accepts("v1"));
 }
 
 #[test]
-fn a_start_takes_the_newer_of_the_file_and_what_is_kept_and_says_which() {
+fn a_start_uses_the_newer_of_the_file_and_the_saved_settings() {
     let platform = platform();
     let mut courier = Process::start(&platform, |config| *config = version(config, 3));
     let base = courier.config.clone();
@@ -560,20 +560,20 @@
         (format!("{}}}", version(&base, 7)), 6, Some("are turned down: cannot be read: trailing")),
     ];
     for (text, number, words) in rows {
-        courier.start_again(&text);
-        let said = courier.said();
-        assert_eq!(courier.in_force(), [number], "{said}");
-        let warned = warned(&said);
-        assert_eq!(warned.len(), usize::from(words.is_some()), "{said}");
-        assert!(words.is_none_or(|words| warned[0].contains(words)), "{said}");
+        courier.restart_with(&text);
+        let log = courier.log();
+        assert_eq!(courier.in_force(), [number], "{log}");
+        let warnings = warnings(&log);
+        assert_eq!(warnings.len(), usize::from(words.is_some()), "{log}");
+        assert!(words.is_none_or(|words| warnings[0].contains(words)), "{log}");
         courier.kill();
     }
     // No file at all.
     fs::remove_file(courier.folder.path.join("config.json")).unwrap();
-    let said = File::create(courier.folder.path.join("said99")).unwrap();
+    let log = File::create(courier.folder.path.join("log99")).unwrap();
     let mut absent = command(&courier.folder, &base, "serve");
     fs::remove_file(courier.folder.path.join("config.json")).unwrap();
-    courier.child = absent.env("RUST_LOG", "info").stderr(said).spawn().unwrap();
+    courier.child = absent.env("RUST_LOG", "info").stderr(log).spawn().unwrap();
     courier.started = 99;
     answers(courier.listen);
     assert_eq!(courier.in_force(), [6]);
@@ -584,17 +584,17 @@
     let middle = bytes.len() / 2;
     bytes[middle] ^= 1;
     fs::write(&path, bytes).unwrap();
-    let (ended_well, said) = output(command(&courier.folder, &json!({"version": 9}), "serve"));
-    assert!(!ended_well && said.contains("settings is missing"), "{said}");
+    let (ended_well, log) = output(command(&courier.folder, &json!({"version": 9}), "serve"));
+    assert!(!ended_well && log.contains("settings is missing"), "{log}");
     courier.started = 100;
-    courier.start_again(&version(&base, 2).to_string());
-    assert!(courier.said().contains("ignoring the saved settings: wrong length or checksum"));
+    courier.restart_with(&version(&base, 2).to_string());
+    assert!(courier.log().contains("ignoring the saved settings: wrong length or checksum"));
     assert_eq!(courier.in_force(), [2]);
-    courier.ends_well();
+    courier.ends_without_errors();
 }
 
 #[test]
-fn check_says_the_version_where_there_is_one() {
+fn check_prints_the_version_if_there_is_one() {
     let (platform, folder) = (platform(), Folder::new());
     let base = config(&platform, own_address());
     for (config, words) in [(version(&base, 12), Some("settings version 12\n")), (base, None)] {
--- a/crates/courier/tests/settings_exchange.rs
+++ b/crates/courier/tests/settings_exchange.rs
@@ -33,7 +33,7 @@
 }
 
 /// A queue class for each of the three effects.
-fn three() -> [Value; 3] {
+fn three_classes() -> [Value; 3] {
     [class("again", "read_like"), class("tagged", "idempotency_key"), class("once", "non_idempotent")]
 }
 
@@ -52,7 +52,7 @@
     Bytes::copy_from_slice(text.as_bytes())
 }
 
-struct World {
+struct Harness {
     exchange: Exchange,
     orders: UnboundedReceiver<Order>,
     notices: UnboundedReceiver<Notice>,
@@ -66,7 +66,7 @@
 
 /// (name, zone, kind, destination)
 type Entry<'a> = (&'a str, &'a str, &'a str, u64);
-const ENDS: [Entry; 2] = [("e0", "a", "single", 7), ("e1", "b", "single", 7)];
+const ENDPOINTS: [Entry; 2] = [("e0", "a", "single", 7), ("e1", "b", "single", 7)];
 
 fn list(index: u64, entries: &[Entry]) -> List {
     let entry = |&(name, zone, kind, group): &Entry| {
@@ -77,8 +77,8 @@
     serde_json::from_value(json!({"index": index, "snapshot": true, "endpoints": entries})).unwrap()
 }
 
-impl World {
-    fn new(folder: Folder, config: &Value, entries: &[Entry], now: Time) -> World {
+impl Harness {
+    fn new(folder: Folder, config: &Value, entries: &[Entry], now: Time) -> Harness {
         let (orders_in, orders) = unbounded_channel();
         let (notices_in, notices) = unbounded_channel();
         // A process that another test is starting briefly inherits all our descriptors, including the lock's.
@@ -95,7 +95,7 @@
         exchange.listed(&list(2, entries));
         let held = Held::of(&text, now);
         let (ends, waiting) = (BTreeMap::new(), Vec::new());
-        World { exchange, orders, notices, held, folder, now, ends, waiting }
+        Harness { exchange, orders, notices, held, folder, now, ends, waiting }
     }
 
     /// Offers a text as the new configuration; returns whether it is applied.
@@ -123,30 +123,30 @@
     }
 
     fn put(&mut self, id: &str, class: &str) -> Answer {
-        self.offer_to(id, class, 7)
+        self.put_to(id, class, 7)
     }
 
-    fn put_to(&mut self, id: &str, class: &str, dest: u64) {
-        assert!(matches!(self.offer_to(id, class, dest), Answer::Taken(_)));
+    fn put_accepted_to(&mut self, id: &str, class: &str, destination: u64) {
+        assert!(matches!(self.put_to(id, class, destination), Answer::Taken(_)));
     }
 
-    fn offer_to(&mut self, id: &str, class: &str, dest: u64) -> Answer {
+    fn put_to(&mut self, id: &str, class: &str, destination: u64) -> Answer {
         self.exchange.hand_in(Offer {
             id: bytes(id),
             key: bytes("5c0f"),
             order_key: bytes("0000"),
             class: bytes(class),
-            destination: dest,
+            destination,
             lifetime: Duration::from_secs(4),
             body: bytes("hello"),
         })
     }
 
-    fn takes(&mut self, id: &str, class: &str) {
+    fn put_accepted(&mut self, id: &str, class: &str) {
         assert!(matches!(self.put(id, class), Answer::Taken(_)), "{id} of {class}");
     }
 
-    fn pass(&mut self, time: Time) {
+    fn advance(&mut self, time: Time) {
         self.now += time;
         self.exchange.clock = Clock::still(self.now);
     }
@@ -164,7 +164,7 @@
     }
 
     /// Runs turns until calls begin, for at most `time`. Returns the mails of these calls with their endpoints.
-    fn begun(&mut self, time: Time) -> Vec<(CallMail, usize)> {
+    fn begin_calls(&mut self, time: Time) -> Vec<(CallMail, usize)> {
         let until = self.now + time;
         loop {
             self.turn();
@@ -177,12 +177,12 @@
             if !begun.is_empty() || self.now >= until {
                 return begun;
             }
-            self.pass(50);
+            self.advance(50);
         }
     }
 
     /// The number of mails in the largest call of the next turn. All mails are then relayed.
-    fn longest(&mut self) -> Option<usize> {
+    fn largest_call(&mut self) -> Option<usize> {
         self.turn();
         let calls = std::mem::take(&mut self.waiting);
         for call in &calls {
@@ -190,26 +190,26 @@
                 self.exchange.connect_ended(mail.serial, ConnectReport::of(Outcome::Relayed));
             }
         }
-        self.play(SECOND, Outcome::Relayed);
+        self.run_for(SECOND, Outcome::Relayed);
         calls.iter().map(|call| call.mails.len()).max()
     }
 
     /// Runs turns for `time` and ends each connect with `outcome`. Returns the ids of the mails in order.
-    fn play(&mut self, time: Time, outcome: Outcome) -> Vec<String> {
+    fn run_for(&mut self, time: Time, outcome: Outcome) -> Vec<String> {
         let (mut sent, until) = (Vec::new(), self.now + time);
         while self.now < until {
-            for (mail, _) in self.begun(0) {
+            for (mail, _) in self.begin_calls(0) {
                 sent.push(String::from_utf8(mail.id.to_vec()).unwrap());
                 self.exchange.connect_ended(mail.serial, ConnectReport::of(outcome));
             }
-            self.pass(100);
+            self.advance(100);
         }
         sent
     }
 }
 
 #[test]
-fn what_was_taken_on_keeps_its_effect_and_what_comes_after_has_the_new_one() {
+fn accepted_mails_keep_their_effect_and_later_ones_have_the_new_one() {
     // (class, new effect, whether a failed connect of an old mail is repeated, the same of a new mail)
     let rows = [
         ("tagged", "non_idempotent", true, false),
@@ -219,84 +219,84 @@
         ("tagged", "idempotency_key", true, true),
     ];
     for (name, effect, old, new) in rows {
-        let mut world = World::new(Folder::new(), &config(1, &three()), &ENDS, START);
+        let mut harness = Harness::new(Folder::new(), &config(1, &three_classes()), &ENDPOINTS, START);
         // One mail is in flight when the settings change, one waits, and one is accepted afterwards.
-        world.takes("out", name);
-        let begun = world.begun(0);
+        harness.put_accepted("out", name);
+        let begun = harness.begin_calls(0);
         assert_eq!(begun.len(), 1);
-        world.takes("parked", name);
-        let classes = three().map(|c| if c["Name"] == name { class(name, effect) } else { c });
-        world.change(&config(2, &classes));
-        world.takes("new", name);
-        world.exchange.connect_ended(begun[0].0.serial, ConnectReport::of(Outcome::Error));
-        let sent = world.play(5 * SECOND, Outcome::Error);
+        harness.put_accepted("parked", name);
+        let classes = three_classes().map(|c| if c["Name"] == name { class(name, effect) } else { c });
+        harness.change(&config(2, &classes));
+        harness.put_accepted("new", name);
+        harness.exchange.connect_ended(begun[0].0.serial, ConnectReport::of(Outcome::Error));
+        let sent = harness.run_for(5 * SECOND, Outcome::Error);
         let times = |id: &str| sent.iter().filter(|sent| *sent == id).count() + usize::from(id == "out");
         for (id, again) in [("out", old), ("parked", old), ("new", new)] {
             assert_eq!(times(id) > 1, again, "{name} {effect}: {id} was sent {} times", times(id));
-            assert!(world.ends.contains_key(id), "{id} has not ended");
+            assert!(harness.ends.contains_key(id), "{id} has not ended");
         }
-        assert_eq!(world.exchange.counts.broken, 0);
+        assert_eq!(harness.exchange.counts.broken, 0);
     }
 }
 
 #[test]
-fn what_was_taken_on_keeps_the_window_of_its_key() {
+fn accepted_mails_keep_the_window_of_their_key() {
     for (window, old, new) in [(300_000, true, false), (2_000_000, true, true)] {
-        let mut world = World::new(Folder::new(), &config(1, &three()), &ENDS, START);
-        world.takes("old", "tagged");
-        let begun = world.begun(0);
-        let mut classes = three();
+        let mut harness = Harness::new(Folder::new(), &config(1, &three_classes()), &ENDPOINTS, START);
+        harness.put_accepted("old", "tagged");
+        let begun = harness.begin_calls(0);
+        let mut classes = three_classes();
         classes[1]["DedupWindowUs"] = json!(window);
-        world.change(&config(2, &classes));
-        world.takes("new", "tagged");
-        let also = world.begun(0);
+        harness.change(&config(2, &classes));
+        harness.put_accepted("new", "tagged");
+        let also = harness.begin_calls(0);
         assert_eq!((begun.len(), also.len()), (1, 1));
         // Half a second later: within one window, beyond the other.
-        world.pass(SECOND / 2);
+        harness.advance(SECOND / 2);
         begun.iter().chain(&also).for_each(|(mail, _)| {
-            world.exchange.connect_ended(mail.serial, ConnectReport::of(Outcome::Error));
+            harness.exchange.connect_ended(mail.serial, ConnectReport::of(Outcome::Error));
         });
-        let sent = world.play(SECOND, Outcome::Relayed);
+        let sent = harness.run_for(SECOND, Outcome::Relayed);
         let goes = |id: &str| sent.iter().any(|sent| sent == id);
         assert_eq!((goes("old"), goes("new")), (old, new), "{window}");
     }
 }
 
 #[test]
-fn a_class_that_is_gone_takes_nothing_on_and_each_message_of_it_has_its_one_end() {
-    let mut world = World::new(Folder::new(), &config(1, &three()), &ENDS, START);
+fn a_removed_class_accepts_no_mail_and_each_of_its_mails_ends_once() {
+    let mut harness = Harness::new(Folder::new(), &config(1, &three_classes()), &ENDPOINTS, START);
     let outcomes = [Outcome::Relayed, Outcome::Error, Outcome::Silent, Outcome::Unsent];
     for (i, name) in ["again", "tagged", "once"].into_iter().cycle().take(24).enumerate() {
-        world.takes(&format!("m{i}"), name);
+        harness.put_accepted(&format!("m{i}"), name);
     }
-    let begun = world.begun(0);
+    let begun = harness.begin_calls(0);
     assert!(begun.len() > 3);
-    world.change(&config(2, &[class("other", "read_like")]));
+    harness.change(&config(2, &[class("other", "read_like")]));
     for name in ["again", "tagged", "once"] {
-        assert_eq!(world.put("x", name), Answer::Failed("ERR unknown class"));
+        assert_eq!(harness.put("x", name), Answer::Failed("ERR unknown class"));
     }
-    world.takes("x", "other");
+    harness.put_accepted("x", "other");
     for (i, (mail, _)) in begun.iter().enumerate() {
-        world.exchange.connect_ended(mail.serial, ConnectReport::of(outcomes[i % 4]));
+        harness.exchange.connect_ended(mail.serial, ConnectReport::of(outcomes[i % 4]));
     }
-    world.play(5 * SECOND, Outcome::Relayed);
-    let counts = world.exchange.counts;
-    assert_eq!(counts.taken, counts.relayed + world.ends.len() as u64, "{counts:?}");
-    assert!(counts.relayed > 15 && world.ends.values().all(|end| *end == Verdict::Dead));
+    harness.run_for(5 * SECOND, Outcome::Relayed);
+    let counts = harness.exchange.counts;
+    assert_eq!(counts.taken, counts.relayed + harness.ends.len() as u64, "{counts:?}");
+    assert!(counts.relayed > 15 && harness.ends.values().all(|end| *end == Verdict::Dead));
     // The class comes back with another effect.
-    world.change(&config(3, &[class("again", "non_idempotent")]));
-    world.takes("y", "again");
-    assert_eq!(world.play(SECOND, Outcome::Error), ["y"]);
-    assert_eq!(world.put("z", "other"), Answer::Failed("ERR unknown class"));
+    harness.change(&config(3, &[class("again", "non_idempotent")]));
+    harness.put_accepted("y", "again");
+    assert_eq!(harness.run_for(SECOND, Outcome::Error), ["y"]);
+    assert_eq!(harness.put("z", "other"), Answer::Failed("ERR unknown class"));
 }
 
 #[test]
-fn zones_and_kinds_keep_their_numbers_wherever_they_stand_and_new_ones_follow() {
-    let mut first = config(1, &three());
+fn zones_and_kinds_keep_their_numbers_when_reordered_and_new_ones_follow() {
+    let mut first = config(1, &three_classes());
     first["settings"]["Profiles"][1]["Group"] = json!("zone");
-    let mut world = World::new(Folder::new(), &first, &ENDS, START);
-    world.takes("m", "tagged");
-    let begun = world.begun(0);
+    let mut harness = Harness::new(Folder::new(), &first, &ENDPOINTS, START);
+    harness.put_accepted("m", "tagged");
+    let begun = harness.begin_calls(0);
     let zone = ["a", "b"][begun[0].1];
     let mut second = first.clone();
     second["version"] = json!(2);
@@ -304,7 +304,7 @@
     second["settings"]["Kinds"] = json!(["new", "many", "single"]);
     second["settings"]["FamilyInfo"]["KindBatch"] = json!([3, 10, 1]);
     second["settings"]["FamilyInfo"]["OwnLimits"] = json!([false, false, true]);
-    world.change(&second);
+    harness.change(&second);
     // The first endpoints are gone; each zone has another one.
     let ends: [Entry; 5] = [
         ("n0", "a", "single", 7),
@@ -313,39 +313,39 @@
         ("n3", "a", "many", 8),
         ("n4", "a", "new", 9),
     ];
-    world.exchange.listed(&list(3, &ends));
-    world.exchange.connect_ended(begun[0].0.serial, ConnectReport::of(Outcome::Error));
-    let again = world.begun(2 * SECOND);
+    harness.exchange.listed(&list(3, &ends));
+    harness.exchange.connect_ended(begun[0].0.serial, ConnectReport::of(Outcome::Error));
+    let again = harness.begin_calls(2 * SECOND);
     assert_eq!(again.len(), 1);
     let name = ends[again[0].1 - 2].1;
     assert_eq!(name, zone, "a repeat left the zone that knows its key");
-    for (dest, most) in [(8, 10), (9, 3)] {
-        (0..20).for_each(|i| world.put_to(&format!("b{dest}-{i}"), "again", dest));
-        assert_eq!(world.longest(), Some(most), "destination {dest}");
+    for (destination, most) in [(8, 10), (9, 3)] {
+        (0..20).for_each(|i| harness.put_accepted_to(&format!("b{destination}-{i}"), "again", destination));
+        assert_eq!(harness.largest_call(), Some(most), "destination {destination}");
     }
     // A kind that the settings do not name is treated as the last kind that they name.
-    world.exchange.listed(&list(4, &[("n5", "a", "odd", 10)]));
+    harness.exchange.listed(&list(4, &[("n5", "a", "odd", 10)]));
     second["version"] = json!(3);
     second["settings"]["Kinds"] = json!(["new", "single", "many"]);
     second["settings"]["FamilyInfo"]["KindBatch"] = json!([3, 1, 10]);
     second["settings"]["FamilyInfo"]["OwnLimits"] = json!([false, true, false]);
-    world.change(&second);
-    world.exchange.listed(&list(5, &[("n5", "a", "odd", 10), ("n6", "a", "odd", 11)]));
-    for (dest, most) in [(10, 1), (11, 10)] {
-        (0..20).for_each(|i| world.put_to(&format!("c{dest}-{i}"), "again", dest));
-        assert_eq!(world.longest(), Some(most), "destination {dest}");
+    harness.change(&second);
+    harness.exchange.listed(&list(5, &[("n5", "a", "odd", 10), ("n6", "a", "odd", 11)]));
+    for (destination, most) in [(10, 1), (11, 10)] {
+        (0..20).for_each(|i| harness.put_accepted_to(&format!("c{destination}-{i}"), "again", destination));
+        assert_eq!(harness.largest_call(), Some(most), "destination {destination}");
     }
     // Changing whether the endpoints of a kind have limits of their own needs a restart.
     second["version"] = json!(4);
     second["settings"]["FamilyInfo"]["OwnLimits"] = json!([false, true, true]);
-    assert!(!world.offer(second.to_string().as_bytes()));
+    assert!(!harness.offer(second.to_string().as_bytes()));
 }
 
 #[test]
 fn fees_follow_their_zones_by_name() {
     // Two zones, one of which has a fee. The fee follows the zone's name, not its position in the list.
     let first = |number: u64, zones: &[&str], fees: &[f64]| {
-        let mut first = config(number, &three());
+        let mut first = config(number, &three_classes());
         first["settings"]["Dcs"] = json!(zones);
         first["settings"]["FamilyInfo"]["Carriage"] = json!(fees);
         first
@@ -353,16 +353,16 @@
     let rows =
         [(["b", "a"], [0.9, 0.0], "e0"), (["b", "a"], [0.0, 0.9], "e1"), (["a", "b"], [0.0, 0.9], "e0")];
     for (zones, fees, cheap) in rows {
-        let mut world = World::new(Folder::new(), &first(1, &["a", "b"], &[0.0, 0.0]), &ENDS, START);
-        world.change(&first(2, &zones, &fees));
+        let mut harness = Harness::new(Folder::new(), &first(1, &["a", "b"], &[0.0, 0.0]), &ENDPOINTS, START);
+        harness.change(&first(2, &zones, &fees));
         let mut at = [0u32; 2];
         for i in 0..40 {
-            world.takes(&format!("m{i}"), "again");
-            for (mail, endpoint) in world.begun(SECOND / 10) {
+            harness.put_accepted(&format!("m{i}"), "again");
+            for (mail, endpoint) in harness.begin_calls(SECOND / 10) {
                 at[endpoint] += 1;
-                world.exchange.connect_ended(mail.serial, ConnectReport::of(Outcome::Relayed));
+                harness.exchange.connect_ended(mail.serial, ConnectReport::of(Outcome::Relayed));
             }
-            world.pass(SECOND / 5);
+            harness.advance(SECOND / 5);
         }
         let [e0, e1] = at;
         assert_eq!(if e0 > e1 { "e0" } else { "e1" }, cheap, "{at:?}");
@@ -371,27 +371,27 @@
 }
 
 #[test]
-fn text_that_is_cut_at_any_byte_changes_nothing() {
-    let mut world = World::new(Folder::new(), &config(1, &three()), &ENDS, START);
-    world.change(&config(2, &three()));
-    let kept = fs::read(world.folder.path.join("settings")).unwrap();
+fn a_text_truncated_at_any_byte_changes_nothing() {
+    let mut harness = Harness::new(Folder::new(), &config(1, &three_classes()), &ENDPOINTS, START);
+    harness.change(&config(2, &three_classes()));
+    let kept = fs::read(harness.folder.path.join("settings")).unwrap();
     let text = config(3, &[class("other", "read_like")]).to_string().into_bytes();
     for cut in 0..text.len() {
-        assert!(!world.offer(&text[..cut]), "cut at {cut}");
-        assert_eq!(world.exchange.versions.in_force, Some((2, START)));
-        assert!(world.exchange.versions.rejected.as_ref().unwrap().contains("turned down: cannot be read"));
+        assert!(!harness.offer(&text[..cut]), "cut at {cut}");
+        assert_eq!(harness.exchange.versions.in_force, Some((2, START)));
+        assert!(harness.exchange.versions.rejected.as_ref().unwrap().contains("turned down: cannot be read"));
     }
-    assert_eq!(fs::read(world.folder.path.join("settings")).unwrap(), kept);
-    world.takes("m", "again");
-    world.change(&config(3, &[class("other", "read_like")]));
-    assert_eq!(world.put("n", "again"), Answer::Failed("ERR unknown class"));
+    assert_eq!(fs::read(harness.folder.path.join("settings")).unwrap(), kept);
+    harness.put_accepted("m", "again");
+    harness.change(&config(3, &[class("other", "read_like")]));
+    assert_eq!(harness.put("n", "again"), Answer::Failed("ERR unknown class"));
 }
 
 #[test]
-fn what_is_kept_is_read_whole_or_passed_over() {
+fn saved_settings_are_read_completely_or_ignored() {
     let folder = Folder::new();
     let kept = SavedSettings::new(
-        config(7, &three()).to_string().into_bytes(),
+        config(7, &three_classes()).to_string().into_bytes(),
         START,
         vec![Checksum(7, 9), Checksum(8, 1)],
     )
@@ -407,7 +407,7 @@
     }
     assert!(SavedSettings::decode(&[&whole[..], b"x"].concat()).is_err());
     // Too long for its share of the folder: the known list is left out, but its checksum is kept.
-    let mut long = config(8, &three());
+    let mut long = config(8, &three_classes());
     long["known"] = json!({"index": 1, "endpoints": vec![json!({"name": "e".repeat(400)}); 400]});
     let long = SavedSettings::new(
         serde_json::to_vec_pretty(&long).unwrap(),
@@ -422,51 +422,51 @@
     // Without enough space, or without a version number, the old file stays.
     assert!(kept_settings::save(&folder.path, 50_000, &kept).is_err());
     assert_eq!(kept_settings::load(&folder.path), Some(found));
-    let mut without = config(9, &three());
+    let mut without = config(9, &three_classes());
     without["version"] = Value::Null;
     assert_eq!(SavedSettings::new(without.to_string().into_bytes(), START, Vec::new()), None);
 }
 
 #[test]
-fn a_version_that_cannot_be_kept_is_turned_down() {
-    let mut world = World::new(Folder::new(), &config(1, &three()), &ENDS, START);
+fn a_version_that_cannot_be_saved_is_rejected() {
+    let mut harness = Harness::new(Folder::new(), &config(1, &three_classes()), &ENDPOINTS, START);
     let next = config(2, &[class("other", "read_like")]);
     // A folder blocks the path of the file to be written.
-    fs::create_dir(world.folder.path.join("settings.new")).unwrap();
-    assert!(!world.offer(next.to_string().as_bytes()));
-    let words = world.exchange.versions.summary(START).unwrap();
+    fs::create_dir(harness.folder.path.join("settings.new")).unwrap();
+    assert!(!harness.offer(next.to_string().as_bytes()));
+    let words = harness.exchange.versions.summary(START).unwrap();
     assert!(words.contains("version 2 are turned down: ROUTER_STATE cannot keep it: "), "{words}");
-    world.takes("m", "again");
-    fs::remove_dir(world.folder.path.join("settings.new")).unwrap();
-    world.change(&next);
+    harness.put_accepted("m", "again");
+    fs::remove_dir(harness.folder.path.join("settings.new")).unwrap();
+    harness.change(&next);
 }
 
-fn random_class(chance: &mut fastrand::Rng, names: u8) -> Value {
-    let effect = ["read_like", "idempotency_key", "non_idempotent"][chance.usize(..3)];
-    let mut class = class(&format!("c{}", chance.u8(..names)), effect);
-    class["Group"] = json!(["all", "zone"][chance.usize(..2)]);
-    class["InTurn"] = json!(chance.bool());
-    class["DedupWindowUs"] = json!(chance.u64(1..4) * 1_000_000);
-    class["Worth"] = json!(chance.f64());
-    class["PromiseUs"] = json!(chance.u64(1..1_000_000));
+fn random_class(rng: &mut fastrand::Rng, names: u8) -> Value {
+    let effect = ["read_like", "idempotency_key", "non_idempotent"][rng.usize(..3)];
+    let mut class = class(&format!("c{}", rng.u8(..names)), effect);
+    class["Group"] = json!(["all", "zone"][rng.usize(..2)]);
+    class["InTurn"] = json!(rng.bool());
+    class["DedupWindowUs"] = json!(rng.u64(1..4) * 1_000_000);
+    class["Worth"] = json!(rng.f64());
+    class["PromiseUs"] = json!(rng.u64(1..1_000_000));
     class
 }
 
 #[test]
-fn numbers_in_use_mean_what_they_meant_and_others_are_used_again() {
+fn class_numbers_in_use_keep_their_meaning_and_free_ones_are_reused() {
     let seed = 3;
     println!("seed {seed}");
-    let mut chance = fastrand::Rng::with_seed(seed);
+    let mut rng = fastrand::Rng::with_seed(seed);
     let rules = |c: &QueueClass| (c.effect, c.dedup_by_zone, c.dedup_window, c.ordered);
     let mut held = Classes::default();
     // Mails in hand, with the class number and the rules that they were accepted with.
-    let mut messages: Vec<(usize, (Effect, bool, Time, bool))> = Vec::new();
+    let mut mails_in_hand: Vec<(usize, (Effect, bool, Time, bool))> = Vec::new();
     let mut most = 0;
     for _ in 0..3000 {
-        let classes: Vec<Value> = (0..chance.usize(1..6)).map(|_| random_class(&mut chance, 5)).collect();
+        let classes: Vec<Value> = (0..rng.usize(1..6)).map(|_| random_class(&mut rng, 5)).collect();
         let text = config(1, &classes).to_string();
         let decoded = Candidate::of(text.as_bytes(), &variable).result.unwrap().decoded;
-        let used: BTreeSet<usize> = messages.iter().map(|message| message.0).collect();
+        let used: BTreeSet<usize> = mails_in_hand.iter().map(|mail| mail.0).collect();
         let new = &decoded.settings.classes;
         held = held.next_version(&decoded.classes, new, |class| used.contains(&class)).unwrap();
         assert_eq!(held.classes.len(), held.terms.len());
@@ -478,17 +478,17 @@
             assert_eq!(held.terms[at], Terms::new(name, &new[last]));
         }
         assert_eq!(held.by_name.len(), decoded.classes.iter().collect::<BTreeSet<_>>().len());
-        for (class, was) in &messages {
+        for (class, was) in &mails_in_hand {
             assert_eq!(rules(&held.classes[*class]), *was);
         }
         // The importance of a removed class is limited to that of the present ones.
         let top = new.iter().map(|c| c.importance).fold(0.0, f64::max);
         assert!(held.classes.iter().all(|c| c.importance <= top));
-        for _ in 0..chance.usize(..4) {
+        for _ in 0..rng.usize(..4) {
             let at = *held.by_name.values().min().unwrap();
-            messages.push((at, rules(&held.classes[at])));
+            mails_in_hand.push((at, rules(&held.classes[at])));
         }
-        messages.retain(|_| chance.u8(..4) > 0);
+        mails_in_hand.retain(|_| rng.u8(..4) > 0);
         most = most.max(held.classes.len());
     }
     println!("at most {most} numbers");
@@ -496,29 +496,29 @@
 }
 
 #[test]
-fn random_changes_under_random_load_and_restarts_keep_the_books_and_lose_nothing() {
+fn random_changes_under_random_load_and_restarts_lose_no_mail() {
     let (mut changes, mut taken, mut begun_in_all, mut restarts, mut ends) = (0u64, 0u64, 0u64, 0u64, 0u64);
     for seed in 1..=8 {
         println!("seed {seed}");
-        let mut chance = fastrand::Rng::with_seed(seed);
-        let classes = |chance: &mut fastrand::Rng| -> Vec<Value> {
-            (0..chance.usize(1..6)).map(|_| random_class(chance, 5)).collect()
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let classes = |rng: &mut fastrand::Rng| -> Vec<Value> {
+            (0..rng.usize(1..6)).map(|_| random_class(rng, 5)).collect()
         };
-        let mut now = config(1, &classes(&mut chance));
-        let mut world = World::new(Folder::new(), &now, &ENDS, START);
+        let mut now = config(1, &classes(&mut rng));
+        let mut harness = Harness::new(Folder::new(), &now, &ENDPOINTS, START);
         // The accepted mails, with their effect at that time and how often they may have run.
         let mut known: BTreeMap<String, (String, u64)> = BTreeMap::new();
         let mut out: Vec<CallMail> = Vec::new();
-        let mut over: BTreeSet<String> = BTreeSet::new();
+        let mut ended_ids: BTreeSet<String> = BTreeSet::new();
         let mut number = 1;
         for step in 0..2500 {
-            match chance.u8(..40) {
+            match rng.u8(..40) {
                 0..10 => {
-                    let name = format!("c{}", chance.u8(..5));
+                    let name = format!("c{}", rng.u8(..5));
                     let id = format!("m{step}");
                     let all = now["settings"]["Profiles"].as_array().unwrap();
                     let class = all.iter().rfind(|class| class["Name"] == name[..]);
-                    match (world.put(&id, &name), class) {
+                    match (harness.put(&id, &name), class) {
                         (Answer::Taken(_), Some(class)) => {
                             let effect = class["Effect"].as_str().unwrap().to_string();
                             known.insert(id, (effect, 0));
@@ -529,55 +529,55 @@
                     }
                 }
                 10..22 => {
-                    for (mail, _) in world.begun(0) {
+                    for (mail, _) in harness.begin_calls(0) {
                         let id = String::from_utf8(mail.id.to_vec()).unwrap();
                         let (effect, ran) = &known[&id];
-                        assert!(!over.contains(&id), "{id} has already ended");
+                        assert!(!ended_ids.contains(&id), "{id} has already ended");
                         assert!(effect != "non_idempotent" || *ran == 0, "{id} may already have run");
                         out.push(mail);
                         begun_in_all += 1;
                     }
-                    world.pass(chance.u64(1..200));
+                    harness.advance(rng.u64(1..200));
                 }
                 22..34 if !out.is_empty() => {
-                    let mail = out.swap_remove(chance.usize(..out.len()));
+                    let mail = out.swap_remove(rng.usize(..out.len()));
                     let outcomes = [Outcome::Relayed, Outcome::Error, Outcome::Unreached, Outcome::Silent];
-                    let outcome = outcomes[if chance.bool() { 0 } else { chance.usize(..4) }];
+                    let outcome = outcomes[if rng.bool() { 0 } else { rng.usize(..4) }];
                     let id = String::from_utf8(mail.id.to_vec()).unwrap();
                     known.get_mut(&id).unwrap().1 += u64::from(!outcome.never_ran());
                     if outcome == Outcome::Relayed {
-                        assert!(over.insert(id), "a mail ended twice");
+                        assert!(ended_ids.insert(id), "a mail ended twice");
                     }
-                    world.exchange.connect_ended(mail.serial, ConnectReport::of(outcome));
+                    harness.exchange.connect_ended(mail.serial, ConnectReport::of(outcome));
                 }
                 34..38 => {
                     number += 1;
-                    let mut next = config(number, &classes(&mut chance));
+                    let mut next = config(number, &classes(&mut rng));
                     let settings = &mut next["settings"];
-                    settings["FamilyInfo"]["Slots"] = json!(chance.u64(1..12));
-                    settings["NInstances"] = json!(chance.u64(1..9));
-                    settings["Limits"]["MaxOpen"] = json!(chance.u64(30..90));
-                    settings["Limits"]["MaxAttempts"] = json!(chance.u64(1..6));
-                    settings["ResolutionUs"] = json!(chance.u64(100..3000));
-                    if chance.u8(..4) == 0 {
+                    settings["FamilyInfo"]["Slots"] = json!(rng.u64(1..12));
+                    settings["NInstances"] = json!(rng.u64(1..9));
+                    settings["Limits"]["MaxOpen"] = json!(rng.u64(30..90));
+                    settings["Limits"]["MaxAttempts"] = json!(rng.u64(1..6));
+                    settings["ResolutionUs"] = json!(rng.u64(100..3000));
+                    if rng.u8(..4) == 0 {
                         let text = next.to_string();
-                        assert!(!world.offer(&text.as_bytes()[..chance.usize(..text.len())]));
-                    } else if chance.u8(..4) == 0 {
-                        next["version"] = json!(now["version"].as_u64().unwrap() - chance.u64(..2));
-                        assert!(!world.offer(next.to_string().as_bytes()));
+                        assert!(!harness.offer(&text.as_bytes()[..rng.usize(..text.len())]));
+                    } else if rng.u8(..4) == 0 {
+                        next["version"] = json!(now["version"].as_u64().unwrap() - rng.u64(..2));
+                        assert!(!harness.offer(next.to_string().as_bytes()));
                     } else {
-                        world.change(&next);
+                        harness.change(&next);
                         now = next;
                         changes += 1;
                     }
                 }
-                38 if chance.u8(..4) == 0 => {
+                38 if rng.u8(..4) == 0 => {
                     // The process is killed, and a new one starts with the saved files.
-                    let found = Found::load(&world.folder.path).unwrap().0;
-                    assert_eq!(world.exchange.audit_file(&found), Vec::<String>::new());
+                    let found = Found::load(&harness.folder.path).unwrap().0;
+                    assert_eq!(harness.exchange.audit_file(&found), Vec::<String>::new());
                     let folder = Folder::new();
                     for file in ["journal", "settings"] {
-                        let _ = fs::copy(world.folder.path.join(file), folder.path.join(file));
+                        let _ = fs::copy(harness.folder.path.join(file), folder.path.join(file));
                     }
                     for mail in out.drain(..) {
                         let id = String::from_utf8(mail.id.to_vec()).unwrap();
@@ -587,33 +587,33 @@
                         kept_settings::load(&folder.path).map(|kept| String::from_utf8(kept.text).unwrap());
                     let said = now.to_string();
                     assert!(kept.is_none_or(|kept| kept == said));
-                    let (in_hand, ended) = (world.exchange.in_hand(), std::mem::take(&mut world.ends));
-                    assert_eq!(world.exchange.counts.broken, 0);
+                    let (in_hand, ended) = (harness.exchange.in_hand(), std::mem::take(&mut harness.ends));
+                    assert_eq!(harness.exchange.counts.broken, 0);
                     ends += ended.len() as u64;
                     let gone: Vec<String> = ended.into_keys().collect();
-                    world = World::new(folder, &now, &ENDS, world.now + chance.u64(..SECOND));
-                    assert_eq!(world.exchange.in_hand(), in_hand);
-                    over.extend(gone);
+                    harness = Harness::new(folder, &now, &ENDPOINTS, harness.now + rng.u64(..SECOND));
+                    assert_eq!(harness.exchange.in_hand(), in_hand);
+                    ended_ids.extend(gone);
                     // Notices that were not acknowledged are sent again.
-                    world.turn();
-                    world.ends.retain(|id, _| !over.contains(id));
+                    harness.turn();
+                    harness.ends.retain(|id, _| !ended_ids.contains(id));
                     restarts += 1;
                 }
-                _ => world.pass(chance.u64(..100)),
+                _ => harness.advance(rng.u64(..100)),
             }
         }
         // Without further changes, every mail that is owed comes to its end.
         for mail in out.drain(..) {
             known.get_mut(std::str::from_utf8(&mail.id).unwrap()).unwrap().1 += 1;
-            over.insert(String::from_utf8(mail.id.to_vec()).unwrap());
-            world.exchange.connect_ended(mail.serial, ConnectReport::of(Outcome::Relayed));
+            ended_ids.insert(String::from_utf8(mail.id.to_vec()).unwrap());
+            harness.exchange.connect_ended(mail.serial, ConnectReport::of(Outcome::Relayed));
         }
-        let sent = world.play(6 * SECOND, Outcome::Relayed);
-        over.extend(sent);
-        over.extend(world.ends.keys().cloned());
-        assert!(known.keys().all(|id| over.contains(id)), "a mail is lost");
-        assert_eq!(world.exchange.counts.broken, 0);
-        ends += world.ends.len() as u64;
+        let sent = harness.run_for(6 * SECOND, Outcome::Relayed);
+        ended_ids.extend(sent);
+        ended_ids.extend(harness.ends.keys().cloned());
+        assert!(known.keys().all(|id| ended_ids.contains(id)), "a mail is lost");
+        assert_eq!(harness.exchange.counts.broken, 0);
+        ends += harness.ends.len() as u64;
     }
     println!(
         "{changes} changes, {taken} mails, {begun_in_all} connects, {restarts} restarts, {ends} given up"
