--- a/crates/courier/src/command.rs
+++ b/crates/courier/src/command.rs
@@ -108,7 +108,8 @@
     let start = changes::start().map_err(|error| error.to_string())?;
     let runtime = runtime()?;
     let ended = tokio::task::LocalSet::new().block_on(&runtime, async {
-        // Handlers are installed before any file or socket is opened, so that no signal ends the process halfway.
+        // Installed before the journal or a socket is opened. From here on, these signals do not end the process by
+        // themselves.
         let handler = |kind| signal(kind).map_err(|e| format!("cannot install a signal handler: {e}"));
         let (mut terminate, mut interrupt) =
             (handler(SignalKind::terminate())?, handler(SignalKind::interrupt())?);
--- a/crates/courier/src/config.rs
+++ b/crates/courier/src/config.rs
@@ -34,7 +34,7 @@
     pub peers: Option<Peers>,
     /// Relays that the list is read from instead of the platform's agent. Notices go to the agent in either case.
     pub relays: Option<Vec<SocketAddr>>,
-    /// Version number of the settings. Settings without one stay unchanged until the next start.
+    /// Version number of the settings. A file without one does not change the settings of a running courier.
     pub version: Option<u64>,
 }
 
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -161,8 +161,8 @@
     }
 
     log::info!("{name} is shutting down: {} mails in hand", shared.borrow().in_hand());
-    // Called before `stop_requested` is taken, so that the call start period known to the decisions has ended when the
-    // periods below, measured from that moment, run out: no turn may come before it.
+    // Must come before `stop_requested`: the final turn, in `stop`, must not run before the end of the call start period
+    // as the decisions know it.
     shared.borrow_mut().begin_shutdown(CALL_START_PERIOD, NEXT_PROCESS_DELAY);
     let stop_requested = Instant::now();
     // New clients and mails are accepted for as long as the platform still sends them here.
