--- a/crates/courier/src/command.rs
+++ b/crates/courier/src/command.rs
@@ -88,8 +88,8 @@
 
 /// The first line of clap's error, which names the invalid argument.
 fn usage_error(error: &clap::Error) -> String {
-    let words = error.to_string();
-    let first = words.lines().next().unwrap_or_default();
+    let text = error.to_string();
+    let first = text.lines().next().unwrap_or_default();
     format!("{}; see meadowhold help", first.trim_start_matches("error: "))
 }
 
@@ -133,9 +133,9 @@
 /// Reloads the configuration in a running courier, which applies its discovery address and, if it has a version, its
 /// settings.
 async fn reload(changes: &mpsc::UnboundedSender<Change>, discovery: &watch::Sender<SocketAddr>) {
-    let (answer, heard) = oneshot::channel();
+    let (answer, reply) = oneshot::channel();
     let _ = changes.send(Change { offered: Config::reload(), answer });
-    match heard.await {
+    match reply.await {
         Ok(Some(Ok(address))) => {
             log::info!("configuration reloaded: discovery at {address}");
             discovery.send_if_modified(|now| std::mem::replace(now, address) != address);
@@ -181,21 +181,26 @@
 }
 
 fn relay_status(address: SocketAddr) -> Result<(), String> {
-    let asked = tokio::task::LocalSet::new().block_on(&runtime()?, relay::status::ask(address));
-    print!("{}", asked.map_err(|e| format!("the relay at {address}: {e}"))?);
+    let status = tokio::task::LocalSet::new().block_on(&runtime()?, relay::status::ask(address));
+    print!("{}", status.map_err(|e| format!("the relay at {address}: {e}"))?);
     Ok(())
 }
 
 fn check() -> Result<(), String> {
     let config = Config::from_environment().map_err(|error| error.to_string())?;
-    let set = &config.decoded.settings;
+    let settings = &config.decoded.settings;
     println!("{} would serve at {}", config.name, config.listen);
     println!("list and notices: {}; journal: {}", config.discovery, config.state.display());
     if let Some(relays) = &config.relays {
         let relays: Vec<String> = relays.iter().map(ToString::to_string).collect();
         println!("the list by relays instead: {}", relays.join(", "));
     }
-    println!("{} slots, room for {} mails, {} queue classes", set.slots, set.max_mails, set.classes.len());
+    println!(
+        "{} slots, room for {} mails, {} queue classes",
+        settings.slots,
+        settings.max_mails,
+        settings.classes.len()
+    );
     println!("{} endpoints known, at version {}", config.known.endpoints.len(), config.known.index);
     if let Some(version) = config.version {
         println!("settings version {version}");
--- a/crates/courier/src/config.rs
+++ b/crates/courier/src/config.rs
@@ -152,9 +152,9 @@
 }
 
 fn check_addresses(texts: &[String]) -> garde::Result {
-    let wrong = texts.iter().filter(|text| text.parse::<SocketAddr>().is_err());
-    let wrong: Vec<&str> = wrong.map(String::as_str).collect();
-    ensure(wrong.is_empty(), || format!("is no address: {}", wrong.join(", ")))
+    let invalid = texts.iter().filter(|text| text.parse::<SocketAddr>().is_err());
+    let invalid: Vec<&str> = invalid.map(String::as_str).collect();
+    ensure(invalid.is_empty(), || format!("is no address: {}", invalid.join(", ")))
 }
 
 fn ensure(holds: bool, problem: impl FnOnce() -> String) -> garde::Result {
@@ -242,10 +242,10 @@
             Err(error) => error,
         };
         let place = remove_at(&mut value, error.path(), &mut removed);
-        let known = place.as_ref().is_some_and(|place| faults.contains_key(place));
+        let repeated = place.as_ref().is_some_and(|place| faults.contains_key(place));
         faults.insert(place.clone().unwrap_or_default(), unreadable(error.inner()));
         // A fault that cannot be removed hides the remaining ones and would be found again forever.
-        if place.is_none() || known || faults.len() == MAX_FAULTS {
+        if place.is_none() || repeated || faults.len() == MAX_FAULTS {
             return Err(ConfigError { file: None, faults });
         }
     }
@@ -259,24 +259,24 @@
         let last = segments.peek().is_none();
         match segment {
             Segment::Map { key } => {
-                let below = value.as_object_mut()?;
+                let container = value.as_object_mut()?;
                 place += if place.is_empty() { "" } else { "." };
                 place += key;
                 if last {
-                    return below.remove(key).map(|_| place);
+                    return container.remove(key).map(|_| place);
                 }
-                value = below.get_mut(key)?;
+                value = container.get_mut(key)?;
             }
             Segment::Seq { index } => {
-                let below = value.as_array_mut().filter(|items| *index < items.len())?;
+                let container = value.as_array_mut().filter(|items| *index < items.len())?;
                 let before = removed.entry(place.clone()).or_default();
                 place += &format!("[{}]", *index + *before);
                 if last {
-                    below.remove(*index);
+                    container.remove(*index);
                     *before += 1;
                     return Some(place);
                 }
-                value = &mut below[*index];
+                value = &mut container[*index];
             }
             Segment::Enum { .. } | Segment::Unknown => return None,
         }
@@ -295,9 +295,9 @@
     if text.is_none() && faults.contains_key(key) {
         return None;
     }
-    let read = text.as_deref().map(|text| text.parse().map_err(|_| format!("is no address: {text}")));
-    let read = read.unwrap_or(Err("is not set".to_string()));
-    read.map_err(|problem| faults.insert(format!("{key} or {name}"), problem)).ok()
+    let address = text.as_deref().map(|text| text.parse().map_err(|_| format!("is no address: {text}")));
+    let address = address.unwrap_or(Err("is not set".to_string()));
+    address.map_err(|problem| faults.insert(format!("{key} or {name}"), problem)).ok()
 }
 
 impl Candidate {
@@ -390,9 +390,10 @@
                 faults.entry("peers".to_string()).or_insert_with(|| problem.to_string());
             }
         }
-        let mut at = |name, place, text| address((name, variable(name)), (place, text), &mut faults);
-        let listen = at("ROUTER_LISTEN", "listen", file.listen);
-        let discovery = at("ROUTER_DISCOVERY", "discovery", file.discovery);
+        let mut parse_address =
+            |name, place, text| address((name, variable(name)), (place, text), &mut faults);
+        let listen = parse_address("ROUTER_LISTEN", "listen", file.listen);
+        let discovery = parse_address("ROUTER_DISCOVERY", "discovery", file.discovery);
         let state = variable("ROUTER_STATE");
         if state.is_none() {
             faults.insert("ROUTER_STATE".to_string(), "is not set".to_string());
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -80,7 +80,7 @@
     discovery: watch::Receiver<SocketAddr>,
     stop: impl Future<Output = ()>,
 ) -> io::Result<()> {
-    let (_none, changes) = mpsc::unbounded_channel();
+    let (_sender, changes) = mpsc::unbounded_channel();
     serve_with_changes(Start { config, held: Held::default() }, discovery, changes, stop).await
 }
 
@@ -93,17 +93,17 @@
 ) -> io::Result<()> {
     let Config { name, listen, state, sockets, disk, known, decoded, peers, relays, list_limits, .. } =
         config;
-    let for_clients = sockets / 3;
+    let client_sockets = sockets / 3;
     let limits = endpoints::Limits {
         connect_timeout: exchange::duration(decoded.settings.connection_timeout),
         idle_timeout: exchange::duration(decoded.settings.idle_timeout),
-        max_connections: sockets - RESERVED_DESCRIPTORS - for_clients,
+        max_connections: sockets - RESERVED_DESCRIPTORS - client_sockets,
         may_overlap: decoded.may_overlap,
     };
     // Bound first, so that a courier started twice by mistake fails before it touches any file.
     let bound = TcpListener::bind(listen).await;
     let listener = bound.map_err(|e| io::Error::new(e.kind(), format!("cannot listen at {listen}: {e}")))?;
-    let (news, news_in) = mpsc::unbounded_channel();
+    let (peer_notes, peer_notes_in) = mpsc::unbounded_channel();
     let membership = members::start(&name, peers.as_ref())?;
     let notes = match peers {
         None => None,
@@ -120,9 +120,9 @@
         journal.map_err(|e| io::Error::new(e.kind(), format!("the journal in {}: {e}", state.display())))?;
     let (orders, orders_in) = mpsc::unbounded_channel();
     let (notices, notices_in) = mpsc::unbounded_channel();
-    let news = notes.is_some().then_some(news);
+    let peer_notes = notes.is_some().then_some(peer_notes);
     let (push, seed) = (!decoded.settings.poll_list, decoded.settings.seed);
-    let mut exchange = Exchange::new(decoded, journal, orders, notices, news);
+    let mut exchange = Exchange::new(decoded, journal, orders, notices, peer_notes);
     // Uses the list version of the configuration, not the saved one: if the registry has restarted its numbering, its
     // lists would be taken for older ones.
     let index = known.index;
@@ -143,12 +143,17 @@
         }
     };
     let clients = Rc::new(Cell::new(0));
-    let listening =
-        tasks.spawn_local(clients::listen(shared.clone(), listener, for_clients, clients.clone(), phase_in));
+    let listening = tasks.spawn_local(clients::listen(
+        shared.clone(),
+        listener,
+        client_sockets,
+        clients.clone(),
+        phase_in,
+    ));
     tasks.spawn_local(log_counts(shared.clone()));
     tasks.spawn_local(changes::follow(shared.clone(), held, (state, disk), changes));
     if let Some((socket, others)) = notes {
-        tasks.spawn_local(notes::run(shared.clone(), socket, others, news_in));
+        tasks.spawn_local(notes::run(shared.clone(), socket, others, peer_notes_in));
     }
     if let Some(membership) = &membership {
         tasks.spawn_local(membership.clone().run());
@@ -201,7 +206,7 @@
         let (counts, in_hand) = (exchange.counts, exchange.in_hand());
         if counts != last {
             let versions = exchange.versions.summary(exchange.clock.now());
-            let versions = versions.map(|words| format!("; {words}")).unwrap_or_default();
+            let versions = versions.map(|summary| format!("; {summary}")).unwrap_or_default();
             log::info!("{in_hand} mails in hand, {counts:?}{versions}");
             last = counts;
         }
