--- a/crates/courier/tests/settings.rs
+++ b/crates/courier/tests/settings.rs
@@ -427,7 +427,7 @@
     let within = begun(lowered, raised);
     assert!(within.iter().all(|&now| now <= 3), "{within:?}");
     assert!(begun(start, far()).iter().all(|&now| now <= 12));
-    // No mail is lost, and none is delivered twice.
+    // No mail is lost, and none is relayed twice.
     until_for(TIMEOUT, "all ends", || {
         let (delivered, told) = (calls.lock().unwrap().begun.len(), platform.notices().len());
         (delivered + told) as u64 >= taken && calls.lock().unwrap().in_progress == 0
@@ -436,8 +436,8 @@
     let mut once = ids.clone();
     once.sort();
     once.dedup();
-    assert_eq!(once.len(), ids.len(), "a mail was delivered twice");
-    println!("{taken} taken, {} delivered, {} within the lowered limit", ids.len(), within.len());
+    assert_eq!(once.len(), ids.len(), "a mail was relayed twice");
+    println!("{taken} taken, {} relayed, {} within the lowered limit", ids.len(), within.len());
     courier.ends_without_errors();
 }
 
