--- a/crates/courier/tests/settings.rs
+++ b/crates/courier/tests/settings.rs
@@ -429,8 +429,8 @@
     assert!(begun(start, far()).iter().all(|&now| now <= 12));
     // No mail is lost, and none is relayed twice.
     until_for(TIMEOUT, "all ends", || {
-        let (delivered, told) = (calls.lock().unwrap().begun.len(), platform.notices().len());
-        (delivered + told) as u64 >= taken && calls.lock().unwrap().in_progress == 0
+        let (relayed, notices) = (calls.lock().unwrap().begun.len(), platform.notices().len());
+        (relayed + notices) as u64 >= taken && calls.lock().unwrap().in_progress == 0
     });
     let ids: Vec<String> = calls.lock().unwrap().begun.iter().map(|call| call.1.clone()).collect();
     let mut once = ids.clone();
