--- a/crates/courier/src/command.rs
+++ b/crates/courier/src/command.rs
@@ -1,6 +1,6 @@
-//! The command line: sub-commands and what they print.
+//! The command line: subcommands and their output.
 
-mod lines;
+mod logging;
 
 use std::ffi::OsString;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 use crate::relay;
 use crate::settings_changes::{self, Change};
 
-/// What each sub-command does is said here once, for `meadowhold help` too.
+// Doc comments of the subcommands below are their texts in `meadowhold help`.
 #[derive(Parser)]
 #[command(
     name = "meadowhold",
@@ -46,7 +46,7 @@
     Relay {
         file: Option<PathBuf>,
         #[command(subcommand)]
-        ask: Option<RelayAsk>,
+        command: Option<RelayCommand>,
     },
     /// print the version
     Version,
@@ -56,19 +56,19 @@
 
 #[derive(Subcommand)]
 #[command(disable_help_subcommand = true)]
-enum RelayAsk {
+enum RelayCommand {
     /// say which version the relay at ADDRESS holds, and where it is in force
     Status { address: SocketAddr },
 }
 
-/// Runs the command that these words, the first of them the program's name, ask for.
-pub fn run(words: impl IntoIterator<Item = OsString>) -> Result<(), String> {
-    let arguments = match Arguments::try_parse_from(words) {
+/// Runs the subcommand that the arguments ask for. The first argument is the program's name.
+pub fn run(arguments: impl IntoIterator<Item = OsString>) -> Result<(), String> {
+    let arguments = match Arguments::try_parse_from(arguments) {
         Ok(arguments) => arguments,
         Err(e) => match e.kind() {
             ErrorKind::DisplayHelp => return help(),
             ErrorKind::DisplayVersion => return version(),
-            _ => return Err(plain(&e)),
+            _ => return Err(usage_error(&e)),
         },
     };
     match arguments.command {
@@ -78,7 +78,7 @@
         Some(Command::Owed { folder: None }) => {
             owed(Path::new(&std::env::var_os("ROUTER_STATE").ok_or("ROUTER_STATE is not set")?))
         }
-        Some(Command::Relay { ask: Some(RelayAsk::Status { address }), .. }) => relay_status(address),
+        Some(Command::Relay { command: Some(RelayCommand::Status { address }), .. }) => relay_status(address),
         Some(Command::Relay { file: Some(file), .. }) => relay(&file),
         Some(Command::Relay { .. }) => Err("relay needs FILE, or status ADDRESS; see meadowhold help".into()),
         Some(Command::Version) => version(),
@@ -86,10 +86,10 @@
     }
 }
 
-/// The first line of what clap says, which names the word that is wrong.
-fn plain(error: &clap::Error) -> String {
-    let words = error.to_string();
-    let first = words.lines().next().unwrap_or_default();
+/// The first line of clap's error, which names the invalid argument.
+fn usage_error(error: &clap::Error) -> String {
+    let text = error.to_string();
+    let first = text.lines().next().unwrap_or_default();
     format!("{}; see meadowhold help", first.trim_start_matches("error: "))
 }
 
@@ -104,12 +104,13 @@
 }
 
 fn serve() -> Result<(), String> {
-    lines::start()?;
-    let start = settings_changes::start().map_err(|refused| refused.to_string())?;
+    logging::start()?;
+    let start = settings_changes::start().map_err(|error| error.to_string())?;
     let runtime = runtime()?;
     let ended = tokio::task::LocalSet::new().block_on(&runtime, async {
-        // From here on, before anything is touched, none of these signals ends the process by itself.
-        let handler = |kind| signal(kind).map_err(|e| format!("no signal can be heard: {e}"));
+        // Installed before the journal or a socket is opened. From here on, these signals do not end the process by
+        // themselves.
+        let handler = |kind| signal(kind).map_err(|e| format!("cannot install a signal handler: {e}"));
         let (mut terminate, mut interrupt) =
             (handler(SignalKind::terminate())?, handler(SignalKind::interrupt())?);
         let mut hangup = handler(SignalKind::hangup())?;
@@ -117,31 +118,31 @@
         let (changes, changes_in) = mpsc::unbounded_channel();
         tokio::task::spawn_local(async move {
             while hangup.recv().await.is_some() {
-                read_again(&changes, &discovery).await;
+                reload(&changes, &discovery).await;
             }
         });
         let stop = async move {
             tokio::select! { _ = terminate.recv() => {}, _ = interrupt.recv() => {} }
         };
-        crate::serve_changing(start, discovery_in, changes_in, stop).await.map_err(|e| e.to_string())
+        crate::serve_with_changes(start, discovery_in, changes_in, stop).await.map_err(|e| e.to_string())
     });
     runtime.shutdown_background();
     ended
 }
 
-/// Of a configuration that is put in the place of the first, a running courier takes up where discovery is, and its
-/// settings if it has a version.
-async fn read_again(changes: &mpsc::UnboundedSender<Change>, discovery: &watch::Sender<SocketAddr>) {
-    let (answer, heard) = oneshot::channel();
-    let _ = changes.send(Change { offered: Config::again(), answer });
-    match heard.await {
+/// Reloads the configuration in a running courier, which applies its discovery address and, if it has a version, its
+/// settings.
+async fn reload(changes: &mpsc::UnboundedSender<Change>, discovery: &watch::Sender<SocketAddr>) {
+    let (answer, reply) = oneshot::channel();
+    let _ = changes.send(Change { offered: Config::reload(), answer });
+    match reply.await {
         Ok(Some(Ok(address))) => {
-            log::info!("the configuration is read anew: discovery at {address}");
+            log::info!("configuration reloaded: discovery at {address}");
             discovery.send_if_modified(|now| std::mem::replace(now, address) != address);
         }
-        // Guards against a file that is half written or wrong: nothing changes.
-        Ok(Some(Err(words))) => log::error!("the configuration cannot be read anew: {words}"),
-        // Turned down, which has been said, or the courier ends.
+        // A file that is invalid or partly written changes nothing.
+        Ok(Some(Err(error))) => log::error!("cannot reload the configuration: {error}"),
+        // The configuration was rejected, which has been logged, or the courier ends.
         Ok(None) | Err(_) => {}
     }
 }
@@ -151,50 +152,55 @@
 }
 
 fn relay(file: &Path) -> Result<(), String> {
-    lines::start()?;
-    let config = relay::config::Config::load(file).map_err(|refused| refused.to_string())?;
+    logging::start()?;
+    let config = relay::config::Config::load(file).map_err(|error| error.to_string())?;
     let runtime = runtime()?;
     let ended = tokio::task::LocalSet::new().block_on(&runtime, async {
-        let handler = |kind| signal(kind).map_err(|e| format!("no signal can be heard: {e}"));
+        let handler = |kind| signal(kind).map_err(|e| format!("cannot install a signal handler: {e}"));
         let (mut terminate, mut interrupt) =
             (handler(SignalKind::terminate())?, handler(SignalKind::interrupt())?);
         let mut hangup = handler(SignalKind::hangup())?;
-        let (anew, anew_in) = watch::channel(None);
+        let (reloaded, reloaded_in) = watch::channel(None);
         let path = file.to_path_buf();
         tokio::task::spawn_local(async move {
             while hangup.recv().await.is_some() {
                 match relay::config::Config::load(&path) {
-                    Ok(config) => drop(anew.send_replace(Some(config))),
-                    // Guards against a file that is half written or wrong: nothing changes.
-                    Err(words) => log::error!("the configuration cannot be read anew: {words}"),
+                    Ok(config) => drop(reloaded.send_replace(Some(config))),
+                    // A file that is invalid or partly written changes nothing.
+                    Err(error) => log::error!("cannot reload the configuration: {error}"),
                 }
             }
         });
         let stop = async move {
             tokio::select! { _ = terminate.recv() => {}, _ = interrupt.recv() => {} }
         };
-        relay::run(config, anew_in, stop).await.map_err(|e| e.to_string())
+        relay::run(config, reloaded_in, stop).await.map_err(|e| e.to_string())
     });
     runtime.shutdown_background();
     ended
 }
 
 fn relay_status(address: SocketAddr) -> Result<(), String> {
-    let asked = tokio::task::LocalSet::new().block_on(&runtime()?, relay::status::ask(address));
-    print!("{}", asked.map_err(|e| format!("the relay at {address}: {e}"))?);
+    let status = tokio::task::LocalSet::new().block_on(&runtime()?, relay::status::ask(address));
+    print!("{}", status.map_err(|e| format!("the relay at {address}: {e}"))?);
     Ok(())
 }
 
 fn check() -> Result<(), String> {
-    let config = Config::from_environment().map_err(|refused| refused.to_string())?;
-    let set = &config.decoded.settings;
+    let config = Config::from_environment().map_err(|error| error.to_string())?;
+    let settings = &config.decoded.settings;
     println!("{} would serve at {}", config.name, config.listen);
     println!("list and notices: {}; journal: {}", config.discovery, config.state.display());
     if let Some(relays) = &config.relays {
         let relays: Vec<String> = relays.iter().map(ToString::to_string).collect();
         println!("the list by relays instead: {}", relays.join(", "));
     }
-    println!("{} slots, room for {} mails, {} queue classes", set.slots, set.max_mails, set.classes.len());
+    println!(
+        "{} slots, room for {} mails, {} queue classes",
+        settings.slots,
+        settings.max_mails,
+        settings.classes.len()
+    );
     println!("{} endpoints known, at version {}", config.known.endpoints.len(), config.known.index);
     if let Some(version) = config.version {
         println!("settings version {version}");
--- a/crates/courier/src/config.rs
+++ b/crates/courier/src/config.rs
@@ -1,5 +1,5 @@
-//! What a courier is told at its start: a file of JSON, and variables of the environment. All that is out of
-//! order is told at once, each fault with its place.
+//! The courier's configuration: a JSON file, and environment variables that override it. All faults are reported
+//! at once, each with its place.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -14,10 +14,10 @@
 use serde_path_to_error::{Path, Segment};
 
 use crate::discovery::List;
-use crate::members::{Members, MOST_MEMBERS};
+use crate::members::{Members, MAX_MEMBERS};
 use crate::reader;
 use crate::relays::MOST_RELAYS;
-use crate::version::{Faults, Whole};
+use crate::version::{Faults, Fingerprint};
 
 pub struct Config {
     pub name: String,
@@ -25,29 +25,30 @@
     pub discovery: SocketAddr,
     pub state: PathBuf,
     pub sockets: usize,
-    /// Bytes that the folder that lasts may hold.
+    /// Maximum size of the state folder in bytes.
     pub disk: u64,
-    /// What a list may have at most to be taken up.
-    pub list: reader::Limits,
+    /// A list beyond these limits is not applied.
+    pub list_limits: reader::Limits,
     pub known: List,
     pub decoded: Decoded,
     pub peers: Option<Peers>,
-    /// Where the list is followed, if not at the platform's agent; notices go there all the same.
+    /// Relays that the list is read from instead of the platform's agent. Notices go to the agent in either case.
     pub relays: Option<Vec<SocketAddr>>,
-    /// The number of the settings' version; without one they are those of the start.
+    /// Version number of the settings. A file without one does not change the settings of a running courier.
     pub version: Option<u64>,
 }
 
-/// Where notes from other couriers are heard, and where they are.
+/// Where this courier receives notes from other couriers, and their addresses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peers {
     pub listen: SocketAddr,
     pub others: Vec<SocketAddr>,
-    /// Where membership is spoken, if it is.
+    /// Addresses for the membership protocol, if it is used.
     pub members: Option<Members>,
 }
 
-/// Text, so that a variable may go before what the file says, whatever that is.
+/// The file as it is written. Addresses are kept as text, so that an environment variable can replace even an
+/// invalid one.
 #[derive(Deserialize, Validate)]
 #[garde(allow_unvalidated)]
 struct File {
@@ -63,26 +64,26 @@
     #[serde(default)]
     known: List,
     #[serde(default)]
-    #[garde(custom(given))]
+    #[garde(custom(validate_settings))]
     settings: Value,
     #[garde(dive)]
     peers: Option<PeersText>,
-    #[garde(inner(length(min = 1, max = MOST_RELAYS)), custom(many_addresses))]
+    #[garde(inner(length(min = 1, max = MOST_RELAYS)), custom(validate_addresses))]
     relays: Option<Vec<String>>,
-    #[garde(custom(counted))]
+    #[garde(custom(validate_version))]
     version: Option<u64>,
 }
 
 #[derive(Deserialize, Validate)]
 #[serde(default)]
 struct Limits {
-    #[garde(custom(enough))]
+    #[garde(custom(validate_sockets))]
     sockets: usize,
-    #[garde(custom(size))]
+    #[garde(custom(validate_megabytes))]
     disk_mb: f64,
-    #[garde(custom(some))]
+    #[garde(custom(validate_list_entries))]
     list_entries: usize,
-    #[garde(custom(size))]
+    #[garde(custom(validate_megabytes))]
     list_mb: f64,
 }
 
@@ -93,111 +94,113 @@
     }
 }
 
-/// Guards against a file of nothing but faults, over which a courier that runs would stand still: each fault
-/// that is found costs another look at the whole.
-const MOST_FAULTS: usize = 32;
+/// Each fault costs another pass over the whole file, so a file of nothing but faults would block a running
+/// courier.
+const MAX_FAULTS: usize = 32;
 
-/// Guards against a note that is sent thousands of times over; as many as members, so that one list serves both.
-const MOST_PEERS: usize = MOST_MEMBERS;
+/// Bounds the datagrams that are sent for each note. Equal to the maximum number of members, so that one list of
+/// addresses can serve both.
+const MAX_PEERS: usize = MAX_MEMBERS;
 
-/// A value that must be there is optional here, and its absence found afterwards: so it hides no other fault.
+/// Required values are optional here and checked after parsing, so that a missing one does not hide other faults.
 #[derive(Default, Deserialize, Validate)]
 #[serde(default, deny_unknown_fields)]
 #[garde(allow_unvalidated)]
 struct PeersText {
-    #[garde(required, custom(one_address))]
+    #[garde(required, custom(validate_address))]
     listen: Option<String>,
-    #[garde(required, length(max = MOST_PEERS), custom(many_addresses))]
+    #[garde(required, length(max = MAX_PEERS), custom(validate_addresses))]
     others: Option<Vec<String>>,
     members: Option<Members>,
 }
 
 impl PeersText {
-    fn read(self) -> Option<Peers> {
+    fn into_peers(self) -> Option<Peers> {
         let others = self.others?.iter().map(|other| other.parse().ok()).collect::<Option<_>>()?;
         Some(Peers { listen: self.listen?.parse().ok()?, others, members: self.members })
     }
 }
 
-/// Guards against a courier with descriptors for itself only.
-fn enough(sockets: &usize, (): &()) -> garde::Result {
-    holds(*sockets >= 64, || "is under 64".to_string())
+/// With fewer, a courier would have hardly any descriptors left besides those it needs for itself.
+fn validate_sockets(sockets: &usize, (): &()) -> garde::Result {
+    ensure(*sockets >= 64, || "is under 64".to_string())
 }
 
-fn some(entries: &usize, (): &()) -> garde::Result {
-    holds(*entries > 0, || "admits none".to_string())
+fn validate_list_entries(entries: &usize, (): &()) -> garde::Result {
+    ensure(*entries > 0, || "must be at least 1".to_string())
 }
 
-fn size(megabytes: &f64, (): &()) -> garde::Result {
-    holds(*megabytes > 0.0 && *megabytes < 1e9, || "is no size".to_string())
+fn validate_megabytes(megabytes: &f64, (): &()) -> garde::Result {
+    ensure(*megabytes > 0.0 && *megabytes < 1e9, || "is no size".to_string())
 }
 
-fn counted(version: &Option<u64>, (): &()) -> garde::Result {
-    holds(*version != Some(0), || "is under 1".to_string())
+fn validate_version(version: &Option<u64>, (): &()) -> garde::Result {
+    ensure(*version != Some(0), || "is under 1".to_string())
 }
 
-fn given(settings: &Value, (): &()) -> garde::Result {
-    let words = if settings.is_null() { "is missing" } else { "is no object" };
-    holds(settings.is_object(), || words.to_string())
+fn validate_settings(settings: &Value, (): &()) -> garde::Result {
+    let problem = if settings.is_null() { "is missing" } else { "is not an object" };
+    ensure(settings.is_object(), || problem.to_string())
 }
 
-pub(crate) fn one_address(text: &Option<String>, (): &()) -> garde::Result {
-    all_addresses(text.as_slice())
+pub(crate) fn validate_address(text: &Option<String>, (): &()) -> garde::Result {
+    check_addresses(text.as_slice())
 }
 
-pub(crate) fn many_addresses(texts: &Option<Vec<String>>, (): &()) -> garde::Result {
-    all_addresses(texts.as_deref().unwrap_or_default())
+pub(crate) fn validate_addresses(texts: &Option<Vec<String>>, (): &()) -> garde::Result {
+    check_addresses(texts.as_deref().unwrap_or_default())
 }
 
-fn all_addresses(texts: &[String]) -> garde::Result {
-    let wrong = texts.iter().filter(|text| text.parse::<SocketAddr>().is_err());
-    let wrong: Vec<&str> = wrong.map(String::as_str).collect();
-    holds(wrong.is_empty(), || format!("is no address: {}", wrong.join(", ")))
+fn check_addresses(texts: &[String]) -> garde::Result {
+    let invalid = texts.iter().filter(|text| text.parse::<SocketAddr>().is_err());
+    let invalid: Vec<&str> = invalid.map(String::as_str).collect();
+    ensure(invalid.is_empty(), || format!("is no address: {}", invalid.join(", ")))
 }
 
-fn holds(it_does: bool, words: impl FnOnce() -> String) -> garde::Result {
-    if it_does {
+fn ensure(holds: bool, problem: impl FnOnce() -> String) -> garde::Result {
+    if holds {
         Ok(())
     } else {
-        Err(garde::Error::new(words()))
+        Err(garde::Error::new(problem()))
     }
 }
 
-/// A configuration as it is found: what tells it from another as far as that can be read, and what it says.
-pub struct Offered {
-    /// The file, where it has a version.
+/// A configuration that is about to be validated or applied, with the fingerprint that identifies its version.
+pub struct Candidate {
+    /// Text of the file, if it has a version number.
     pub text: Option<Vec<u8>>,
-    pub whole: Option<Whole>,
-    pub read: Result<Config, Refused>,
+    /// `None` if the text is not a JSON object.
+    pub fingerprint: Option<Fingerprint>,
+    pub result: Result<Config, ConfigError>,
 }
 
-/// Why there is no configuration: every fault that was found.
+/// All faults of a configuration that cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Refused {
-    /// The file, if there is one.
+pub struct ConfigError {
+    /// Path of the file, unless the place of the fault names it or there is none.
     pub file: Option<String>,
-    /// What is wrong, by place: a path in the file such as `limits.sockets`, a variable's name, or nothing for
-    /// the file as a whole.
+    /// Faults by place: a path in the file such as `limits.sockets`, the name of an environment variable, or an
+    /// empty text for the file as a whole.
     pub faults: Faults,
 }
 
-impl Refused {
-    fn only(place: &str, words: impl Into<String>) -> Refused {
-        Refused { file: None, faults: Faults::from([(place.to_string(), words.into())]) }
+impl ConfigError {
+    fn single(place: &str, problem: impl Into<String>) -> ConfigError {
+        ConfigError { file: None, faults: Faults::from([(place.to_string(), problem.into())]) }
     }
 }
 
-/// One line: `FILE: PLACE words; PLACE words`.
-impl fmt::Display for Refused {
+/// One line: `FILE: PLACE fault; PLACE fault`.
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let mut before = "";
         if let Some(file) = &self.file {
             write!(f, "{file}: ")?;
         }
-        for (place, words) in &self.faults {
+        for (place, problem) in &self.faults {
             let gap = if place.is_empty() { "" } else { " " };
-            let fault = format!("{before}{place}{gap}{words}");
-            // Guards against a name or a text of the file that would break the line.
+            let fault = format!("{before}{place}{gap}{problem}");
+            // Names and values from the file may contain line breaks.
             f.write_str(&fault.replace(char::is_control, " "))?;
             before = "; ";
         }
@@ -205,73 +208,75 @@
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for ConfigError {}
 
 fn unreadable(error: &serde_json::Error) -> String {
     format!("cannot be read: {error}")
 }
 
-/// The file, and what cannot be read in it; without what cannot be read, so that the rest can be looked into.
-pub(crate) fn parse<T: DeserializeOwned>(text: &[u8]) -> Result<(T, Faults), Refused> {
+/// Parses a file and reports what cannot be read. Unreadable values are removed from the result, so that the rest
+/// can still be validated.
+pub(crate) fn parse<T: DeserializeOwned>(text: &[u8]) -> Result<(T, Faults), ConfigError> {
     let mut from = serde_json::Deserializer::from_slice(text);
-    let refused = match serde_path_to_error::deserialize(&mut from) {
+    let error = match serde_path_to_error::deserialize(&mut from) {
         Ok(file) => match from.end() {
             Ok(()) => return Ok((file, Faults::new())),
-            Err(e) => return Err(Refused::only("", unreadable(&e))),
+            Err(e) => return Err(ConfigError::single("", unreadable(&e))),
         },
-        Err(refused) => refused,
+        Err(error) => error,
     };
-    let first = (refused.path().to_string(), unreadable(refused.inner()));
-    // Text that is no JSON has one fault, where it breaks.
-    let mut value: Value = serde_json::from_slice(text).map_err(|e| Refused::only("", unreadable(&e)))?;
+    let first = (error.path().to_string(), unreadable(error.inner()));
+    // Invalid JSON is reported as a single fault at its position.
+    let mut value: Value =
+        serde_json::from_slice(text).map_err(|e| ConfigError::single("", unreadable(&e)))?;
     let mut faults = Faults::new();
-    // Items taken out so far, by list: those after them have moved up.
-    let mut taken = BTreeMap::new();
+    // Number of items removed so far from each list, to find the original index of the items after them.
+    let mut removed = BTreeMap::new();
     loop {
-        let refused = match serde_path_to_error::deserialize::<_, T>(&value) {
+        let error = match serde_path_to_error::deserialize::<_, T>(&value) {
             Ok(file) => {
-                // Such as a name that is there twice: of this the value keeps nothing.
+                // Some faults, such as a duplicate key, are not visible in the parsed value.
                 faults.entry(first.0).or_insert(first.1);
                 return Ok((file, faults));
             }
-            Err(refused) => refused,
+            Err(error) => error,
         };
-        let place = take(&mut value, refused.path(), &mut taken);
-        let known = place.as_ref().is_some_and(|place| faults.contains_key(place));
-        faults.insert(place.clone().unwrap_or_default(), unreadable(refused.inner()));
-        // What cannot be taken out hides what is left, and would be found again without end.
-        if place.is_none() || known || faults.len() == MOST_FAULTS {
-            return Err(Refused { file: None, faults });
+        let place = remove_at(&mut value, error.path(), &mut removed);
+        let repeated = place.as_ref().is_some_and(|place| faults.contains_key(place));
+        faults.insert(place.clone().unwrap_or_default(), unreadable(error.inner()));
+        // A fault that cannot be removed hides the remaining ones and would be found again forever.
+        if place.is_none() || repeated || faults.len() == MAX_FAULTS {
+            return Err(ConfigError { file: None, faults });
         }
     }
 }
 
-/// Takes the value at `path` out, and says at which place of the text it was; `None` if it is not there.
-fn take(whole: &mut Value, path: &Path, taken: &mut BTreeMap<String, usize>) -> Option<String> {
+/// Removes the value at `path` and returns its place in the original text, or `None` if there is no such value.
+fn remove_at(root: &mut Value, path: &Path, removed: &mut BTreeMap<String, usize>) -> Option<String> {
     let mut segments = path.iter().peekable();
-    let (mut value, mut place) = (whole, String::new());
+    let (mut value, mut place) = (root, String::new());
     while let Some(segment) = segments.next() {
         let last = segments.peek().is_none();
         match segment {
             Segment::Map { key } => {
-                let below = value.as_object_mut()?;
+                let container = value.as_object_mut()?;
                 place += if place.is_empty() { "" } else { "." };
                 place += key;
                 if last {
-                    return below.remove(key).map(|_| place);
+                    return container.remove(key).map(|_| place);
                 }
-                value = below.get_mut(key)?;
+                value = container.get_mut(key)?;
             }
             Segment::Seq { index } => {
-                let below = value.as_array_mut().filter(|items| *index < items.len())?;
-                let before = taken.entry(place.clone()).or_default();
+                let container = value.as_array_mut().filter(|items| *index < items.len())?;
+                let before = removed.entry(place.clone()).or_default();
                 place += &format!("[{}]", *index + *before);
                 if last {
-                    below.remove(*index);
+                    container.remove(*index);
                     *before += 1;
                     return Some(place);
                 }
-                value = &mut below[*index];
+                value = &mut container[*index];
             }
             Segment::Enum { .. } | Segment::Unknown => return None,
         }
@@ -279,29 +284,29 @@
     None
 }
 
-/// An address from a variable, or else from the file, where it has another name.
+/// Parses an address from an environment variable or, if that is not set, from the file under `key`.
 fn address(
     (name, variable): (&str, Option<String>),
     (key, file): (&str, Option<String>),
     faults: &mut Faults,
 ) -> Option<SocketAddr> {
     let text = variable.or(file);
-    // What is in the file and cannot be read is told already.
+    // An unreadable value in the file has already been reported.
     if text.is_none() && faults.contains_key(key) {
         return None;
     }
-    let read = text.as_deref().map(|text| text.parse().map_err(|_| format!("is no address: {text}")));
-    let read = read.unwrap_or(Err("is not set".to_string()));
-    read.map_err(|words| faults.insert(format!("{key} or {name}"), words)).ok()
+    let address = text.as_deref().map(|text| text.parse().map_err(|_| format!("is no address: {text}")));
+    let address = address.unwrap_or(Err("is not set".to_string()));
+    address.map_err(|problem| faults.insert(format!("{key} or {name}"), problem)).ok()
 }
 
-impl Offered {
-    /// From the file's text, and from variables by name.
-    pub fn of(text: &[u8], variable: &dyn Fn(&str) -> Option<String>) -> Offered {
-        let read = Config::read(text, variable);
-        let whole = Whole::read(text);
-        let numbered = whole.as_ref().is_some_and(|whole| whole.stamp().is_some());
-        Offered { text: numbered.then(|| text.to_vec()), whole, read }
+impl Candidate {
+    /// Reads the file's text and the environment variables that `variable` returns.
+    pub fn of(text: &[u8], variable: &dyn Fn(&str) -> Option<String>) -> Candidate {
+        let result = Config::read(text, variable);
+        let fingerprint = Fingerprint::read(text);
+        let versioned = fingerprint.as_ref().is_some_and(|fingerprint| fingerprint.version_id().is_some());
+        Candidate { text: versioned.then(|| text.to_vec()), fingerprint, result }
     }
 }
 
@@ -310,64 +315,64 @@
 }
 
 impl Config {
-    /// Reads the file that `ROUTER_CONFIG` names; other variables go before what it says.
-    pub fn from_environment() -> Result<Config, Refused> {
+    /// Reads the file that `ROUTER_CONFIG` names. Other environment variables take precedence over its values.
+    pub fn from_environment() -> Result<Config, ConfigError> {
         Config::load(&variable)
     }
 
-    /// The file anew, in a process that runs: what it says of discovery now goes before the variable, which
-    /// is as old as the process.
-    pub fn again() -> Offered {
+    /// Reads the file again in a running process. Its discovery address now takes precedence over the environment
+    /// variable, which dates from the start of the process.
+    pub fn reload() -> Candidate {
         let variable = |name: &str| variable(name).filter(|_| name != "ROUTER_DISCOVERY");
-        Config::offered(&variable)
+        Config::load_candidate(&variable)
     }
 
-    fn load(variable: &dyn Fn(&str) -> Option<String>) -> Result<Config, Refused> {
-        Config::offered(variable).read
+    fn load(variable: &dyn Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
+        Config::load_candidate(variable).result
     }
 
-    /// The same with what tells the file's version from another, as far as that can be read.
-    fn offered(variable: &dyn Fn(&str) -> Option<String>) -> Offered {
+    /// Reads the file that `ROUTER_CONFIG` names, with its fingerprint.
+    fn load_candidate(variable: &dyn Fn(&str) -> Option<String>) -> Candidate {
         const FILE: &str = "ROUTER_CONFIG";
-        let text = variable(FILE).ok_or_else(|| Refused::only(FILE, "is not set")).and_then(|path| {
+        let text = variable(FILE).ok_or_else(|| ConfigError::single(FILE, "is not set")).and_then(|path| {
             let text = std::fs::read(&path);
             text.map(|text| (path.clone(), text))
-                .map_err(|e| Refused::only(&path, format!("cannot be read: {e}")))
+                .map_err(|e| ConfigError::single(&path, format!("cannot be read: {e}")))
         });
         match text {
             Ok((path, text)) => {
-                let Offered { text, whole, read } = Offered::of(&text, variable);
-                let read = read.map_err(|refused| Refused { file: Some(path), ..refused });
-                Offered { text, whole, read }
+                let Candidate { text, fingerprint, result } = Candidate::of(&text, variable);
+                let result = result.map_err(|error| ConfigError { file: Some(path), ..error });
+                Candidate { text, fingerprint, result }
             }
-            Err(refused) => Offered { text: None, whole: None, read: Err(refused) },
+            Err(error) => Candidate { text: None, fingerprint: None, result: Err(error) },
         }
     }
 
-    /// The file as a start finds it.
-    pub fn at_start() -> Offered {
-        Config::offered(&variable)
+    /// Reads the file at the start of a process.
+    pub fn at_start() -> Candidate {
+        Config::load_candidate(&variable)
     }
 
-    /// What an earlier process kept of it, in the place of the file.
-    pub fn kept(text: &[u8]) -> Result<Config, Refused> {
+    /// Reads the text that an earlier process saved, in place of the file.
+    pub fn from_saved(text: &[u8]) -> Result<Config, ConfigError> {
         Config::read(text, &variable)
     }
 
-    /// The folder that lasts, as far as it is known.
-    pub fn folder() -> Option<PathBuf> {
+    /// The state folder, if `ROUTER_STATE` is set.
+    pub fn state_folder() -> Option<PathBuf> {
         variable("ROUTER_STATE").map(PathBuf::from)
     }
 
-    /// From the file's text, and from variables by name, which go before what it says.
-    pub fn read(text: &[u8], variable: &dyn Fn(&str) -> Option<String>) -> Result<Config, Refused> {
+    /// Reads the file's text and the environment variables that `variable` returns, which take precedence.
+    pub fn read(text: &[u8], variable: &dyn Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let (file, mut faults) = parse::<File>(text)?;
-        // Any text serves as a seed; the platform's is hexadecimal.
+        // The platform's seed is hexadecimal; any other text is hashed.
         let seed = u64::from_str_radix(&file.seed, 16);
         let seed = seed.unwrap_or_else(|_| u64::from(crc32fast::hash(file.seed.as_bytes())));
         if let Err(report) = file.validate() {
             for (place, error) in report.iter() {
-                // A place that cannot be read has been taken out, and is not missing.
+                // An unreadable value was removed above and must not be reported as missing.
                 faults.entry(place.to_string()).or_insert_with(|| error.to_string());
             }
         }
@@ -381,24 +386,25 @@
         };
         if let (Some(_), Some(decoded)) = (&file.peers, &decoded) {
             if !decoded.settings.peer_notes {
-                let words = "are named, and setting Limits.MayTell does not allow notes";
-                faults.entry("peers".to_string()).or_insert_with(|| words.to_string());
+                let problem = "are configured, but setting Limits.MayTell does not allow notes";
+                faults.entry("peers".to_string()).or_insert_with(|| problem.to_string());
             }
         }
-        let mut at = |name, place, text| address((name, variable(name)), (place, text), &mut faults);
-        let listen = at("ROUTER_LISTEN", "listen", file.listen);
-        let discovery = at("ROUTER_DISCOVERY", "discovery", file.discovery);
+        let mut parse_address =
+            |name, place, text| address((name, variable(name)), (place, text), &mut faults);
+        let listen = parse_address("ROUTER_LISTEN", "listen", file.listen);
+        let discovery = parse_address("ROUTER_DISCOVERY", "discovery", file.discovery);
         let state = variable("ROUTER_STATE");
         if state.is_none() {
             faults.insert("ROUTER_STATE".to_string(), "is not set".to_string());
         }
-        let peers = file.peers.and_then(PeersText::read);
-        // Their faults are told already.
+        let peers = file.peers.and_then(PeersText::into_peers);
+        // Invalid addresses have already been reported.
         let relays = file.relays.map(|all| all.iter().filter_map(|relay| relay.parse().ok()).collect());
         let (true, Some(listen), Some(discovery), Some(state), Some(decoded)) =
             (faults.is_empty(), listen, discovery, state, decoded)
         else {
-            return Err(Refused { file: None, faults });
+            return Err(ConfigError { file: None, faults });
         };
         Ok(Config {
             name: variable("ROUTER_NAME").unwrap_or(file.name),
@@ -407,7 +413,7 @@
             state: state.into(),
             sockets: file.limits.sockets,
             disk: (file.limits.disk_mb * 1e6) as u64,
-            list: reader::Limits {
+            list_limits: reader::Limits {
                 entries: file.limits.list_entries,
                 bytes: (file.limits.list_mb * 1e6) as usize,
             },
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -1,5 +1,5 @@
-//! A courier on sockets, round meadowhold's decisions. `serve` runs one; each file has one job, and clients
-//! and endpoints meet only in the exchange.
+//! A courier: the I/O around the decisions of the `meadowhold` package. `serve` runs one. Each module has one task, and
+//! the client side and the endpoint side are connected only through the exchange.
 #![forbid(unsafe_code)]
 
 pub mod audit;
@@ -49,7 +49,7 @@
 use journal::Journal;
 use settings_changes::{Change, SettingsState, Start};
 
-/// What must hold: asserted in debug builds, counted and logged in release builds.
+/// Checks an invariant: asserts it in debug builds, counts and logs a violation in release builds.
 #[macro_export]
 macro_rules! must {
     ($count:expr, $holds:expr, $words:expr) => {
@@ -61,56 +61,56 @@
     };
 }
 
-/// Descriptors kept for the process itself, the journal, discovery and notices.
-const OWN_SOCKETS: usize = 32;
-/// At a planned end: for so long new clients are accepted, calls begin (and clients that came last are served),
-/// and calls out are waited for.
-/// The platform kills no sooner than 3.7 s after it asks.
-const ACCEPT_ON: Duration = Duration::from_millis(500);
-const BEGIN_ON: Duration = Duration::from_millis(2500);
-const WAIT_ON: Duration = Duration::from_millis(3400);
-/// The next process is started 0.6 s after that kill.
-const NEXT_AFTER: Duration = Duration::from_millis(4300);
-/// Figures are logged so often.
-const EVERY: Duration = Duration::from_secs(60);
+/// File descriptors reserved for the process itself, the journal, discovery and notices.
+const RESERVED_DESCRIPTORS: usize = 32;
+/// Periods of a shutdown, from the request on: new clients are accepted (`ACCEPT_PERIOD`), calls are started and the
+/// last clients served (`CALL_START_PERIOD`), and calls in flight are awaited (`CALL_END_PERIOD`). The platform kills
+/// the process no sooner than 3.7 s after the request.
+const ACCEPT_PERIOD: Duration = Duration::from_millis(500);
+const CALL_START_PERIOD: Duration = Duration::from_millis(2500);
+const CALL_END_PERIOD: Duration = Duration::from_millis(3400);
+/// The next process starts 0.6 s after that kill.
+const NEXT_PROCESS_DELAY: Duration = Duration::from_millis(4300);
+const COUNTS_LOG_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Runs a courier within a `LocalSet` until `stop` is done and what is out has ended. The list is followed, and
-/// notices are told, at the last address that `discovery` gave.
+/// Runs a courier within a `LocalSet` until `stop` completes and the calls in flight have ended. The list is read from,
+/// and notices are sent to, the latest address in `discovery`.
 pub async fn serve(
     config: Config,
     discovery: watch::Receiver<SocketAddr>,
     stop: impl Future<Output = ()>,
 ) -> io::Result<()> {
-    let (_none, changes) = mpsc::unbounded_channel();
-    serve_changing(Start { config, state: SettingsState::default() }, discovery, changes, stop).await
+    let (_sender, changes) = mpsc::unbounded_channel();
+    serve_with_changes(Start { config, state: SettingsState::default() }, discovery, changes, stop).await
 }
 
-/// The same, by settings that may change meanwhile.
-pub async fn serve_changing(
+/// Like `serve`, but applies changed configurations from `changes` while it runs.
+pub async fn serve_with_changes(
     Start { config, state: mut settings }: Start,
     discovery: watch::Receiver<SocketAddr>,
     changes: mpsc::UnboundedReceiver<Change>,
     stop: impl Future<Output = ()>,
 ) -> io::Result<()> {
-    let Config { name, listen, state, sockets, disk, known, decoded, peers, relays, list, .. } = config;
-    let for_clients = sockets / 3;
+    let Config { name, listen, state, sockets, disk, known, decoded, peers, relays, list_limits, .. } =
+        config;
+    let client_sockets = sockets / 3;
     let limits = endpoints::Limits {
         connect_timeout: exchange::to_duration(decoded.settings.connection_timeout),
         idle_timeout: exchange::to_duration(decoded.settings.idle_timeout),
-        max_connections: sockets - OWN_SOCKETS - for_clients,
+        max_connections: sockets - RESERVED_DESCRIPTORS - client_sockets,
         may_overlap: decoded.may_overlap,
     };
-    // First, so that a second start by mistake touches nothing.
+    // Bound first, so that a courier started twice by mistake fails before it touches any file.
     let bound = TcpListener::bind(listen).await;
     let listener = bound.map_err(|e| io::Error::new(e.kind(), format!("cannot listen at {listen}: {e}")))?;
-    let (news, news_in) = mpsc::unbounded_channel();
-    let fleet = members::start(&name, peers.as_ref())?;
+    let (peer_notes, peer_notes_in) = mpsc::unbounded_channel();
+    let membership = members::start(&name, peers.as_ref())?;
     let notes = match peers {
         None => None,
         Some(peers) => {
             let bound = UdpSocket::bind(peers.listen).await;
             let failed = |e: io::Error| {
-                io::Error::new(e.kind(), format!("cannot hear notes at {}: {e}", peers.listen))
+                io::Error::new(e.kind(), format!("cannot listen for notes at {}: {e}", peers.listen))
             };
             Some((bound.map_err(failed)?, peers.others))
         }
@@ -120,57 +120,62 @@
         journal.map_err(|e| io::Error::new(e.kind(), format!("the journal in {}: {e}", state.display())))?;
     let (orders, orders_in) = mpsc::unbounded_channel();
     let (notices, notices_in) = mpsc::unbounded_channel();
-    let news = notes.is_some().then_some(news);
+    let peer_notes = notes.is_some().then_some(peer_notes);
     let (push, seed) = (!decoded.settings.poll_list, decoded.settings.seed);
-    let mut exchange = Exchange::new(decoded, journal, orders, notices, news);
-    // The configuration's version, not the kept one. Guards against a registry that has counted anew meanwhile:
-    // its lists would be held to be from before.
+    let mut exchange = Exchange::new(decoded, journal, orders, notices, peer_notes);
+    // Uses the list version of the configuration, not the saved one: if the registry has restarted its numbering, its
+    // lists would be taken for older ones.
     let index = known.index;
     exchange.restore_list(known, |kept| settings.accepts_list_of(kept));
     settings_changes::record_start(&mut exchange, &mut settings, &state, disk);
     let clock = exchange.clock;
     let shared: Shared = Rc::new(RefCell::new(exchange));
     let (phase, phase_in) = watch::channel(Phase::Serving);
-    let mut parts = JoinSet::new();
-    parts.spawn_local(exchange::run_turns(shared.clone()));
-    parts.spawn_local(endpoints::run(shared.clone(), orders_in, limits));
-    parts.spawn_local(notices::run(shared.clone(), discovery.clone(), notices_in));
-    let limits = (list, seed);
+    let mut tasks = JoinSet::new();
+    tasks.spawn_local(exchange::run_turns(shared.clone()));
+    tasks.spawn_local(endpoints::run(shared.clone(), orders_in, limits));
+    tasks.spawn_local(notices::run(shared.clone(), discovery.clone(), notices_in));
+    let limits = (list_limits, seed);
     match relays {
-        None => parts.spawn_local(discovery::follow(shared.clone(), clock, discovery, index, push, limits)),
+        None => tasks.spawn_local(discovery::follow(shared.clone(), clock, discovery, index, push, limits)),
         Some(relays) => {
-            parts.spawn_local(relays::follow_for(shared.clone(), clock, name.clone(), relays, index, limits))
+            tasks.spawn_local(relays::follow_for(shared.clone(), clock, name.clone(), relays, index, limits))
         }
     };
     let clients = Rc::new(Cell::new(0));
-    let listening =
-        parts.spawn_local(clients::listen(shared.clone(), listener, for_clients, clients.clone(), phase_in));
-    parts.spawn_local(log_counts(shared.clone()));
-    parts.spawn_local(settings_changes::follow(shared.clone(), settings, (state, disk), changes));
+    let listening = tasks.spawn_local(clients::listen(
+        shared.clone(),
+        listener,
+        client_sockets,
+        clients.clone(),
+        phase_in,
+    ));
+    tasks.spawn_local(log_counts(shared.clone()));
+    tasks.spawn_local(settings_changes::follow(shared.clone(), settings, (state, disk), changes));
     if let Some((socket, others)) = notes {
-        parts.spawn_local(notes::exchange(shared.clone(), socket, others, news_in));
+        tasks.spawn_local(notes::run(shared.clone(), socket, others, peer_notes_in));
     }
-    if let Some(fleet) = &fleet {
-        parts.spawn_local(fleet.clone().follow());
+    if let Some(membership) = &membership {
+        tasks.spawn_local(membership.clone().run());
     }
     log::info!("{name} serves at {listen}");
     tokio::select! {
         () = stop => {}
-        // Guards against a courier that seems to run with a part of it gone.
-        _ = parts.join_next() => return Err(io::Error::other("a part of the courier has failed")),
+        // A courier must not go on running without one of its tasks.
+        _ = tasks.join_next() => return Err(io::Error::other("a part of the courier has failed")),
     }
 
-    log::info!("{name} ends: {} mails in hand", shared.borrow().in_hand());
-    // Before the moment from which the stop is reckoned, which no turn may come before.
-    shared.borrow_mut().begin_shutdown(BEGIN_ON, NEXT_AFTER);
-    let asked = Instant::now();
-    // New clients and mails are served as ever for as long as the platform still sends them here.
+    log::info!("{name} is shutting down: {} mails in hand", shared.borrow().in_hand());
+    // Must come before `stop_requested`: the final turn, in `stop`, must not run before the end of the call start period
+    // as the decisions know it.
+    shared.borrow_mut().begin_shutdown(CALL_START_PERIOD, NEXT_PROCESS_DELAY);
+    let stop_requested = Instant::now();
+    // New clients and mails are accepted for as long as the platform still sends them here.
     phase.send_replace(Phase::Draining);
-    sleep(ACCEPT_ON).await;
+    sleep(ACCEPT_PERIOD).await;
     phase.send_replace(Phase::NotAccepting);
-    // Guards against an exit, and so a reset, under a client that has not been answered yet, or whose answer
-    // is still on its way.
-    let none = |count: fn(&Exchange) -> usize| {
+    // Waits for the clients as well: exiting would reset connections on which an answer is pending or in transit.
+    let drained = |count: fn(&Exchange) -> usize| {
         let (shared, clients, listening) = (shared.clone(), clients.clone(), listening.clone());
         async move {
             while count(&shared.borrow()) + clients.get() > 0 || !listening.is_finished() {
@@ -178,28 +183,30 @@
             }
         }
     };
-    let _ = timeout(BEGIN_ON.saturating_sub(asked.elapsed()), none(Exchange::in_hand)).await;
+    let _ =
+        timeout(CALL_START_PERIOD.saturating_sub(stop_requested.elapsed()), drained(Exchange::in_hand)).await;
     shared.borrow_mut().stop();
     phase.send_replace(Phase::Closing);
-    let _ = timeout(WAIT_ON.saturating_sub(asked.elapsed()), none(Exchange::unfinished)).await;
-    if let Some(fleet) = fleet {
-        fleet.leave().await;
+    let _ = timeout(CALL_END_PERIOD.saturating_sub(stop_requested.elapsed()), drained(Exchange::unfinished))
+        .await;
+    if let Some(membership) = membership {
+        membership.leave().await;
     }
     let exchange = shared.borrow();
     log::info!("{name} has ended: {} mails in hand, {:?}", exchange.in_hand(), exchange.counts);
     Ok(())
 }
 
-/// A line a minute while there is something to say.
+/// Logs the counts once a minute if they have changed.
 async fn log_counts(shared: Shared) {
     let mut last = exchange::Counts::default();
     loop {
-        sleep(EVERY).await;
+        sleep(COUNTS_LOG_INTERVAL).await;
         let exchange = shared.borrow();
         let (counts, in_hand) = (exchange.counts, exchange.in_hand());
         if counts != last {
             let versions = exchange.versions.summary(exchange.clock.now());
-            let versions = versions.map(|words| format!("; {words}")).unwrap_or_default();
+            let versions = versions.map(|summary| format!("; {summary}")).unwrap_or_default();
             log::info!("{in_hand} mails in hand, {counts:?}{versions}");
             last = counts;
         }
--- a/crates/courier/src/main.rs
+++ b/crates/courier/src/main.rs
@@ -1,4 +1,4 @@
-//! The command `meadowhold`.
+//! The `meadowhold` command.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
@@ -6,8 +6,8 @@
 fn main() -> ExitCode {
     match meadowhold_courier::command::run(std::env::args_os()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(words) => {
-            eprintln!("meadowhold: {words}");
+        Err(message) => {
+            eprintln!("meadowhold: {message}");
             ExitCode::FAILURE
         }
     }
--- a/crates/courier/src/settings_changes.rs
+++ b/crates/courier/src/settings_changes.rs
@@ -8,31 +8,33 @@
 use meadowhold::interface::Time;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::config::{Config, Offered, Refused};
+use crate::config::{Candidate, Config, ConfigError};
 use crate::exchange::{Clock, Exchange, Shared, Versions};
-use crate::kept_settings::{self, Kept};
+use crate::kept_settings::{self, SavedSettings};
 use crate::memory::deployment;
-use crate::version::{decide, Faults, Moment, Numbered, Stamp, Step, Sum, Whole};
+use crate::version::{
+    decide, Checksum, CourierState, Decision, Faults, Fingerprint, VersionId, VersionNumber,
+};
 
 /// A configuration offered to a running courier. The answer is the address of discovery to use from now on, or why the
 /// file cannot be read; `None` if the configuration is turned down.
 pub struct Change {
-    pub offered: Offered,
-    pub answer: oneshot::Sender<Option<Result<SocketAddr, Refused>>>,
+    pub offered: Candidate,
+    pub answer: oneshot::Sender<Option<Result<SocketAddr, ConfigError>>>,
 }
 
 /// The settings that a courier runs with.
 #[derive(Clone, Debug, Default)]
 pub struct SettingsState {
     /// The configuration in force; `None` if it has no versions.
-    whole: Option<Whole>,
+    whole: Option<Fingerprint>,
     /// The newest version that was ever in force here.
-    newest: Option<Stamp>,
+    newest: Option<VersionId>,
     /// The deployments whose stored list may be used: that of this process, and those of the earlier processes that its
     /// version follows.
-    list_deployments: Vec<Sum>,
+    list_deployments: Vec<Checksum>,
     /// Accepted settings that must be saved before they are in force.
-    unsaved: Option<Kept>,
+    unsaved: Option<SavedSettings>,
     versions: Versions,
 }
 
@@ -42,25 +44,25 @@
     pub state: SettingsState,
 }
 
-fn rejection(whole: Option<&Whole>, faults: Faults) -> String {
-    let number = match whole.map(|whole| whole.numbered) {
-        Some(Numbered::As(number)) => format!("version {number}"),
+fn rejection(whole: Option<&Fingerprint>, faults: Faults) -> String {
+    let number = match whole.map(|whole| whole.version) {
+        Some(VersionNumber::Valid(number)) => format!("version {number}"),
         _ => "without a version that can be read".to_string(),
     };
-    format!("settings {number} are turned down: {}", Refused { file: None, faults })
+    format!("settings {number} are turned down: {}", ConfigError { file: None, faults })
 }
 
 /// Bounds the file of the settings, which would otherwise grow with each start.
 const MAX_LISTS: usize = 16;
 
-fn list_deployments(config: &Config, before: Vec<Sum>) -> Vec<Sum> {
-    let mut lists = vec![Sum::of(&deployment(&config.decoded).into())];
+fn list_deployments(config: &Config, before: Vec<Checksum>) -> Vec<Checksum> {
+    let mut lists = vec![Checksum::of(&deployment(&config.decoded).into())];
     lists.extend(before.into_iter().filter(|sum| *sum != lists[0]).collect::<Vec<_>>());
     lists.truncate(MAX_LISTS);
     lists
 }
 
-fn faults(read: &Result<Config, Refused>) -> Faults {
+fn faults(read: &Result<Config, ConfigError>) -> Faults {
     read.as_ref().err().map(|refused| refused.faults.clone()).unwrap_or_default()
 }
 
@@ -69,16 +71,16 @@
 ///
 /// # Errors
 /// What is wrong with the file, if there is no saved version to use instead.
-pub fn start() -> Result<Start, Refused> {
-    let kept = Config::folder().and_then(|folder| kept_settings::load(&folder));
-    let Offered { text, whole, read } = Config::at_start();
-    let newest = kept.as_ref().and_then(Kept::stamp);
-    match decide(Moment::Start, newest.as_ref(), whole.as_ref(), faults(&read)) {
-        Step::TurnDown(faults) => {
-            let refused = Refused { file: None, faults: faults.clone() };
+pub fn start() -> Result<Start, ConfigError> {
+    let kept = Config::state_folder().and_then(|folder| kept_settings::load(&folder));
+    let Candidate { text, fingerprint: whole, result: read } = Config::at_start();
+    let newest = kept.as_ref().and_then(SavedSettings::version_id);
+    match decide(CourierState::Starting, newest.as_ref(), whole.as_ref(), faults(&read)) {
+        Decision::Reject(faults) => {
+            let refused = ConfigError { file: None, faults: faults.clone() };
             let refused = read.err().unwrap_or(refused);
             let Some(kept) = kept else { return Err(refused) };
-            let config = match Config::kept(&kept.text) {
+            let config = match Config::from_saved(&kept.text) {
                 Ok(config) => config,
                 Err(e) => {
                     log::warn!("the saved settings cannot be used instead: {e}");
@@ -87,10 +89,10 @@
             };
             let message = rejection(whole.as_ref(), faults);
             log::warn!("{message}");
-            let lists = list_deployments(&config, kept.lists);
+            let lists = list_deployments(&config, kept.deployments);
             let in_force = newest.map(|stamp| (stamp.number, kept.since));
             let versions = Versions { in_force, rejected: Some(message) };
-            let whole = Some(kept.whole);
+            let whole = Some(kept.fingerprint);
             Ok(Start {
                 config,
                 state: SettingsState { whole, newest, list_deployments: lists, unsaved: None, versions },
@@ -100,16 +102,17 @@
             let config = read?;
             let now = Clock::new().now();
             let before = kept.as_ref().filter(|_| config.version.is_some());
-            let lists = list_deployments(&config, before.map(|kept| kept.lists.clone()).unwrap_or_default());
-            let text = text.filter(|_| step == Step::Take);
-            let unsaved = text.and_then(|text| Kept::new(text, now, lists.clone()));
-            let since = kept.filter(|_| step == Step::Known).map_or(now, |kept| kept.since);
+            let lists =
+                list_deployments(&config, before.map(|kept| kept.deployments.clone()).unwrap_or_default());
+            let text = text.filter(|_| step == Decision::Apply);
+            let unsaved = text.and_then(|text| SavedSettings::new(text, now, lists.clone()));
+            let since = kept.filter(|_| step == Decision::AlreadyHeld).map_or(now, |kept| kept.since);
             if let (None, Some(stamp)) = (config.version, newest) {
                 log::warn!("settings without a version are taken; version {} was held before", stamp.number);
             }
             let versions =
                 Versions { in_force: config.version.map(|number| (number, since)), rejected: None };
-            let newest = whole.as_ref().and_then(Whole::stamp).or(newest);
+            let newest = whole.as_ref().and_then(Fingerprint::version_id).or(newest);
             Ok(Start {
                 config,
                 state: SettingsState { whole, newest, list_deployments: lists, unsaved, versions },
@@ -152,31 +155,32 @@
 pub fn apply(
     exchange: &mut Exchange,
     state: &mut SettingsState,
-    offered: Offered,
+    offered: Candidate,
     (folder, allowance): (&Path, u64),
-) -> Option<Result<SocketAddr, Refused>> {
-    let Offered { text, whole, read } = offered;
+) -> Option<Result<SocketAddr, ConfigError>> {
+    let Candidate { text, fingerprint: whole, result: read } = offered;
     let mut faults = faults(&read);
     if let (Some(running), Some(whole)) = (&state.whole, &whole) {
-        let needs_start = running.needs_start(whole);
+        let needs_start = running.restart_required(whole);
         for (place, reason) in needs_start {
             faults.entry(place).or_insert(reason);
         }
     }
-    let runs_with = state.versions.in_force.is_some();
-    let moment = if runs_with { Moment::RunsWith } else { Moment::RunsWithout };
-    let step = decide(moment, state.newest.as_ref(), whole.as_ref(), faults);
+    let versioned = state.versions.in_force.is_some();
+    let courier_state =
+        if versioned { CourierState::RunningVersioned } else { CourierState::RunningUnversioned };
+    let step = decide(courier_state, state.newest.as_ref(), whole.as_ref(), faults);
     let now = exchange.clock.now();
     let faults = match (step, read, whole.clone()) {
-        (Step::Take, Ok(config), Some(whole)) => {
+        (Decision::Apply, Ok(config), Some(whole)) => {
             let discovery = config.discovery;
-            let unsaved = text.and_then(|text| Kept::new(text, now, state.list_deployments.clone()));
+            let unsaved = text.and_then(|text| SavedSettings::new(text, now, state.list_deployments.clone()));
             match adopt(exchange, config, unsaved, (folder, allowance)) {
                 Ok(number) => {
                     let before = state.whole.take();
-                    state.newest = whole.stamp();
+                    state.newest = whole.version_id();
                     state.whole = Some(match before {
-                        Some(before) => whole.after(before),
+                        Some(before) => whole.retain_kinds_of(before),
                         None => whole,
                     });
                     state.versions = Versions { in_force: Some((number, now)), rejected: None };
@@ -187,7 +191,7 @@
                 Err(faults) => faults,
             }
         }
-        (Step::TurnDown(faults), ..) => faults,
+        (Decision::Reject(faults), ..) => faults,
         (_, read, _) => return Some(read.map(|config| config.discovery)),
     };
     let message = rejection(whole.as_ref(), faults);
@@ -202,7 +206,7 @@
 fn adopt(
     exchange: &mut Exchange,
     config: Config,
-    unsaved: Option<Kept>,
+    unsaved: Option<SavedSettings>,
     (folder, allowance): (&Path, u64),
 ) -> Result<u64, Faults> {
     let single_fault = |place: &str, reason: String| Faults::from([(place.to_string(), reason)]);
@@ -220,13 +224,13 @@
 impl SettingsState {
     /// Whether a list stored for this deployment may be used, although the classes may have changed since.
     pub fn accepts_list_of(&self, deployment: &str) -> bool {
-        self.list_deployments.contains(&Sum::of(&deployment.into()))
+        self.list_deployments.contains(&Checksum::of(&deployment.into()))
     }
 
     /// The state of an exchange that was given this configuration, for callers that do not use `start`.
     pub fn from_text(text: &[u8], now: Time) -> SettingsState {
-        let whole = Whole::read(text);
-        let newest = whole.as_ref().and_then(Whole::stamp);
+        let whole = Fingerprint::read(text);
+        let newest = whole.as_ref().and_then(Fingerprint::version_id);
         let in_force = newest.map(|stamp| (stamp.number, now));
         SettingsState {
             whole,
--- a/crates/courier/tests/config.rs
+++ b/crates/courier/tests/config.rs
@@ -1,4 +1,4 @@
-//! What the command says and how it ends: of its arguments, of the configuration, in its log.
+//! Output and exit codes of the command: arguments, configuration faults, and the log.
 
 mod common;
 
@@ -16,23 +16,23 @@
 
 const EXAMPLE: &str = include_str!("../../../deploy/example.json");
 
-/// As the platform gives it, and with a field that is not known today.
-fn whole() -> Value {
+/// A configuration as the platform provides it, with an additional unknown field.
+fn example() -> Value {
     json!({"name": "n1", "listen": "127.0.0.1:6379", "discovery": "127.0.0.1:8500", "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256, "disk_mb": 3}, "new": {"to": ["come"]},
         "known": {"index": 3, "snapshot": true, "endpoints": []}, "settings": settings()})
 }
 
-fn only_state(name: &str) -> Option<String> {
+fn only_router_state(name: &str) -> Option<String> {
     (name == "ROUTER_STATE").then(|| "state".to_string())
 }
 
-/// What is said of a configuration, `None` if it is taken.
-fn refusal(text: &[u8], variable: &dyn Fn(&str) -> Option<String>) -> Option<String> {
-    Config::read(text, variable).err().map(|refused| refused.to_string())
+/// The error for a configuration, or `None` if it is valid.
+fn config_error(text: &[u8], variable: &dyn Fn(&str) -> Option<String>) -> Option<String> {
+    Config::read(text, variable).err().map(|error| error.to_string())
 }
 
-/// Puts a value at a path such as `/limits/sockets`; nothing, for the whole to lack it.
+/// Sets the value at a path such as `/limits/sockets`, or removes it if `value` is `None`.
 fn change(config: &mut Value, path: &str, value: Option<Value>) {
     let (above, key) = path.rsplit_once('/').unwrap();
     let above = config.pointer_mut(above).unwrap();
@@ -40,18 +40,18 @@
         (Value::Object(map), Some(value)) => drop(map.insert(key.to_string(), value)),
         (Value::Object(map), None) => drop(map.remove(key)),
         (Value::Array(items), Some(value)) => items[key.parse::<usize>().unwrap()] = value,
-        _ => panic!("{path} is no place"),
+        _ => panic!("{path} does not exist"),
     }
 }
 
-fn code_and_words(command: &mut Command) -> (i32, String, String) {
+fn exit_code_and_output(command: &mut Command) -> (i32, String, String) {
     let Output { status, stdout, stderr } = command.stdin(Stdio::null()).output().unwrap();
     let text = |bytes| String::from_utf8(bytes).unwrap();
-    (status.code().expect("no signal ended it"), text(stdout), text(stderr))
+    (status.code().expect("the process was killed by a signal"), text(stdout), text(stderr))
 }
 
 #[test]
-fn three_faults_in_a_file_are_told_in_one_message_with_their_places() {
+fn three_faults_in_a_file_are_reported_in_one_line_with_their_places() {
     type Change = (&'static str, Option<Value>);
     let rows: [([Change; 3], [&str; 3]); 11] = [
         (
@@ -153,7 +153,7 @@
                 ("/listen", Some(json!({}))),
             ],
             [
-                "peers are named, and setting Limits.MayTell",
+                "peers are configured, but setting Limits.MayTell",
                 "limits cannot be read: invalid type",
                 "listen cannot be read: invalid type",
             ],
@@ -173,45 +173,45 @@
     ];
     let folder = Folder::new();
     for (changes, places) in rows {
-        let mut config = whole();
+        let mut config = example();
         for (path, value) in changes {
             change(&mut config, path, value);
         }
         for subcommand in ["check", "serve"] {
             let mut command = command(&folder, &config, subcommand);
-            let (code, out, words) = code_and_words(command.env_remove("ROUTER_DISCOVERY"));
-            assert_eq!((code, &out[..], words.lines().count()), (1, "", 1), "{words}");
+            let (code, out, stderr) = exit_code_and_output(command.env_remove("ROUTER_DISCOVERY"));
+            assert_eq!((code, &out[..], stderr.lines().count()), (1, "", 1), "{stderr}");
             for place in places {
-                let told = words.matches(&format!(" {place}")).count();
-                assert_eq!(told, 1, "{place} is told {told} times: {words}");
+                let count = stderr.matches(&format!(" {place}")).count();
+                assert_eq!(count, 1, "{place} is reported {count} times: {stderr}");
             }
         }
     }
 }
 
 #[test]
-fn limits_of_the_list_have_defaults_that_admit_what_is_wanted_and_are_checked() {
-    let read = |config: &Value| Config::read(config.to_string().as_bytes(), &only_state);
-    let limits = read(&whole()).map(|config| config.list).unwrap();
+fn limits_of_the_list_have_defaults_and_are_validated() {
+    let read = |config: &Value| Config::read(config.to_string().as_bytes(), &only_router_state);
+    let limits = read(&example()).map(|config| config.list_limits).unwrap();
     assert_eq!((limits.entries, limits.bytes), (700_000, 128_000_000));
-    let mut config = whole();
+    let mut config = example();
     (config["limits"]["list_entries"], config["limits"]["list_mb"]) = (json!(9_000), json!(0.5));
-    let limits = read(&config).map(|config| config.list).unwrap();
+    let limits = read(&config).map(|config| config.list_limits).unwrap();
     assert_eq!((limits.entries, limits.bytes), (9_000, 500_000));
     (config["limits"]["list_entries"], config["limits"]["list_mb"]) = (json!(0), json!(0));
-    let words = refusal(config.to_string().as_bytes(), &only_state).unwrap();
-    assert_eq!(words, "limits.list_entries admits none; limits.list_mb is no size");
+    let error = config_error(config.to_string().as_bytes(), &only_router_state).unwrap();
+    assert_eq!(error, "limits.list_entries must be at least 1; limits.list_mb is no size");
 }
 
 #[test]
-fn variables_go_before_the_file_and_are_named_when_they_are_wrong() {
+fn environment_variables_override_the_file_and_are_named_in_errors() {
     let variables = |name: &str| match name {
         "ROUTER_NAME" => Some("n9".to_string()),
         "ROUTER_LISTEN" => Some("127.0.0.9:1".to_string()),
-        name => only_state(name),
+        name => only_router_state(name),
     };
-    let mut file = whole();
-    file["listen"] = json!("no address, and nobody asks");
+    let mut file = example();
+    file["listen"] = json!("not an address, and not used");
     let config = Config::read(file.to_string().as_bytes(), &variables).unwrap();
     assert_eq!((&config.name[..], &config.listen.to_string()[..]), ("n9", "127.0.0.9:1"));
     assert_eq!((config.discovery.port(), config.sockets, config.disk), (8500, 256, 3_000_000));
@@ -219,41 +219,42 @@
 
     let wrong = |name: &str| (name == "ROUTER_DISCOVERY").then(|| "nowhere".to_string());
     assert_eq!(
-        refusal(whole().to_string().as_bytes(), &wrong).unwrap(),
+        config_error(example().to_string().as_bytes(), &wrong).unwrap(),
         "ROUTER_STATE is not set; discovery or ROUTER_DISCOVERY is no address: nowhere"
     );
 }
 
 #[test]
 fn peers_are_read_when_notes_are_allowed() {
-    let mut file = whole();
+    let mut file = example();
     file["settings"]["Limits"]["MayTell"] = json!(true);
     file["peers"] = json!({"listen": "127.0.0.1:1", "others": ["127.0.0.2:1", "127.0.0.3:1"]});
-    let peers = Config::read(file.to_string().as_bytes(), &only_state).unwrap().peers.unwrap();
+    let peers = Config::read(file.to_string().as_bytes(), &only_router_state).unwrap().peers.unwrap();
     assert_eq!((peers.listen.port(), peers.others.len()), (1, 2));
 }
 
 #[test]
-fn a_text_that_ends_too_early_is_refused_plainly_wherever_it_ends() {
-    assert_eq!(refusal(EXAMPLE.as_bytes(), &only_state), None);
+fn a_file_truncated_at_any_byte_is_rejected_with_a_position() {
+    assert_eq!(config_error(EXAMPLE.as_bytes(), &only_router_state), None);
     let text = EXAMPLE.trim_end().as_bytes();
     for end in 0..text.len() {
-        let words = refusal(&text[..end], &only_state).unwrap_or_else(|| panic!("taken at byte {end}"));
-        let plain = words.contains("EOF while parsing") && words.contains(" at line ");
-        assert!(plain && words.lines().count() == 1, "at byte {end}: {words}");
+        let error = config_error(&text[..end], &only_router_state)
+            .unwrap_or_else(|| panic!("accepted when cut at byte {end}"));
+        let located = error.contains("EOF while parsing") && error.contains(" at line ");
+        assert!(located && error.lines().count() == 1, "at byte {end}: {error}");
     }
-    // What follows the end is no part of it, and bytes that are no text are none.
+    // Trailing characters and invalid UTF-8 are rejected.
     let mut more = text.to_vec();
     more.push(b'}');
-    assert!(refusal(&more, &only_state).unwrap().contains("trailing characters at line "));
-    assert!(refusal(b"{\"name\": \"\xff\"}", &only_state).unwrap().contains(" at line 1"));
-    // A name that is there twice is a fault of its own.
+    assert!(config_error(&more, &only_router_state).unwrap().contains("trailing characters at line "));
+    assert!(config_error(b"{\"name\": \"\xff\"}", &only_router_state).unwrap().contains(" at line 1"));
+    // Duplicate keys are reported.
     let twice = EXAMPLE.replacen('{', "{\"name\": \"other\", ", 1);
-    assert!(refusal(twice.as_bytes(), &only_state).unwrap().contains("duplicate field `name`"));
-    assert!(refusal("[".repeat(100_000).as_bytes(), &only_state).is_some());
+    assert!(config_error(twice.as_bytes(), &only_router_state).unwrap().contains("duplicate field `name`"));
+    assert!(config_error("[".repeat(100_000).as_bytes(), &only_router_state).is_some());
 }
 
-/// Every place in a value, as pointers.
+/// Collects a JSON pointer to every value.
 fn places(value: &Value, at: &str, out: &mut Vec<String>) {
     out.push(at.to_string());
     match value {
@@ -266,7 +267,7 @@
 }
 
 #[test]
-fn any_value_at_any_place_is_taken_or_refused_in_one_line() {
+fn any_value_at_any_place_is_accepted_or_rejected_in_one_line() {
     let mut file: Value = serde_json::from_str(EXAMPLE).unwrap();
     file["settings"]["Limits"]["MayTell"] = json!(true);
     file["peers"] = json!({"listen": "127.0.0.1:1", "others": ["127.0.0.2:1"]});
@@ -282,11 +283,13 @@
         json!([{}]),
         json!({"": 1}),
     ];
-    let mut refused = 0;
+    let mut rejected = 0;
     file["peers"]["a\nb"] = json!(null);
-    assert!(refusal(file.to_string().as_bytes(), &only_state).unwrap().contains("peers.a b cannot be read"));
+    assert!(config_error(file.to_string().as_bytes(), &only_router_state)
+        .unwrap()
+        .contains("peers.a b cannot be read"));
     file["peers"] = json!({"listen": "127.0.0.1:1", "others": vec![1; 100_000]});
-    assert!(refusal(file.to_string().as_bytes(), &only_state)
+    assert!(config_error(file.to_string().as_bytes(), &only_router_state)
         .unwrap()
         .contains("peers.others[31] cannot be"));
     file["peers"]["others"] = json!(["127.0.0.2:1"]);
@@ -294,19 +297,19 @@
         for value in &values {
             let mut file = file.clone();
             *file.pointer_mut(&place).unwrap() = value.clone();
-            if let Some(words) = refusal(file.to_string().as_bytes(), &only_state) {
-                refused += 1;
-                assert!(words.lines().count() == 1, "{place} {value}: {words}");
+            if let Some(error) = config_error(file.to_string().as_bytes(), &only_router_state) {
+                rejected += 1;
+                assert!(error.lines().count() == 1, "{place} {value}: {error}");
                 let first = place.split('/').nth(1).unwrap_or_default().trim_end_matches('s');
-                assert!(words.contains(first), "{place} {value}: {words}");
+                assert!(error.contains(first), "{place} {value}: {error}");
             }
         }
     }
-    assert!(refused > 100, "{refused} of them are refused");
+    assert!(rejected > 100, "only {rejected} were rejected");
 }
 
 #[test]
-fn each_command_says_its_words_and_ends_with_its_code() {
+fn each_command_has_its_output_and_exit_code() {
     let version = concat!("meadowhold ", env!("CARGO_PKG_VERSION"), "\n");
     let commands = ["serve", "check", "owed", "relay", "version", "help"];
     // (arguments, exit code, on standard output, on standard error)
@@ -332,15 +335,15 @@
         (&["drain"], 1, "", "meadowhold: unrecognized subcommand 'drain'; see meadowhold help\n"),
     ];
     let folder = Folder::new();
-    // With nothing in it yet.
+    // An empty journal.
     drop(Journal::open(&folder.path.join("state"), 3_000_000).unwrap());
-    for (arguments, code, out, words) in rows {
-        let template = command(&folder, &whole(), "check");
+    for (arguments, code, out, stderr) in rows {
+        let template = command(&folder, &example(), "check");
         let mut command = Command::new(template.get_program());
         command.args(arguments).current_dir(&folder.path).env_clear();
         command.envs(template.get_envs().filter_map(|(name, value)| Some((name, value?))));
-        let got = code_and_words(&mut command);
-        assert_eq!((got.0, &got.2[..]), (code, words), "{arguments:?}: {got:?}");
+        let got = exit_code_and_output(&mut command);
+        assert_eq!((got.0, &got.2[..]), (code, stderr), "{arguments:?}: {got:?}");
         assert!(got.1.contains(out) && got.1.is_empty() == (code != 0), "{arguments:?}: {got:?}");
         if out == "owed" {
             for command in commands {
@@ -353,13 +356,18 @@
                 "{}",
                 got.1
             );
-            assert_eq!(got.1.matches("\n  ").count(), commands.len() + 2, "no further ones: {}", got.1);
+            assert_eq!(
+                got.1.matches("\n  ").count(),
+                commands.len() + 2,
+                "unexpected further lines: {}",
+                got.1
+            );
         }
     }
 }
 
 #[test]
-fn without_its_variables_or_its_file_a_command_says_which() {
+fn a_command_names_the_variable_or_file_that_is_missing() {
     let folder = Folder::new();
     let absent = folder.path.join("absent.json");
     let rows = [
@@ -372,13 +380,13 @@
     for (subcommand, path, expected) in rows {
         let mut command = Command::new(env!("CARGO_BIN_EXE_meadowhold"));
         command.arg(subcommand).env_clear().envs(path.map(|path| ("ROUTER_CONFIG", path)));
-        let (code, out, words) = code_and_words(&mut command);
-        assert_eq!((code, &out[..], words.lines().count()), (1, "", 1), "{words}");
-        assert!(words.starts_with("meadowhold: ") && words.contains(expected), "{words}");
+        let (code, out, stderr) = exit_code_and_output(&mut command);
+        assert_eq!((code, &out[..], stderr.lines().count()), (1, "", 1), "{stderr}");
+        assert!(stderr.starts_with("meadowhold: ") && stderr.contains(expected), "{stderr}");
     }
 }
 
-/// Killed at the end of its test.
+/// A process that is killed when dropped.
 struct Running(Child);
 
 impl Drop for Running {
@@ -388,11 +396,11 @@
     }
 }
 
-/// The log of a courier that fails to follow the list a few times, and is given a broken file. Each of the
-/// four levels has its lines in it.
-fn log_of_a_bad_start(wanted: Option<&str>) -> String {
+/// Returns the log of a courier that fails to read the list a few times and is then told to reload an invalid file.
+/// At the most verbose level, the log has lines of all four levels.
+fn log_of_failing_courier(rust_log: Option<&str>) -> String {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (folder, mut config) = (Folder::new(), whole());
+    let (folder, mut config) = (Folder::new(), example());
     config["listen"] = json!(own_address().to_string());
     config["discovery"] = json!(discovery.local_addr().unwrap().to_string());
     let asked = Arc::new(AtomicUsize::new(0));
@@ -406,16 +414,16 @@
     let path = folder.path.join("log");
     let log = || fs::read_to_string(&path).unwrap();
     let mut command = command(&folder, &config, "serve");
-    command.env_remove("RUST_LOG").envs(wanted.map(|wanted| ("RUST_LOG", wanted)));
+    command.env_remove("RUST_LOG").envs(rust_log.map(|rust_log| ("RUST_LOG", rust_log)));
     let mut running = Running(command.stderr(File::create(&path).unwrap()).spawn().unwrap());
     let id = running.0.id().to_string();
     let signal = |name: &str| assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
-    // The third attempt begins after what is to be said of the second.
+    // The third attempt begins after the second has been logged.
     until("attempts to read the list", || asked.load(Ordering::SeqCst) >= 3);
     fs::write(folder.path.join("config.json"), "{").unwrap();
     signal("-HUP");
-    if wanted != Some("off") {
-        until("word of the broken file", || log().contains("cannot be read anew"));
+    if rust_log != Some("off") {
+        until("the error for the invalid file", || log().contains("cannot reload the configuration"));
     }
     signal("-TERM");
     until("its end", || running.0.try_wait().unwrap().is_some());
@@ -423,7 +431,7 @@
 }
 
 #[test]
-fn rust_log_says_which_levels_are_written() {
+fn rust_log_selects_the_levels_that_are_logged() {
     // (RUST_LOG, the levels that are written)
     let rows: [(Option<&str>, &[&str]); 11] = [
         (None, &["ERROR", "WARN", "INFO"]),
@@ -439,19 +447,22 @@
         (Some("info,meadowhold_courier=what"), &["ERROR", "WARN", "INFO"]),
     ];
     thread::scope(|scope| {
-        for (wanted, levels) in rows {
+        for (rust_log, levels) in rows {
             scope.spawn(move || {
-                let log = log_of_a_bad_start(wanted);
+                let log = log_of_failing_courier(rust_log);
                 for level in ["ERROR", "WARN", "INFO", "DEBUG"] {
                     let line = |line: &str| line.split_whitespace().nth(1) == Some(level);
                     let written = log.lines().any(line);
-                    assert_eq!(written, levels.contains(&level), "{level} at {wanted:?}: {log}");
+                    assert_eq!(written, levels.contains(&level), "{level} at {rust_log:?}: {log}");
                 }
-                // Lines say when and where they are from.
-                let timed =
+                // Lines have a time and a target.
+                let has_time_and_target =
                     |line: &str| line.starts_with("[20") && line.contains("Z ") && line.contains("] ");
-                assert!(log.lines().all(timed), "{log}");
-                assert_eq!(log.contains("RUST_LOG: what is"), wanted.is_some_and(|w| w.contains("what")));
+                assert!(log.lines().all(has_time_and_target), "{log}");
+                assert_eq!(
+                    log.contains("RUST_LOG: ignoring invalid directive"),
+                    rust_log.is_some_and(|w| w.contains("what"))
+                );
             });
         }
     });
