--- a/crates/courier/src/members.rs
+++ b/crates/courier/src/members.rs
@@ -8,9 +8,9 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
-use meadowhold_fleet::node::{Fact, Setup};
-use meadowhold_fleet::thread::{self, End, Handle, Wish};
-use meadowhold_fleet::view::{self, Member, News, View};
+use meadowhold_fleet::node::{Setup, Update};
+use meadowhold_fleet::thread::{self, Command, Exit, Handle};
+use meadowhold_fleet::view::{self, Change, Member, View};
 use serde::Deserialize;
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
@@ -77,7 +77,7 @@
     // Chance need not be secret, only unlike the others': by the clock's last digits, and the address.
     let seed = clock.as_nanos() as u64 ^ u64::from(listen.ip().to_bits()).rotate_left(32);
     let start = clock.as_millis() as u64;
-    let setup = Setup { name: view::name(&name), at: listen, others, start, seed };
+    let setup = Setup { name: view::truncate_name(&name), at: listen, others, start, seed };
     let woken = Arc::new(Notify::new());
     let wake = woken.clone();
     let handle = thread::start(setup, move || wake.notify_one());
@@ -98,7 +98,7 @@
             self.woken.notified().await;
             self.take_up();
             // Guards against an end that is missed: the thread calls for the last time just before it.
-            while self.handle.borrow().closing() && !self.ended.get() {
+            while self.handle.borrow().is_closing() && !self.ended.get() {
                 sleep(LOOK).await;
                 self.take_up();
             }
@@ -108,27 +108,27 @@
     fn take_up(&self) {
         let mut handle = self.handle.borrow_mut();
         let now = (handle.start.elapsed().as_micros() / 100) as meadowhold_fleet::Time;
-        while let Some(fact) = handle.fact() {
-            match fact {
-                Fact::Member(member, news) => {
-                    handle.view.put(now, &member);
-                    log(&member, news);
+        while let Some(update) = handle.next_update() {
+            match update {
+                Update::Member(member, change) => {
+                    handle.view.replace_member(now, &member);
+                    log(&member, change);
                 }
-                Fact::Part { cut_off, tally, .. } => {
-                    let (up, named) = (tally.up(), tally.named());
+                Update::Partition { cut_off, tally, .. } => {
+                    let (up, named) = (tally.up(), tally.configured());
                     match cut_off {
                         // That all are unheard of is how each begins.
-                        true if tally.unheard + 1 == named => {}
+                        true if tally.unknown + 1 == named => {}
                         true => log::warn!("cut off from the other couriers: {up} of {named} are up"),
                         false => log::info!("joined with the other couriers: {up} of {named} are up"),
                     }
                 }
             }
         }
-        match handle.end() {
+        match handle.try_join() {
             None => {}
-            Some(Some(End { counts, fault })) => {
-                log::info!("membership has ended: {counts:?}, {} wishes lost", handle.lost);
+            Some(Some(Exit { counts, fault })) => {
+                log::info!("membership has ended: {counts:?}, {} wishes lost", handle.lost_commands);
                 if let Some(words) = fault {
                     log::error!("membership: {words}");
                 }
@@ -143,7 +143,7 @@
 
     /// Tells the others that this courier goes, for so long as that may take.
     pub async fn leave(&self) {
-        self.handle.borrow_mut().wish(Wish::Leave);
+        self.handle.borrow_mut().send_command(Command::Leave);
         let ended = async {
             while !self.ended.get() {
                 self.take_up();
@@ -156,15 +156,15 @@
     }
 }
 
-fn log(member: &Member, news: News) {
+fn log(member: &Member, change: Change) {
     let (name, at) = (member.name, member.at);
-    match news {
-        News::Up => log::info!("member {name} at {at} is up"),
-        News::Back => log::info!("member {name} at {at} is back"),
-        News::Restarted => log::info!("member {name} at {at} has started anew"),
-        News::Down => log::info!("member {name} at {at} is down"),
-        News::Suspected => log::debug!("member {name} at {at} is silent"),
-        News::Cleared => log::debug!("member {name} at {at} was silent for a moment"),
-        News::Nothing => {}
+    match change {
+        Change::Up => log::info!("member {name} at {at} is up"),
+        Change::Recovered => log::info!("member {name} at {at} is back"),
+        Change::Restarted => log::info!("member {name} at {at} has started anew"),
+        Change::Down => log::info!("member {name} at {at} is down"),
+        Change::Suspected => log::debug!("member {name} at {at} is silent"),
+        Change::Cleared => log::debug!("member {name} at {at} was silent for a moment"),
+        Change::Unchanged => {}
     }
 }
--- a/crates/fleet/src/elect.rs
+++ b/crates/fleet/src/elect.rs
@@ -28,7 +28,7 @@
     }
 
     /// Whether this courier is one of the `n`.
-    pub fn elects_own(&self, task: &str, n: usize) -> bool {
+    pub fn is_own_elected(&self, task: &str, n: usize) -> bool {
         let own = rank(task, self.own());
         self.up().filter(|member| rank(task, member) < own).count() < n
     }
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -13,51 +13,52 @@
 use rand::seq::{IteratorRandom, SliceRandom};
 use rand::SeedableRng;
 
-use crate::view::{Member, Name, News, Seen, Standing, Tally, View};
-use crate::wire::{self, Gate, Gated, Id, Kind, Refused};
+use crate::view::{Change, Member, MemberState, Name, ProtocolRecord, Tally, View};
+use crate::wire::{self, AddressFilter, DatagramKind, FilteringCodec, Id, OpenError};
 use crate::{Time, SECOND};
 
 /// Each courier probes one other so often, and asks others to after the second, and the probe has failed after the
 /// first.
-pub const PERIOD: Duration = Duration::from_millis(500);
-pub const DIRECT: Duration = Duration::from_millis(150);
+pub const PROBE_PERIOD: Duration = Duration::from_millis(500);
+pub const DIRECT_PROBE_TIMEOUT: Duration = Duration::from_millis(150);
 /// So long, times the number of digits of the members' count, one that is suspected may speak up.
-pub const SUSPICION: Duration = Duration::from_millis(1500);
+pub const SUSPICION_TIMEOUT: Duration = Duration::from_millis(1500);
 /// While there is news, it goes to three so often, beside what probes carry.
-const GOSSIP: Duration = Duration::from_millis(200);
+const GOSSIP_PERIOD: Duration = Duration::from_millis(200);
 /// All that is up is asked of one member so often: makes up for news that was lost on each of its ways.
-const ASK: Duration = Duration::from_secs(5);
+const ANNOUNCE_PERIOD: Duration = Duration::from_secs(5);
 const TWICE: NonZeroU8 = NonZeroU8::new(2).unwrap();
 /// Those that are not up are called so often, and so many of them.
-const CALL: Time = SECOND;
-const CALLED: usize = 3;
+const RECONTACT_PERIOD: Time = SECOND;
+const RECONTACT_TARGETS: usize = 3;
 /// The audit's sample in release builds: one turn in so many.
-const AUDIT_EACH: u64 = if cfg!(debug_assertions) { 1 } else { 64 };
+const TURNS_PER_AUDIT: u64 = if cfg!(debug_assertions) { 1 } else { 64 };
 
 /// What the library is told, for so many members as the configuration names.
-pub fn settings(named: usize) -> Config {
-    let named = NonZeroU32::new(named.try_into().unwrap_or(u32::MAX)).unwrap_or(NonZeroU32::MIN);
-    let digits = f64::from(named.get()).log10().max(1.0);
-    let often = |frequency, members| {
+pub fn foca_config(members: usize) -> Config {
+    let members = NonZeroU32::new(members.try_into().unwrap_or(u32::MAX)).unwrap_or(NonZeroU32::MIN);
+    let digits = f64::from(members.get()).log10().max(1.0);
+    let periodic = |frequency, members| {
         Some(PeriodicParams {
             frequency,
             num_members: NonZeroUsize::new(members).unwrap_or(NonZeroUsize::MIN),
         })
     };
-    let lan = Config::new_lan(named);
+    let lan = Config::new_lan(members);
     Config {
-        probe_period: PERIOD,
-        probe_rtt: DIRECT,
-        suspect_to_down_after: SUSPICION.mul_f64(digits),
+        probe_period: PROBE_PERIOD,
+        probe_rtt: DIRECT_PROBE_TIMEOUT,
+        suspect_to_down_after: SUSPICION_TIMEOUT.mul_f64(digits),
         // More than the library's, which for five members sends news three times only. Guards against one that misses
         // all copies of what is told at once of many, where half of those it is told to are gone: it then finds them
         // one by one by its own probes, two a second. Costs nothing while there is no news.
         max_transmissions: lan.max_transmissions.saturating_mul(TWICE).saturating_add(8),
-        max_packet_size: NonZeroUsize::new(wire::LONGEST - wire::ENVELOPE).unwrap_or(NonZeroUsize::MIN),
+        max_packet_size: NonZeroUsize::new(wire::MAX_DATAGRAM_BYTES - wire::ENVELOPE_BYTES)
+            .unwrap_or(NonZeroUsize::MIN),
         // Never forgotten: there is one for each address at most, and who returns has a later start.
         remove_down_after: None,
-        periodic_gossip: often(GOSSIP, 3),
-        periodic_announce: often(ASK, 1),
+        periodic_gossip: periodic(GOSSIP_PERIOD, 3),
+        periodic_announce: periodic(ANNOUNCE_PERIOD, 1),
         // `call` does it, also where nobody is up any more and the library rests.
         periodic_announce_to_down_members: None,
         ..lan
@@ -77,9 +78,9 @@
 
 impl Setup {
     /// What is known at the start: nobody but this courier.
-    pub fn view(&self, now: Time) -> View {
+    pub fn initial_view(&self, now: Time) -> View {
         let Setup { name, at, ref others, start, .. } = *self;
-        let own = Seen { at, name, start: (start, 0), incarnation: 0, standing: Standing::Alive };
+        let own = ProtocolRecord { at, name, start: (start, 0), incarnation: 0, state: MemberState::Alive };
         View::new(own, others, now)
     }
 }
@@ -115,157 +116,161 @@
 
 /// What is told to whoever wants to know. Each is a state, whole, and takes the place of those before it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fact {
-    Member(Member, News),
-    Part { cut_off: bool, since: Time, tally: Tally },
+pub enum Update {
+    Member(Member, Change),
+    Partition { cut_off: bool, since: Time, tally: Tally },
 }
 
-struct Due {
+struct PendingTimer {
     at: Time,
-    order: u64,
+    sequence: u64,
     timer: Timer<Id>,
 }
 
-impl Ord for Due {
+impl Ord for PendingTimer {
     /// The soonest is the greatest; of those due together, in the order that the library wants.
-    fn cmp(&self, other: &Due) -> Ordering {
-        let kinds = || other.timer.cmp(&self.timer);
-        other.at.cmp(&self.at).then_with(kinds).then_with(|| other.order.cmp(&self.order))
+    fn cmp(&self, other: &PendingTimer) -> Ordering {
+        let by_timer = || other.timer.cmp(&self.timer);
+        other.at.cmp(&self.at).then_with(by_timer).then_with(|| other.sequence.cmp(&self.sequence))
     }
 }
 
-impl PartialOrd for Due {
-    fn partial_cmp(&self, other: &Due) -> Option<Ordering> {
+impl PartialOrd for PendingTimer {
+    fn partial_cmp(&self, other: &PendingTimer) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl PartialEq for Due {
-    fn eq(&self, other: &Due) -> bool {
+impl PartialEq for PendingTimer {
+    fn eq(&self, other: &PendingTimer) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl Eq for Due {}
+impl Eq for PendingTimer {}
 
 /// Where datagrams go: to an address, sealed. False when it could not be sent.
-pub type Send<'a> = &'a mut dyn FnMut(SocketAddrV4, &[u8]) -> bool;
+pub type SendFn<'a> = &'a mut dyn FnMut(SocketAddrV4, &[u8]) -> bool;
 
 /// What the library asks for while it is at work.
 #[derive(Default)]
-struct Desk {
+struct RuntimeState {
     now: Time,
-    timers: BinaryHeap<Due>,
-    ordered: u64,
+    timers: BinaryHeap<PendingTimer>,
+    timers_submitted: u64,
     /// This courier's present start, when it has changed.
     renewed: Option<(u64, u8)>,
-    sealed: Vec<u8>,
+    datagram: Vec<u8>,
     counts: Counts,
 }
 
-struct AtWork<'a> {
-    desk: &'a mut Desk,
-    gate: &'a Gate,
+struct NodeRuntime<'a> {
+    runtime: &'a mut RuntimeState,
+    filter: &'a AddressFilter,
     own: SocketAddrV4,
-    send: Send<'a>,
+    send: SendFn<'a>,
 }
 
-impl AtWork<'_> {
-    fn post(&mut self, to: SocketAddrV4, kind: Kind, body: &[u8]) {
-        let desk = &mut *self.desk;
-        wire::seal(kind, body, &mut desk.sealed);
-        if (self.send)(to, &desk.sealed) {
-            desk.counts.sent += 1;
-            desk.counts.sent_bytes += desk.sealed.len() as u64;
+impl NodeRuntime<'_> {
+    fn send_datagram(&mut self, to: SocketAddrV4, kind: DatagramKind, body: &[u8]) {
+        let runtime = &mut *self.runtime;
+        wire::seal(kind, body, &mut runtime.datagram);
+        if (self.send)(to, &runtime.datagram) {
+            runtime.counts.sent += 1;
+            runtime.counts.sent_bytes += runtime.datagram.len() as u64;
         } else {
-            desk.counts.unsent += 1;
+            runtime.counts.unsent += 1;
         }
     }
 }
 
-impl Runtime<Id> for AtWork<'_> {
+impl Runtime<Id> for NodeRuntime<'_> {
     fn notify(&mut self, notification: Notification<'_, Id>) {
         // What becomes of members is read whole after each turn.
         if let Notification::Rejoin(own) = notification {
-            self.desk.renewed = Some((own.start, own.turn));
-            self.desk.counts.renewed += 1;
+            self.runtime.renewed = Some((own.start, own.turn));
+            self.runtime.counts.renewed += 1;
         }
     }
 
     fn send_to(&mut self, to: Id, data: &[u8]) {
         // Guards against datagrams to this courier itself, whose former identities the library keeps, and, with the
         // codec's, against any to an address that the configuration does not name.
-        if to.at == self.own || !self.gate.names(to.at) {
+        if to.at == self.own || !self.filter.contains(to.at) {
             return;
         }
-        self.post(to.at, Kind::Library, data);
+        self.send_datagram(to.at, DatagramKind::Protocol, data);
     }
 
     fn submit_after(&mut self, timer: Timer<Id>, after: Duration) {
-        let desk = &mut *self.desk;
-        desk.ordered += 1;
+        let runtime = &mut *self.runtime;
+        runtime.timers_submitted += 1;
         let after = (after.as_micros() / 100) as Time;
-        desk.timers.push(Due { at: desk.now + after, order: desk.ordered, timer });
+        runtime.timers.push(PendingTimer {
+            at: runtime.now + after,
+            sequence: runtime.timers_submitted,
+            timer,
+        });
     }
 }
 
 pub struct Node {
-    foca: Foca<Id, Gated, SmallRng, NoCustomBroadcast>,
-    gate: Rc<Gate>,
-    desk: Desk,
+    foca: Foca<Id, FilteringCodec, SmallRng, NoCustomBroadcast>,
+    filter: Rc<AddressFilter>,
+    runtime: RuntimeState,
     view: View,
-    chance: SmallRng,
-    next_call: Time,
+    rng: SmallRng,
+    next_recontact: Time,
     turns: u64,
     /// What has yet to be told: of each other its last news, and of all whether this part is cut off.
-    untold: Vec<News>,
-    untold_part: bool,
+    unpublished: Vec<Change>,
+    unpublished_partition: bool,
     /// Where the view had each member when the library's were last read, in their order there.
-    places: Vec<usize>,
+    view_indices: Vec<usize>,
     /// A datagram's content while it is written, and what is held of the members while it is audited; kept for
     /// their room.
     body: Vec<u8>,
-    held: Vec<Seen>,
+    audit_records: Vec<ProtocolRecord>,
     /// The first thing that the audit found amiss.
     pub fault: Option<String>,
     left: bool,
 }
 
-fn seen(member: &foca::Member<Id>) -> Seen {
-    let standing = match member.state() {
-        State::Alive => Standing::Alive,
-        State::Suspect => Standing::Suspect,
-        State::Down => Standing::Down,
+fn record_of(member: &foca::Member<Id>) -> ProtocolRecord {
+    let state = match member.state() {
+        State::Alive => MemberState::Alive,
+        State::Suspect => MemberState::Suspect,
+        State::Down => MemberState::Down,
     };
     let Id { at, name, start, turn } = *member.id();
-    Seen { at, name, start: (start, turn), incarnation: member.incarnation(), standing }
+    ProtocolRecord { at, name, start: (start, turn), incarnation: member.incarnation(), state }
 }
 
 impl Node {
     pub fn new(setup: &Setup, now: Time) -> Node {
         let Setup { name, at, ref others, start, seed } = *setup;
-        let gate = Rc::new(Gate::new(others.iter().copied().chain([at]).collect()));
+        let filter = Rc::new(AddressFilter::new(others.iter().copied().chain([at]).collect()));
         let id = Id { at, start, turn: 0, name };
-        let mut chance = SmallRng::seed_from_u64(seed);
-        let codec = Gated::new(gate.clone());
-        let settings = settings(gate.named().len());
-        let foca = Foca::new(id, settings, SmallRng::from_rng(&mut chance), codec);
-        let view = setup.view(now);
-        let untold = vec![News::Nothing; view.others().len()];
-        let desk = Desk { now, ..Desk::default() };
+        let mut rng = SmallRng::seed_from_u64(seed);
+        let codec = FilteringCodec::new(filter.clone());
+        let settings = foca_config(filter.addresses().len());
+        let foca = Foca::new(id, settings, SmallRng::from_rng(&mut rng), codec);
+        let view = setup.initial_view(now);
+        let unpublished = vec![Change::Unchanged; view.others().len()];
+        let runtime = RuntimeState { now, ..RuntimeState::default() };
         Node {
             foca,
-            gate,
-            desk,
+            filter,
+            runtime,
             view,
-            chance,
-            next_call: now,
+            rng,
+            next_recontact: now,
             turns: 0,
-            untold,
-            untold_part: true,
-            places: Vec::new(),
+            unpublished,
+            unpublished_partition: true,
+            view_indices: Vec::new(),
             body: Vec::new(),
-            held: Vec::new(),
+            audit_records: Vec::new(),
             fault: None,
             left: false,
         }
@@ -276,38 +281,38 @@
     }
 
     pub fn counts(&self) -> Counts {
-        Counts { unnamed: self.gate.strangers.get(), ..self.desk.counts }
+        Counts { unnamed: self.filter.unknown_members.get(), ..self.runtime.counts }
     }
 
     /// When there is something to do though nothing is heard.
-    pub fn next(&self) -> Time {
-        self.desk.timers.peek().map_or(self.next_call, |due| due.at.min(self.next_call))
+    pub fn next_deadline(&self) -> Time {
+        self.runtime.timers.peek().map_or(self.next_recontact, |pending| pending.at.min(self.next_recontact))
     }
 
-    fn with_library<R>(
+    fn with_foca<R>(
         &mut self,
         now: Time,
-        send: Send,
-        work: impl FnOnce(&mut Foca<Id, Gated, SmallRng, NoCustomBroadcast>, AtWork) -> R,
+        send: SendFn,
+        work: impl FnOnce(&mut Foca<Id, FilteringCodec, SmallRng, NoCustomBroadcast>, NodeRuntime) -> R,
     ) -> R {
-        self.desk.now = now;
+        self.runtime.now = now;
         let own = self.view.own().at;
-        work(&mut self.foca, AtWork { desk: &mut self.desk, gate: &self.gate, own, send })
+        work(&mut self.foca, NodeRuntime { runtime: &mut self.runtime, filter: &self.filter, own, send })
     }
 
     /// A datagram. What it changes is in the view after the next turn.
-    pub fn hear(&mut self, now: Time, from: SocketAddrV4, datagram: &[u8], mut send: Send) {
+    pub fn receive(&mut self, now: Time, from: SocketAddrV4, datagram: &[u8], mut send: SendFn) {
         if self.left {
             return;
         }
-        let counts = &mut self.desk.counts;
-        if from == self.view.own().at || !self.gate.names(from) {
+        let counts = &mut self.runtime.counts;
+        if from == self.view.own().at || !self.filter.contains(from) {
             counts.strangers += 1;
             return;
         }
         let (kind, body) = match wire::open(datagram) {
             Ok(opened) => opened,
-            Err(Refused::Version) => {
+            Err(OpenError::UnknownVersion) => {
                 counts.versions += 1;
                 return;
             }
@@ -316,21 +321,21 @@
                 return;
             }
         };
-        let read = match kind {
-            Kind::Library => {
-                self.gate.from.set(Some(from));
-                self.gate.asked.set(false);
+        let accepted = match kind {
+            DatagramKind::Protocol => {
+                self.filter.source.set(Some(from));
+                self.filter.announced.set(false);
                 let read =
-                    self.with_library(now, &mut send, |foca, desk| foca.handle_data(body, desk)).is_ok();
-                if read && self.gate.asked.get() {
-                    self.tell_down(now, from, send);
+                    self.with_foca(now, &mut send, |foca, runtime| foca.handle_data(body, runtime)).is_ok();
+                if read && self.filter.announced.get() {
+                    self.send_down_members(now, from, send);
                 }
                 read
             }
-            Kind::Down => self.hear_down(now, body, send),
+            DatagramKind::DownList => self.receive_down_members(now, body, send),
         };
-        let counts = &mut self.desk.counts;
-        if read {
+        let counts = &mut self.runtime.counts;
+        if accepted {
             counts.heard += 1;
             counts.heard_bytes += datagram.len() as u64;
         } else {
@@ -341,7 +346,7 @@
     /// Who asks for all that are up is told who is down as well, which the library's answer leaves out. Guards
     /// against one that was out of the others' sight while they told each other: it would find those that are down
     /// one by one, by its own probes.
-    fn tell_down(&mut self, now: Time, to: SocketAddrV4, send: Send) {
+    fn send_down_members(&mut self, now: Time, to: SocketAddrV4, send: SendFn) {
         let own = self.view.own().at;
         let down = self.foca.iter_membership_state();
         let down =
@@ -349,140 +354,145 @@
         let mut body = std::mem::take(&mut self.body);
         // Any of them if there are more than fit: it asks again.
         let mut down: Vec<_> = down.collect();
-        down.shuffle(&mut self.chance);
-        wire::write_down(down.into_iter(), &mut body);
+        down.shuffle(&mut self.rng);
+        wire::encode_down_members(down.into_iter(), &mut body);
         if !body.is_empty() {
-            self.with_library(now, send, |_, mut desk| desk.post(to, Kind::Down, &body));
+            self.with_foca(now, send, |_, mut runtime| {
+                runtime.send_datagram(to, DatagramKind::DownList, &body)
+            });
         }
         self.body = body;
     }
 
     /// Down is the last word on one start of a member, so that it may be taken from whoever is named, however old,
     /// and before the answer that says that the sender is up.
-    fn hear_down(&mut self, now: Time, body: &[u8], send: Send) -> bool {
-        let Some(down) = wire::read_down(body, &self.gate) else { return false };
-        self.with_library(now, send, |foca, desk| foca.apply_many(down.into_iter(), true, desk)).is_ok()
+    fn receive_down_members(&mut self, now: Time, body: &[u8], send: SendFn) -> bool {
+        let Some(down) = wire::decode_down_members(body, &self.filter) else { return false };
+        self.with_foca(now, send, |foca, runtime| foca.apply_many(down.into_iter(), true, runtime)).is_ok()
     }
 
     /// Does what is due, and takes up what has changed since the last turn.
-    pub fn turn(&mut self, now: Time, mut send: Send) {
+    pub fn turn(&mut self, now: Time, mut send: SendFn) {
         if self.left {
             return;
         }
         // What falls due by what is done here waits for the next turn.
-        while self.desk.timers.peek().is_some_and(|due| due.at <= now) {
-            let Some(due) = self.desk.timers.pop() else { break };
-            let done = self.with_library(now, &mut send, |foca, desk| foca.handle_timer(due.timer, desk));
-            self.must(done.is_ok(), || format!("the library: {done:?}"));
+        while self.runtime.timers.peek().is_some_and(|pending| pending.at <= now) {
+            let Some(pending) = self.runtime.timers.pop() else { break };
+            let done =
+                self.with_foca(now, &mut send, |foca, runtime| foca.handle_timer(pending.timer, runtime));
+            self.check(done.is_ok(), || format!("the library: {done:?}"));
         }
-        if now >= self.next_call {
-            self.next_call = now + CALL;
-            self.call(now, &mut send, |standing| !standing.is_up());
+        if now >= self.next_recontact {
+            self.next_recontact = now + RECONTACT_PERIOD;
+            self.announce_to_some(now, &mut send, |state| !state.is_up());
         }
-        if let Some(start) = self.desk.renewed.take() {
-            self.view.renewed(now, start);
+        if let Some(start) = self.runtime.renewed.take() {
+            self.view.set_own_start(now, start);
             // What the others have told each other meanwhile has passed it by.
-            self.call(now, &mut send, |standing| standing == Standing::Alive);
+            self.announce_to_some(now, &mut send, |state| state == MemberState::Alive);
         }
-        self.take_up(now);
+        self.update_view(now);
         self.turns += 1;
-        if self.turns.is_multiple_of(AUDIT_EACH) {
+        if self.turns.is_multiple_of(TURNS_PER_AUDIT) {
             self.audit();
         }
     }
 
     /// Asks some of them for all that are up. Of those that are not up: who has just started, who was cut off, who
     /// was held to be down.
-    fn call(&mut self, now: Time, mut send: Send, whom: fn(Standing) -> bool) {
-        let some = self.view.others().iter().filter(|member| whom(member.standing));
-        let mut chosen = [self.view.own().at; CALLED];
-        let count = some.map(|member| member.at).sample_fill(&mut self.chance, &mut chosen);
+    fn announce_to_some(&mut self, now: Time, mut send: SendFn, select: fn(MemberState) -> bool) {
+        let some = self.view.others().iter().filter(|member| select(member.state));
+        let mut chosen = [self.view.own().at; RECONTACT_TARGETS];
+        let count = some.map(|member| member.at).sample_fill(&mut self.rng, &mut chosen);
         for &at in &chosen[..count] {
-            let done = self.with_library(now, &mut send, |foca, desk| foca.announce(Id::anyone(at), desk));
-            self.must(done.is_ok(), || format!("the library: {done:?}"));
+            let done = self
+                .with_foca(now, &mut send, |foca, runtime| foca.announce(Id::with_address_only(at), runtime));
+            self.check(done.is_ok(), || format!("the library: {done:?}"));
         }
     }
 
-    fn take_up(&mut self, now: Time) {
+    fn update_view(&mut self, now: Time) {
         let cut_off = self.view.cut_off().0;
         for (i, member) in self.foca.iter_membership_state().enumerate() {
-            let seen = seen(member);
-            let near = self.places.get(i).copied().unwrap_or(usize::MAX);
-            let Some(place) = self.view.place_near(seen.at, near) else { continue };
-            if place != near {
-                self.places.resize(self.places.len().max(i + 1), usize::MAX);
-                self.places[i] = place;
+            let record = record_of(member);
+            let near = self.view_indices.get(i).copied().unwrap_or(usize::MAX);
+            let Some(index) = self.view.index_near(record.at, near) else { continue };
+            if index != near {
+                self.view_indices.resize(self.view_indices.len().max(i + 1), usize::MAX);
+                self.view_indices[i] = index;
             }
-            let news = self.view.see_at(now, place, &seen);
-            if news != News::Nothing {
-                let before = std::mem::replace(&mut self.untold[place], news);
-                self.desk.counts.replaced += u64::from(before != News::Nothing);
+            let change = self.view.observe_at(now, index, &record);
+            if change != Change::Unchanged {
+                let before = std::mem::replace(&mut self.unpublished[index], change);
+                self.runtime.counts.replaced += u64::from(before != Change::Unchanged);
             }
         }
-        self.untold_part |= self.view.cut_off().0 != cut_off;
+        self.unpublished_partition |= self.view.cut_off().0 != cut_off;
     }
 
-    fn must(&mut self, holds: bool, words: impl FnOnce() -> String) {
+    fn check(&mut self, holds: bool, message: impl FnOnce() -> String) {
         if !holds {
-            self.desk.counts.faults += 1;
-            let words = words();
-            debug_assert!(false, "{words}");
-            self.fault.get_or_insert(words);
+            self.runtime.counts.faults += 1;
+            let message = message();
+            debug_assert!(false, "{message}");
+            self.fault.get_or_insert(message);
         }
     }
 
     /// Recounts from what the library holds, and from its own count.
     fn audit(&mut self) {
-        self.desk.counts.audits += 1;
-        let mut held = std::mem::take(&mut self.held);
-        held.clear();
-        held.extend(self.foca.iter_membership_state().map(seen));
-        let recount = self.view.audit(held.iter());
-        self.held = held;
-        self.must(recount.is_ok(), || format!("the audit: {recount:?}"));
+        self.runtime.counts.audits += 1;
+        let mut audit_records = std::mem::take(&mut self.audit_records);
+        audit_records.clear();
+        audit_records.extend(self.foca.iter_membership_state().map(record_of));
+        let recount = self.view.audit(audit_records.iter());
+        self.audit_records = audit_records;
+        self.check(recount.is_ok(), || format!("the audit: {recount:?}"));
         let (up, active) = (self.view.tally().up() as usize, self.foca.num_members() + 1);
-        self.must(up == active, || format!("the audit: {up} are known as up, {active} are held so"));
+        self.check(up == active, || format!("the audit: {up} are known as up, {active} are held so"));
     }
 
     /// Everything is to be told anew, for one who has lost what was told.
-    pub fn tell_all(&mut self) {
-        for (untold, member) in self.untold.iter_mut().zip(self.view.others()) {
+    pub fn mark_all_pending(&mut self) {
+        for (unpublished, member) in self.unpublished.iter_mut().zip(self.view.others()) {
             // Whoever is not heard of is no news.
-            if *untold == News::Nothing && member.standing != Standing::Unheard {
-                *untold = match member.standing {
-                    Standing::Down => News::Down,
-                    Standing::Suspect => News::Suspected,
-                    _ => News::Up,
+            if *unpublished == Change::Unchanged && member.state != MemberState::Unknown {
+                *unpublished = match member.state {
+                    MemberState::Down => Change::Down,
+                    MemberState::Suspect => Change::Suspected,
+                    _ => Change::Up,
                 };
             }
         }
-        self.untold_part = true;
+        self.unpublished_partition = true;
     }
 
     /// Tells what is untold until `put` takes no more; the rest is told another time, as it is then.
-    pub fn tell(&mut self, put: &mut dyn FnMut(Fact) -> bool) {
+    pub fn publish(&mut self, push: &mut dyn FnMut(Update) -> bool) {
         let (cut_off, since) = self.view.cut_off();
-        if self.untold_part && !put(Fact::Part { cut_off, since, tally: self.view.tally() }) {
-            self.desk.counts.held_back += 1;
+        if self.unpublished_partition && !push(Update::Partition { cut_off, since, tally: self.view.tally() })
+        {
+            self.runtime.counts.held_back += 1;
             return;
         }
-        self.untold_part = false;
-        for (untold, member) in self.untold.iter_mut().zip(self.view.others()) {
-            if *untold != News::Nothing {
-                if !put(Fact::Member(*member, *untold)) {
-                    self.desk.counts.held_back += 1;
+        self.unpublished_partition = false;
+        for (unpublished, member) in self.unpublished.iter_mut().zip(self.view.others()) {
+            if *unpublished != Change::Unchanged {
+                if !push(Update::Member(*member, *unpublished)) {
+                    self.runtime.counts.held_back += 1;
                     return;
                 }
-                *untold = News::Nothing;
+                *unpublished = Change::Unchanged;
             }
         }
     }
 
     /// Tells some of the others that this courier goes, and does nothing from then on.
-    pub fn leave(&mut self, now: Time, send: Send) {
+    pub fn leave(&mut self, now: Time, send: SendFn) {
         if !std::mem::replace(&mut self.left, true) {
-            let done = self.with_library(now, send, |foca, desk| foca.leave_cluster(desk));
-            self.must(done.is_ok(), || format!("the library: {done:?}"));
+            let done = self.with_foca(now, send, |foca, runtime| foca.leave_cluster(runtime));
+            self.check(done.is_ok(), || format!("the library: {done:?}"));
         }
     }
 }
--- a/crates/fleet/src/thread.rs
+++ b/crates/fleet/src/thread.rs
@@ -11,32 +11,32 @@
 use mio::{Events, Interest, Poll, Token, Waker};
 use rtrb::{Consumer, Producer, RingBuffer};
 
-use crate::node::{Counts, Fact, Node, Setup};
+use crate::node::{Counts, Node, Setup, Update};
 use crate::view::View;
 use crate::{wire, Time};
 
 /// Facts that wait to be read; beyond that the node keeps the last of each member.
-const FACTS: usize = 64;
-const WISHES: usize = 16;
+const UPDATE_CAPACITY: usize = 64;
+const COMMAND_CAPACITY: usize = 16;
 /// Datagrams that are read before what is due is done.
-const AT_ONCE: usize = 64;
+const MAX_READS_PER_TURN: usize = 64;
 /// Bytes of stack that are set aside; none is touched before it is used.
-const STACK: usize = 256 * 1024;
+const STACK_BYTES: usize = 256 * 1024;
 
 const SOCKET: Token = Token(0);
-const WISH: Token = Token(1);
+const COMMAND: Token = Token(1);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wish {
+pub enum Command {
     /// Tell the others that this courier goes, and end.
     Leave,
     /// Tell every fact anew.
-    TellAll,
+    ResendAll,
 }
 
 /// How it ended, and what was counted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct End {
+pub struct Exit {
     pub counts: Counts,
     /// The first thing that did not hold, in words.
     pub fault: Option<String>,
@@ -48,31 +48,31 @@
     pub view: View,
     /// The view's time zero.
     pub start: Instant,
-    facts: Consumer<Fact>,
-    wishes: Producer<Wish>,
+    updates: Consumer<Update>,
+    commands: Producer<Command>,
     waker: Arc<Waker>,
-    thread: Option<JoinHandle<End>>,
+    thread: Option<JoinHandle<Exit>>,
     /// Wishes that found the ring full.
-    pub lost: u64,
+    pub lost_commands: u64,
 }
 
 impl Handle {
-    pub fn fact(&mut self) -> Option<Fact> {
-        self.facts.pop().ok()
+    pub fn next_update(&mut self) -> Option<Update> {
+        self.updates.pop().ok()
     }
 
-    pub fn wish(&mut self, wish: Wish) {
-        self.lost += u64::from(self.wishes.push(wish).is_err());
+    pub fn send_command(&mut self, command: Command) {
+        self.lost_commands += u64::from(self.commands.push(command).is_err());
         let _ = self.waker.wake();
     }
 
     /// Whether the thread is at its end; known when it calls `wake` for the last time.
-    pub fn closing(&self) -> bool {
-        self.facts.is_abandoned()
+    pub fn is_closing(&self) -> bool {
+        self.updates.is_abandoned()
     }
 
     /// Once the thread has ended, how it did; none if it ended by a panic. Never waits.
-    pub fn end(&mut self) -> Option<Option<End>> {
+    pub fn try_join(&mut self) -> Option<Option<Exit>> {
         let ended = self.thread.as_ref().is_some_and(JoinHandle::is_finished);
         ended.then(|| self.thread.take().and_then(|thread| thread.join().ok()))
     }
@@ -80,14 +80,14 @@
 
 impl Drop for Handle {
     fn drop(&mut self) {
-        self.wish(Wish::Leave);
+        self.send_command(Command::Leave);
     }
 }
 
 /// Calls it at the end of the thread as well, however that comes, when the rings are already closed.
-struct Wake<F: Fn()>(F);
+struct WakeOnDrop<F: Fn()>(F);
 
-impl<F: Fn()> Drop for Wake<F> {
+impl<F: Fn()> Drop for WakeOnDrop<F> {
     fn drop(&mut self) {
         (self.0)();
     }
@@ -99,17 +99,17 @@
     let mut socket = UdpSocket::bind(SocketAddr::V4(setup.at))?;
     let poll = Poll::new()?;
     poll.registry().register(&mut socket, SOCKET, Interest::READABLE)?;
-    let waker = Arc::new(Waker::new(poll.registry(), WISH)?);
-    let (facts_in, facts) = RingBuffer::new(FACTS);
-    let (wishes, wishes_out) = RingBuffer::new(WISHES);
+    let waker = Arc::new(Waker::new(poll.registry(), COMMAND)?);
+    let (updates_in, updates) = RingBuffer::new(UPDATE_CAPACITY);
+    let (commands, commands_out) = RingBuffer::new(COMMAND_CAPACITY);
     let start = Instant::now();
-    let view = setup.view(0);
-    let thread = Builder::new().name("fleet".to_string()).stack_size(STACK);
+    let view = setup.initial_view(0);
+    let thread = Builder::new().name("fleet".to_string()).stack_size(STACK_BYTES);
     let thread = thread.spawn(move || {
-        let wake = Wake(wake);
-        run(&setup, socket, poll, start, facts_in, wishes_out, &wake.0)
+        let wake = WakeOnDrop(wake);
+        run(&setup, socket, poll, start, updates_in, commands_out, &wake.0)
     })?;
-    Ok(Handle { view, start, facts, wishes, waker, thread: Some(thread), lost: 0 })
+    Ok(Handle { view, start, updates, commands, waker, thread: Some(thread), lost_commands: 0 })
 }
 
 fn run(
@@ -117,10 +117,10 @@
     socket: UdpSocket,
     mut poll: Poll,
     start: Instant,
-    mut facts: Producer<Fact>,
-    mut wishes: Consumer<Wish>,
+    mut updates: Producer<Update>,
+    mut commands: Consumer<Command>,
     wake: &dyn Fn(),
-) -> End {
+) -> Exit {
     let now = || (start.elapsed().as_micros() / 100) as Time;
     let mut send = |to: SocketAddrV4, datagram: &[u8]| {
         // Guards against a full buffer that holds all up: to the library it is a datagram that was lost.
@@ -129,10 +129,10 @@
     let mut node = Node::new(setup, now());
     let mut events = Events::with_capacity(8);
     // One byte more than is allowed, to tell what is cut off from what just fits.
-    let mut buffer = [0; wire::LONGEST + 1];
+    let mut buffer = [0; wire::MAX_DATAGRAM_BYTES + 1];
     let mut unread = false;
     loop {
-        let wait = if unread { 0 } else { node.next().saturating_sub(now()) };
+        let wait = if unread { 0 } else { node.next_deadline().saturating_sub(now()) };
         let wait = Duration::from_micros(wait * 100);
         if poll.poll(&mut events, Some(wait)).is_err() {
             // A signal; guards against a loop without a pause if it is anything else.
@@ -140,9 +140,9 @@
         }
         // First what has come, then what is due: after a stand-still the answers to probes lie in the socket.
         unread = true;
-        for _ in 0..AT_ONCE {
+        for _ in 0..MAX_READS_PER_TURN {
             match socket.recv_from(&mut buffer) {
-                Ok((length, SocketAddr::V4(from))) => node.hear(now(), from, &buffer[..length], &mut send),
+                Ok((length, SocketAddr::V4(from))) => node.receive(now(), from, &buffer[..length], &mut send),
                 Ok(_) => {}
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     unread = false;
@@ -153,24 +153,24 @@
             }
         }
         node.turn(now(), &mut send);
-        let mut leave = facts.is_abandoned();
-        while let Ok(wish) = wishes.pop() {
-            match wish {
-                Wish::Leave => leave = true,
-                Wish::TellAll => node.tell_all(),
+        let mut leave = updates.is_abandoned();
+        while let Ok(command) = commands.pop() {
+            match command {
+                Command::Leave => leave = true,
+                Command::ResendAll => node.mark_all_pending(),
             }
         }
-        let mut told = false;
-        node.tell(&mut |fact| {
-            let put = facts.push(fact).is_ok();
-            told |= put;
+        let mut published = false;
+        node.publish(&mut |update| {
+            let put = updates.push(update).is_ok();
+            published |= put;
             put
         });
         if leave {
             node.leave(now(), &mut send);
-            return End { counts: node.counts(), fault: node.fault.take() };
+            return Exit { counts: node.counts(), fault: node.fault.take() };
         }
-        if told {
+        if published {
             wake();
         }
     }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -8,97 +8,97 @@
 use crate::Time;
 
 /// Bytes of a courier's name that are told; a longer one is cut short.
-pub const LONGEST_NAME: usize = 32;
-pub type Name = ArrayString<LONGEST_NAME>;
+pub const MAX_NAME_BYTES: usize = 32;
+pub type Name = ArrayString<MAX_NAME_BYTES>;
 
 /// Cut to what fits, at a character's end.
-pub fn name(text: &str) -> Name {
-    let end = text.char_indices().map(|(at, c)| at + c.len_utf8()).take_while(|&end| end <= LONGEST_NAME);
+pub fn truncate_name(text: &str) -> Name {
+    let end = text.char_indices().map(|(at, c)| at + c.len_utf8()).take_while(|&end| end <= MAX_NAME_BYTES);
     let end = end.last().unwrap_or(0);
     Name::from(&text[..end]).unwrap_or_default()
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum MemberState {
     /// Named in the configuration; nothing has been heard of it yet.
-    Unheard,
+    Unknown,
     Alive,
     /// Somebody's probe found it silent, and it has not spoken up since. Counts as up until its time is over.
     Suspect,
     Down,
 }
 
-impl Standing {
+impl MemberState {
     pub fn is_up(self) -> bool {
-        matches!(self, Standing::Alive | Standing::Suspect)
+        matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 }
 
 /// What is seen of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sight {
+pub enum Observation {
     Alive,
     /// Alive under a later start than the one that was known.
-    Anew,
+    Restarted,
     Suspect,
     Down,
 }
 
 /// What a sight changes, for those who want to know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum News {
-    Nothing,
+pub enum Change {
+    Unchanged,
     Up,
     Suspected,
     /// A suspicion that did not hold.
     Cleared,
     Down,
     /// Up after it was down.
-    Back,
+    Recovered,
     /// Up under a new start, and never seen down in between.
     Restarted,
 }
 
 /// All there is to a member's standing: (standing, sight, next standing, news).
 #[rustfmt::skip]
-pub const STANDINGS: [(Standing, Sight, Standing, News); 16] = {
-    use {News::*, Sight as See, Standing as Is};
+pub const TRANSITIONS: [(MemberState, Observation, MemberState, Change); 16] = {
+    use {Change::*, MemberState as State, Observation as Observed};
     [
-        (Is::Unheard, See::Alive,   Is::Alive,   Up),
-        (Is::Unheard, See::Anew,    Is::Alive,   Up),
+        (State::Unknown, Observed::Alive,     State::Alive,   Up),
+        (State::Unknown, Observed::Restarted, State::Alive,   Up),
         // Heard of through one who suspects it: it was up a moment ago, and may be still.
-        (Is::Unheard, See::Suspect, Is::Suspect, Suspected),
-        (Is::Unheard, See::Down,    Is::Down,    Down),
-        (Is::Alive,   See::Alive,   Is::Alive,   Nothing),
-        (Is::Alive,   See::Anew,    Is::Alive,   Restarted),
-        (Is::Alive,   See::Suspect, Is::Suspect, Suspected),
-        (Is::Alive,   See::Down,    Is::Down,    Down),
-        (Is::Suspect, See::Alive,   Is::Alive,   Cleared),
-        (Is::Suspect, See::Anew,    Is::Alive,   Restarted),
-        (Is::Suspect, See::Suspect, Is::Suspect, Nothing),
-        (Is::Suspect, See::Down,    Is::Down,    Down),
-        (Is::Down,    See::Alive,   Is::Alive,   Back),
-        (Is::Down,    See::Anew,    Is::Alive,   Back),
+        (State::Unknown, Observed::Suspect,   State::Suspect, Suspected),
+        (State::Unknown, Observed::Down,      State::Down,    Down),
+        (State::Alive,   Observed::Alive,     State::Alive,   Unchanged),
+        (State::Alive,   Observed::Restarted, State::Alive,   Restarted),
+        (State::Alive,   Observed::Suspect,   State::Suspect, Suspected),
+        (State::Alive,   Observed::Down,      State::Down,    Down),
+        (State::Suspect, Observed::Alive,     State::Alive,   Cleared),
+        (State::Suspect, Observed::Restarted, State::Alive,   Restarted),
+        (State::Suspect, Observed::Suspect,   State::Suspect, Unchanged),
+        (State::Suspect, Observed::Down,      State::Down,    Down),
+        (State::Down,    Observed::Alive,     State::Alive,   Recovered),
+        (State::Down,    Observed::Restarted, State::Alive,   Recovered),
         // Back, but somebody's probe has failed since.
-        (Is::Down,    See::Suspect, Is::Suspect, Back),
-        (Is::Down,    See::Down,    Is::Down,    Nothing),
+        (State::Down,    Observed::Suspect,   State::Suspect, Recovered),
+        (State::Down,    Observed::Down,      State::Down,    Unchanged),
     ]
 };
 
-pub fn step(standing: Standing, sight: Sight) -> (Standing, News) {
-    let row = STANDINGS.iter().find(|row| (row.0, row.1) == (standing, sight));
-    row.map_or((standing, News::Nothing), |row| (row.2, row.3))
+pub fn transition(state: MemberState, observation: Observation) -> (MemberState, Change) {
+    let row = TRANSITIONS.iter().find(|row| (row.0, row.1) == (state, observation));
+    row.map_or((state, Change::Unchanged), |row| (row.2, row.3))
 }
 
 /// A member as the protocol holds it at this moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct ProtocolRecord {
     pub at: SocketAddrV4,
     pub name: Name,
     /// Which of the processes that had this address: later ones are greater. Of no unit.
     pub start: (u64, u8),
     pub incarnation: u16,
-    pub standing: Standing,
+    pub state: MemberState,
 }
 
 /// A member as it is known here, whole: one of these takes the place of all that were told before it.
@@ -109,7 +109,7 @@
     pub name: Name,
     pub start: (u64, u8),
     pub incarnation: u16,
-    pub standing: Standing,
+    pub state: MemberState,
     /// Since when it has this standing.
     pub since: Time,
     /// Since when it is up without a break that was seen, suspicions that did not hold included.
@@ -117,58 +117,60 @@
 }
 
 impl Member {
-    fn unheard(at: SocketAddrV4, now: Time) -> Member {
-        let (standing, name) = (Standing::Unheard, Name::new());
-        Member { at, name, start: (0, 0), incarnation: 0, standing, since: now, up_since: None }
+    fn unknown(at: SocketAddrV4, now: Time) -> Member {
+        let (state, name) = (MemberState::Unknown, Name::new());
+        Member { at, name, start: (0, 0), incarnation: 0, state, since: now, up_since: None }
     }
 
     /// The standing moved on by what is seen, and what that changes.
-    fn see(&mut self, now: Time, seen: &Seen) -> News {
-        let sight = match seen.standing {
-            Standing::Alive if seen.start > self.start && self.standing != Standing::Unheard => Sight::Anew,
+    fn observe(&mut self, now: Time, record: &ProtocolRecord) -> Change {
+        let observation = match record.state {
+            MemberState::Alive if record.start > self.start && self.state != MemberState::Unknown => {
+                Observation::Restarted
+            }
             // Guards against a sight of nothing, which changes nothing.
-            Standing::Unheard => return News::Nothing,
-            Standing::Alive => Sight::Alive,
-            Standing::Suspect => Sight::Suspect,
-            Standing::Down => Sight::Down,
+            MemberState::Unknown => return Change::Unchanged,
+            MemberState::Alive => Observation::Alive,
+            MemberState::Suspect => Observation::Suspect,
+            MemberState::Down => Observation::Down,
         };
-        let (next, news) = step(self.standing, sight);
-        self.up_since = match (next.is_up(), news) {
+        let (next, change) = transition(self.state, observation);
+        self.up_since = match (next.is_up(), change) {
             (false, _) => None,
-            (true, News::Restarted | News::Back) => Some(now),
+            (true, Change::Restarted | Change::Recovered) => Some(now),
             (true, _) => self.up_since.or(Some(now)),
         };
-        if next != self.standing || news != News::Nothing {
+        if next != self.state || change != Change::Unchanged {
             self.since = now;
         }
-        (self.name, self.start, self.incarnation) = (seen.name, seen.start, seen.incarnation);
-        self.standing = next;
-        news
+        (self.name, self.start, self.incarnation) = (record.name, record.start, record.incarnation);
+        self.state = next;
+        change
     }
 }
 
 /// How many there are of each standing, this courier among the alive.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
-    pub unheard: u32,
+    pub unknown: u32,
     pub alive: u32,
     pub suspect: u32,
     pub down: u32,
 }
 
 impl Tally {
-    fn of(&mut self, standing: Standing) -> &mut u32 {
-        match standing {
-            Standing::Unheard => &mut self.unheard,
-            Standing::Alive => &mut self.alive,
-            Standing::Suspect => &mut self.suspect,
-            Standing::Down => &mut self.down,
+    fn count_mut(&mut self, state: MemberState) -> &mut u32 {
+        match state {
+            MemberState::Unknown => &mut self.unknown,
+            MemberState::Alive => &mut self.alive,
+            MemberState::Suspect => &mut self.suspect,
+            MemberState::Down => &mut self.down,
         }
     }
 
     /// All that the configuration names, this courier too.
-    pub fn named(&self) -> u32 {
-        self.unheard + self.alive + self.suspect + self.down
+    pub fn configured(&self) -> u32 {
+        self.unknown + self.alive + self.suspect + self.down
     }
 
     pub fn up(&self) -> u32 {
@@ -177,12 +179,12 @@
 
     /// Fewer than half of those named are up: this part may not speak for all.
     pub fn cut_off(&self) -> bool {
-        2 * self.up() < self.named()
+        2 * self.up() < self.configured()
     }
 
     /// The part of those named of whom it is settled whether they are up: 1 when nobody is suspected or unheard of.
-    pub fn sure(&self) -> f64 {
-        f64::from(self.alive + self.down) / f64::from(self.named().max(1))
+    pub fn settled_share(&self) -> f64 {
+        f64::from(self.alive + self.down) / f64::from(self.configured().max(1))
     }
 }
 
@@ -198,61 +200,61 @@
 
 impl View {
     /// Knows nobody yet; cut off from the start unless it is alone by its configuration or one of two.
-    pub fn new(own: Seen, others: &[SocketAddrV4], now: Time) -> View {
+    pub fn new(own: ProtocolRecord, others: &[SocketAddrV4], now: Time) -> View {
         let mut addresses: Vec<_> = others.iter().copied().filter(|&at| at != own.at).collect();
         addresses.sort_unstable();
         addresses.dedup();
-        let mut me = Member::unheard(own.at, now);
-        me.see(now, &Seen { standing: Standing::Alive, ..own });
-        let others: Vec<Member> = addresses.into_iter().map(|at| Member::unheard(at, now)).collect();
-        let tally = Tally { unheard: others.len() as u32, alive: 1, ..Tally::default() };
-        View { own: me, others, tally, cut_off: (tally.cut_off(), now) }
+        let mut own_member = Member::unknown(own.at, now);
+        own_member.observe(now, &ProtocolRecord { state: MemberState::Alive, ..own });
+        let others: Vec<Member> = addresses.into_iter().map(|at| Member::unknown(at, now)).collect();
+        let tally = Tally { unknown: others.len() as u32, alive: 1, ..Tally::default() };
+        View { own: own_member, others, tally, cut_off: (tally.cut_off(), now) }
     }
 
-    pub(crate) fn place(&self, at: SocketAddrV4) -> Option<usize> {
+    pub(crate) fn index_of(&self, at: SocketAddrV4) -> Option<usize> {
         self.others.binary_search_by_key(&at, |member| member.at).ok()
     }
 
     /// Its place, looked for at `near` first: of a thousand members that are read in one order turn after turn, a
     /// search for each was most of a courier's time.
-    pub(crate) fn place_near(&self, at: SocketAddrV4, near: usize) -> Option<usize> {
+    pub(crate) fn index_near(&self, at: SocketAddrV4, near: usize) -> Option<usize> {
         match self.others.get(near) {
             Some(member) if member.at == at => Some(near),
-            _ => self.place(at),
+            _ => self.index_of(at),
         }
     }
 
     /// Takes up what the protocol holds of a member. Of whom the configuration does not name, nothing.
-    pub fn see(&mut self, now: Time, seen: &Seen) -> News {
-        self.place(seen.at).map_or(News::Nothing, |place| self.see_at(now, place, seen))
+    pub fn observe(&mut self, now: Time, record: &ProtocolRecord) -> Change {
+        self.index_of(record.at).map_or(Change::Unchanged, |index| self.observe_at(now, index, record))
     }
 
     /// The same, of the member at this place.
-    pub(crate) fn see_at(&mut self, now: Time, place: usize, seen: &Seen) -> News {
-        let member = &mut self.others[place];
-        let before = member.standing;
-        let news = member.see(now, seen);
-        let after = member.standing;
-        self.moved(now, before, after);
-        news
+    pub(crate) fn observe_at(&mut self, now: Time, index: usize, record: &ProtocolRecord) -> Change {
+        let member = &mut self.others[index];
+        let before = member.state;
+        let change = member.observe(now, record);
+        let after = member.state;
+        self.count_transition(now, before, after);
+        change
     }
 
     /// Takes up what another view told of a member, whole.
-    pub fn put(&mut self, now: Time, told: &Member) {
-        let Some(place) = self.place(told.at) else { return };
-        let before = std::mem::replace(&mut self.others[place], *told).standing;
-        self.moved(now, before, told.standing);
+    pub fn replace_member(&mut self, now: Time, member: &Member) {
+        let Some(index) = self.index_of(member.at) else { return };
+        let before = std::mem::replace(&mut self.others[index], *member).state;
+        self.count_transition(now, before, member.state);
     }
 
     /// This courier goes on under a later start: the others had held it to be down.
-    pub fn renewed(&mut self, now: Time, start: (u64, u8)) {
+    pub fn set_own_start(&mut self, now: Time, start: (u64, u8)) {
         (self.own.start, self.own.since, self.own.up_since) = (start, now, Some(now));
     }
 
-    fn moved(&mut self, now: Time, before: Standing, after: Standing) {
+    fn count_transition(&mut self, now: Time, before: MemberState, after: MemberState) {
         if before != after {
-            *self.tally.of(before) -= 1;
-            *self.tally.of(after) += 1;
+            *self.tally.count_mut(before) -= 1;
+            *self.tally.count_mut(after) += 1;
             if self.tally.cut_off() != self.cut_off.0 {
                 self.cut_off = (!self.cut_off.0, now);
             }
@@ -271,12 +273,12 @@
         if at == self.own.at {
             return Some(&self.own);
         }
-        self.place(at).map(|place| &self.others[place])
+        self.index_of(at).map(|index| &self.others[index])
     }
 
     /// Those that are up, this courier among them.
     pub fn up(&self) -> impl Iterator<Item = &Member> {
-        std::iter::once(&self.own).chain(self.others.iter().filter(|member| member.standing.is_up()))
+        std::iter::once(&self.own).chain(self.others.iter().filter(|member| member.state.is_up()))
     }
 
     pub fn tally(&self) -> Tally {
@@ -290,29 +292,29 @@
 
     /// Counts anew from what the protocol holds, and compares: what differs is said, at the first difference.
     /// `held` names each member once at most, this courier or strangers too: both are passed over.
-    pub fn audit<'a>(&self, held: impl Iterator<Item = &'a Seen>) -> Result<(), String> {
+    pub fn audit<'a>(&self, records: impl Iterator<Item = &'a ProtocolRecord>) -> Result<(), String> {
         let (mut up, mut suspect, mut down) = (1, 0, 0);
-        for seen in held {
+        for record in records {
             // Not by `place`, which the view itself goes by.
-            let Some(member) = self.others.iter().find(|member| member.at == seen.at) else { continue };
-            up += u32::from(seen.standing.is_up());
-            suspect += u32::from(seen.standing == Standing::Suspect);
-            down += u32::from(seen.standing == Standing::Down);
-            let known = (member.standing, member.start, member.incarnation);
-            if known != (seen.standing, seen.start, seen.incarnation) {
-                return Err(format!("{} is held as {seen:?} and known as {known:?}", seen.at));
+            let Some(member) = self.others.iter().find(|member| member.at == record.at) else { continue };
+            up += u32::from(record.state.is_up());
+            suspect += u32::from(record.state == MemberState::Suspect);
+            down += u32::from(record.state == MemberState::Down);
+            let known = (member.state, member.start, member.incarnation);
+            if known != (record.state, record.start, record.incarnation) {
+                return Err(format!("{} is held as {record:?} and known as {known:?}", record.at));
             }
-            if member.up_since.is_some() != seen.standing.is_up() {
-                return Err(format!("{} is {:?}, up since {:?}", seen.at, seen.standing, member.up_since));
+            if member.up_since.is_some() != record.state.is_up() {
+                return Err(format!("{} is {:?}, up since {:?}", record.at, record.state, member.up_since));
             }
         }
-        let (named, tally) = (1 + self.others.len() as u32, self.tally);
-        let counted = Tally { unheard: named - up - down, alive: up - suspect, suspect, down };
+        let (configured, tally) = (1 + self.others.len() as u32, self.tally);
+        let counted = Tally { unknown: configured - up - down, alive: up - suspect, suspect, down };
         if counted != tally {
             return Err(format!("counted {counted:?}, known {tally:?}"));
         }
-        if (named - up > up) != self.cut_off.0 {
-            return Err(format!("{up} of {named} are up, and cut off is {}", self.cut_off.0));
+        if (configured - up > up) != self.cut_off.0 {
+            return Err(format!("{up} of {configured} are up, and cut off is {}", self.cut_off.0));
         }
         Ok(())
     }
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -13,72 +13,75 @@
 use crate::view::Name;
 
 /// Bytes of a datagram, the envelope included: none is cut up on its way.
-pub const LONGEST: usize = 1400;
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
 const MAGIC: [u8; 2] = *b"mf";
 /// Another form of anything that follows takes another.
 const VERSION: u8 = 1;
-pub const ENVELOPE: usize = 8;
+pub const ENVELOPE_BYTES: usize = 8;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum OpenError {
     TooLong,
     TooShort,
     /// Does not begin as one of ours.
-    Alien,
+    BadMagic,
     /// Ours, in a form that this courier does not know.
-    Version,
+    UnknownVersion,
     /// Changed on its way, or cut short.
     Checksum,
 }
 
 /// What the library says to its like, or members that are down, one after the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    Library = 0,
-    Down = 1,
+pub enum DatagramKind {
+    Protocol = 0,
+    DownList = 1,
 }
 
 /// Magic, version, kind, checksum of all that follows the magic.
-pub fn seal(kind: Kind, body: &[u8], out: &mut Vec<u8>) {
+pub fn seal(kind: DatagramKind, body: &[u8], out: &mut Vec<u8>) {
     out.clear();
     out.extend(MAGIC);
     out.extend([VERSION, kind as u8]);
-    out.extend(sum(kind as u8, body).to_be_bytes());
+    out.extend(checksum(kind as u8, body).to_be_bytes());
     out.extend(body);
 }
 
-fn sum(kind: u8, body: &[u8]) -> u32 {
+fn checksum(kind: u8, body: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&[VERSION, kind]);
     hasher.update(body);
     hasher.finalize()
 }
 
-pub fn open(datagram: &[u8]) -> Result<(Kind, &[u8]), Refused> {
-    if datagram.len() > LONGEST {
-        return Err(Refused::TooLong);
+pub fn open(datagram: &[u8]) -> Result<(DatagramKind, &[u8]), OpenError> {
+    if datagram.len() > MAX_DATAGRAM_BYTES {
+        return Err(OpenError::TooLong);
     }
-    let Some((&[m0, m1, version, kind, a, b, c, d], body)) = datagram.split_first_chunk::<ENVELOPE>() else {
-        return Err(Refused::TooShort);
+    let Some((&[m0, m1, version, kind, a, b, c, d], body)) = datagram.split_first_chunk::<ENVELOPE_BYTES>()
+    else {
+        return Err(OpenError::TooShort);
     };
     match ([m0, m1], version) {
-        (MAGIC, VERSION) if sum(kind, body) == u32::from_be_bytes([a, b, c, d]) => match kind {
-            0 => Ok((Kind::Library, body)),
-            1 => Ok((Kind::Down, body)),
-            _ => Err(Refused::Version),
+        (MAGIC, VERSION) if checksum(kind, body) == u32::from_be_bytes([a, b, c, d]) => match kind {
+            0 => Ok((DatagramKind::Protocol, body)),
+            1 => Ok((DatagramKind::DownList, body)),
+            _ => Err(OpenError::UnknownVersion),
         },
-        (MAGIC, VERSION) => Err(Refused::Checksum),
-        (MAGIC, _) => Err(Refused::Version),
-        _ => Err(Refused::Alien),
+        (MAGIC, VERSION) => Err(OpenError::Checksum),
+        (MAGIC, _) => Err(OpenError::UnknownVersion),
+        _ => Err(OpenError::BadMagic),
     }
 }
 
 /// As many members as fit, all to be told as down.
-pub fn write_down<'a>(down: impl Iterator<Item = &'a Member<Id>>, out: &mut Vec<u8>) {
+pub fn encode_down_members<'a>(down: impl Iterator<Item = &'a Member<Id>>, out: &mut Vec<u8>) {
     out.clear();
     for member in down {
         let end = out.len();
-        if PostcardCodec.encode_member(member, &mut *out).is_err() || out.len() > LONGEST - ENVELOPE {
+        if PostcardCodec.encode_member(member, &mut *out).is_err()
+            || out.len() > MAX_DATAGRAM_BYTES - ENVELOPE_BYTES
+        {
             out.truncate(end);
             return;
         }
@@ -86,17 +89,17 @@
 }
 
 /// Each member of it, which is down and named in the configuration, or nothing at all.
-pub fn read_down(mut body: &[u8], gate: &Gate) -> Option<Vec<Member<Id>>> {
+pub fn decode_down_members(mut body: &[u8], filter: &AddressFilter) -> Option<Vec<Member<Id>>> {
     let mut down = Vec::new();
     while !body.is_empty() {
         let member: Member<Id> = PostcardCodec.decode_member(&mut body).ok()?;
         if member.state() != State::Down {
             return None;
         }
-        if gate.names(member.id().at) {
+        if filter.contains(member.id().at) {
             down.push(member);
         } else {
-            gate.strangers.set(gate.strangers.get() + 1);
+            filter.unknown_members.set(filter.unknown_members.get() + 1);
         }
     }
     Some(down)
@@ -115,13 +118,13 @@
 
 impl Id {
     /// Whom an announcement is for, when only the address is known.
-    pub fn anyone(at: SocketAddrV4) -> Id {
+    pub fn with_address_only(at: SocketAddrV4) -> Id {
         Id { at, start: 0, turn: 0, name: Name::new() }
     }
 }
 
 /// A renewal adds no more than 2^37 ms, four years.
-const LONGEST_STEP: u8 = 37;
+const MAX_STEP_EXPONENT: u8 = 37;
 
 impl Identity for Id {
     type Addr = SocketAddrV4;
@@ -129,7 +132,7 @@
     /// Twice as far ahead with each turn: a clock that was put back by a day is made up for in 27 turns, each as
     /// long as a datagram's way there and back.
     fn renew(&self) -> Option<Id> {
-        let step = 1 << self.turn.min(LONGEST_STEP);
+        let step = 1 << self.turn.min(MAX_STEP_EXPONENT);
         Some(Id { start: self.start.saturating_add(step), turn: self.turn.saturating_add(1), ..*self })
     }
 
@@ -144,108 +147,113 @@
 
 /// What the codec must know of a datagram that it reads, and what it has to say of it.
 #[derive(Debug)]
-pub struct Gate {
+pub struct AddressFilter {
     /// All addresses that the configuration names, in order, this courier's too.
-    named: Vec<SocketAddrV4>,
+    configured: Vec<SocketAddrV4>,
     /// Where the datagram that is read came from.
-    pub from: Cell<Option<SocketAddrV4>>,
+    pub source: Cell<Option<SocketAddrV4>>,
     /// Whether it asked for all that are up.
-    pub asked: Cell<bool>,
+    pub announced: Cell<bool>,
     /// Members that were passed over: the configuration does not name them.
-    pub strangers: Cell<u64>,
+    pub unknown_members: Cell<u64>,
 }
 
-impl Gate {
-    pub fn new(mut named: Vec<SocketAddrV4>) -> Gate {
-        named.sort_unstable();
-        named.dedup();
-        Gate { named, from: Cell::new(None), asked: Cell::new(false), strangers: Cell::new(0) }
+impl AddressFilter {
+    pub fn new(mut configured: Vec<SocketAddrV4>) -> AddressFilter {
+        configured.sort_unstable();
+        configured.dedup();
+        AddressFilter {
+            configured,
+            source: Cell::new(None),
+            announced: Cell::new(false),
+            unknown_members: Cell::new(0),
+        }
     }
 
-    pub fn names(&self, at: SocketAddrV4) -> bool {
-        self.named.binary_search(&at).is_ok()
+    pub fn contains(&self, at: SocketAddrV4) -> bool {
+        self.configured.binary_search(&at).is_ok()
     }
 
-    pub fn named(&self) -> &[SocketAddrV4] {
-        &self.named
+    pub fn addresses(&self) -> &[SocketAddrV4] {
+        &self.configured
     }
 }
 
 /// The library's codec behind a gate. Guards against memory that grows with whatever a datagram names, and against
 /// datagrams sent on to whoever one asks for.
-pub struct Gated {
-    pub gate: Rc<Gate>,
+pub struct FilteringCodec {
+    pub filter: Rc<AddressFilter>,
     /// The sender of the datagram that is read.
     sender: Option<Member<Id>>,
 }
 
-impl Gated {
-    pub fn new(gate: Rc<Gate>) -> Gated {
-        Gated { gate, sender: None }
+impl FilteringCodec {
+    pub fn new(filter: Rc<AddressFilter>) -> FilteringCodec {
+        FilteringCodec { filter, sender: None }
     }
 }
 
-impl Codec<Id> for Gated {
-    type Error = Unread;
+impl Codec<Id> for FilteringCodec {
+    type Error = DecodeError;
 
     fn encode_header(&mut self, header: &Header<Id>, buf: impl BufMut) -> Result<(), Self::Error> {
-        PostcardCodec.encode_header(header, buf).map_err(Unread::Form)
+        PostcardCodec.encode_header(header, buf).map_err(DecodeError::Malformed)
     }
 
     fn decode_header(&mut self, buf: impl Buf) -> Result<Header<Id>, Self::Error> {
-        let header: Header<Id> = PostcardCodec.decode_header(buf).map_err(Unread::Form)?;
-        if self.gate.from.get() != Some(header.src.at) {
-            return Err(Unread::Forged);
+        let header: Header<Id> = PostcardCodec.decode_header(buf).map_err(DecodeError::Malformed)?;
+        if self.filter.source.get() != Some(header.src.at) {
+            return Err(DecodeError::SourceMismatch);
         }
         // Who is asked to send on does so to those it names alone. That it answers a probe for one whom only the
         // others name yet sends nothing there, and spares it a suspicion.
-        let third = match &header.message {
-            Message::PingReq { target: third, .. } | Message::IndirectAck { target: third, .. } => third.at,
+        let target = match &header.message {
+            Message::PingReq { target, .. } | Message::IndirectAck { target, .. } => target.at,
             _ => header.src.at,
         };
-        if ![header.src.at, header.dst.at, third].iter().all(|&at| self.gate.names(at)) {
-            return Err(Unread::Stranger);
+        if ![header.src.at, header.dst.at, target].iter().all(|&at| self.filter.contains(at)) {
+            return Err(DecodeError::UnknownAddress);
         }
-        self.gate.asked.set(header.message == Message::Announce);
+        self.filter.announced.set(header.message == Message::Announce);
         self.sender = Some(Member::new(header.src, header.src_incarnation, State::Alive));
         Ok(header)
     }
 
     fn encode_member(&mut self, member: &Member<Id>, buf: impl BufMut) -> Result<(), Self::Error> {
-        PostcardCodec.encode_member(member, buf).map_err(Unread::Form)
+        PostcardCodec.encode_member(member, buf).map_err(DecodeError::Malformed)
     }
 
     /// A member that the configuration here does not name, though the sender's does (lists are changed one after
     /// the other), is read as what the library takes up in any case: that the sender is alive.
     fn decode_member(&mut self, buf: impl Buf) -> Result<Member<Id>, Self::Error> {
-        let member: Member<Id> = PostcardCodec.decode_member(buf).map_err(Unread::Form)?;
-        if self.gate.names(member.id().at) {
+        let member: Member<Id> = PostcardCodec.decode_member(buf).map_err(DecodeError::Malformed)?;
+        if self.filter.contains(member.id().at) {
             return Ok(member);
         }
-        self.gate.strangers.set(self.gate.strangers.get() + 1);
-        self.sender.clone().ok_or(Unread::Stranger)
+        self.filter.unknown_members.set(self.filter.unknown_members.get() + 1);
+        self.sender.clone().ok_or(DecodeError::UnknownAddress)
     }
 }
 
 /// Why a datagram's content is refused.
 #[derive(Debug)]
-pub enum Unread {
+pub enum DecodeError {
     /// Not in the form that is expected.
-    Form(postcard::Error),
+    Malformed(postcard::Error),
     /// Names a sender other than where it came from.
-    Forged,
+    SourceMismatch,
     /// Concerns one whom the configuration does not name.
-    Stranger,
+    UnknownAddress,
 }
 
-impl fmt::Display for Unread {
+impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unread::Form(error) => write!(f, "cannot be read: {error}"),
-            Unread::Forged => f.write_str("names another sender than it came from"),
-            Unread::Stranger => f.write_str("concerns one whom the configuration does not name"),
+            DecodeError::Malformed(error) => write!(f, "cannot be read: {error}"),
+            DecodeError::SourceMismatch => f.write_str("names another sender than it came from"),
+            DecodeError::UnknownAddress => f.write_str("concerns one whom the configuration does not name"),
         }
     }
 }
 
-impl std::error::Error for Unread {}
+impl std::error::Error for DecodeError {}
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -6,8 +6,8 @@
 use std::collections::BinaryHeap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use meadowhold_fleet::node::{Counts, Fact, Node, Setup};
-use meadowhold_fleet::view::{name, Standing, View};
+use meadowhold_fleet::node::{Counts, Node, Setup, Update};
+use meadowhold_fleet::view::{truncate_name, MemberState, View};
 use meadowhold_fleet::{Time, SECOND};
 
 pub fn at(i: usize) -> SocketAddrV4 {
@@ -15,150 +15,151 @@
 }
 
 /// Whose address it is.
-fn seat_at(address: SocketAddrV4) -> usize {
+fn host_at(address: SocketAddrV4) -> usize {
     let [_, _, high, low] = address.ip().octets();
     250 * usize::from(high) + usize::from(low) - 1
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Net {
+pub struct NetworkFaults {
     /// Parts of one.
     pub loss: f64,
-    pub double: f64,
+    pub duplicate: f64,
     /// The least and the most, any between them as likely: what is sent later often comes sooner.
     pub delay: (Time, Time),
 }
 
-pub const GOOD: Net = Net { loss: 0.0, double: 0.0, delay: (1, 10) };
-pub const POOR: Net = Net { loss: 0.05, double: 0.05, delay: (1, 300) };
+pub const GOOD: NetworkFaults = NetworkFaults { loss: 0.0, duplicate: 0.0, delay: (1, 10) };
+pub const POOR: NetworkFaults = NetworkFaults { loss: 0.05, duplicate: 0.05, delay: (1, 300) };
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Comes { to: usize, from: usize, datagram: Vec<u8> },
+    Arrival { to: usize, from: usize, datagram: Vec<u8> },
     Wake(usize),
 }
 
-struct Seat {
+struct Host {
     node: Option<Node>,
     stopped: bool,
     /// What comes while it is stopped; the socket's buffer keeps so many.
-    kept: Vec<(usize, Vec<u8>)>,
-    wake: Time,
-    part: u32,
+    buffered: Vec<(usize, Vec<u8>)>,
+    wake_at: Time,
+    partition: u32,
     starts: u64,
-    lost: Counts,
+    last_counts: Counts,
     /// Told facts put into a copy, as the exchange does.
     copy: Option<View>,
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: Time,
-    pub net: Net,
+    pub faults: NetworkFaults,
     count: usize,
-    seats: Vec<Seat>,
+    hosts: Vec<Host>,
     events: BinaryHeap<Reverse<(Time, u64, Event)>>,
-    order: u64,
-    chance: fastrand::Rng,
+    sequence: u64,
+    rng: fastrand::Rng,
     /// Of all that was sent, in its order: equal for equal runs.
     pub trace: u64,
     /// Facts that were taken, of all.
-    pub told: u64,
+    pub published: u64,
     /// The last datagram that was sent, and by whom.
-    pub last: Vec<u8>,
+    pub last_datagram: Vec<u8>,
     pub last_from: usize,
     /// From whom to whom nothing passes, though it does the other way.
-    pub shut: Vec<(usize, usize)>,
+    pub blocked: Vec<(usize, usize)>,
     /// Whose configuration does not name whom, from its next start on.
-    pub unnamed: Vec<(usize, usize)>,
+    pub not_configured: Vec<(usize, usize)>,
 }
 
-const KEPT: usize = 256;
+const SOCKET_BUFFER: usize = 256;
 /// Milliseconds on the clock of the day when the first process begins: some date of 2026.
-pub const FIRST: u64 = 1_790_000_000_000;
+pub const FIRST_START_MS: u64 = 1_790_000_000_000;
 
-impl World {
+impl Simulation {
     /// All start within the first second.
-    pub fn new(count: usize, net: Net, seed: u64) -> World {
-        let mut chance = fastrand::Rng::with_seed(seed);
-        let seat = || Seat {
+    pub fn new(count: usize, faults: NetworkFaults, seed: u64) -> Simulation {
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let host = || Host {
             node: None,
             stopped: false,
-            kept: Vec::new(),
-            wake: Time::MAX,
-            part: 0,
+            buffered: Vec::new(),
+            wake_at: Time::MAX,
+            partition: 0,
             starts: 0,
-            lost: Counts::default(),
+            last_counts: Counts::default(),
             copy: None,
         };
-        let seats = (0..count).map(|_| seat()).collect();
-        let starts: Vec<Time> = (0..count).map(|_| chance.u64(..SECOND)).collect();
-        let (events, last, shut, unnamed) = (BinaryHeap::new(), Vec::new(), Vec::new(), Vec::new());
-        let mut world = World {
+        let hosts = (0..count).map(|_| host()).collect();
+        let starts: Vec<Time> = (0..count).map(|_| rng.u64(..SECOND)).collect();
+        let (events, last_datagram, blocked, not_configured) =
+            (BinaryHeap::new(), Vec::new(), Vec::new(), Vec::new());
+        let mut sim = Simulation {
             now: 0,
-            net,
+            faults,
             count,
-            seats,
+            hosts,
             events,
-            order: 0,
-            chance,
+            sequence: 0,
+            rng,
             trace: 0,
-            told: 0,
-            last,
+            published: 0,
+            last_datagram,
             last_from: 0,
-            shut,
-            unnamed,
+            blocked,
+            not_configured,
         };
-        let mut order: Vec<usize> = (0..count).collect();
-        order.sort_by_key(|&i| starts[i]);
-        for i in order {
-            world.run_until(starts[i]);
-            world.start(i, FIRST + starts[i] / 10);
+        let mut start_order: Vec<usize> = (0..count).collect();
+        start_order.sort_by_key(|&i| starts[i]);
+        for i in start_order {
+            sim.run_until(starts[i]);
+            sim.start(i, FIRST_START_MS + starts[i] / 10);
         }
-        world
+        sim
     }
 
     /// A process with an empty memory; `clock` are the milliseconds that it reads on the clock of the day.
     pub fn start(&mut self, i: usize, clock: u64) {
         let setup = Setup {
-            name: name(&format!("n{i}")),
+            name: truncate_name(&format!("n{i}")),
             at: at(i),
             others: (0..self.count)
-                .filter(|&other| other != i && !self.unnamed.contains(&(i, other)))
+                .filter(|&other| other != i && !self.not_configured.contains(&(i, other)))
                 .map(at)
                 .collect(),
             start: clock,
-            seed: self.chance.u64(..),
+            seed: self.rng.u64(..),
         };
         let node = Node::new(&setup, self.now);
-        let seat = &mut self.seats[i];
-        seat.starts += 1;
-        seat.copy = Some(node.view().clone());
-        (seat.node, seat.stopped) = (Some(node), false);
-        self.touch(i, None);
+        let host = &mut self.hosts[i];
+        host.starts += 1;
+        host.copy = Some(node.view().clone());
+        (host.node, host.stopped) = (Some(node), false);
+        self.turn(i, None);
     }
 
     pub fn kill(&mut self, i: usize) {
-        let seat = &mut self.seats[i];
-        seat.kept.clear();
-        seat.wake = Time::MAX;
-        seat.lost = seat.node.take().unwrap().counts();
+        let host = &mut self.hosts[i];
+        host.buffered.clear();
+        host.wake_at = Time::MAX;
+        host.last_counts = host.node.take().unwrap().counts();
     }
 
     pub fn stop(&mut self, i: usize) {
-        self.seats[i].stopped = true;
+        self.hosts[i].stopped = true;
     }
 
-    pub fn go_on(&mut self, i: usize) {
-        self.seats[i].stopped = false;
-        for (from, datagram) in std::mem::take(&mut self.seats[i].kept) {
-            self.hear(i, from, &datagram);
+    pub fn resume(&mut self, i: usize) {
+        self.hosts[i].stopped = false;
+        for (from, datagram) in std::mem::take(&mut self.hosts[i].buffered) {
+            self.receive(i, from, &datagram);
         }
-        self.touch(i, None);
+        self.turn(i, None);
     }
 
     pub fn leave(&mut self, i: usize) {
         let (now, mut out) = (self.now, Vec::new());
-        let node = self.seats[i].node.as_mut().unwrap();
+        let node = self.hosts[i].node.as_mut().unwrap();
         node.leave(now, &mut |to, datagram: &[u8]| {
             out.push((to, datagram.to_vec()));
             true
@@ -168,14 +169,14 @@
     }
 
     /// From now on datagrams pass within a part only.
-    pub fn part(&mut self, of: impl Fn(usize) -> u32) {
-        for (i, seat) in self.seats.iter_mut().enumerate() {
-            seat.part = of(i);
+    pub fn partition(&mut self, of: impl Fn(usize) -> u32) {
+        for (i, host) in self.hosts.iter_mut().enumerate() {
+            host.partition = of(i);
         }
     }
 
     pub fn node(&self, i: usize) -> &Node {
-        self.seats[i].node.as_ref().unwrap()
+        self.hosts[i].node.as_ref().unwrap()
     }
 
     pub fn view(&self, i: usize) -> &View {
@@ -184,12 +185,12 @@
 
     /// What was told, put together again.
     pub fn copy(&self, i: usize) -> &View {
-        self.seats[i].copy.as_ref().unwrap()
+        self.hosts[i].copy.as_ref().unwrap()
     }
 
     /// Those that run, stopped ones not among them.
     pub fn live(&self) -> Vec<usize> {
-        (0..self.count).filter(|&i| self.seats[i].node.is_some() && !self.seats[i].stopped).collect()
+        (0..self.count).filter(|&i| self.hosts[i].node.is_some() && !self.hosts[i].stopped).collect()
     }
 
     pub fn run_until(&mut self, end: Time) {
@@ -200,25 +201,25 @@
             let Some(Reverse((when, _, event))) = self.events.pop() else { break };
             self.now = when;
             match event {
-                Event::Comes { to, from, datagram } => {
-                    let seat = &mut self.seats[to];
-                    if seat.node.is_none() {
+                Event::Arrival { to, from, datagram } => {
+                    let host = &mut self.hosts[to];
+                    if host.node.is_none() {
                         continue;
                     }
-                    if seat.stopped {
-                        if seat.kept.len() < KEPT {
-                            seat.kept.push((from, datagram));
+                    if host.stopped {
+                        if host.buffered.len() < SOCKET_BUFFER {
+                            host.buffered.push((from, datagram));
                         }
                         continue;
                     }
-                    self.hear(to, from, &datagram);
-                    self.touch(to, None);
+                    self.receive(to, from, &datagram);
+                    self.turn(to, None);
                 }
                 Event::Wake(i) => {
-                    let seat = &mut self.seats[i];
-                    if seat.node.is_some() && !seat.stopped && seat.wake == when {
-                        seat.wake = Time::MAX;
-                        self.touch(i, None);
+                    let host = &mut self.hosts[i];
+                    if host.node.is_some() && !host.stopped && host.wake_at == when {
+                        host.wake_at = Time::MAX;
+                        self.turn(i, None);
                     }
                 }
             }
@@ -227,9 +228,9 @@
     }
 
     /// Looks each tenth of a second until it holds; when it did, counted from now. None after `within`.
-    pub fn until(&mut self, within: Time, mut holds: impl FnMut(&World) -> bool) -> Option<Time> {
+    pub fn until(&mut self, within: Time, mut condition: impl FnMut(&Simulation) -> bool) -> Option<Time> {
         let start = self.now;
-        while !holds(self) {
+        while !condition(self) {
             if self.now >= start + within {
                 return None;
             }
@@ -238,10 +239,10 @@
         Some(self.now - start)
     }
 
-    fn hear(&mut self, to: usize, from: usize, datagram: &[u8]) {
+    fn receive(&mut self, to: usize, from: usize, datagram: &[u8]) {
         let (now, mut out) = (self.now, Vec::new());
-        let node = self.seats[to].node.as_mut().unwrap();
-        node.hear(now, at(from), datagram, &mut |to, datagram: &[u8]| {
+        let node = self.hosts[to].node.as_mut().unwrap();
+        node.receive(now, at(from), datagram, &mut |to, datagram: &[u8]| {
             out.push((to, datagram.to_vec()));
             true
         });
@@ -250,80 +251,80 @@
 
     /// A datagram out of nowhere.
     pub fn inject(&mut self, to: usize, from: SocketAddrV4, datagram: &[u8]) {
-        self.touch(to, Some((from, datagram)));
+        self.turn(to, Some((from, datagram)));
     }
 
-    fn touch(&mut self, i: usize, odd: Option<(SocketAddrV4, &[u8])>) {
+    fn turn(&mut self, i: usize, incoming: Option<(SocketAddrV4, &[u8])>) {
         let (now, mut out) = (self.now, Vec::new());
-        let seat = &mut self.seats[i];
-        let node = seat.node.as_mut().unwrap();
+        let host = &mut self.hosts[i];
+        let node = host.node.as_mut().unwrap();
         let mut send = |to, datagram: &[u8]| {
             out.push((to, datagram.to_vec()));
             true
         };
-        if let Some((from, datagram)) = odd {
-            node.hear(now, from, datagram, &mut send);
+        if let Some((from, datagram)) = incoming {
+            node.receive(now, from, datagram, &mut send);
         }
         node.turn(now, &mut send);
-        let copy = seat.copy.as_mut().unwrap();
-        let (chance, told) = (&mut self.chance, &mut self.told);
+        let copy = host.copy.as_mut().unwrap();
+        let (rng, published) = (&mut self.rng, &mut self.published);
         // The ring is full now and then.
-        node.tell(&mut |fact| {
-            if chance.u8(..4) == 0 {
+        node.publish(&mut |update| {
+            if rng.u8(..4) == 0 {
                 return false;
             }
-            *told += 1;
-            if let Fact::Member(member, _) = fact {
-                copy.put(now, &member);
+            *published += 1;
+            if let Update::Member(member, _) = update {
+                copy.replace_member(now, &member);
             }
             true
         });
-        let next = node.next().max(now + 1);
-        if next < seat.wake {
-            seat.wake = next;
-            self.order += 1;
-            self.events.push(Reverse((next, self.order, Event::Wake(i))));
+        let next = node.next_deadline().max(now + 1);
+        if next < host.wake_at {
+            host.wake_at = next;
+            self.sequence += 1;
+            self.events.push(Reverse((next, self.sequence, Event::Wake(i))));
         }
         self.send(i, out);
     }
 
     fn send(&mut self, from: usize, out: Vec<(SocketAddrV4, Vec<u8>)>) {
         for (to, datagram) in out {
-            assert!(datagram.len() <= meadowhold_fleet::wire::LONGEST);
+            assert!(datagram.len() <= meadowhold_fleet::wire::MAX_DATAGRAM_BYTES);
             let address = to;
-            let to = seat_at(address);
+            let to = host_at(address);
             assert!(to < self.count && at(to) == address, "a datagram to {address}, which nobody has");
             self.trace =
                 self.trace.rotate_left(5) ^ u64::from(crc32fast::hash(&datagram)) ^ self.now ^ to as u64;
-            self.last.clone_from(&datagram);
+            self.last_datagram.clone_from(&datagram);
             self.last_from = from;
-            if self.seats[from].part != self.seats[to].part || self.shut.contains(&(from, to)) {
+            if self.hosts[from].partition != self.hosts[to].partition || self.blocked.contains(&(from, to)) {
                 continue;
             }
-            let copies = 1 + usize::from(self.chance.f64() < self.net.double);
+            let copies = 1 + usize::from(self.rng.f64() < self.faults.duplicate);
             for _ in 0..copies {
-                if self.chance.f64() < self.net.loss {
+                if self.rng.f64() < self.faults.loss {
                     continue;
                 }
-                let when = self.now + self.chance.u64(self.net.delay.0..=self.net.delay.1);
-                self.order += 1;
+                let when = self.now + self.rng.u64(self.faults.delay.0..=self.faults.delay.1);
+                self.sequence += 1;
                 let datagram = datagram.clone();
-                self.events.push(Reverse((when, self.order, Event::Comes { to, from, datagram })));
+                self.events.push(Reverse((when, self.sequence, Event::Arrival { to, from, datagram })));
             }
         }
     }
 
     /// Each that runs knows exactly those as up that run.
-    pub fn agreed(&self) -> bool {
+    pub fn converged(&self) -> bool {
         let live = self.live();
-        self.agree(&live, &live)
+        self.see_exactly(&live, &live)
     }
 
     /// Each of `who` knows exactly `up` as up, and is in no doubt.
-    pub fn agree(&self, who: &[usize], up: &[usize]) -> bool {
+    pub fn see_exactly(&self, who: &[usize], up: &[usize]) -> bool {
         who.iter().all(|&i| {
             let view = self.view(i);
-            let alive = |member: &&meadowhold_fleet::view::Member| member.standing == Standing::Alive;
+            let alive = |member: &&meadowhold_fleet::view::Member| member.state == MemberState::Alive;
             view.tally().suspect == 0
                 && view.others().iter().filter(alive).map(|member| member.at).eq({
                     let mut up: Vec<_> =
@@ -335,12 +336,12 @@
     }
 
     /// Pairs (who, of whom) where one that runs is held to be down.
-    pub fn wronged(&self) -> Vec<(usize, usize)> {
+    pub fn wrongly_down(&self) -> Vec<(usize, usize)> {
         let live = self.live();
         let mut pairs = Vec::new();
         for &i in &live {
             for &j in live.iter().filter(|&&j| j != i) {
-                if self.view(i).member(at(j)).unwrap().standing == Standing::Down {
+                if self.view(i).member(at(j)).unwrap().state == MemberState::Down {
                     pairs.push((i, j));
                 }
             }
--- a/crates/fleet/tests/sockets.rs
+++ b/crates/fleet/tests/sockets.rs
@@ -6,9 +6,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use meadowhold_fleet::node::{Fact, Setup};
-use meadowhold_fleet::thread::{start, End, Handle, Wish};
-use meadowhold_fleet::view::{name, News, Standing};
+use meadowhold_fleet::node::{Setup, Update};
+use meadowhold_fleet::thread::{start, Command, Exit, Handle};
+use meadowhold_fleet::view::{truncate_name, Change, MemberState};
 
 /// Addresses that nothing else has, in this test's process or another: all in one /24 of the process's own, on a port
 /// that the system gave a moment ago.
@@ -24,37 +24,38 @@
 
 struct Member {
     handle: Handle,
-    news: Vec<(SocketAddrV4, News)>,
+    changes: Vec<(SocketAddrV4, Change)>,
     woken: mpsc::Receiver<()>,
 }
 
 impl Member {
     fn start(all: &[SocketAddrV4], i: usize, clock: u64) -> Member {
         let others = all.iter().copied().filter(|&at| at != all[i]).collect();
-        let setup = Setup { name: name(&format!("n{i}")), at: all[i], others, start: clock, seed: i as u64 };
+        let setup =
+            Setup { name: truncate_name(&format!("n{i}")), at: all[i], others, start: clock, seed: i as u64 };
         let (wake, woken) = mpsc::channel();
         let handle = start(setup, move || _ = wake.send(())).unwrap();
-        Member { handle, news: Vec::new(), woken }
+        Member { handle, changes: Vec::new(), woken }
     }
 
     fn read(&mut self) {
-        while let Some(fact) = self.handle.fact() {
-            if let Fact::Member(member, news) = fact {
-                self.handle.view.put(0, &member);
-                self.news.push((member.at, news));
+        while let Some(update) = self.handle.next_update() {
+            if let Update::Member(member, change) = update {
+                self.handle.view.replace_member(0, &member);
+                self.changes.push((member.at, change));
             }
         }
     }
 
-    fn knows(&self, at: SocketAddrV4) -> Standing {
-        self.handle.view.member(at).unwrap().standing
+    fn state_of(&self, at: SocketAddrV4) -> MemberState {
+        self.handle.view.member(at).unwrap().state
     }
 
-    fn leave(mut self) -> End {
-        self.handle.wish(Wish::Leave);
+    fn leave(mut self) -> Exit {
+        self.handle.send_command(Command::Leave);
         let start = Instant::now();
         loop {
-            if let Some(end) = self.handle.end() {
+            if let Some(end) = self.handle.try_join() {
                 return end.unwrap();
             }
             assert!(start.elapsed() < Duration::from_secs(5));
@@ -64,7 +65,7 @@
 }
 
 /// Looks again and again until it holds; how long that took.
-fn until(what: &str, members: &mut [Member], holds: impl Fn(&[Member]) -> bool) -> Duration {
+fn wait_until(what: &str, members: &mut [Member], holds: impl Fn(&[Member]) -> bool) -> Duration {
     let start = Instant::now();
     loop {
         members.iter_mut().for_each(Member::read);
@@ -77,26 +78,27 @@
 }
 
 #[test]
-fn five_find_each_other_miss_one_that_ends_and_find_it_again() {
+fn five_members_join_detect_one_that_stops_and_its_restart() {
     let all = addresses(5);
     let mut members: Vec<Member> = (0..5).map(|i| Member::start(&all, i, 1000)).collect();
-    let up = |at| move |members: &[Member]| members.iter().all(|member| member.knows(at) == Standing::Alive);
+    let up =
+        |at| move |members: &[Member]| members.iter().all(|member| member.state_of(at) == MemberState::Alive);
     for &at in &all {
-        until("all up", &mut members, up(at));
+        wait_until("all up", &mut members, up(at));
     }
     assert!(members.iter().all(|member| member.woken.try_iter().count() > 0));
     // Its end makes it leave.
-    let told = members.remove(2).handle.view.own().start;
-    let down = |members: &[Member]| members.iter().all(|member| member.knows(all[2]) == Standing::Down);
-    until("one down", &mut members, down);
-    let mut again = Member::start(&all, 2, 2000);
-    assert!(again.handle.view.own().start > told);
-    until("one back", &mut members, up(all[2]));
-    assert!(members.iter().all(|member| member.news.contains(&(all[2], News::Back))));
-    until("the others known to it", std::slice::from_mut(&mut again), |again| {
-        all.iter().all(|&at| again[0].knows(at) == Standing::Alive)
+    let first_start = members.remove(2).handle.view.own().start;
+    let down = |members: &[Member]| members.iter().all(|member| member.state_of(all[2]) == MemberState::Down);
+    wait_until("one down", &mut members, down);
+    let mut restarted = Member::start(&all, 2, 2000);
+    assert!(restarted.handle.view.own().start > first_start);
+    wait_until("one back", &mut members, up(all[2]));
+    assert!(members.iter().all(|member| member.changes.contains(&(all[2], Change::Recovered))));
+    wait_until("the others known to it", std::slice::from_mut(&mut restarted), |restarted| {
+        all.iter().all(|&at| restarted[0].state_of(at) == MemberState::Alive)
     });
-    members.push(again);
+    members.push(restarted);
     for member in members {
         let end = member.leave();
         assert_eq!((end.fault, end.counts.faults, end.counts.strangers), (None, 0, 0));
@@ -105,112 +107,113 @@
 }
 
 #[test]
-fn one_whose_socket_falls_silent_is_found_down_by_probes() {
+fn a_silent_member_is_declared_down_by_probes() {
     let all = addresses(4);
     let mut members: Vec<Member> = (0..3).map(|i| Member::start(&all, i, 1000)).collect();
     // The fourth is behind a relay that can be shut: it hears and is heard through its own node alone.
     let socket = UdpSocket::bind(all[3]).unwrap();
     socket.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
     let others = all[..3].to_vec();
-    let setup = Setup { name: name("n3"), at: all[3], others, start: 1000, seed: 9 };
+    let setup = Setup { name: truncate_name("n3"), at: all[3], others, start: 1000, seed: 9 };
     let mut node = meadowhold_fleet::node::Node::new(&setup, 0);
     let begin = Instant::now();
     let now = || (begin.elapsed().as_micros() / 100) as u64;
-    let mut pump = |silent: bool| {
+    let mut run_node = |silent: bool| {
         let mut buffer = [0; 2000];
         let mut send = |to: SocketAddrV4, datagram: &[u8]| !silent && socket.send_to(datagram, to).is_ok();
         if let Ok((length, std::net::SocketAddr::V4(from))) = socket.recv_from(&mut buffer) {
             if !silent {
-                node.hear(now(), from, &buffer[..length], &mut send);
+                node.receive(now(), from, &buffer[..length], &mut send);
             }
         }
         node.turn(now(), &mut send);
         node.view().tally().up()
     };
-    let mut phase = |silent: bool, standing: Standing| {
+    let mut phase = |silent: bool, state: MemberState| {
         let start = Instant::now();
         loop {
-            let up = pump(silent);
+            let up = run_node(silent);
             members.iter_mut().for_each(Member::read);
-            let known = members.iter().all(|member| member.knows(all[3]) == standing);
+            let known = members.iter().all(|member| member.state_of(all[3]) == state);
             // Itself, it finds the others gone while it is silent, and back after.
             if known && up == (if silent { 1 } else { 4 }) {
                 return start.elapsed();
             }
-            assert!(start.elapsed() < Duration::from_secs(20), "waited in vain: {standing:?}");
+            assert!(start.elapsed() < Duration::from_secs(20), "waited in vain: {state:?}");
         }
     };
-    phase(false, Standing::Alive);
-    let found = phase(true, Standing::Down);
+    phase(false, MemberState::Alive);
+    let detection_time = phase(true, MemberState::Down);
     // Not before the suspicion has had its time.
-    assert!(found >= meadowhold_fleet::node::SUSPICION, "{found:?}");
-    phase(false, Standing::Alive);
+    assert!(detection_time >= meadowhold_fleet::node::SUSPICION_TIMEOUT, "{detection_time:?}");
+    phase(false, MemberState::Alive);
     for member in members {
         assert_eq!(member.leave().fault, None);
     }
 }
 
 #[test]
-fn odd_datagrams_from_anywhere_change_nothing() {
+fn invalid_datagrams_from_any_address_change_nothing() {
     let all = addresses(3);
     let mut members: Vec<Member> = (0..2).map(|i| Member::start(&all, i, 1000)).collect();
     let up = |members: &[Member]| {
-        members[0].knows(all[1]) == Standing::Alive && members[1].knows(all[0]) == Standing::Alive
+        members[0].state_of(all[1]) == MemberState::Alive && members[1].state_of(all[0]) == MemberState::Alive
     };
-    until("both up", &mut members, up);
+    wait_until("both up", &mut members, up);
     // A named one and a stranger, both sending nonsense.
-    let (named, stranger) = (UdpSocket::bind(all[2]).unwrap(), UdpSocket::bind((*all[2].ip(), 0)).unwrap());
-    let mut chance = fastrand::Rng::with_seed(3);
+    let (configured, unconfigured) =
+        (UdpSocket::bind(all[2]).unwrap(), UdpSocket::bind((*all[2].ip(), 0)).unwrap());
+    let mut rng = fastrand::Rng::with_seed(3);
     for n in 0..600 {
-        let length = chance.usize(0..1700);
-        let mut datagram: Vec<u8> = (0..length).map(|_| chance.u8(..)).collect();
+        let length = rng.usize(0..1700);
+        let mut datagram: Vec<u8> = (0..length).map(|_| rng.u8(..)).collect();
         // As a peer of another version would begin.
         if n % 3 == 0 && length >= 7 {
             datagram[..3].copy_from_slice(b"mf\x02");
         }
-        named.send_to(&datagram, all[0]).unwrap();
-        stranger.send_to(&datagram, all[0]).unwrap();
+        configured.send_to(&datagram, all[0]).unwrap();
+        unconfigured.send_to(&datagram, all[0]).unwrap();
         // No faster than it reads.
         if n % 20 == 0 {
             thread::sleep(Duration::from_millis(1));
         }
     }
     // A note of couriers, sent to the wrong socket.
-    named.send_to(b"\x01\x00\x01\xf4e1", all[0]).unwrap();
-    members[0].handle.wish(Wish::TellAll);
-    members[0].news.clear();
-    until("told anew", &mut members, |members| members[0].news.contains(&(all[1], News::Up)));
+    configured.send_to(b"\x01\x00\x01\xf4e1", all[0]).unwrap();
+    members[0].handle.send_command(Command::ResendAll);
+    members[0].changes.clear();
+    wait_until("told anew", &mut members, |members| members[0].changes.contains(&(all[1], Change::Up)));
     assert!(up(&members));
-    assert_eq!(members[0].knows(all[2]), Standing::Unheard);
-    let ends: Vec<End> = members.into_iter().map(Member::leave).collect();
+    assert_eq!(members[0].state_of(all[2]), MemberState::Unknown);
+    let ends: Vec<Exit> = members.into_iter().map(Member::leave).collect();
     let counts = ends[0].counts;
     assert!(counts.strangers > 500 && counts.broken > 300 && counts.versions > 150, "{counts:?}");
     assert_eq!((counts.unread, counts.faults, &ends[0].fault), (0, 0, &None));
 }
 
 #[test]
-fn an_address_that_is_taken_is_an_error_at_once() {
+fn an_address_in_use_is_an_immediate_error() {
     let all = addresses(2);
     let _taken = UdpSocket::bind(all[0]).unwrap();
-    let setup = Setup { name: name("n0"), at: all[0], others: vec![all[1]], start: 1, seed: 1 };
+    let setup = Setup { name: truncate_name("n0"), at: all[0], others: vec![all[1]], start: 1, seed: 1 };
     assert!(start(setup, || {}).is_err());
 }
 
 #[test]
-fn a_thread_that_fails_is_seen_to_have_ended() {
+fn a_panic_of_the_thread_is_reported_as_its_end() {
     let all = addresses(2);
-    let setup = Setup { name: name("n0"), at: all[0], others: vec![all[1]], start: 1, seed: 1 };
+    let setup = Setup { name: truncate_name("n0"), at: all[0], others: vec![all[1]], start: 1, seed: 1 };
     let called = AtomicU8::new(0);
     // The first fact's call fails, the one at the thread's end does not.
     let wake = move || assert!(called.fetch_add(1, Ordering::Relaxed) > 0, "on purpose");
     let mut handle = start(setup, wake).unwrap();
     let begin = Instant::now();
-    while !handle.closing() {
+    while !handle.is_closing() {
         assert!(begin.elapsed() < Duration::from_secs(5));
         thread::sleep(Duration::from_millis(1));
     }
     let end = loop {
-        if let Some(end) = handle.end() {
+        if let Some(end) = handle.try_join() {
             break end;
         }
         assert!(begin.elapsed() < Duration::from_secs(5));
