--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,6 +1,8 @@
-//! Who is alive among the couriers, since when and how sure, and whether this part of them is cut off. `view` and
-//! `elect` decide; `wire` reads and writes datagrams; `node` is one courier's membership without socket or clock
-//! (SWIM is the library's, `foca`); `thread` moves its datagrams and joins it to whoever wants to know.
+//! Membership of the couriers: which of them are alive, since when, how certain that is, and whether this
+//! courier is in a minority partition. `view` and `elect` hold the decisions; `wire` encodes and decodes
+//! datagrams; `node` is the membership of one courier without socket or clock (the SWIM protocol is
+//! implemented by the `foca` library); `thread` runs a node on a UDP socket and connects it to the rest of
+//! the courier.
 #![forbid(unsafe_code)]
 
 pub mod elect;
@@ -9,6 +11,6 @@
 pub mod view;
 pub mod wire;
 
-/// Tenths of a millisecond, counted from a moment that the caller chose.
+/// Tenths of a millisecond since a point in time chosen by the caller.
 pub type Time = u64;
 pub const SECOND: Time = 10_000;
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -1,5 +1,6 @@
-//! One courier's membership without socket, clock or chance of its own: datagrams in, datagrams out, and a view that
-//! is kept by what the library holds. The simulation and the thread drive the same.
+//! Membership of one courier without socket, clock or randomness of its own: datagrams in, datagrams out, and
+//! a view kept in step with the state of the `foca` library. The simulation in the tests and the thread drive
+//! the same code.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -17,24 +18,27 @@
 use crate::wire::{self, AddressFilter, DatagramKind, FilteringCodec, Id, OpenError};
 use crate::{Time, SECOND};
 
-/// Each courier probes one other so often, and asks others to after the second, and the probe has failed after the
-/// first.
+/// Each courier probes one other member per period. Without a reply within the direct timeout it asks other
+/// members to probe; at the end of the period the probe has failed.
 pub const PROBE_PERIOD: Duration = Duration::from_millis(500);
 pub const DIRECT_PROBE_TIMEOUT: Duration = Duration::from_millis(150);
-/// So long, times the number of digits of the members' count, one that is suspected may speak up.
+/// Time for a suspected member to refute the suspicion, multiplied by the decimal logarithm of the number of
+/// members (at least 1).
 pub const SUSPICION_TIMEOUT: Duration = Duration::from_millis(1500);
-/// While there is news, it goes to three so often, beside what probes carry.
+/// Interval at which pending updates are gossiped to three members, in addition to those that probes carry.
 const GOSSIP_PERIOD: Duration = Duration::from_millis(200);
-/// All that is up is asked of one member so often: makes up for news that was lost on each of its ways.
+/// Interval at which one member is asked for everyone that is up: makes up for updates that were lost on
+/// every path.
 const ANNOUNCE_PERIOD: Duration = Duration::from_secs(5);
 const TWICE: NonZeroU8 = NonZeroU8::new(2).unwrap();
-/// Those that are not up are called so often, and so many of them.
+/// Interval at which members that are not up are contacted, and how many of them at a time.
 const RECONTACT_PERIOD: Time = SECOND;
 const RECONTACT_TARGETS: usize = 3;
-/// The audit's sample in release builds: one turn in so many.
+/// An audit runs once in this many turns: on every turn in debug builds, on a sample of them in release
+/// builds.
 const TURNS_PER_AUDIT: u64 = if cfg!(debug_assertions) { 1 } else { 64 };
 
-/// What the library is told, for so many members as the configuration names.
+/// Configuration of the `foca` library for this many configured members.
 pub fn foca_config(members: usize) -> Config {
     let members = NonZeroU32::new(members.try_into().unwrap_or(u32::MAX)).unwrap_or(NonZeroU32::MIN);
     let digits = f64::from(members.get()).log10().max(1.0);
@@ -49,17 +53,19 @@
         probe_period: PROBE_PERIOD,
         probe_rtt: DIRECT_PROBE_TIMEOUT,
         suspect_to_down_after: SUSPICION_TIMEOUT.mul_f64(digits),
-        // More than the library's, which for five members sends news three times only. Guards against one that misses
-        // all copies of what is told at once of many, where half of those it is told to are gone: it then finds them
-        // one by one by its own probes, two a second. Costs nothing while there is no news.
+        // More than the library's default, which sends an update only three times with five members. Guards
+        // against a member that misses every copy of updates about many members at once, when half of their
+        // recipients are gone: it would find those members one by one with its own probes, two per second.
+        // Costs nothing while there are no updates.
         max_transmissions: lan.max_transmissions.saturating_mul(TWICE).saturating_add(8),
         max_packet_size: NonZeroUsize::new(wire::MAX_DATAGRAM_BYTES - wire::ENVELOPE_BYTES)
             .unwrap_or(NonZeroUsize::MIN),
-        // Never forgotten: there is one for each address at most, and who returns has a later start.
+        // Down members are never removed: there is at most one per address, and a member that returns has a
+        // later start.
         remove_down_after: None,
         periodic_gossip: periodic(GOSSIP_PERIOD, 3),
         periodic_announce: periodic(ANNOUNCE_PERIOD, 1),
-        // `call` does it, also where nobody is up any more and the library rests.
+        // `announce_to_some` does this, also when no member is up any more and the library is idle.
         periodic_announce_to_down_members: None,
         ..lan
     }
@@ -68,16 +74,17 @@
 #[derive(Clone, Debug)]
 pub struct Setup {
     pub name: Name,
-    /// Where this courier hears the others, and where they are: what the configuration names.
+    /// Address at which this courier receives membership datagrams, and those of the other couriers, as
+    /// configured.
     pub at: SocketAddrV4,
     pub others: Vec<SocketAddrV4>,
-    /// Milliseconds on the clock of the day when this process began.
+    /// Start of this process in milliseconds of wall-clock time.
     pub start: u64,
     pub seed: u64,
 }
 
 impl Setup {
-    /// What is known at the start: nobody but this courier.
+    /// The view at start: only this courier is known.
     pub fn initial_view(&self, now: Time) -> View {
         let Setup { name, at, ref others, start, .. } = *self;
         let own = ProtocolRecord { at, name, start: (start, 0), incarnation: 0, state: MemberState::Alive };
@@ -85,36 +92,38 @@
     }
 }
 
-/// Counted since the start.
+/// Counters since the start of the node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     pub sent: u64,
     pub sent_bytes: u64,
     pub heard: u64,
     pub heard_bytes: u64,
-    /// Passed over: from an address that the configuration does not name.
+    /// Dropped: from an address that is not configured.
     pub strangers: u64,
-    /// Passed over: no datagram of ours, cut short, too long or changed on its way.
+    /// Dropped: not a membership datagram, truncated, too long or corrupted.
     pub broken: u64,
-    /// Passed over: from a peer with another version.
+    /// Dropped: from a peer with another protocol version.
     pub versions: u64,
-    /// Passed over: whole, and yet not to be read, or of a sender that it did not come from.
+    /// Dropped: the envelope is valid, but the content cannot be decoded or names a sender other than its
+    /// source.
     pub unread: u64,
-    /// Members told of whom the configuration does not name.
+    /// Reported members that are not configured.
     pub unnamed: u64,
-    /// Went on under a later start, after the others had held this courier to be down.
+    /// Times that this courier took a later start because the others had declared it down.
     pub renewed: u64,
-    /// Could not be sent.
+    /// Datagrams that could not be sent.
     pub unsent: u64,
-    /// Facts that found the ring full and were told later, and those that a later one of the same replaced.
+    /// Updates that found the ring full and were published later, and updates replaced by a later one of the
+    /// same member before they were published.
     pub held_back: u64,
     pub replaced: u64,
     pub audits: u64,
-    /// What must hold and did not.
+    /// Violated invariants.
     pub faults: u64,
 }
 
-/// What is told to whoever wants to know. Each is a state, whole, and takes the place of those before it.
+/// An update for the consumer. Each holds the complete state and replaces all earlier ones of its subject.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Update {
     Member(Member, Change),
@@ -128,7 +137,8 @@
 }
 
 impl Ord for PendingTimer {
-    /// The soonest is the greatest; of those due together, in the order that the library wants.
+    /// The earliest timer is the greatest, as `BinaryHeap` pops the greatest; timers due at the same time
+    /// follow the order that the library requires.
     fn cmp(&self, other: &PendingTimer) -> Ordering {
         let by_timer = || other.timer.cmp(&self.timer);
         other.at.cmp(&self.at).then_with(by_timer).then_with(|| other.sequence.cmp(&self.sequence))
@@ -149,16 +159,16 @@
 
 impl Eq for PendingTimer {}
 
-/// Where datagrams go: to an address, sealed. False when it could not be sent.
+/// Sends a sealed datagram to an address; returns false if it could not be sent.
 pub type SendFn<'a> = &'a mut dyn FnMut(SocketAddrV4, &[u8]) -> bool;
 
-/// What the library asks for while it is at work.
+/// What the library requests through `Runtime` while it handles an event.
 #[derive(Default)]
 struct RuntimeState {
     now: Time,
     timers: BinaryHeap<PendingTimer>,
     timers_submitted: u64,
-    /// This courier's present start, when it has changed.
+    /// The new start of this courier, if it has changed.
     renewed: Option<(u64, u8)>,
     datagram: Vec<u8>,
     counts: Counts,
@@ -186,7 +196,7 @@
 
 impl Runtime<Id> for NodeRuntime<'_> {
     fn notify(&mut self, notification: Notification<'_, Id>) {
-        // What becomes of members is read whole after each turn.
+        // Other changes of members are read from the library's state after each turn.
         if let Notification::Rejoin(own) = notification {
             self.runtime.renewed = Some((own.start, own.turn));
             self.runtime.counts.renewed += 1;
@@ -194,8 +204,8 @@
     }
 
     fn send_to(&mut self, to: Id, data: &[u8]) {
-        // Guards against datagrams to this courier itself, whose former identities the library keeps, and, with the
-        // codec's, against any to an address that the configuration does not name.
+        // Guards against datagrams to this courier itself, whose former identities the library keeps, and,
+        // together with the codec, against any to an address that is not configured.
         if to.at == self.own || !self.filter.contains(to.at) {
             return;
         }
@@ -222,16 +232,17 @@
     rng: SmallRng,
     next_recontact: Time,
     turns: u64,
-    /// What has yet to be told: of each other its last news, and of all whether this part is cut off.
+    /// What has yet to be published: the last change of each other member, and whether this courier is cut
+    /// off.
     unpublished: Vec<Change>,
     unpublished_partition: bool,
-    /// Where the view had each member when the library's were last read, in their order there.
+    /// Index in the view of each member in the library's iteration order, as of the last read.
     view_indices: Vec<usize>,
-    /// A datagram's content while it is written, and what is held of the members while it is audited; kept for
-    /// their room.
+    /// Buffers for the content of a datagram and for the records under audit; kept to reuse their
+    /// allocations.
     body: Vec<u8>,
     audit_records: Vec<ProtocolRecord>,
-    /// The first thing that the audit found amiss.
+    /// The first violated invariant.
     pub fault: Option<String>,
     left: bool,
 }
@@ -284,7 +295,7 @@
         Counts { unnamed: self.filter.unknown_members.get(), ..self.runtime.counts }
     }
 
-    /// When there is something to do though nothing is heard.
+    /// When `turn` must be called next, even if no datagram arrives.
     pub fn next_deadline(&self) -> Time {
         self.runtime.timers.peek().map_or(self.next_recontact, |pending| pending.at.min(self.next_recontact))
     }
@@ -300,7 +311,7 @@
         work(&mut self.foca, NodeRuntime { runtime: &mut self.runtime, filter: &self.filter, own, send })
     }
 
-    /// A datagram. What it changes is in the view after the next turn.
+    /// Handles a datagram. Its effects appear in the view after the next turn.
     pub fn receive(&mut self, now: Time, from: SocketAddrV4, datagram: &[u8], mut send: SendFn) {
         if self.left {
             return;
@@ -343,16 +354,16 @@
         }
     }
 
-    /// Who asks for all that are up is told who is down as well, which the library's answer leaves out. Guards
-    /// against one that was out of the others' sight while they told each other: it would find those that are down
-    /// one by one, by its own probes.
+    /// Sends the down members to a member that asked for those that are up, as the library's reply leaves
+    /// them out. Guards against a member that was unreachable while the others exchanged these updates: it
+    /// would detect each down member only with its own probes, one by one.
     fn send_down_members(&mut self, now: Time, to: SocketAddrV4, send: SendFn) {
         let own = self.view.own().at;
         let down = self.foca.iter_membership_state();
         let down =
             down.filter(|member| member.state() == State::Down && ![own, to].contains(&member.id().at));
         let mut body = std::mem::take(&mut self.body);
-        // Any of them if there are more than fit: it asks again.
+        // A random selection if not all fit; the other member asks again.
         let mut down: Vec<_> = down.collect();
         down.shuffle(&mut self.rng);
         wire::encode_down_members(down.into_iter(), &mut body);
@@ -364,24 +375,24 @@
         self.body = body;
     }
 
-    /// Down is the last word on one start of a member, so that it may be taken from whoever is named, however old,
-    /// and before the answer that says that the sender is up.
+    /// Down is final for a given start of a member. It can therefore be accepted from any configured member,
+    /// however old the information, and before the reply that shows that the sender is up.
     fn receive_down_members(&mut self, now: Time, body: &[u8], send: SendFn) -> bool {
         let Some(down) = wire::decode_down_members(body, &self.filter) else { return false };
         self.with_foca(now, send, |foca, runtime| foca.apply_many(down.into_iter(), true, runtime)).is_ok()
     }
 
-    /// Does what is due, and takes up what has changed since the last turn.
+    /// Handles timers that are due and applies all changes since the last turn to the view.
     pub fn turn(&mut self, now: Time, mut send: SendFn) {
         if self.left {
             return;
         }
-        // What falls due by what is done here waits for the next turn.
+        // Timers that become due as a result wait for the next turn.
         while self.runtime.timers.peek().is_some_and(|pending| pending.at <= now) {
             let Some(pending) = self.runtime.timers.pop() else { break };
             let done =
                 self.with_foca(now, &mut send, |foca, runtime| foca.handle_timer(pending.timer, runtime));
-            self.check(done.is_ok(), || format!("the library: {done:?}"));
+            self.check(done.is_ok(), || format!("foca: {done:?}"));
         }
         if now >= self.next_recontact {
             self.next_recontact = now + RECONTACT_PERIOD;
@@ -389,7 +400,7 @@
         }
         if let Some(start) = self.runtime.renewed.take() {
             self.view.set_own_start(now, start);
-            // What the others have told each other meanwhile has passed it by.
+            // This courier has missed the updates that the others exchanged in the meantime.
             self.announce_to_some(now, &mut send, |state| state == MemberState::Alive);
         }
         self.update_view(now);
@@ -399,8 +410,8 @@
         }
     }
 
-    /// Asks some of them for all that are up. Of those that are not up: who has just started, who was cut off, who
-    /// was held to be down.
+    /// Asks some of the selected members for everyone that is up. Members that are not up may have just
+    /// started, may have been cut off, or may have been declared down wrongly.
     fn announce_to_some(&mut self, now: Time, mut send: SendFn, select: fn(MemberState) -> bool) {
         let some = self.view.others().iter().filter(|member| select(member.state));
         let mut chosen = [self.view.own().at; RECONTACT_TARGETS];
@@ -408,7 +419,7 @@
         for &at in &chosen[..count] {
             let done = self
                 .with_foca(now, &mut send, |foca, runtime| foca.announce(Id::with_address_only(at), runtime));
-            self.check(done.is_ok(), || format!("the library: {done:?}"));
+            self.check(done.is_ok(), || format!("foca: {done:?}"));
         }
     }
 
@@ -440,7 +451,7 @@
         }
     }
 
-    /// Recounts from what the library holds, and from its own count.
+    /// Checks the view against the library's records and against the library's own count of active members.
     fn audit(&mut self) {
         self.runtime.counts.audits += 1;
         let mut audit_records = std::mem::take(&mut self.audit_records);
@@ -448,15 +459,15 @@
         audit_records.extend(self.foca.iter_membership_state().map(record_of));
         let recount = self.view.audit(audit_records.iter());
         self.audit_records = audit_records;
-        self.check(recount.is_ok(), || format!("the audit: {recount:?}"));
+        self.check(recount.is_ok(), || format!("audit: {recount:?}"));
         let (up, active) = (self.view.tally().up() as usize, self.foca.num_members() + 1);
-        self.check(up == active, || format!("the audit: {up} are known as up, {active} are held so"));
+        self.check(up == active, || format!("audit: {up} members are up in the view, {active} in foca"));
     }
 
-    /// Everything is to be told anew, for one who has lost what was told.
+    /// Marks the complete state for publication, for a consumer that has lost earlier updates.
     pub fn mark_all_pending(&mut self) {
         for (unpublished, member) in self.unpublished.iter_mut().zip(self.view.others()) {
-            // Whoever is not heard of is no news.
+            // A member that has never been heard of has nothing to publish.
             if *unpublished == Change::Unchanged && member.state != MemberState::Unknown {
                 *unpublished = match member.state {
                     MemberState::Down => Change::Down,
@@ -468,7 +479,8 @@
         self.unpublished_partition = true;
     }
 
-    /// Tells what is untold until `put` takes no more; the rest is told another time, as it is then.
+    /// Publishes pending updates until `push` returns false. The remaining ones are published by a later
+    /// call, with the state as it is then.
     pub fn publish(&mut self, push: &mut dyn FnMut(Update) -> bool) {
         let (cut_off, since) = self.view.cut_off();
         if self.unpublished_partition && !push(Update::Partition { cut_off, since, tally: self.view.tally() })
@@ -488,11 +500,11 @@
         }
     }
 
-    /// Tells some of the others that this courier goes, and does nothing from then on.
+    /// Announces the departure of this courier to some of the others; the node does nothing afterwards.
     pub fn leave(&mut self, now: Time, send: SendFn) {
         if !std::mem::replace(&mut self.left, true) {
             let done = self.with_foca(now, send, |foca, runtime| foca.leave_cluster(runtime));
-            self.check(done.is_ok(), || format!("the library: {done:?}"));
+            self.check(done.is_ok(), || format!("foca: {done:?}"));
         }
     }
 }
--- a/crates/fleet/src/thread.rs
+++ b/crates/fleet/src/thread.rs
@@ -1,5 +1,5 @@
-//! The thread that moves a node's datagrams, joined to whoever wants to know by two bounded rings: facts out, wishes
-//! in. Neither end ever waits for the other.
+//! The thread that runs a node on a UDP socket. Two bounded rings connect it to the consumer: updates out,
+//! commands in. Neither side ever blocks on the other.
 
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -15,12 +15,12 @@
 use crate::view::View;
 use crate::{wire, Time};
 
-/// Facts that wait to be read; beyond that the node keeps the last of each member.
+/// Updates that wait to be read; when the ring is full, the node keeps only the last change of each member.
 const UPDATE_CAPACITY: usize = 64;
 const COMMAND_CAPACITY: usize = 16;
-/// Datagrams that are read before what is due is done.
+/// Datagrams that are read before timers are handled.
 const MAX_READS_PER_TURN: usize = 64;
-/// Bytes of stack that are set aside; none is touched before it is used.
+/// Reserved stack; pages are committed only when they are used.
 const STACK_BYTES: usize = 256 * 1024;
 
 const SOCKET: Token = Token(0);
@@ -28,31 +28,31 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Tell the others that this courier goes, and end.
+    /// Announce the departure of this courier and end the thread.
     Leave,
-    /// Tell every fact anew.
+    /// Publish the complete state again.
     ResendAll,
 }
 
-/// How it ended, and what was counted.
+/// Counters and the first fault of a thread that has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Exit {
     pub counts: Counts,
-    /// The first thing that did not hold, in words.
+    /// The first violated invariant.
     pub fault: Option<String>,
 }
 
-/// The other end of the rings. The thread leaves and ends when this is dropped.
+/// The consumer's side of the rings. Dropping it makes the thread leave the cluster and end.
 pub struct Handle {
-    /// Knows nobody yet: the facts are to be put in.
+    /// Knows only this courier at first; the caller applies the updates to it.
     pub view: View,
-    /// The view's time zero.
+    /// Time zero of the view.
     pub start: Instant,
     updates: Consumer<Update>,
     commands: Producer<Command>,
     waker: Arc<Waker>,
     thread: Option<JoinHandle<Exit>>,
-    /// Wishes that found the ring full.
+    /// Commands that were dropped because the ring was full.
     pub lost_commands: u64,
 }
 
@@ -66,12 +66,12 @@
         let _ = self.waker.wake();
     }
 
-    /// Whether the thread is at its end; known when it calls `wake` for the last time.
+    /// Whether the thread is ending; true by the time of the last call to `wake`.
     pub fn is_closing(&self) -> bool {
         self.updates.is_abandoned()
     }
 
-    /// Once the thread has ended, how it did; none if it ended by a panic. Never waits.
+    /// The result of the thread once it has ended; the inner `None` means that it panicked. Never blocks.
     pub fn try_join(&mut self) -> Option<Option<Exit>> {
         let ended = self.thread.as_ref().is_some_and(JoinHandle::is_finished);
         ended.then(|| self.thread.take().and_then(|thread| thread.join().ok()))
@@ -84,7 +84,7 @@
     }
 }
 
-/// Calls it at the end of the thread as well, however that comes, when the rings are already closed.
+/// Calls `wake` once more when the thread ends for any reason, after the rings have been closed.
 struct WakeOnDrop<F: Fn()>(F);
 
 impl<F: Fn()> Drop for WakeOnDrop<F> {
@@ -93,8 +93,8 @@
     }
 }
 
-/// Binds the socket, so that a wrong address is an error at once, and starts the thread. `wake` is called from it
-/// whenever facts have come in, and at its end.
+/// Binds the socket, so that an invalid address is reported at once, and starts the thread. The thread calls
+/// `wake` whenever it has published updates, and when it ends.
 pub fn start(setup: Setup, wake: impl Fn() + Send + 'static) -> io::Result<Handle> {
     let mut socket = UdpSocket::bind(SocketAddr::V4(setup.at))?;
     let poll = Poll::new()?;
@@ -123,22 +123,23 @@
 ) -> Exit {
     let now = || (start.elapsed().as_micros() / 100) as Time;
     let mut send = |to: SocketAddrV4, datagram: &[u8]| {
-        // Guards against a full buffer that holds all up: to the library it is a datagram that was lost.
+        // Guards against blocking on a full send buffer: to the library this is a lost datagram.
         socket.send_to(datagram, SocketAddr::V4(to)).is_ok_and(|sent| sent == datagram.len())
     };
     let mut node = Node::new(setup, now());
     let mut events = Events::with_capacity(8);
-    // One byte more than is allowed, to tell what is cut off from what just fits.
+    // One byte more than allowed, to tell a truncated datagram from one that just fits.
     let mut buffer = [0; wire::MAX_DATAGRAM_BYTES + 1];
     let mut unread = false;
     loop {
         let wait = if unread { 0 } else { node.next_deadline().saturating_sub(now()) };
         let wait = Duration::from_micros(wait * 100);
         if poll.poll(&mut events, Some(wait)).is_err() {
-            // A signal; guards against a loop without a pause if it is anything else.
+            // Interrupted by a signal; guards against a busy loop in case of any other error.
             std::thread::sleep(Duration::from_millis(1));
         }
-        // First what has come, then what is due: after a stand-still the answers to probes lie in the socket.
+        // Datagrams are read before timers are handled: after a pause of the process the replies to probes
+        // are still in the socket buffer.
         unread = true;
         for _ in 0..MAX_READS_PER_TURN {
             match socket.recv_from(&mut buffer) {
@@ -148,7 +149,7 @@
                     unread = false;
                     break;
                 }
-                // That of an earlier datagram which found nobody.
+                // An ICMP error for an earlier datagram that did not reach its recipient.
                 Err(_) => {}
             }
         }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -1,5 +1,5 @@
-//! What one courier knows of the others, as standings that a table moves on. No clock, no I/O: each sight comes with
-//! its time.
+//! One courier's view of the other members: a state per member, advanced by a transition table. No clock and
+//! no I/O: each observation comes with its time.
 
 use std::net::SocketAddrV4;
 
@@ -7,11 +7,11 @@
 
 use crate::Time;
 
-/// Bytes of a courier's name that are told; a longer one is cut short.
+/// Maximum length of a courier's name in membership datagrams, in bytes; longer names are truncated.
 pub const MAX_NAME_BYTES: usize = 32;
 pub type Name = ArrayString<MAX_NAME_BYTES>;
 
-/// Cut to what fits, at a character's end.
+/// Truncates a name to the maximum length at a character boundary.
 pub fn truncate_name(text: &str) -> Name {
     let end = text.char_indices().map(|(at, c)| at + c.len_utf8()).take_while(|&end| end <= MAX_NAME_BYTES);
     let end = end.last().unwrap_or(0);
@@ -20,10 +20,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
-    /// Named in the configuration; nothing has been heard of it yet.
+    /// Configured, but nothing has been heard of it yet.
     Unknown,
     Alive,
-    /// Somebody's probe found it silent, and it has not spoken up since. Counts as up until its time is over.
+    /// A member's probe failed, and the suspicion has not been refuted yet. Counts as up until the suspicion
+    /// times out.
     Suspect,
     Down,
 }
@@ -34,39 +35,39 @@
     }
 }
 
-/// What is seen of a member.
+/// What the protocol reports about a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Observation {
     Alive,
-    /// Alive under a later start than the one that was known.
+    /// Alive with a later start than the known one.
     Restarted,
     Suspect,
     Down,
 }
 
-/// What a sight changes, for those who want to know.
+/// What an observation changes, as reported to the consumer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
     Unchanged,
     Up,
     Suspected,
-    /// A suspicion that did not hold.
+    /// A suspicion was refuted.
     Cleared,
     Down,
     /// Up after it was down.
     Recovered,
-    /// Up under a new start, and never seen down in between.
+    /// Up with a new start, without having been seen down in between.
     Restarted,
 }
 
-/// All there is to a member's standing: (standing, sight, next standing, news).
+/// The complete state machine of a member: (state, observation, next state, change).
 #[rustfmt::skip]
 pub const TRANSITIONS: [(MemberState, Observation, MemberState, Change); 16] = {
     use {Change::*, MemberState as State, Observation as Observed};
     [
         (State::Unknown, Observed::Alive,     State::Alive,   Up),
         (State::Unknown, Observed::Restarted, State::Alive,   Up),
-        // Heard of through one who suspects it: it was up a moment ago, and may be still.
+        // First heard of through a member that suspects it: it was up a moment ago and may still be.
         (State::Unknown, Observed::Suspect,   State::Suspect, Suspected),
         (State::Unknown, Observed::Down,      State::Down,    Down),
         (State::Alive,   Observed::Alive,     State::Alive,   Unchanged),
@@ -79,7 +80,7 @@
         (State::Suspect, Observed::Down,      State::Down,    Down),
         (State::Down,    Observed::Alive,     State::Alive,   Recovered),
         (State::Down,    Observed::Restarted, State::Alive,   Recovered),
-        // Back, but somebody's probe has failed since.
+        // Back up, but a probe has failed since.
         (State::Down,    Observed::Suspect,   State::Suspect, Recovered),
         (State::Down,    Observed::Down,      State::Down,    Unchanged),
     ]
@@ -90,29 +91,30 @@
     row.map_or((state, Change::Unchanged), |row| (row.2, row.3))
 }
 
-/// A member as the protocol holds it at this moment.
+/// A member as the protocol library holds it at this moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProtocolRecord {
     pub at: SocketAddrV4,
     pub name: Name,
-    /// Which of the processes that had this address: later ones are greater. Of no unit.
+    /// Identifies the process behind the address: a later process has a greater value. Has no unit.
     pub start: (u64, u8),
     pub incarnation: u16,
     pub state: MemberState,
 }
 
-/// A member as it is known here, whole: one of these takes the place of all that were told before it.
+/// A member as this view knows it. Holds the complete state and replaces any earlier value of the same
+/// member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
     pub at: SocketAddrV4,
-    /// Empty until it is heard of.
+    /// Empty until the member has been heard of.
     pub name: Name,
     pub start: (u64, u8),
     pub incarnation: u16,
     pub state: MemberState,
-    /// Since when it has this standing.
+    /// Time of the last change of state.
     pub since: Time,
-    /// Since when it is up without a break that was seen, suspicions that did not hold included.
+    /// Since when it has been up without an observed interruption; refuted suspicions do not count as one.
     pub up_since: Option<Time>,
 }
 
@@ -122,13 +124,13 @@
         Member { at, name, start: (0, 0), incarnation: 0, state, since: now, up_since: None }
     }
 
-    /// The standing moved on by what is seen, and what that changes.
+    /// Applies an observation and returns what it changes.
     fn observe(&mut self, now: Time, record: &ProtocolRecord) -> Change {
         let observation = match record.state {
             MemberState::Alive if record.start > self.start && self.state != MemberState::Unknown => {
                 Observation::Restarted
             }
-            // Guards against a sight of nothing, which changes nothing.
+            // Guards against a record without information, which changes nothing.
             MemberState::Unknown => return Change::Unchanged,
             MemberState::Alive => Observation::Alive,
             MemberState::Suspect => Observation::Suspect,
@@ -149,7 +151,7 @@
     }
 }
 
-/// How many there are of each standing, this courier among the alive.
+/// Number of members in each state; this courier counts as alive.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     pub unknown: u32,
@@ -168,7 +170,7 @@
         }
     }
 
-    /// All that the configuration names, this courier too.
+    /// All configured members, including this courier.
     pub fn configured(&self) -> u32 {
         self.unknown + self.alive + self.suspect + self.down
     }
@@ -177,29 +179,30 @@
         self.alive + self.suspect
     }
 
-    /// Fewer than half of those named are up: this part may not speak for all.
+    /// Fewer than half of the configured members are up: this partition must not act for all couriers.
     pub fn cut_off(&self) -> bool {
         2 * self.up() < self.configured()
     }
 
-    /// The part of those named of whom it is settled whether they are up: 1 when nobody is suspected or unheard of.
+    /// Share of the configured members that are known to be either up or down: 1 if none is suspected or
+    /// unknown.
     pub fn settled_share(&self) -> f64 {
         f64::from(self.alive + self.down) / f64::from(self.configured().max(1))
     }
 }
 
-/// All members but this courier in the order of their addresses, and this courier itself.
+/// This courier and all other configured members, in the order of their addresses.
 #[derive(Clone, Debug)]
 pub struct View {
     own: Member,
     others: Vec<Member>,
     tally: Tally,
-    /// Cut off or joined, since when.
+    /// Whether this courier is cut off, and since when that has been the case.
     cut_off: (bool, Time),
 }
 
 impl View {
-    /// Knows nobody yet; cut off from the start unless it is alone by its configuration or one of two.
+    /// Only this courier is known; cut off from the start, unless at most two members are configured.
     pub fn new(own: ProtocolRecord, others: &[SocketAddrV4], now: Time) -> View {
         let mut addresses: Vec<_> = others.iter().copied().filter(|&at| at != own.at).collect();
         addresses.sort_unstable();
@@ -215,8 +218,8 @@
         self.others.binary_search_by_key(&at, |member| member.at).ok()
     }
 
-    /// Its place, looked for at `near` first: of a thousand members that are read in one order turn after turn, a
-    /// search for each was most of a courier's time.
+    /// Index of a member, trying `near` first: with a thousand members that are read in the same order on
+    /// every turn, a search for each took most of a courier's processor time.
     pub(crate) fn index_near(&self, at: SocketAddrV4, near: usize) -> Option<usize> {
         match self.others.get(near) {
             Some(member) if member.at == at => Some(near),
@@ -224,12 +227,12 @@
         }
     }
 
-    /// Takes up what the protocol holds of a member. Of whom the configuration does not name, nothing.
+    /// Applies a record of the protocol; ignores members that are not configured.
     pub fn observe(&mut self, now: Time, record: &ProtocolRecord) -> Change {
         self.index_of(record.at).map_or(Change::Unchanged, |index| self.observe_at(now, index, record))
     }
 
-    /// The same, of the member at this place.
+    /// Like `observe`, for the member at this index.
     pub(crate) fn observe_at(&mut self, now: Time, index: usize, record: &ProtocolRecord) -> Change {
         let member = &mut self.others[index];
         let before = member.state;
@@ -239,14 +242,14 @@
         change
     }
 
-    /// Takes up what another view told of a member, whole.
+    /// Replaces a member by its state in another view.
     pub fn replace_member(&mut self, now: Time, member: &Member) {
         let Some(index) = self.index_of(member.at) else { return };
         let before = std::mem::replace(&mut self.others[index], *member).state;
         self.count_transition(now, before, member.state);
     }
 
-    /// This courier goes on under a later start: the others had held it to be down.
+    /// Sets a later start of this courier, after the others had declared it down.
     pub fn set_own_start(&mut self, now: Time, start: (u64, u8)) {
         (self.own.start, self.own.since, self.own.up_since) = (start, now, Some(now));
     }
@@ -276,7 +279,7 @@
         self.index_of(at).map(|index| &self.others[index])
     }
 
-    /// Those that are up, this courier among them.
+    /// All members that are up, including this courier.
     pub fn up(&self) -> impl Iterator<Item = &Member> {
         std::iter::once(&self.own).chain(self.others.iter().filter(|member| member.state.is_up()))
     }
@@ -285,36 +288,40 @@
         self.tally
     }
 
-    /// Whether this part is cut off, and since when that is so or not so.
+    /// Whether this courier is cut off, and since when that has or has not been the case.
     pub fn cut_off(&self) -> (bool, Time) {
         self.cut_off
     }
 
-    /// Counts anew from what the protocol holds, and compares: what differs is said, at the first difference.
-    /// `held` names each member once at most, this courier or strangers too: both are passed over.
+    /// Recounts from the protocol's records and compares the result with this view; the error describes the
+    /// first difference. `records` holds each member at most once; records of this courier and of members
+    /// that are not configured are ignored.
     pub fn audit<'a>(&self, records: impl Iterator<Item = &'a ProtocolRecord>) -> Result<(), String> {
         let (mut up, mut suspect, mut down) = (1, 0, 0);
         for record in records {
-            // Not by `place`, which the view itself goes by.
+            // Does not use `index_of`, on which the view itself relies.
             let Some(member) = self.others.iter().find(|member| member.at == record.at) else { continue };
             up += u32::from(record.state.is_up());
             suspect += u32::from(record.state == MemberState::Suspect);
             down += u32::from(record.state == MemberState::Down);
             let known = (member.state, member.start, member.incarnation);
             if known != (record.state, record.start, record.incarnation) {
-                return Err(format!("{} is held as {record:?} and known as {known:?}", record.at));
+                return Err(format!("{}: record {record:?} differs from the view's {known:?}", record.at));
             }
             if member.up_since.is_some() != record.state.is_up() {
-                return Err(format!("{} is {:?}, up since {:?}", record.at, record.state, member.up_since));
+                return Err(format!(
+                    "{}: state {:?} contradicts up_since {:?}",
+                    record.at, record.state, member.up_since
+                ));
             }
         }
         let (configured, tally) = (1 + self.others.len() as u32, self.tally);
         let counted = Tally { unknown: configured - up - down, alive: up - suspect, suspect, down };
         if counted != tally {
-            return Err(format!("counted {counted:?}, known {tally:?}"));
+            return Err(format!("recounted {counted:?}, the view has {tally:?}"));
         }
         if (configured - up > up) != self.cut_off.0 {
-            return Err(format!("{up} of {configured} are up, and cut off is {}", self.cut_off.0));
+            return Err(format!("{up} of {configured} members are up, but cut_off is {}", self.cut_off.0));
         }
         Ok(())
     }
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -1,5 +1,5 @@
-//! Datagrams between couriers: an envelope of eight bytes, then what the library wrote. Whatever is not exactly that
-//! is refused with its reason, before anything of it is read further.
+//! Datagrams between couriers: an envelope of eight bytes, followed by content written by the library.
+//! Anything else is rejected with a reason before its content is read.
 
 use std::cell::Cell;
 use std::fmt;
@@ -12,10 +12,10 @@
 
 use crate::view::Name;
 
-/// Bytes of a datagram, the envelope included: none is cut up on its way.
+/// Maximum size of a datagram including its envelope; avoids IP fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
 const MAGIC: [u8; 2] = *b"mf";
-/// Another form of anything that follows takes another.
+/// Incremented by any change to the format of the fields that follow.
 const VERSION: u8 = 1;
 pub const ENVELOPE_BYTES: usize = 8;
 
@@ -23,22 +23,23 @@
 pub enum OpenError {
     TooLong,
     TooShort,
-    /// Does not begin as one of ours.
+    /// Does not start with the magic bytes.
     BadMagic,
-    /// Ours, in a form that this courier does not know.
+    /// A membership datagram of a version or kind that this courier does not support.
     UnknownVersion,
-    /// Changed on its way, or cut short.
+    /// Corrupted or truncated.
     Checksum,
 }
 
-/// What the library says to its like, or members that are down, one after the other.
+/// A message of the protocol library, or a list of members that are down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramKind {
     Protocol = 0,
     DownList = 1,
 }
 
-/// Magic, version, kind, checksum of all that follows the magic.
+/// Writes an envelope and its content: magic, version, kind, checksum of everything after the magic (itself
+/// excluded).
 pub fn seal(kind: DatagramKind, body: &[u8], out: &mut Vec<u8>) {
     out.clear();
     out.extend(MAGIC);
@@ -74,7 +75,7 @@
     }
 }
 
-/// As many members as fit, all to be told as down.
+/// Encodes as many members as fit; all of them are reported as down.
 pub fn encode_down_members<'a>(down: impl Iterator<Item = &'a Member<Id>>, out: &mut Vec<u8>) {
     out.clear();
     for member in down {
@@ -88,7 +89,8 @@
     }
 }
 
-/// Each member of it, which is down and named in the configuration, or nothing at all.
+/// Decodes a list of members that are down and keeps those that are configured; `None` if any part of it is
+/// invalid.
 pub fn decode_down_members(mut body: &[u8], filter: &AddressFilter) -> Option<Vec<Member<Id>>> {
     let mut down = Vec::new();
     while !body.is_empty() {
@@ -105,32 +107,32 @@
     Some(down)
 }
 
-/// Who a courier is: its address is its own, and each of its processes has a later start.
+/// Identity of a courier: its address is unique, and each of its processes has a later start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Id {
     pub at: SocketAddrV4,
-    /// Milliseconds on the clock of the day when its process began, and what `renew` has added.
+    /// Start of the process in milliseconds of wall-clock time, plus what `renew` has added.
     pub start: u64,
-    /// How often it went on under a new start.
+    /// Number of renewals.
     pub turn: u8,
     pub name: Name,
 }
 
 impl Id {
-    /// Whom an announcement is for, when only the address is known.
+    /// Recipient of an announcement when only its address is known.
     pub fn with_address_only(at: SocketAddrV4) -> Id {
         Id { at, start: 0, turn: 0, name: Name::new() }
     }
 }
 
-/// A renewal adds no more than 2^37 ms, four years.
+/// A renewal adds at most 2^37 ms, about four years.
 const MAX_STEP_EXPONENT: u8 = 37;
 
 impl Identity for Id {
     type Addr = SocketAddrV4;
 
-    /// Twice as far ahead with each turn: a clock that was put back by a day is made up for in 27 turns, each as
-    /// long as a datagram's way there and back.
+    /// Each renewal doubles the step: a clock that was set back by a day is made up for in 27 renewals, each
+    /// of which takes one round trip.
     fn renew(&self) -> Option<Id> {
         let step = 1 << self.turn.min(MAX_STEP_EXPONENT);
         Some(Id { start: self.start.saturating_add(step), turn: self.turn.saturating_add(1), ..*self })
@@ -145,16 +147,17 @@
     }
 }
 
-/// What the codec must know of a datagram that it reads, and what it has to say of it.
+/// State shared with the codec: what it needs to know about the datagram being decoded, and what it reports
+/// about it.
 #[derive(Debug)]
 pub struct AddressFilter {
-    /// All addresses that the configuration names, in order, this courier's too.
+    /// All configured addresses, sorted, including this courier's.
     configured: Vec<SocketAddrV4>,
-    /// Where the datagram that is read came from.
+    /// Source address of the datagram being decoded.
     pub source: Cell<Option<SocketAddrV4>>,
-    /// Whether it asked for all that are up.
+    /// Whether it asked for all members that are up.
     pub announced: Cell<bool>,
-    /// Members that were passed over: the configuration does not name them.
+    /// Reported members that were ignored because they are not configured.
     pub unknown_members: Cell<u64>,
 }
 
@@ -179,11 +182,11 @@
     }
 }
 
-/// The library's codec behind a gate. Guards against memory that grows with whatever a datagram names, and against
-/// datagrams sent on to whoever one asks for.
+/// The library's codec behind a filter of addresses. Guards against memory that grows with whatever a
+/// datagram names, and against being made to send datagrams to arbitrary addresses.
 pub struct FilteringCodec {
     pub filter: Rc<AddressFilter>,
-    /// The sender of the datagram that is read.
+    /// Sender of the datagram being decoded.
     sender: Option<Member<Id>>,
 }
 
@@ -205,8 +208,8 @@
         if self.filter.source.get() != Some(header.src.at) {
             return Err(DecodeError::SourceMismatch);
         }
-        // Who is asked to send on does so to those it names alone. That it answers a probe for one whom only the
-        // others name yet sends nothing there, and spares it a suspicion.
+        // A request to forward a probe is followed only for configured targets. A reply to a probe on behalf
+        // of a member that only the others have configured is sent nowhere else and avoids a suspicion.
         let target = match &header.message {
             Message::PingReq { target, .. } | Message::IndirectAck { target, .. } => target.at,
             _ => header.src.at,
@@ -223,8 +226,9 @@
         PostcardCodec.encode_member(member, buf).map_err(DecodeError::Malformed)
     }
 
-    /// A member that the configuration here does not name, though the sender's does (lists are changed one after
-    /// the other), is read as what the library takes up in any case: that the sender is alive.
+    /// A member may be configured at the sender but not here, as configurations are changed on one courier
+    /// after the other. Such an entry is replaced by information that the library takes from the datagram in
+    /// any case: that its sender is alive.
     fn decode_member(&mut self, buf: impl Buf) -> Result<Member<Id>, Self::Error> {
         let member: Member<Id> = PostcardCodec.decode_member(buf).map_err(DecodeError::Malformed)?;
         if self.filter.contains(member.id().at) {
@@ -235,23 +239,27 @@
     }
 }
 
-/// Why a datagram's content is refused.
+/// Why the content of a datagram was rejected.
 #[derive(Debug)]
 pub enum DecodeError {
-    /// Not in the form that is expected.
+    /// Cannot be decoded.
     Malformed(postcard::Error),
-    /// Names a sender other than where it came from.
+    /// Names a sender other than its source address.
     SourceMismatch,
-    /// Concerns one whom the configuration does not name.
+    /// Concerns a member that is not configured.
     UnknownAddress,
 }
 
 impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            DecodeError::Malformed(error) => write!(f, "cannot be read: {error}"),
-            DecodeError::SourceMismatch => f.write_str("names another sender than it came from"),
-            DecodeError::UnknownAddress => f.write_str("concerns one whom the configuration does not name"),
+            DecodeError::Malformed(error) => write!(f, "cannot decode the datagram: {error}"),
+            DecodeError::SourceMismatch => {
+                f.write_str("the sender named in the datagram differs from its source address")
+            }
+            DecodeError::UnknownAddress => {
+                f.write_str("the datagram concerns a member that is not configured")
+            }
         }
     }
 }
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A network in simulated time with the real nodes on it: it loses, doubles, delays and reorders datagrams, keeps
-//! parts of the couriers apart, and kills, stops and starts them. All of it follows from a seed.
+//! Real nodes on a network in simulated time: it loses, duplicates, delays and reorders datagrams, partitions
+//! the couriers, and kills, pauses and starts them. Everything is determined by a seed.
 #![allow(dead_code)]
 
 use std::cmp::Reverse;
@@ -14,7 +14,7 @@
     SocketAddrV4::new(Ipv4Addr::new(10, 0, (i / 250) as u8, 1 + (i % 250) as u8), 7946)
 }
 
-/// Whose address it is.
+/// The host that has this address.
 fn host_at(address: SocketAddrV4) -> usize {
     let [_, _, high, low] = address.ip().octets();
     250 * usize::from(high) + usize::from(low) - 1
@@ -22,10 +22,10 @@
 
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkFaults {
-    /// Parts of one.
+    /// Probabilities per datagram.
     pub loss: f64,
     pub duplicate: f64,
-    /// The least and the most, any between them as likely: what is sent later often comes sooner.
+    /// Minimum and maximum of a uniformly distributed delay: datagrams are often reordered.
     pub delay: (Time, Time),
 }
 
@@ -41,13 +41,13 @@
 struct Host {
     node: Option<Node>,
     stopped: bool,
-    /// What comes while it is stopped; the socket's buffer keeps so many.
+    /// Datagrams that arrive while the host is paused, up to the size of a socket buffer.
     buffered: Vec<(usize, Vec<u8>)>,
     wake_at: Time,
     partition: u32,
     starts: u64,
     last_counts: Counts,
-    /// Told facts put into a copy, as the exchange does.
+    /// A view built from published updates alone, as a courier's exchange builds one.
     copy: Option<View>,
 }
 
@@ -59,25 +59,25 @@
     events: BinaryHeap<Reverse<(Time, u64, Event)>>,
     sequence: u64,
     rng: fastrand::Rng,
-    /// Of all that was sent, in its order: equal for equal runs.
+    /// Hash of everything that was sent, in order: equal runs have equal traces.
     pub trace: u64,
-    /// Facts that were taken, of all.
+    /// Updates that were accepted, over all hosts.
     pub published: u64,
-    /// The last datagram that was sent, and by whom.
+    /// The last datagram that was sent, and its sender.
     pub last_datagram: Vec<u8>,
     pub last_from: usize,
-    /// From whom to whom nothing passes, though it does the other way.
+    /// Pairs (from, to) of hosts between which datagrams are dropped in this direction only.
     pub blocked: Vec<(usize, usize)>,
-    /// Whose configuration does not name whom, from its next start on.
+    /// Pairs (host, other): the host's configuration lacks the other from the host's next start on.
     pub not_configured: Vec<(usize, usize)>,
 }
 
 const SOCKET_BUFFER: usize = 256;
-/// Milliseconds on the clock of the day when the first process begins: some date of 2026.
+/// Wall-clock time of the first process's start in milliseconds: an arbitrary date in 2026.
 pub const FIRST_START_MS: u64 = 1_790_000_000_000;
 
 impl Simulation {
-    /// All start within the first second.
+    /// All hosts start within the first second.
     pub fn new(count: usize, faults: NetworkFaults, seed: u64) -> Simulation {
         let mut rng = fastrand::Rng::with_seed(seed);
         let host = || Host {
@@ -118,7 +118,7 @@
         sim
     }
 
-    /// A process with an empty memory; `clock` are the milliseconds that it reads on the clock of the day.
+    /// Starts a process without any state; `clock` is the wall-clock time that it reads, in milliseconds.
     pub fn start(&mut self, i: usize, clock: u64) {
         let setup = Setup {
             name: truncate_name(&format!("n{i}")),
@@ -168,7 +168,7 @@
         self.kill(i);
     }
 
-    /// From now on datagrams pass within a part only.
+    /// From now on datagrams are delivered only within a partition.
     pub fn partition(&mut self, of: impl Fn(usize) -> u32) {
         for (i, host) in self.hosts.iter_mut().enumerate() {
             host.partition = of(i);
@@ -183,12 +183,12 @@
         self.node(i).view()
     }
 
-    /// What was told, put together again.
+    /// The view built from published updates.
     pub fn copy(&self, i: usize) -> &View {
         self.hosts[i].copy.as_ref().unwrap()
     }
 
-    /// Those that run, stopped ones not among them.
+    /// Hosts that run and are not paused.
     pub fn live(&self) -> Vec<usize> {
         (0..self.count).filter(|&i| self.hosts[i].node.is_some() && !self.hosts[i].stopped).collect()
     }
@@ -227,7 +227,8 @@
         self.now = end;
     }
 
-    /// Looks each tenth of a second until it holds; when it did, counted from now. None after `within`.
+    /// Checks the condition every tenth of a second; returns the time from now until it held, or `None` after
+    /// `within`.
     pub fn until(&mut self, within: Time, mut condition: impl FnMut(&Simulation) -> bool) -> Option<Time> {
         let start = self.now;
         while !condition(self) {
@@ -249,7 +250,7 @@
         self.send(to, out);
     }
 
-    /// A datagram out of nowhere.
+    /// Delivers a datagram that no host has sent.
     pub fn inject(&mut self, to: usize, from: SocketAddrV4, datagram: &[u8]) {
         self.turn(to, Some((from, datagram)));
     }
@@ -268,7 +269,7 @@
         node.turn(now, &mut send);
         let copy = host.copy.as_mut().unwrap();
         let (rng, published) = (&mut self.rng, &mut self.published);
-        // The ring is full now and then.
+        // Simulates a ring that is sometimes full.
         node.publish(&mut |update| {
             if rng.u8(..4) == 0 {
                 return false;
@@ -293,7 +294,7 @@
             assert!(datagram.len() <= meadowhold_fleet::wire::MAX_DATAGRAM_BYTES);
             let address = to;
             let to = host_at(address);
-            assert!(to < self.count && at(to) == address, "a datagram to {address}, which nobody has");
+            assert!(to < self.count && at(to) == address, "a datagram to {address}, which no host has");
             self.trace =
                 self.trace.rotate_left(5) ^ u64::from(crc32fast::hash(&datagram)) ^ self.now ^ to as u64;
             self.last_datagram.clone_from(&datagram);
@@ -314,13 +315,13 @@
         }
     }
 
-    /// Each that runs knows exactly those as up that run.
+    /// Every running host sees exactly the running hosts as up.
     pub fn converged(&self) -> bool {
         let live = self.live();
         self.see_exactly(&live, &live)
     }
 
-    /// Each of `who` knows exactly `up` as up, and is in no doubt.
+    /// Each of `who` sees exactly `up` as alive and suspects no member.
     pub fn see_exactly(&self, who: &[usize], up: &[usize]) -> bool {
         who.iter().all(|&i| {
             let view = self.view(i);
@@ -335,7 +336,7 @@
         })
     }
 
-    /// Pairs (who, of whom) where one that runs is held to be down.
+    /// Pairs (observer, member) in which a running member is considered down.
     pub fn wrongly_down(&self) -> Vec<(usize, usize)> {
         let live = self.live();
         let mut pairs = Vec::new();
--- a/crates/fleet/tests/decisions.rs
+++ b/crates/fleet/tests/decisions.rs
@@ -1,4 +1,5 @@
-//! Views and elections from tables and under random sights; datagrams read as they were written, and nothing else.
+//! Views and elections, from tables and under random observations; datagrams decode to what was encoded, and
+//! damaged ones are rejected.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -16,7 +17,7 @@
     ProtocolRecord { at: at(n), name: truncate_name(&format!("n{n}")), start: (start, 0), incarnation, state }
 }
 
-/// Courier 1 of `count`.
+/// The view of courier 1 of `count`.
 fn view(count: u8) -> View {
     let others: Vec<_> = (1..=count).map(at).collect();
     View::new(record(1, MemberState::Alive, 1, 0), &others, 0)
@@ -32,7 +33,8 @@
             let rows = TRANSITIONS.iter().filter(|row| (row.0, row.1) == (state, observation)).count();
             assert_eq!(rows, 1, "{state:?} {observation:?}");
             let (next, change) = transition(state, observation);
-            // Nothing is told exactly where nothing changes, and what is up is what is not seen down.
+            // `Unchanged` is reported exactly if nothing changes, and a member is up exactly if it was not
+            // observed as down.
             assert_eq!(
                 change == Change::Unchanged,
                 next == state && observation != Observation::Restarted,
@@ -72,7 +74,7 @@
 
 #[test]
 fn a_partition_of_fewer_than_half_is_cut_off() {
-    // (named, up among the others, cut off)
+    // (configured, other members up, cut off)
     let rows = [(1, 0, false), (2, 0, false), (3, 0, true), (3, 1, false), (4, 1, false), (5, 1, true)];
     for (configured, up, cut_off) in rows.into_iter().chain([(5, 2, false), (6, 2, false), (7, 2, true)]) {
         let mut view = view(configured);
@@ -80,7 +82,7 @@
             view.observe(7, &record(2 + n, MemberState::Alive, 1, 0));
         }
         assert_eq!(view.cut_off().0, cut_off, "{up} others up of {configured}");
-        // Suspected ones are not yet lost.
+        // Suspected members still count as up.
         for n in 0..up {
             view.observe(8, &record(2 + n, MemberState::Suspect, 1, 0));
         }
@@ -100,8 +102,8 @@
     assert_eq!(view.cut_off(), (true, 50));
 }
 
-/// Random sights against a model that keeps only the last one of each; the audit, the copy by whole members, and
-/// what is told must agree with it at each step.
+/// Random observations against a model that keeps only the last one of each member. The audit, a copy built
+/// from complete members, and the reported changes must agree with it after each step.
 #[test]
 fn views_under_random_observations_match_a_recount() {
     for seed in 0..300 {
@@ -110,7 +112,7 @@
         let (mut view, mut copy) = (view(count), view(count));
         let mut records: Vec<ProtocolRecord> = Vec::new();
         for now in 1..200 {
-            // Sometimes a stranger, sometimes this courier itself: neither counts.
+            // Observations of members that are not configured or of this courier itself have no effect.
             let n = rng.u8(1..=count + 1);
             let state = [MemberState::Alive, MemberState::Suspect, MemberState::Down][rng.usize(0..3)];
             let record = record(n, state, rng.u64(1..4), rng.u16(0..3));
@@ -126,7 +128,8 @@
             let member = *view.member(record.at).unwrap();
             assert!(before == Some(state) || change != Change::Unchanged);
             assert_eq!(member.since == now, change != Change::Unchanged, "seed {seed}");
-            // Only some are told, as with a ring that is full now and then; at the end all are.
+            // Only some updates are published, as with a ring that is sometimes full; all of them are at the
+            // end.
             if rng.bool() {
                 copy.replace_member(now, &member);
             }
@@ -145,7 +148,7 @@
         assert_eq!((copy.others(), copy.tally()), (view.others(), view.tally()));
         assert_eq!(copy.cut_off().0, view.cut_off().0);
         assert_eq!(copy.audit(records.iter()), Ok(()));
-        // A recount that differs in one place is found.
+        // The audit detects a record that differs in one place.
         if !records.is_empty() {
             records[0].incarnation += 1;
             assert!(view.audit(records.iter()).is_err());
@@ -183,7 +186,8 @@
         for view in &views[1..] {
             assert_eq!(addresses(view.elected(&task, 3)), first);
         }
-        // Who is not among them changes nothing by going; who is makes room for one more, and no other moves.
+        // A member that was not elected can leave without any effect; if an elected one leaves, only its own
+        // place is filled anew.
         let mut without_last = views[0].clone();
         without_last.observe(2, &record(20, MemberState::Down, 1, 0));
         let after = addresses(without_last.elected(&task, 3));
@@ -191,9 +195,9 @@
         assert_eq!(after[..kept.len()], kept, "{task}");
         assert_eq!(after.len(), 3);
     }
-    // 300 each on the average; 4 standard deviations are 65.
+    // 300 each on average; 4 standard deviations are 65.
     assert!(chosen[1..].iter().all(|&n| (235..=365).contains(&n)), "{chosen:?}");
-    // Fixed for all versions: couriers of two versions choose alike.
+    // Fixed for all versions: couriers of different versions must elect the same members.
     assert_eq!(addresses(views[0].elected("example", 2)), [at(11), at(4)]);
     assert_eq!(views[0].elected("example", 0).len(), 0);
     assert_eq!(views[0].elected("example", 99).len(), 20);
--- a/crates/fleet/tests/figures.rs
+++ b/crates/fleet/tests/figures.rs
@@ -1,5 +1,5 @@
-//! The figures of `docs/fleet.md`, printed: `cargo test --release -p meadowhold-fleet --test figures -- --ignored
-//! --nocapture`. Asserted here is only what the page promises of them.
+//! Prints the figures of `docs/fleet.md`: `cargo test --release -p meadowhold-fleet --test figures --
+//! --ignored --nocapture`. The assertions cover only what that page promises.
 
 mod common;
 
@@ -11,7 +11,7 @@
     time as f64 / SECOND as f64
 }
 
-/// Bytes that all together have sent, and datagrams.
+/// Bytes and datagrams that all members together have sent.
 fn sent(sim: &Simulation) -> (u64, u64) {
     let counts = sim.live().into_iter().map(|i| sim.node(i).counts());
     counts.fold((0, 0), |sum, counts| (sum.0 + counts.sent_bytes, sum.1 + counts.sent))
@@ -30,7 +30,7 @@
                 rows[0].push(seconds(sim.until(60 * SECOND, Simulation::converged).expect("together")));
                 let per_member = |bytes: u64, interval: Time| bytes as f64 / count as f64 / seconds(interval);
                 rows[1].push(per_member(sent(&sim).0, sim.now));
-                // Until what the start was told about has been sent for the last time.
+                // Until updates about the start are no longer retransmitted.
                 sim.run_until(sim.now + 30 * SECOND);
                 let (start, before) = (sim.now, sent(&sim));
                 while sim.now < start + 30 * SECOND {
@@ -76,23 +76,25 @@
     }
 }
 
-/// Tells a child process, which runs one size alone, its size and the part of all datagrams that is lost.
+/// Environment variables that tell a child process, which runs a single size, that size and the share of
+/// datagrams that is lost.
 const SIZE: &str = "MEADOWHOLD_FLEET_SIZE";
 const LOSS: &str = "MEADOWHOLD_FLEET_LOSS";
-/// Where the slopes are written to, if it is set.
+/// Names the file to which slopes are written, if set.
 const SLOPES: &str = "MEADOWHOLD_SLOPES";
 const COMMAND: &str =
     "cargo test --release -p meadowhold-fleet --test figures -- --ignored --nocapture --exact \
     figures_towards_the_target";
-/// Sizes without loss, and with a twentieth of all datagrams lost and as many doubled.
+/// Sizes without loss, and sizes with 5% of all datagrams lost and 5% duplicated.
 const SIZES: [(usize, f64); 7] =
     [(100, 0.0), (300, 0.0), (650, 0.0), (1_300, 0.0), (100, 0.05), (300, 0.05), (650, 0.05)];
 const TARGET: f64 = 1_300.0;
-/// Until the start's news is told, and of rest, in simulated time.
+/// Maximum time until updates about the start are no longer retransmitted, and length of the idle phase, in
+/// simulated time.
 const SETTLE_LIMIT: Time = 240 * SECOND;
 const IDLE: Time = 20 * SECOND;
 
-/// Seconds that this thread has had a processor: on a shared machine the time on the wall says little.
+/// Processor time of this thread in seconds: wall-clock time means little on a shared machine.
 fn thread_cpu_seconds() -> f64 {
     let stat = std::fs::read_to_string("/proc/thread-self/schedstat").expect("Linux tells a thread's time");
     stat.split(' ').next().and_then(|ns| ns.parse::<f64>().ok()).expect("a count of nanoseconds") / 1e9
@@ -104,8 +106,9 @@
     line.trim().trim_end_matches("kB").trim().parse().expect("a number")
 }
 
-/// One size, in a process of its own, so that its memory can be told. Each figure is a line: its name, a tab, its
-/// value. Processor time and memory hold the simulated network and its datagrams on their way too: upper bounds.
+/// Runs one size in a process of its own, so that its memory can be measured. Each figure is printed as a
+/// line with a name, a tab and a value. Processor time and memory include the simulated network and the
+/// datagrams in flight, so they are upper bounds.
 #[test]
 #[ignore = "run by figures_towards_the_target"]
 fn figures_of_one_size() {
@@ -118,14 +121,14 @@
     let net = NetworkFaults { loss, duplicate: loss, delay: (1, if loss > 0.0 { 300 } else { 20 }) };
     let print = |name: &str, value: f64| println!("{name}\t{value}");
     let per_member = |amount: f64, interval: Time| amount / count as f64 / seconds(interval);
-    // The harness may have left its own line unfinished.
+    // The test harness may have left its own line unfinished.
     println!();
     let (empty, cpu_start) = (resident_kib(), thread_cpu_seconds());
     let mut sim = Simulation::new(count, net, 0);
     print("start-known-s", seconds(sim.until(60 * SECOND, Simulation::converged).expect("together")));
     print("start-bytes", per_member(sent(&sim).0 as f64, sim.now));
     print("start-processor", per_member(thread_cpu_seconds() - cpu_start, sim.now));
-    // Until what the start was told about has been sent for the last time.
+    // Until updates about the start are no longer retransmitted.
     let starting = per_member(sent(&sim).0 as f64, sim.now);
     let settled = loop {
         let before = sent(&sim).0;
@@ -175,8 +178,8 @@
     );
 }
 
-/// A straight line or a power law through points, whichever leaves the smaller part of each value unexplained (root
-/// of the mean square); `b` is the intercept of the one and the exponent of the other.
+/// Fits a line and a power law to the points and returns the one with the smaller relative residual (root
+/// mean square); `b` is the intercept of a line and the exponent of a power law.
 fn fit(points: &[(f64, f64)]) -> (&'static str, f64, f64, f64) {
     let line = |points: &[(f64, f64)]| {
         let n = points.len() as f64;
@@ -202,8 +205,8 @@
     }
 }
 
-/// Bytes, processor time, memory and times against the count of members, and their fits. Slopes are written as JSON
-/// to the file that `MEADOWHOLD_SLOPES` names.
+/// Bytes, processor time, memory and durations against the number of members, with their fits. Slopes are
+/// written as JSON to the file named by `MEADOWHOLD_SLOPES`.
 #[test]
 #[ignore = "a quarter of an hour in a release build; prints figures"]
 fn figures_towards_the_target() {
--- a/crates/fleet/tests/network.rs
+++ b/crates/fleet/tests/network.rs
@@ -1,4 +1,4 @@
-//! Several nodes on a simulated network: what is promised of them, at each of some seeds.
+//! Several nodes on a simulated network: the guarantees of the membership, each checked with several seeds.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use meadowhold_fleet::wire::{seal, DatagramKind, ENVELOPE_BYTES};
 use meadowhold_fleet::{Time, SECOND};
 
-/// Bounds that `docs/fleet.md` states, for a handful of members at 5% loss.
+/// Bounds stated in `docs/fleet.md` for a small number of members at 5% loss.
 const JOIN_BOUND: Time = 5 * SECOND;
 const DETECTION_BOUND: Time = 6 * SECOND;
 const RECOVERY_BOUND: Time = 3 * SECOND;
@@ -28,7 +28,7 @@
 fn joined(count: usize, seed: u64) -> Simulation {
     let mut sim = Simulation::new(count, POOR, seed);
     let took = sim.until(JOIN_BOUND, Simulation::converged);
-    assert!(took.is_some(), "seed {seed}: {count} not together");
+    assert!(took.is_some(), "seed {seed}: {count} members have not joined");
     sim
 }
 
@@ -43,10 +43,10 @@
             suspected += sim.live().iter().map(|&i| sim.view(i).tally().suspect).sum::<u32>();
             assert!(sim.live().iter().all(|&i| !sim.view(i).cut_off().0));
         }
-        // Suspicions there may be; none lasts.
+        // Suspicions may occur, but none of them lasts.
         assert!(
             sim.until(2 * SECOND, Simulation::converged).is_some(),
-            "seed {seed}, {suspected} looks saw one"
+            "seed {seed}, {suspected} suspicions seen in all"
         );
         assert_no_faults(&sim);
     }
@@ -73,29 +73,29 @@
         assert!(sim.until(HEAL_BOUND, Simulation::converged).is_some(), "seed {seed}");
         assert_no_faults(&sim);
     }
-    // Or nothing was shown.
+    // Otherwise the test would have shown nothing.
     assert!(wrongly_down > 0);
 }
 
 #[test]
 fn a_killed_member_is_detected_and_its_restart_too() {
-    // The clock that the next process reads, in milliseconds after (or before) the first's.
+    // Wall-clock time that the next process reads, in milliseconds relative to the first one.
     for (seed, clock) in [(0, 60_000), (1, 900), (2, -1), (3, -900_000), (4, -86_400_000_i64), (5, 60_000)] {
         let mut sim = joined(5, seed);
         sim.kill(2);
         let took = sim.until(DETECTION_BOUND, Simulation::converged);
-        assert!(took.is_some(), "seed {seed}: not found down");
+        assert!(took.is_some(), "seed {seed}: not detected as down");
         assert!(sim.live().iter().all(|&i| sim.view(i).member(at(2)).unwrap().state == MemberState::Down));
         sim.start(2, (common::FIRST_START_MS as i64 + clock) as u64);
         let took = sim.until(RECOVERY_BOUND, Simulation::converged);
-        assert!(took.is_some(), "seed {seed}: not found back");
-        // Killed and back before anybody has missed it.
+        assert!(took.is_some(), "seed {seed}: not detected as back");
+        // Killed and restarted before any member has noticed.
         let before = sim.view(0).member(at(2)).unwrap().start;
         sim.kill(2);
         sim.start(2, (common::FIRST_START_MS as i64 + 2 * clock) as u64);
         let restarted =
             |sim: &Simulation| sim.converged() && sim.view(0).member(at(2)).unwrap().start != before;
-        assert!(sim.until(RECOVERY_BOUND, restarted).is_some(), "seed {seed}: not found back at once");
+        assert!(sim.until(RECOVERY_BOUND, restarted).is_some(), "seed {seed}: restart not detected");
         assert_no_faults(&sim);
     }
 }
@@ -128,10 +128,13 @@
     for seed in 0..6 {
         let mut sim = joined(5, seed);
         sim.stop(3);
-        assert!(sim.until(DETECTION_BOUND, Simulation::converged).is_some(), "seed {seed}: not found down");
+        assert!(
+            sim.until(DETECTION_BOUND, Simulation::converged).is_some(),
+            "seed {seed}: not detected as down"
+        );
         sim.resume(3);
         assert!(sim.until(RECOVERY_BOUND, Simulation::converged).is_some(), "seed {seed}: not back");
-        // It blames nobody for the time in which it stood still itself.
+        // The member does not blame others for the time during which it was paused itself.
         for _ in 0..50 {
             sim.run_until(sim.now + SECOND / 10);
             assert_eq!(sim.wrongly_down(), [], "seed {seed}");
@@ -149,8 +152,8 @@
         sim.partition(|i| u32::from(i % 3 == 0));
         let partitioned =
             |sim: &Simulation| sim.see_exactly(&small, &small) && sim.see_exactly(&large, &large);
-        // The last of several is found down later than the first.
-        assert!(sim.until(PARTITION_BOUND, partitioned).is_some(), "seed {seed}: not parted");
+        // With several members down, the last one is detected later than the first.
+        assert!(sim.until(PARTITION_BOUND, partitioned).is_some(), "seed {seed}: not partitioned");
         for (part, cut_off) in [(&small, true), (&large, false)] {
             for &i in part {
                 let view = sim.view(i);
@@ -162,7 +165,7 @@
                 assert!(elected.iter().map(|one| one.at).eq(same.iter().map(|one| one.at)));
             }
         }
-        // For long enough that whatever was queued is forgotten.
+        // Long enough for all queued updates to expire.
         sim.run_until(sim.now + 120 * SECOND);
         assert!(partitioned(&sim));
         sim.partition(|_| 0);
@@ -172,8 +175,9 @@
     }
 }
 
-/// Found once: a member that was out of the others' sight while they told each other who was down (they had held it
-/// to be down itself, for a moment) kept dozens as suspected for a minute, and did not know that it was cut off.
+/// Guards against a member that misses the updates about who is down, because the others had briefly declared
+/// it down itself while they exchanged them: it suspected dozens of members for a minute and did not notice
+/// that it was cut off.
 #[test]
 fn in_a_large_partition_every_member_learns_who_is_down() {
     for seed in 0..3 {
@@ -182,7 +186,7 @@
         sim.partition(|i| u32::from(i % 5 < 2));
         let partitioned =
             |sim: &Simulation| sim.see_exactly(&small, &small) && sim.see_exactly(&large, &large);
-        assert!(sim.until(PARTITION_BOUND, partitioned).is_some(), "seed {seed}: not parted");
+        assert!(sim.until(PARTITION_BOUND, partitioned).is_some(), "seed {seed}: not partitioned");
         assert!(sim.live().iter().all(|&i| sim.view(i).cut_off().0 == (i % 5 < 2)));
         sim.partition(|_| 0);
         assert!(sim.until(HEAL_BOUND, Simulation::converged).is_some(), "seed {seed}: not healed");
@@ -197,7 +201,7 @@
         sim.kill(0);
         sim.kill(1);
         assert!(sim.until(2 * DETECTION_BOUND, Simulation::converged).is_some(), "seed {seed}");
-        // For long enough that nobody tells it any more unasked.
+        // Long enough that no member still sends it these updates unasked.
         sim.run_until(sim.now + 60 * SECOND);
         sim.start(1, common::FIRST_START_MS + 60_000);
         let learned = |sim: &Simulation| sim.view(1).member(at(0)).unwrap().state == MemberState::Down;
@@ -227,12 +231,12 @@
         sim.start(round, common::FIRST_START_MS + 1_000_000 + round as u64);
         sim.until(RECOVERY_BOUND, Simulation::converged).unwrap();
     }
-    // What is untold is told with the next turns.
+    // Pending updates are published on the next turns.
     sim.faults = GOOD;
     sim.run_until(sim.now + 5 * SECOND);
     let published = sim.published;
     sim.run_until(sim.now + 5 * SECOND);
-    assert_eq!(sim.published, published, "told though there is no news");
+    assert_eq!(sim.published, published, "published updates without any change");
     let held_back: u64 = sim.live().iter().map(|&i| sim.node(i).counts().held_back).sum();
     assert!(held_back > 0);
     for i in sim.live() {
@@ -254,12 +258,12 @@
     }
 }
 
-/// As while lists are changed, one courier after the other.
+/// As happens while configurations are changed on one courier after the other.
 #[test]
 fn a_member_configured_on_some_couriers_only_does_not_disturb_the_others() {
     for seed in 0..4 {
         let mut sim = joined(6, seed);
-        // Two know nothing of the newest, and it knows of them.
+        // Two couriers do not have the newest one configured, though it has them.
         sim.not_configured = vec![(0, 5), (1, 5)];
         for i in [0, 1] {
             sim.kill(i);
@@ -338,7 +342,7 @@
     assert!(sim.converged() || sim.until(2 * SECOND, Simulation::converged).is_some());
 }
 
-/// A datagram that is whole and ours, from a named address, yet not from the one whom it names as its sender.
+/// A valid datagram from a configured address that names another member as its sender.
 #[test]
 fn datagrams_with_a_forged_sender_are_dropped() {
     let mut sim = joined(5, 8);
@@ -349,7 +353,7 @@
         let (datagram, from) = (sim.last_datagram.clone(), sim.last_from);
         let to = 0;
         let other = (1..5).find(|&other| other != from && other != to).unwrap();
-        // Lists of who is down name no sender: they are taken from whoever is named.
+        // Lists of down members name no sender and are accepted from any configured member.
         if from != to && datagram[3] == DatagramKind::Protocol as u8 {
             sim.inject(to, at(other), &datagram);
             forged += 1;
@@ -361,8 +365,8 @@
 
 const UNCONFIGURED: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 9, 9, 9), 7946);
 
-/// What a peer that is named writes wrongly and seals well: it may harm what is known, never the process, nor its
-/// memory, nor anybody who is not named.
+/// Invalid content in a valid envelope from a configured peer may damage the view, but must not affect the
+/// process, its memory or any address that is not configured.
 #[test]
 fn garbage_from_a_configured_peer_neither_crashes_nor_grows_a_node() {
     for seed in 0..6 {
--- a/crates/fleet/tests/sockets.rs
+++ b/crates/fleet/tests/sockets.rs
@@ -1,4 +1,5 @@
-//! The thread on real sockets: members found, one that stops found down and back, and odd datagrams passed over.
+//! The thread on real sockets: members join, a member that stops is detected and so is its return, and
+//! invalid datagrams are dropped.
 
 use std::net::{Ipv4Addr, SocketAddrV4, UdpSocket};
 use std::sync::atomic::{AtomicU8, Ordering};
@@ -10,8 +11,8 @@
 use meadowhold_fleet::thread::{start, Command, Exit, Handle};
 use meadowhold_fleet::view::{truncate_name, Change, MemberState};
 
-/// Addresses that nothing else has, in this test's process or another: all in one /24 of the process's own, on a port
-/// that the system gave a moment ago.
+/// Addresses that no other test of this or another process uses: all in a /24 of this process's own, on a
+/// port that the system has just assigned.
 fn addresses(count: u8) -> Vec<SocketAddrV4> {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let first = NEXT.fetch_add(count, Ordering::Relaxed);
@@ -64,7 +65,7 @@
     }
 }
 
-/// Looks again and again until it holds; how long that took.
+/// Polls until the condition holds and returns how long that took.
 fn wait_until(what: &str, members: &mut [Member], holds: impl Fn(&[Member]) -> bool) -> Duration {
     let start = Instant::now();
     loop {
@@ -72,7 +73,7 @@
         if holds(members) {
             return start.elapsed();
         }
-        assert!(start.elapsed() < Duration::from_secs(20), "waited in vain: {what}");
+        assert!(start.elapsed() < Duration::from_secs(20), "timed out waiting for: {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
@@ -87,7 +88,7 @@
         wait_until("all up", &mut members, up(at));
     }
     assert!(members.iter().all(|member| member.woken.try_iter().count() > 0));
-    // Its end makes it leave.
+    // Dropping the handle makes the member leave.
     let first_start = members.remove(2).handle.view.own().start;
     let down = |members: &[Member]| members.iter().all(|member| member.state_of(all[2]) == MemberState::Down);
     wait_until("one down", &mut members, down);
@@ -95,7 +96,7 @@
     assert!(restarted.handle.view.own().start > first_start);
     wait_until("one back", &mut members, up(all[2]));
     assert!(members.iter().all(|member| member.changes.contains(&(all[2], Change::Recovered))));
-    wait_until("the others known to it", std::slice::from_mut(&mut restarted), |restarted| {
+    wait_until("the restarted member to see the others", std::slice::from_mut(&mut restarted), |restarted| {
         all.iter().all(|&at| restarted[0].state_of(at) == MemberState::Alive)
     });
     members.push(restarted);
@@ -110,7 +111,8 @@
 fn a_silent_member_is_declared_down_by_probes() {
     let all = addresses(4);
     let mut members: Vec<Member> = (0..3).map(|i| Member::start(&all, i, 1000)).collect();
-    // The fourth is behind a relay that can be shut: it hears and is heard through its own node alone.
+    // The fourth member is run by the test itself, which can cut it off: all of its datagrams pass through
+    // this socket.
     let socket = UdpSocket::bind(all[3]).unwrap();
     socket.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
     let others = all[..3].to_vec();
@@ -135,16 +137,16 @@
             let up = run_node(silent);
             members.iter_mut().for_each(Member::read);
             let known = members.iter().all(|member| member.state_of(all[3]) == state);
-            // Itself, it finds the others gone while it is silent, and back after.
+            // While silent, it sees the others as down itself; afterwards it sees them as up again.
             if known && up == (if silent { 1 } else { 4 }) {
                 return start.elapsed();
             }
-            assert!(start.elapsed() < Duration::from_secs(20), "waited in vain: {state:?}");
+            assert!(start.elapsed() < Duration::from_secs(20), "timed out waiting for {state:?}");
         }
     };
     phase(false, MemberState::Alive);
     let detection_time = phase(true, MemberState::Down);
-    // Not before the suspicion has had its time.
+    // Not before the suspicion has timed out.
     assert!(detection_time >= meadowhold_fleet::node::SUSPICION_TIMEOUT, "{detection_time:?}");
     phase(false, MemberState::Alive);
     for member in members {
@@ -160,29 +162,31 @@
         members[0].state_of(all[1]) == MemberState::Alive && members[1].state_of(all[0]) == MemberState::Alive
     };
     wait_until("both up", &mut members, up);
-    // A named one and a stranger, both sending nonsense.
+    // A configured address and one that is not configured, both sending garbage.
     let (configured, unconfigured) =
         (UdpSocket::bind(all[2]).unwrap(), UdpSocket::bind((*all[2].ip(), 0)).unwrap());
     let mut rng = fastrand::Rng::with_seed(3);
     for n in 0..600 {
         let length = rng.usize(0..1700);
         let mut datagram: Vec<u8> = (0..length).map(|_| rng.u8(..)).collect();
-        // As a peer of another version would begin.
+        // Starts like a datagram of another version.
         if n % 3 == 0 && length >= 7 {
             datagram[..3].copy_from_slice(b"mf\x02");
         }
         configured.send_to(&datagram, all[0]).unwrap();
         unconfigured.send_to(&datagram, all[0]).unwrap();
-        // No faster than it reads.
+        // No faster than the member reads.
         if n % 20 == 0 {
             thread::sleep(Duration::from_millis(1));
         }
     }
-    // A note of couriers, sent to the wrong socket.
+    // A note between couriers that was sent to the wrong socket.
     configured.send_to(b"\x01\x00\x01\xf4e1", all[0]).unwrap();
     members[0].handle.send_command(Command::ResendAll);
     members[0].changes.clear();
-    wait_until("told anew", &mut members, |members| members[0].changes.contains(&(all[1], Change::Up)));
+    wait_until("state published again", &mut members, |members| {
+        members[0].changes.contains(&(all[1], Change::Up))
+    });
     assert!(up(&members));
     assert_eq!(members[0].state_of(all[2]), MemberState::Unknown);
     let ends: Vec<Exit> = members.into_iter().map(Member::leave).collect();
@@ -204,7 +208,7 @@
     let all = addresses(2);
     let setup = Setup { name: truncate_name("n0"), at: all[0], others: vec![all[1]], start: 1, seed: 1 };
     let called = AtomicU8::new(0);
-    // The first fact's call fails, the one at the thread's end does not.
+    // The call for the first update panics, the one at the end of the thread does not.
     let wake = move || assert!(called.fetch_add(1, Ordering::Relaxed) > 0, "on purpose");
     let mut handle = start(setup, wake).unwrap();
     let begin = Instant::now();
