--- a/crates/capacity/benches/turn.rs
+++ b/crates/capacity/benches/turn.rs
@@ -18,16 +18,16 @@
 use serde_json::json;
 
 const DESTINATIONS: [usize; 6] = [100, 1_000, 8_000, 30_000, 100_000, 300_000];
-const HELD: [usize; 4] = [1_000, 3_000, 10_000, 30_000];
+const HELD_MAILS: [usize; 4] = [1_000, 3_000, 10_000, 30_000];
 /// From one turn to the next, and what comes in at each: 400 messages a second.
-const STEP: Time = 50;
-const COMING: usize = 2;
+const TURN_INTERVAL: Time = 50;
+const ARRIVALS_PER_TURN: usize = 2;
 /// Of the destinations, as many are down as of the target's.
-const DOWN: f64 = 0.023;
-const WARM: usize = 400;
-const TURNS: usize = 4_000;
+const DOWN_SHARE: f64 = 0.023;
+const WARM_UP_TURNS: usize = 400;
+const MEASURED_TURNS: usize = 4_000;
 /// A size is looked at no longer.
-const LONGEST: Duration = Duration::from_secs(3);
+const MAX_DURATION: Duration = Duration::from_secs(3);
 
 fn settings(room: usize) -> Settings {
     let class = QueueClass {
@@ -47,7 +47,7 @@
         max_mails: room,
         // What cannot be delivered stays held: no attempt is the last one.
         max_connects: 1_000_000_000,
-        timer_resolution: STEP,
+        timer_resolution: TURN_INTERVAL,
         connection_timeout: SECOND,
         idle_timeout: 5 * SECOND,
         cold_capacity: 0.25,
@@ -63,27 +63,27 @@
 }
 
 /// The decisions among endpoints that answer in the next turn; those of the first `down` destinations refuse.
-struct World {
+struct Simulation {
     control: Control,
     down: usize,
     now: Time,
-    next: usize,
-    free: Vec<usize>,
+    next_mail: usize,
+    free_mails: Vec<usize>,
     /// Of the messages by their indices: their destinations.
-    of: Vec<usize>,
+    destination_of: Vec<usize>,
     inputs: Vec<Input>,
     actions: Vec<Action>,
-    delivered: usize,
-    refused: usize,
+    relayed: usize,
+    unreached: usize,
     given_up: usize,
 }
 
-impl World {
-    fn new(destinations: usize, down: usize, room: usize) -> World {
-        let listed = |dest| {
+impl Simulation {
+    fn new(destinations: usize, down: usize, room: usize) -> Simulation {
+        let listed = |destination| {
             Input::ListEntry(ListEntry {
-                endpoint: dest,
-                destination: dest,
+                endpoint: destination,
+                destination,
                 zone: 0,
                 kind: 0,
                 status: EndpointStatus::Ready,
@@ -94,34 +94,34 @@
             .chain((0..destinations).map(listed))
             .chain([Input::ListEnd])
             .collect();
-        World {
+        Simulation {
             control: Control::new(settings(room)),
             down,
             now: SECOND,
-            next: 0,
-            free: Vec::new(),
-            of: Vec::new(),
+            next_mail: 0,
+            free_mails: Vec::new(),
+            destination_of: Vec::new(),
             inputs,
             actions: Vec::new(),
-            delivered: 0,
-            refused: 0,
+            relayed: 0,
+            unreached: 0,
             given_up: 0,
         }
     }
 
-    fn take(&mut self, dest: usize) {
-        let mail = self.free.pop().unwrap_or_else(|| {
-            self.next += 1;
-            self.of.push(0);
-            self.next - 1
+    fn accept(&mut self, destination: usize) {
+        let mail = self.free_mails.pop().unwrap_or_else(|| {
+            self.next_mail += 1;
+            self.destination_of.push(0);
+            self.next_mail - 1
         });
-        self.of[mail] = dest;
-        let (since, due) = (self.now, self.now + 86_400 * SECOND);
+        self.destination_of[mail] = destination;
+        let (submitted_at, deadline) = (self.now, self.now + 86_400 * SECOND);
         self.inputs.push(Input::AcceptedMail(AcceptedMail {
             mail,
-            destination: dest,
-            submitted_at: since,
-            deadline: due,
+            destination,
+            submitted_at,
+            deadline,
             ..AcceptedMail::default()
         }));
     }
@@ -129,86 +129,88 @@
     fn turn(&mut self) {
         let inputs = std::mem::take(&mut self.inputs);
         self.control.step(self.now, &inputs, &mut self.actions);
-        self.now += STEP;
+        self.now += TURN_INTERVAL;
         for action in std::mem::take(&mut self.actions) {
             match action {
                 Action::Connect { mail, .. } => {
-                    let refuses = self.of[mail] < self.down;
-                    let (outcome, over) =
-                        if refuses { (Outcome::Unreached, false) } else { (Outcome::Relayed, true) };
-                    self.delivered += usize::from(over);
-                    self.refused += usize::from(refuses);
-                    let (wait, took, kept, report) = (0, STEP, false, None);
+                    let is_down = self.destination_of[mail] < self.down;
+                    let (outcome, finished) =
+                        if is_down { (Outcome::Unreached, false) } else { (Outcome::Relayed, true) };
+                    self.relayed += usize::from(finished);
+                    self.unreached += usize::from(is_down);
+                    let (retry_after, duration, reused_connection, limit_report) =
+                        (0, TURN_INTERVAL, false, None);
                     self.inputs.push(Input::ConnectResult(ConnectResult {
                         mail,
                         outcome,
-                        finished: over,
-                        retry_after: wait,
-                        duration: took,
-                        reused_connection: kept,
-                        limit_report: report,
+                        finished,
+                        retry_after,
+                        duration,
+                        reused_connection,
+                        limit_report,
                     }));
                 }
                 Action::Defer { .. } | Action::Bounce { .. } => self.given_up += 1,
-                Action::FreeMail(mail) => self.free.push(mail),
+                Action::FreeMail(mail) => self.free_mails.push(mail),
                 _ => {}
             }
         }
     }
 
     /// Processor time of a turn, in microseconds, over many of them with messages for what is up.
-    fn look(&mut self, destinations: usize) -> Result<(f64, String), String> {
-        let mut chance = Rng::with_seed(destinations as u64);
-        let mut turns = |world: &mut World, most: usize| {
+    fn measure(&mut self, destinations: usize) -> Result<(f64, String), String> {
+        let mut rng = Rng::with_seed(destinations as u64);
+        let mut turns = |simulation: &mut Simulation, limit: usize| {
             let (start, mut count) = (Instant::now(), 0);
-            while count < most && start.elapsed() < LONGEST {
-                (0..COMING).for_each(|_| world.take(chance.usize(world.down..destinations)));
-                world.turn();
+            while count < limit && start.elapsed() < MAX_DURATION {
+                (0..ARRIVALS_PER_TURN)
+                    .for_each(|_| simulation.accept(rng.usize(simulation.down..destinations)));
+                simulation.turn();
                 count += 1;
             }
             count
         };
-        turns(self, WARM);
-        let (before, delivered, refused) = (ran()?, self.delivered, self.refused);
-        let count = turns(self, TURNS);
-        let used = ran()? - before;
-        let (delivered, refused) = (self.delivered - delivered, self.refused - refused);
-        if delivered == 0 {
+        turns(self, WARM_UP_TURNS);
+        let (before, relayed, unreached) = (thread_cpu_seconds()?, self.relayed, self.unreached);
+        let count = turns(self, MEASURED_TURNS);
+        let used = thread_cpu_seconds()? - before;
+        let (relayed, unreached) = (self.relayed - relayed, self.unreached - unreached);
+        if relayed == 0 {
             return Err("nothing was delivered".to_string());
         }
-        let words = format!(
-            "{count} turns, {delivered} delivered, {refused} attempts refused, {} given up",
+        let message = format!(
+            "{count} turns, {relayed} delivered, {unreached} attempts refused, {} given up",
             self.given_up
         );
-        Ok((used * 1e6 / count as f64, words))
+        Ok((used * 1e6 / count as f64, message))
     }
 }
 
 /// Seconds that this thread has been on a processor.
-fn ran() -> Result<f64, String> {
+fn thread_cpu_seconds() -> Result<f64, String> {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").map_err(|e| e.to_string())?;
     let first = text.split_whitespace().next().and_then(|nanoseconds| nanoseconds.parse::<f64>().ok());
     first.map(|nanoseconds| nanoseconds / 1e9).ok_or_else(|| "no processor time is told".to_string())
 }
 
 fn by_destinations(destinations: usize) -> Result<(f64, String), String> {
-    World::new(destinations, 0, 10_000).look(destinations)
+    Simulation::new(destinations, 0, 10_000).measure(destinations)
 }
 
 /// So many messages held for 2.3 hundredths of all destinations of the target.
-fn by_held(held: usize) -> Result<(f64, String), String> {
+fn by_held_mails(mails: usize) -> Result<(f64, String), String> {
     let destinations = DESTINATIONS[DESTINATIONS.len() - 1];
-    let down = (destinations as f64 * DOWN) as usize;
-    let mut world = World::new(destinations, down, 2 * held + 10_000);
-    (0..held).for_each(|message| world.take(message % down));
-    world.look(destinations)
+    let down = (destinations as f64 * DOWN_SHARE) as usize;
+    let mut simulation = Simulation::new(destinations, down, 2 * mails + 10_000);
+    (0..mails).for_each(|message| simulation.accept(message % down));
+    simulation.measure(destinations)
 }
 
 type Measure = fn(usize) -> Result<(f64, String), String>;
 
 const SLOPES: [(&str, &str, &[usize], Measure); 2] = [
     ("turn", "destinations", &DESTINATIONS, by_destinations),
-    ("turn-held", "messages held", &HELD, by_held),
+    ("turn-held", "messages held", &HELD_MAILS, by_held_mails),
 ];
 
 fn run() -> Result<(), String> {
@@ -229,9 +231,9 @@
     for (name, of, sizes, measure) in SLOPES {
         let mut rows = Vec::new();
         for &size in sizes {
-            let (value, seen) = measure(size)?;
-            eprintln!("{name} at {size}: {value} us, {seen}");
-            rows.push(Row::new(size, value, seen));
+            let (value, summary) = measure(size)?;
+            eprintln!("{name} at {size}: {value} us, {summary}");
+            rows.push(Row::new(size, value, summary));
         }
         let unit = "us of processor a turn, two messages coming in at each";
         let slope = Slope::new((name, "linked"), (of, unit), command, rows, "the bench's largest size");
@@ -249,8 +251,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(words) => {
-            eprintln!("turn: {words}");
+        Err(message) => {
+            eprintln!("turn: {message}");
             ExitCode::FAILURE
         }
     }
--- a/crates/capacity/src/file.rs
+++ b/crates/capacity/src/file.rs
@@ -7,7 +7,7 @@
 use toml::de::{DeTable, DeValue};
 use toml::{Table, Value};
 
-use crate::reckon::Reckoned;
+use crate::evaluate::Evaluation;
 
 /// Names `size` in a formula of an inferred slope: the size that the slope is asked at.
 pub const SIZE: &str = "size";
@@ -24,7 +24,7 @@
 pub enum Formula {
     Number(f64),
     /// A figure of the target, or `size`.
-    Named(String),
+    Variable(String),
     Slope {
         slope: String,
         at: Box<Formula>,
@@ -36,7 +36,7 @@
         product: Vec<Formula>,
     },
     /// The first over the second.
-    Over {
+    Quotient {
         over: Box<[Formula; 2]>,
     },
 }
@@ -52,11 +52,11 @@
         };
         match self {
             Formula::Number(number) => write!(f, "{number}"),
-            Formula::Named(name) => f.write_str(name),
+            Formula::Variable(name) => f.write_str(name),
             Formula::Slope { slope, at } => write!(f, "{slope} at {at}"),
             Formula::Sum { sum } => joined(f, sum, " + "),
             Formula::Product { product } => joined(f, product, " x "),
-            Formula::Over { over } => joined(f, &**over, " / "),
+            Formula::Quotient { over } => joined(f, &**over, " / "),
         }
     }
 }
@@ -64,7 +64,7 @@
 /// How a slope is known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Standing {
+pub enum Evidence {
     Measured,
     /// By a formula from other slopes.
     Inferred,
@@ -75,14 +75,14 @@
 /// Which text of the program was measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Text {
+pub enum Revision {
     Before,
     After,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum FitKind {
     /// `slope * size + intercept`
     Linear,
     /// `slope * size ^ exponent`
@@ -92,7 +92,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fit {
-    pub kind: Kind,
+    pub kind: FitKind,
     pub slope: f64,
     /// Of a line; 0 where it is not said.
     pub intercept: Option<f64>,
@@ -104,14 +104,14 @@
 
 impl Fit {
     /// Whether it says anything: one that is off by more than the values themselves does not.
-    pub fn usable(&self) -> bool {
+    pub fn is_usable(&self) -> bool {
         self.residual <= 1.0
     }
 
-    pub fn at(&self, size: f64) -> f64 {
+    pub fn value_at(&self, size: f64) -> f64 {
         match self.kind {
-            Kind::Linear => self.slope * size + self.intercept.unwrap_or(0.0),
-            Kind::Power => self.slope * size.powf(self.exponent.unwrap_or(1.0)),
+            FitKind::Linear => self.slope * size + self.intercept.unwrap_or(0.0),
+            FitKind::Power => self.slope * size.powf(self.exponent.unwrap_or(1.0)),
         }
     }
 }
@@ -123,8 +123,8 @@
     pub unit: String,
     /// What its size counts.
     pub of: String,
-    pub standing: Standing,
-    pub text: Option<Text>,
+    pub standing: Evidence,
+    pub text: Option<Revision>,
     /// `FILE#NAME`, or `FILE#NAME@BINARY` where the file has several programs' entries: an entry of a file of slopes beside this one, in place of command, sizes and fit.
     pub from: Option<String>,
     pub command: String,
@@ -212,7 +212,7 @@
     pub late: String,
     /// The mechanism, or `missing`.
     pub carried_by: String,
-    pub standing: Standing,
+    pub standing: Evidence,
     /// What measured it.
     pub run: String,
     pub stops: Option<Formula>,
@@ -235,16 +235,16 @@
 pub struct Fault {
     pub line: usize,
     pub key: String,
-    pub words: String,
+    pub message: String,
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match (self.line, self.key.is_empty()) {
-            (0, true) => f.write_str(&self.words),
-            (0, false) => write!(f, "{}: {}", self.key, self.words),
-            (line, true) => write!(f, "line {line}: {}", self.words),
-            (line, false) => write!(f, "line {line}, {}: {}", self.key, self.words),
+            (0, true) => f.write_str(&self.message),
+            (0, false) => write!(f, "{}: {}", self.key, self.message),
+            (line, true) => write!(f, "line {line}: {}", self.message),
+            (line, false) => write!(f, "line {line}, {}: {}", self.key, self.message),
         }
     }
 }
@@ -311,17 +311,21 @@
     fn from(fit: BenchFit) -> Fit {
         match fit {
             BenchFit::Linear { slope, intercept, residual } => {
-                Fit { kind: Kind::Linear, slope, intercept: Some(intercept), exponent: None, residual }
-            }
-            BenchFit::Power { scale, exponent, residual } => {
-                Fit { kind: Kind::Power, slope: scale, intercept: None, exponent: Some(exponent), residual }
+                Fit { kind: FitKind::Linear, slope, intercept: Some(intercept), exponent: None, residual }
             }
+            BenchFit::Power { scale, exponent, residual } => Fit {
+                kind: FitKind::Power,
+                slope: scale,
+                intercept: None,
+                exponent: Some(exponent),
+                residual,
+            },
         }
     }
 }
 
 /// What a slope takes from a file beside.
-struct Taken {
+struct SourceEntry {
     unit: String,
     command: String,
     sizes: [f64; 2],
@@ -339,13 +343,13 @@
     values.fold([f64::INFINITY, f64::NEG_INFINITY], |[from, to], value| [from.min(value), to.max(value)])
 }
 
-impl From<Entry> for Taken {
-    fn from(entry: Entry) -> Taken {
-        let least = entry.points.iter().map(|p| p.size).fold(entry.largest, f64::min);
-        Taken {
+impl From<Entry> for SourceEntry {
+    fn from(entry: Entry) -> SourceEntry {
+        let smallest = entry.points.iter().map(|p| p.size).fold(entry.largest, f64::min);
+        SourceEntry {
             unit: entry.unit,
             command: entry.command,
-            sizes: [least, entry.largest],
+            sizes: [smallest, entry.largest],
             points: entry.points.iter().map(|p| [p.size, p.value]).collect(),
             fit: entry.fit,
             stopped_by: entry.stopped_by,
@@ -355,13 +359,13 @@
     }
 }
 
-impl From<BenchEntry> for Taken {
-    fn from(entry: BenchEntry) -> Taken {
-        let [least, _] = range(entry.points.iter().map(|p| p.size).chain([entry.largest]));
-        Taken {
+impl From<BenchEntry> for SourceEntry {
+    fn from(entry: BenchEntry) -> SourceEntry {
+        let [smallest, _] = range(entry.points.iter().map(|p| p.size).chain([entry.largest]));
+        SourceEntry {
             unit: entry.unit,
             command: entry.command,
-            sizes: [least, entry.largest],
+            sizes: [smallest, entry.largest],
             points: entry.points.iter().map(|p| [p.size, p.value]).collect(),
             fit: entry.fit.map(Fit::from),
             stopped_by: entry.stopped_by,
@@ -380,34 +384,37 @@
 impl Figures {
     /// Reads a file's text; `beside` gives the text of a file that stands beside it. All faults that can be told are
     /// told at once.
-    pub fn read(text: &str, beside: &dyn Fn(&str) -> Result<String, String>) -> Result<Figures, Vec<Fault>> {
+    pub fn read(
+        text: &str,
+        read_source: &dyn Fn(&str) -> Result<String, String>,
+    ) -> Result<Figures, Vec<Fault>> {
         let table: Table = text.parse().map_err(|e: toml::de::Error| {
             let line = e.span().map_or(0, |span| line_of(text, span.start));
-            vec![Fault { line, key: String::new(), words: e.message().to_string() }]
+            vec![Fault { line, key: String::new(), message: e.message().to_string() }]
         })?;
         let (figures, mut faults) = decode(table);
         if let Some(mut figures) = figures {
-            let told: Vec<String> = faults.iter().map(|fault| fault.key.clone()).collect();
-            let mut later = figures.fill(beside);
-            later.extend(figures.faults());
+            let reported: Vec<String> = faults.iter().map(|fault| fault.key.clone()).collect();
+            let mut more = figures.load_sources(read_source);
+            more.extend(figures.faults());
             // A key that could not be read has its default now, which is no fault of the file's own; the same where
             // a file beside could not.
-            let froms: Vec<String> =
-                later.iter().filter_map(|f| f.key.strip_suffix(".from").map(String::from)).collect();
-            let follows = |key: &str| {
+            let unreadable: Vec<String> =
+                more.iter().filter_map(|f| f.key.strip_suffix(".from").map(String::from)).collect();
+            let is_consequence = |key: &str| {
                 let slope =
                     key.rsplit_once('.').filter(|(_, last)| ["command", "sizes", "fit"].contains(last));
-                slope.is_some_and(|(slope, _)| froms.iter().any(|from| from == slope))
+                slope.is_some_and(|(slope, _)| unreadable.iter().any(|from| from == slope))
             };
-            later.retain(|fault| !told.contains(&fault.key) && !follows(&fault.key));
-            faults.extend(later);
+            more.retain(|fault| !reported.contains(&fault.key) && !is_consequence(&fault.key));
+            faults.extend(more);
             if faults.is_empty() {
                 return Ok(figures);
             }
         }
-        let lines = Lines::of(text);
+        let lines = KeyLines::of(text);
         for fault in &mut faults {
-            fault.line = lines.of_key(&fault.key);
+            fault.line = lines.line_of_key(&fault.key);
         }
         faults.sort_by_key(|fault| fault.line);
         faults.dedup();
@@ -415,31 +422,31 @@
     }
 
     /// Takes in what stands in files beside.
-    fn fill(&mut self, beside: &dyn Fn(&str) -> Result<String, String>) -> Vec<Fault> {
+    fn load_sources(&mut self, read_source: &dyn Fn(&str) -> Result<String, String>) -> Vec<Fault> {
         let mut faults = Vec::new();
         for (name, slope) in &mut self.slope {
             let Some(from) = slope.from.clone() else { continue };
-            let mut fault = |words: String| {
-                faults.push(Fault { line: 0, key: format!("slope.{name}.from"), words });
+            let mut fault = |message: String| {
+                faults.push(Fault { line: 0, key: format!("slope.{name}.from"), message });
             };
             if slope.fit.is_some() || slope.sizes.is_some() || !slope.command.is_empty() {
                 fault("the figures come from a file; take command, sizes and fit out here".to_string());
                 continue;
             }
-            match entry(&from, beside) {
-                Ok(taken) => {
-                    if let Some(of) = taken.of.filter(|of| *of != slope.of) {
+            match find_entry(&from, read_source) {
+                Ok(source) => {
+                    if let Some(of) = source.of.filter(|of| *of != slope.of) {
                         fault(format!("its sizes count {of:?}, and `of` says {:?}", slope.of));
                     }
-                    slope.sizes = Some(taken.sizes);
-                    slope.points = taken.points;
-                    slope.unit = taken.unit;
-                    slope.command = taken.command;
-                    slope.fit = taken.fit;
-                    slope.stopped_by = taken.stopped_by;
-                    slope.loads = taken.loads;
+                    slope.sizes = Some(source.sizes);
+                    slope.points = source.points;
+                    slope.unit = source.unit;
+                    slope.command = source.command;
+                    slope.fit = source.fit;
+                    slope.stopped_by = source.stopped_by;
+                    slope.loads = source.loads;
                 }
-                Err(words) => fault(words),
+                Err(message) => fault(message),
             }
         }
         faults
@@ -447,7 +454,7 @@
 
     fn faults(&self) -> Vec<Fault> {
         let mut faults = Vec::new();
-        let mut fault = |key: String, words: String| faults.push(Fault { line: 0, key, words });
+        let mut fault = |key: String, message: String| faults.push(Fault { line: 0, key, message });
         for (name, figure) in &self.target {
             if name == SIZE || self.slope.contains_key(name) {
                 fault(format!("target.{name}"), "the name is taken; give another".to_string());
@@ -460,15 +467,15 @@
             }
         }
         for (name, slope) in &self.slope {
-            slope.check(&mut |key, words| fault(format!("slope.{name}{key}"), words));
+            slope.check(&mut |key, message| fault(format!("slope.{name}{key}"), message));
         }
         for (i, role) in self.role.iter().enumerate() {
             if role.name.is_empty() || self.role[..i].iter().any(|other| other.name == role.name) {
                 fault(format!("role.{i}.name"), "give each role a name of its own".to_string());
             }
             if role.missing.is_empty() != role.next.is_empty() {
-                let words = "say what is to be done where the role is missing, and only there";
-                fault(format!("role.{i}.next"), words.to_string());
+                let message = "say what is to be done where the role is missing, and only there";
+                fault(format!("role.{i}.next"), message.to_string());
             }
             for (column, heading) in COLUMNS {
                 let cells = self.cell.iter().filter(|c| c.role == role.name && c.column == Some(column));
@@ -499,47 +506,47 @@
                 fault(format!("cell.{i}.budget"), "there is no formula to hold against it".to_string());
             }
             if cell.formula.is_some() || !cell.carried_by.is_empty() {
-                let at = |key: &str| format!("cell.{i}{key}");
-                let said =
+                let key_of = |key: &str| format!("cell.{i}{key}");
+                let states_next =
                     |other: &Cell| other.role == cell.role && other.stops.is_some() && !other.next.is_empty();
-                let said = self.cell.iter().any(said);
-                carried(&cell.carried_by, cell.stops.is_some(), said, &mut |key, words| {
-                    fault(at(key), words);
+                let has_next = self.cell.iter().any(states_next);
+                check_carried_by(&cell.carried_by, cell.stops.is_some(), has_next, &mut |key, message| {
+                    fault(key_of(key), message);
                 });
             }
         }
         for (i, failure) in self.failure.iter().enumerate() {
-            let at = |key: &str| format!("failure.{i}{key}");
+            let key_of = |key: &str| format!("failure.{i}{key}");
             for (key, text) in [(".what", &failure.what), (".lost", &failure.lost), (".late", &failure.late)]
             {
                 if text.is_empty() {
-                    fault(at(key), "is not set".to_string());
+                    fault(key_of(key), "is not set".to_string());
                 }
             }
-            if failure.standing != Standing::NotRun && failure.run.is_empty() {
-                fault(at(".run"), "say which run shows it, or that it is not-run".to_string());
+            if failure.standing != Evidence::NotRun && failure.run.is_empty() {
+                fault(key_of(".run"), "say which run shows it, or that it is not-run".to_string());
             }
-            let said = !failure.next.is_empty();
-            carried(&failure.carried_by, failure.stops.is_some(), said, &mut |key, words| {
-                fault(at(key), words);
+            let has_next = !failure.next.is_empty();
+            check_carried_by(&failure.carried_by, failure.stops.is_some(), has_next, &mut |key, message| {
+                fault(key_of(key), message);
             });
         }
-        faults.extend(Reckoned::faults(self));
+        faults.extend(Evaluation::faults(self));
         faults
     }
 }
 
 /// What carries a cell or a failure, and what stands with it where nothing does.
-fn carried(by: &str, stops: bool, said: bool, fault: &mut dyn FnMut(&str, String)) {
+fn check_carried_by(by: &str, stops: bool, has_next: bool, fault: &mut dyn FnMut(&str, String)) {
     if by.is_empty() {
         fault(".carried_by", format!("is not set; name the mechanism, or give {MISSING:?}"));
     }
     if by == MISSING && !stops {
-        let words =
+        let message =
             "say at which part of the target today's text stops; 0 where there is no mechanism at all";
-        fault(".stops", words.to_string());
+        fault(".stops", message.to_string());
     }
-    if stops && !said {
+    if stops && !has_next {
         fault(".next", "it stops short of the target; say what is to be done".to_string());
     }
 }
@@ -556,7 +563,7 @@
             fault("", "say what it is of (`what`), and what its size counts (`of`)".to_string());
         }
         match self.standing {
-            Standing::Measured => {
+            Evidence::Measured => {
                 if self.command.trim().is_empty() {
                     fault(".command", "it is measured; name the command of the run".to_string());
                 }
@@ -572,16 +579,16 @@
                 match self.fit {
                     None => fault(".fit", "it is measured; give the fit".to_string()),
                     Some(fit) => {
-                        let given = [Some(fit.slope), Some(fit.residual), fit.intercept, fit.exponent];
-                        if given.iter().flatten().any(|value| !value.is_finite()) || fit.residual < 0.0 {
+                        let parameters = [Some(fit.slope), Some(fit.residual), fit.intercept, fit.exponent];
+                        if parameters.iter().flatten().any(|value| !value.is_finite()) || fit.residual < 0.0 {
                             fault(".fit", "has a figure that is none".to_string());
                         }
-                        if (fit.kind == Kind::Power) != fit.exponent.is_some()
-                            || (fit.kind == Kind::Power && fit.intercept.is_some())
+                        if (fit.kind == FitKind::Power) != fit.exponent.is_some()
+                            || (fit.kind == FitKind::Power && fit.intercept.is_some())
                         {
-                            let words =
+                            let message =
                                 "a power law has an exponent, a line an intercept, and neither the other's";
-                            fault(".fit", words.to_string());
+                            fault(".fit", message.to_string());
                         }
                     }
                 }
@@ -592,7 +599,7 @@
                     fault(".formula", "it is measured; a formula stands with what is inferred".to_string());
                 }
             }
-            Standing::Inferred => {
+            Evidence::Inferred => {
                 if self.formula.is_none() {
                     fault(".formula", "it is inferred; say from which slopes, by which formula".to_string());
                 }
@@ -600,7 +607,7 @@
                     fault(".fit", "it is inferred; a fit stands with what is measured".to_string());
                 }
             }
-            Standing::NotRun => {
+            Evidence::NotRun => {
                 if self.fit.is_some() || self.formula.is_some() || self.from.is_some() {
                     fault(".standing", "it has figures, and is said not to be run".to_string());
                 }
@@ -610,16 +617,19 @@
 }
 
 /// The entry that `FILE#NAME` or `FILE#NAME@BINARY` stands for.
-fn entry(from: &str, beside: &dyn Fn(&str) -> Result<String, String>) -> Result<Taken, String> {
+fn find_entry(
+    from: &str,
+    read_source: &dyn Fn(&str) -> Result<String, String>,
+) -> Result<SourceEntry, String> {
     let (file, wanted) = from.split_once('#').ok_or("name it as FILE#ENTRY")?;
-    let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-    if !file.ends_with(".json") || !file.chars().all(plain) {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+    if !file.ends_with(".json") || !file.chars().all(is_allowed) {
         return Err(format!("{file:?} is no name of a JSON file beside this one"));
     }
     let value: serde_json::Value =
-        serde_json::from_str(&beside(file)?).map_err(|error| format!("{file}: {error}"))?;
+        serde_json::from_str(&read_source(file)?).map_err(|error| format!("{file}: {error}"))?;
     // Each entry by itself: one that cannot be read is no fault of the others.
-    let (entries, benched) = match value {
+    let (entries, is_bench) = match value {
         serde_json::Value::Array(entries) => (entries, false),
         other => {
             let bench: Bench = serde_json::from_value(other).map_err(|error| format!("{file}: {error}"))?;
@@ -627,23 +637,23 @@
         }
     };
     let (name, binary) = match wanted.split_once('@') {
-        Some((name, binary)) if benched => (name, Some(binary)),
+        Some((name, binary)) if is_bench => (name, Some(binary)),
         _ => (wanted, None),
     };
-    let said =
+    let text_of =
         |entry: &serde_json::Value, key: &str| entry.get(key).and_then(|n| n.as_str()).map(str::to_string);
-    let named = |entry: &&serde_json::Value| {
-        said(entry, "name").as_deref() == Some(name)
-            && binary.is_none_or(|binary| said(entry, "binary").as_deref() == Some(binary))
+    let is_wanted = |entry: &&serde_json::Value| {
+        text_of(entry, "name").as_deref() == Some(name)
+            && binary.is_none_or(|binary| text_of(entry, "binary").as_deref() == Some(binary))
     };
-    let mut found = entries.iter().filter(named);
+    let mut found = entries.iter().filter(is_wanted);
     let (first, second) = (found.next(), found.next());
     let first = first.ok_or_else(|| format!("{file} has no entry {wanted:?}"))?.clone();
     if second.is_some() {
         return Err(format!("{file} has several entries {wanted:?}; name one as FILE#ENTRY@BINARY"));
     }
     let fault = |error| format!("{file}, entry {wanted:?}: {error}");
-    if benched {
+    if is_bench {
         let entry: BenchEntry = serde_json::from_value(first).map_err(fault)?;
         debug_assert!(entry.name == name && binary.is_none_or(|binary| entry.binary == binary));
         return Ok(entry.into());
@@ -664,10 +674,10 @@
         };
         let path: Vec<String> =
             error.path().iter().map(|part| part.to_string().trim_matches(['[', ']']).to_string()).collect();
-        let words = error.inner().message().trim().to_string();
-        let taken = take_out(&mut table, &path);
-        faults.push(Fault { line: 0, key: path.join("."), words });
-        if !taken {
+        let message = error.inner().message().trim().to_string();
+        let removed = remove_key(&mut table, &path);
+        faults.push(Fault { line: 0, key: path.join("."), message });
+        if !removed {
             return (None, faults);
         }
     }
@@ -675,7 +685,7 @@
 
 /// Takes the value at a path out of a table. What lies in a table that has no defaults (a fit, a formula) takes the
 /// whole of it out: that is done by `Figures`' own keys, three deep at most.
-fn take_out(table: &mut Table, path: &[String]) -> bool {
+fn remove_key(table: &mut Table, path: &[String]) -> bool {
     let Some((first, rest)) = path.split_first() else { return false };
     let entry = match (table.get_mut(first), rest) {
         (Some(Value::Table(entries)), [name, _, ..]) => entries.get_mut(name),
@@ -700,21 +710,21 @@
 }
 
 /// Where the keys of a file stand.
-struct Lines(Vec<(String, usize)>);
+struct KeyLines(Vec<(String, usize)>);
 
-impl Lines {
-    fn of(text: &str) -> Lines {
+impl KeyLines {
+    fn of(text: &str) -> KeyLines {
         let mut lines = Vec::new();
         if let Ok(table) = DeTable::parse(text) {
-            walk("", table.get_ref(), text, &mut lines);
+            collect_lines("", table.get_ref(), text, &mut lines);
         }
-        Lines(lines)
+        KeyLines(lines)
     }
 
     /// The line of a key, or of the nearest table round it; 0 where the file names neither.
-    fn of_key(&self, mut key: &str) -> usize {
+    fn line_of_key(&self, mut key: &str) -> usize {
         loop {
-            if let Some((_, line)) = self.0.iter().find(|(known, _)| known == key) {
+            if let Some((_, line)) = self.0.iter().find(|(estimate, _)| estimate == key) {
                 return *line;
             }
             match key.rsplit_once('.') {
@@ -725,19 +735,19 @@
     }
 }
 
-fn walk(path: &str, table: &DeTable, text: &str, lines: &mut Vec<(String, usize)>) {
+fn collect_lines(path: &str, table: &DeTable, text: &str, lines: &mut Vec<(String, usize)>) {
     for (key, value) in table.iter() {
         let name = key.get_ref();
         let here = if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
         lines.push((here.clone(), line_of(text, key.span().start)));
         match value.get_ref() {
-            DeValue::Table(inner) => walk(&here, inner, text, lines),
+            DeValue::Table(inner) => collect_lines(&here, inner, text, lines),
             DeValue::Array(items) => {
                 for (i, item) in items.iter().enumerate() {
                     let here = format!("{here}.{i}");
                     lines.push((here.clone(), line_of(text, item.span().start)));
                     if let DeValue::Table(inner) = item.get_ref() {
-                        walk(&here, inner, text, lines);
+                        collect_lines(&here, inner, text, lines);
                     }
                 }
             }
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -3,6 +3,6 @@
 //! Nothing here reads or writes a file: texts come in and go out, and `main` has the disk.
 #![forbid(unsafe_code)]
 
+pub mod evaluate;
 pub mod file;
 pub mod page;
-pub mod reckon;
--- a/crates/capacity/src/main.rs
+++ b/crates/capacity/src/main.rs
@@ -11,32 +11,32 @@
 
 fn main() -> ExitCode {
     match run() {
-        Ok(words) => {
-            println!("{words}");
+        Ok(message) => {
+            println!("{message}");
             ExitCode::SUCCESS
         }
-        Err(words) => {
-            eprintln!("meadowhold-capacity: {words}");
+        Err(message) => {
+            eprintln!("meadowhold-capacity: {message}");
             ExitCode::FAILURE
         }
     }
 }
 
 fn run() -> Result<String, String> {
-    let mut given = env::args_os().skip(1);
-    let folder = given.next().map_or_else(|| PathBuf::from("."), PathBuf::from);
-    if given.next().is_some() {
+    let mut arguments = env::args_os().skip(1);
+    let folder = arguments.next().map_or_else(|| PathBuf::from("."), PathBuf::from);
+    if arguments.next().is_some() {
         return Err("too many arguments; give one folder at most".to_string());
     }
     let read = |name: &str| fs::read_to_string(folder.join(name)).map_err(|error| format!("{name}: {error}"));
-    let beside = |name: &str| read(&format!("docs/capacity/{name}"));
-    let figures = Figures::read(&beside("capacity.toml")?, &beside).map_err(|faults| {
+    let read_source = |name: &str| read(&format!("docs/capacity/{name}"));
+    let figures = Figures::read(&read_source("capacity.toml")?, &read_source).map_err(|faults| {
         let lines: Vec<String> = faults.iter().map(|fault| format!("  {fault}")).collect();
         format!("docs/capacity/capacity.toml cannot be reckoned with:\n{}", lines.join("\n"))
     })?;
     const PAGE: &str = "docs/CAPACITY.md";
     let old = read(PAGE)?;
-    let new = page::render(&old, &figures).map_err(|words| format!("{PAGE}: {words}"))?;
+    let new = page::render(&old, &figures).map_err(|message| format!("{PAGE}: {message}"))?;
     if new == old {
         return Ok(format!("{PAGE} is as the figures have it"));
     }
--- a/crates/capacity/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -2,16 +2,20 @@
 
 use std::fmt::Write;
 
-use crate::file::{Figures, Kind, Slope, Standing, Text, COLUMNS, MISSING};
-use crate::reckon::{Known, Mark, Reckoned, ReckonedCell};
+use crate::evaluate::{Confidence, Estimate, EvaluatedCell, Evaluation};
+use crate::file::{Evidence, Figures, FitKind, Revision, Slope, COLUMNS, MISSING};
 
 pub const END: &str = "<!-- end -->";
 
-type Render = fn(&Reckoned) -> String;
+type RenderTable = fn(&Evaluation) -> String;
 
 /// Each table by its marker's name.
-pub const TABLES: [(&str, Render); 4] =
-    [("roles", roles), ("failures", failures), ("next", next), ("slopes", slopes)];
+pub const TABLES: [(&str, RenderTable); 4] = [
+    ("roles", render_roles),
+    ("failures", render_failures),
+    ("next", render_next),
+    ("slopes", render_slopes),
+];
 
 fn marker(name: &str) -> String {
     format!("<!-- table: {name} -->")
@@ -19,16 +23,16 @@
 
 /// The page with its tables as the figures have them. The error names every marker that is not there, or not once.
 pub fn render(page: &str, figures: &Figures) -> Result<String, String> {
-    let reckoned = Reckoned::of(figures);
+    let evaluation = Evaluation::new(figures);
     let (mut page, mut faults) = (page.to_string(), Vec::new());
     for (name, table) in TABLES {
         let marker = marker(name);
         let mut found = page.match_indices(&marker);
         let (first, second) = (found.next().map(|(at, _)| at), found.next());
-        let place = first.filter(|_| second.is_none()).map(|at| at + marker.len());
-        let end = place.and_then(|at| page[at..].find(END).map(|end| at + end));
-        match place.zip(end) {
-            Some((from, to)) => page.replace_range(from..to, &format!("\n\n{}\n", table(&reckoned))),
+        let start = first.filter(|_| second.is_none()).map(|at| at + marker.len());
+        let end = start.and_then(|at| page[at..].find(END).map(|end| at + end));
+        match start.zip(end) {
+            Some((from, to)) => page.replace_range(from..to, &format!("\n\n{}\n", table(&evaluation))),
             None => faults.push(format!("{marker} stands there not once, or without {END:?} after it")),
         }
     }
@@ -40,7 +44,7 @@
 }
 
 /// Three digits that count, and commas between thousands.
-pub fn number(value: f64) -> String {
+pub fn format_number(value: f64) -> String {
     if value == 0.0 {
         return "0".to_string();
     }
@@ -48,7 +52,7 @@
     let scale = 10f64.powi(digits);
     let rounded = (value * scale).round() / scale;
     let text = format!("{rounded:.*}", digits.clamp(0, 12) as usize);
-    let (whole, part) = text.split_once('.').unwrap_or((&text, ""));
+    let (whole, fraction) = text.split_once('.').unwrap_or((&text, ""));
     let (sign, whole) = whole.strip_prefix('-').map_or(("", whole), |whole| ("-", whole));
     let mut out = String::new();
     for (i, digit) in whole.chars().enumerate() {
@@ -57,157 +61,171 @@
         }
         out.push(digit);
     }
-    let part = part.trim_end_matches('0');
-    if part.is_empty() {
+    let fraction = fraction.trim_end_matches('0');
+    if fraction.is_empty() {
         format!("{sign}{out}")
     } else {
-        format!("{sign}{out}.{part}")
+        format!("{sign}{out}.{fraction}")
     }
 }
 
-fn with_unit(value: f64, unit: &str) -> String {
-    format!("{} {unit}", number(value)).trim_end().to_string()
+fn format_with_unit(value: f64, unit: &str) -> String {
+    format!("{} {unit}", format_number(value)).trim_end().to_string()
 }
 
 /// How a value is known, in a word of the legend.
-fn mark(mark: Mark) -> &'static str {
-    match mark {
-        Mark::Target => "t",
-        Mark::Measured => "m",
-        Mark::Inferred => "i",
-        Mark::Far => "i!",
-        Mark::NoFit => "x",
-        Mark::NotRun => "–",
+fn confidence_symbol(confidence: Confidence) -> &'static str {
+    match confidence {
+        Confidence::Target => "t",
+        Confidence::Measured => "m",
+        Confidence::Inferred => "i",
+        Confidence::Extrapolated => "i!",
+        Confidence::NoFit => "x",
+        Confidence::NotRun => "–",
     }
 }
 
-fn known(known: &Known) -> String {
-    let mut text = mark(known.mark).to_string();
-    if known.mark == Mark::Far {
-        let _ = write!(text, " ({} x the largest run)", number(known.stretch));
+fn confidence_text(estimate: &Estimate) -> String {
+    let mut text = confidence_symbol(estimate.confidence).to_string();
+    if estimate.confidence == Confidence::Extrapolated {
+        let _ = write!(text, " ({} x the largest run)", format_number(estimate.extrapolation));
     }
-    for of in &known.texts {
+    for of in &estimate.revisions {
         text += match of {
-            Text::Before => ", before",
-            Text::After => ", after",
+            Revision::Before => ", before",
+            Revision::After => ", after",
         };
     }
     text
 }
 
 /// A bar would end the cell.
-fn cell(text: &str) -> String {
+fn escape_cell(text: &str) -> String {
     text.replace('|', "/").replace('\n', " ")
 }
 
-fn part(value: Option<f64>) -> String {
+fn format_share(value: Option<f64>) -> String {
     value.map_or(String::new(), |value| format!("{value:.2}"))
 }
 
-fn carried(by: &str, reaches: Option<f64>) -> String {
-    match (by, reaches) {
-        (MISSING, Some(part)) if part <= 0.0 => "**missing**: no mechanism".to_string(),
-        (MISSING, Some(part)) => format!("**missing**: stops at {} of the target", number(part)),
-        (by, Some(part)) if part < 1.0 => format!("{}; stops at {} of the target", cell(by), number(part)),
-        (by, _) => cell(by),
+fn carried_by_text(by: &str, reached: Option<f64>) -> String {
+    match (by, reached) {
+        (MISSING, Some(reached)) if reached <= 0.0 => "**missing**: no mechanism".to_string(),
+        (MISSING, Some(reached)) => format!("**missing**: stops at {} of the target", format_number(reached)),
+        (by, Some(reached)) if reached < 1.0 => {
+            format!("{}; stops at {} of the target", escape_cell(by), format_number(reached))
+        }
+        (by, _) => escape_cell(by),
     }
 }
 
-fn roles(reckoned: &Reckoned) -> String {
+fn render_roles(evaluation: &Evaluation) -> String {
     let mut out = String::from(
         "| role | what | at the target | known | budget | left of it | carried by |\n\
          | --- | --- | --- | --- | --- | --- | --- |\n",
     );
-    for role in &reckoned.figures.role {
+    for role in &evaluation.figures.role {
         if !role.missing.is_empty() {
-            let _ =
-                writeln!(out, "| {} | all | – | – | | | **missing**: {} |", role.name, cell(&role.missing));
+            let _ = writeln!(
+                out,
+                "| {} | all | – | – | | | **missing**: {} |",
+                role.name,
+                escape_cell(&role.missing)
+            );
             continue;
         }
         for (column, heading) in COLUMNS {
-            let cells = reckoned.figures.cell.iter().zip(&reckoned.cells);
+            let cells = evaluation.figures.cell.iter().zip(&evaluation.cells);
             let mut own = cells.filter(|(of, _)| of.role == role.name && of.column == Some(column));
-            let Some((of, ReckonedCell { known: at, budget, left, part: reaches })) = own.next() else {
+            let Some((of, EvaluatedCell { estimate: at, budget, remaining, reached })) = own.next() else {
                 continue;
             };
             let what =
                 if of.what.is_empty() { heading.to_string() } else { format!("{heading}: {}", of.what) };
             let value = match at {
                 None => "none".to_string(),
-                Some(Known { value: Some(value), .. }) => with_unit(*value, &of.unit),
-                Some(Known { mark: Mark::NoFit, .. }) => "no fit holds".to_string(),
+                Some(Estimate { value: Some(value), .. }) => format_with_unit(*value, &of.unit),
+                Some(Estimate { confidence: Confidence::NoFit, .. }) => "no fit holds".to_string(),
                 Some(_) => "not run".to_string(),
             };
             let _ = writeln!(
                 out,
                 "| {} | {} | {value} | {} | {} | {} | {} |",
                 role.name,
-                cell(&what),
-                at.as_ref().map_or(String::new(), known),
-                budget.map_or(String::new(), |budget| with_unit(budget, &of.unit)),
-                part(*left),
-                carried(&of.carried_by, *reaches),
+                escape_cell(&what),
+                at.as_ref().map_or(String::new(), confidence_text),
+                budget.map_or(String::new(), |budget| format_with_unit(budget, &of.unit)),
+                format_share(*remaining),
+                carried_by_text(&of.carried_by, *reached),
             );
         }
     }
     out
 }
 
-fn failures(reckoned: &Reckoned) -> String {
+fn render_failures(evaluation: &Evaluation) -> String {
     let mut out = String::from(
         "| failure | how often | lost | late | carried by | known |\n| --- | --- | --- | --- | --- | --- |\n",
     );
-    for failure in &reckoned.figures.failure {
-        let reaches = reckoned.short.iter().find(|short| short.what == failure.what).map(|short| short.part);
-        let known = match failure.standing {
-            Standing::Measured => format!("m: {}", cell(&failure.run)),
-            Standing::Inferred => format!("i: {}", cell(&failure.run)),
-            Standing::NotRun => "– not run".to_string(),
+    for failure in &evaluation.figures.failure {
+        let reached = evaluation
+            .shortfalls
+            .iter()
+            .find(|shortfall| shortfall.what == failure.what)
+            .map(|shortfall| shortfall.reached);
+        let estimate = match failure.standing {
+            Evidence::Measured => format!("m: {}", escape_cell(&failure.run)),
+            Evidence::Inferred => format!("i: {}", escape_cell(&failure.run)),
+            Evidence::NotRun => "– not run".to_string(),
         };
         let _ = writeln!(
             out,
-            "| {} | {} | {} | {} | {} | {known} |",
-            cell(&failure.what),
-            cell(&failure.often),
-            cell(&failure.lost),
-            cell(&failure.late),
-            carried(&failure.carried_by, reaches),
+            "| {} | {} | {} | {} | {} | {estimate} |",
+            escape_cell(&failure.what),
+            escape_cell(&failure.often),
+            escape_cell(&failure.lost),
+            escape_cell(&failure.late),
+            carried_by_text(&failure.carried_by, reached),
         );
     }
     out
 }
 
-fn next(reckoned: &Reckoned) -> String {
+fn render_next(evaluation: &Evaluation) -> String {
     let mut out = String::from(
         "| | what stops short | part of the target reached | known | what is to be done |\n\
          | --- | --- | --- | --- | --- |\n",
     );
-    for (i, short) in reckoned.short.iter().enumerate() {
-        let part = if short.no_mechanism { "no mechanism".to_string() } else { number(short.part) };
-        let next = if short.next.is_empty() { "not said" } else { &short.next };
+    for (i, shortfall) in evaluation.shortfalls.iter().enumerate() {
+        let reached = if shortfall.no_mechanism {
+            "no mechanism".to_string()
+        } else {
+            format_number(shortfall.reached)
+        };
+        let next = if shortfall.next.is_empty() { "not said" } else { &shortfall.next };
         let _ = writeln!(
             out,
-            "| {} | {} | {part} | {} | {} |",
+            "| {} | {} | {reached} | {} | {} |",
             i + 1,
-            cell(&short.what),
-            mark(short.mark),
-            cell(next)
+            escape_cell(&shortfall.what),
+            confidence_symbol(shortfall.confidence),
+            escape_cell(next)
         );
     }
     let _ = writeln!(
         out,
         "\nNot run or without a fit that holds, and so in no place of this order: {} cells and failures.",
-        reckoned.not_run
+        evaluation.not_run
     );
     out
 }
 
-fn slopes(reckoned: &Reckoned) -> String {
+fn render_slopes(evaluation: &Evaluation) -> String {
     let mut out = String::from(
         "| slope | what | fit | unexplained | sizes | text | by |\n| --- | --- | --- | --- | --- | --- | --- |\n",
     );
-    for (name, slope) in &reckoned.figures.slope {
-        let _ = writeln!(out, "| {name} | {} | {} |", cell(&slope.what), slope_row(slope));
+    for (name, slope) in &evaluation.figures.slope {
+        let _ = writeln!(out, "| {name} | {} | {} |", escape_cell(&slope.what), slope_row(slope));
     }
     out
 }
@@ -215,47 +233,51 @@
 fn slope_row(slope: &Slope) -> String {
     let Slope { of, unit, .. } = slope;
     let text = match slope.text {
-        Some(Text::Before) => "before",
-        Some(Text::After) => "after",
+        Some(Revision::Before) => "before",
+        Some(Revision::After) => "after",
         None => "",
     };
     match (slope.standing, slope.fit, slope.sizes) {
-        (Standing::Measured, Some(fit), Some([from, to])) => {
+        (Evidence::Measured, Some(fit), Some([from, to])) => {
             let law = match fit.kind {
-                Kind::Linear => {
+                FitKind::Linear => {
                     let intercept = fit.intercept.unwrap_or(0.0);
                     let sign = if intercept < 0.0 { '-' } else { '+' };
-                    format!("{} x {of} {sign} {}", number(fit.slope), number(intercept.abs()))
+                    format!("{} x {of} {sign} {}", format_number(fit.slope), format_number(intercept.abs()))
                 }
-                Kind::Power => {
-                    format!("{} x {of} ^ {}", number(fit.slope), number(fit.exponent.unwrap_or(1.0)))
+                FitKind::Power => {
+                    format!(
+                        "{} x {of} ^ {}",
+                        format_number(fit.slope),
+                        format_number(fit.exponent.unwrap_or(1.0))
+                    )
                 }
             };
-            if !fit.usable() {
-                let (words, told) = (cell(&slope.command), number(fit.residual));
+            if !fit.is_usable() {
+                let (message, residual) = (escape_cell(&slope.command), format_number(fit.residual));
                 return format!(
-                    "x: no fit holds | {told} | {} to {} {of} | {text} | `{words}`",
-                    number(from),
-                    number(to)
+                    "x: no fit holds | {residual} | {} to {} {of} | {text} | `{message}`",
+                    format_number(from),
+                    format_number(to)
                 );
             }
             let stopped =
                 if slope.stopped_by.is_empty() { String::new() } else { format!("; {}", slope.stopped_by) };
-            let loads = slope
-                .loads
-                .map_or(String::new(), |[from, to]| format!("; load {} to {}", number(from), number(to)));
+            let loads = slope.loads.map_or(String::new(), |[from, to]| {
+                format!("; load {} to {}", format_number(from), format_number(to))
+            });
             format!(
                 "m: {law} {unit} | {} | {} to {} {of}{}{loads} | {text} | `{}`",
-                number(fit.residual),
-                number(from),
-                number(to),
-                cell(&stopped),
-                cell(&slope.command)
+                format_number(fit.residual),
+                format_number(from),
+                format_number(to),
+                escape_cell(&stopped),
+                escape_cell(&slope.command)
             )
         }
-        (Standing::Inferred, ..) => {
+        (Evidence::Inferred, ..) => {
             let formula = slope.formula.as_ref().map(|formula| format!("{formula}"));
-            format!("i: {} {unit} | | | | inferred", cell(&formula.unwrap_or_default()))
+            format!("i: {} {unit} | | | | inferred", escape_cell(&formula.unwrap_or_default()))
         }
         _ => format!("– not run; a size counts {of} | | | | "),
     }
--- a/crates/capacity/tests/command.rs
+++ b/crates/capacity/tests/command.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn the_page_is_written_once_and_then_as_it_should_be() {
+fn a_second_run_leaves_the_page_unchanged() {
     let folder = folder("sound", FIGURES);
     let first = run(&folder);
     assert!(first.status.success(), "{first:?}");
@@ -38,21 +38,21 @@
 }
 
 #[test]
-fn bad_figures_are_told_whole_and_change_nothing() {
+fn all_faults_are_reported_and_the_page_stays() {
     let figures = "target.couriers = { value = -3 }\n[slope.list]\nwhat = \"list\"\nof = \"entries\"\n\
         standing = \"measured\"\ntext = \"before\"\nfrom = \"gone.json#list\"\n[slope.bad]\nfitt = 1\n";
     let folder = folder("faults", figures);
     let output = run(&folder);
-    let words = str::from_utf8(&output.stderr).unwrap();
-    assert_eq!(output.status.code(), Some(1), "{words}");
+    let message = str::from_utf8(&output.stderr).unwrap();
+    assert_eq!(output.status.code(), Some(1), "{message}");
     let places = ["line 1, target.couriers.value", "line 7, slope.list.from", "line 9, slope.bad.fitt"];
-    assert!(places.iter().all(|place| words.contains(place)), "{words}");
-    assert!(!words.contains("panicked"), "{words}");
+    assert!(places.iter().all(|place| message.contains(place)), "{message}");
+    assert!(!message.contains("panicked"), "{message}");
     assert_eq!(page(&folder), PAGE);
 }
 
 #[test]
-fn a_folder_without_figures_is_one_message() {
+fn a_missing_file_is_one_error_message() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("nowhere");
     let output = run(&folder);
     assert_eq!(output.status.code(), Some(1));
--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -3,20 +3,21 @@
 use std::fs;
 use std::path::PathBuf;
 
-use meadowhold_capacity::file::{Fault, Figures, Fit, Formula, Kind, Standing};
-use meadowhold_capacity::page::{number, render, END, TABLES};
-use meadowhold_capacity::reckon::{Mark, Reckoned};
+use meadowhold_capacity::evaluate::{Confidence, Evaluation};
+use meadowhold_capacity::file::{Evidence, Fault, Figures, Fit, FitKind, Formula};
+use meadowhold_capacity::page::{format_number, render, END, TABLES};
 
 fn docs() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../docs")
 }
 
-fn beside(name: &str) -> Result<String, String> {
+fn read_source(name: &str) -> Result<String, String> {
     fs::read_to_string(docs().join("capacity").join(name)).map_err(|error| format!("{name}: {error}"))
 }
 
 fn figures() -> Figures {
-    Figures::read(&beside("capacity.toml").unwrap(), &beside).unwrap_or_else(|faults| panic!("{faults:#?}"))
+    Figures::read(&read_source("capacity.toml").unwrap(), &read_source)
+        .unwrap_or_else(|faults| panic!("{faults:#?}"))
 }
 
 /// A page with nothing but its tables.
@@ -33,7 +34,7 @@
 
 fn slopes_of<'a>(formula: &'a Formula, out: &mut Vec<&'a str>) {
     match formula {
-        Formula::Number(_) | Formula::Named(_) => {}
+        Formula::Number(_) | Formula::Variable(_) => {}
         Formula::Slope { slope, at } => {
             out.push(slope);
             slopes_of(at, out);
@@ -41,12 +42,12 @@
         Formula::Sum { sum: parts } | Formula::Product { product: parts } => {
             parts.iter().for_each(|part| slopes_of(part, out));
         }
-        Formula::Over { over } => over.iter().for_each(|part| slopes_of(part, out)),
+        Formula::Quotient { over } => over.iter().for_each(|part| slopes_of(part, out)),
     }
 }
 
 #[test]
-fn the_page_is_as_the_figures_have_it() {
+fn the_page_matches_its_figures() {
     let page = fs::read_to_string(docs().join("CAPACITY.md")).unwrap();
     let fresh = render(&page, &figures()).unwrap();
     assert!(page == fresh, "docs/CAPACITY.md differs from its figures: cargo run -p meadowhold-capacity");
@@ -169,35 +170,35 @@
 next = "hold it twice"
 "#;
 
-fn nothing(name: &str) -> Result<String, String> {
+fn no_sources(name: &str) -> Result<String, String> {
     Err(format!("{name}: is not there"))
 }
 
 fn small(text: &str) -> Figures {
-    Figures::read(text, &nothing).unwrap_or_else(|faults| panic!("{faults:#?}"))
+    Figures::read(text, &no_sources).unwrap_or_else(|faults| panic!("{faults:#?}"))
 }
 
 fn faults(text: &str) -> Vec<Fault> {
-    Figures::read(text, &nothing).expect_err("the file has faults")
+    Figures::read(text, &no_sources).expect_err("the file has faults")
 }
 
 #[test]
-fn each_cell_tells_what_it_comes_to_and_how_that_is_known() {
+fn each_cell_shows_its_value_and_its_confidence() {
     let figures = small(SMALL);
-    let reckoned = Reckoned::of(&figures);
+    let evaluation = Evaluation::new(&figures);
     let expected = [
-        (Some(2005.0), Mark::Measured),
+        (Some(2005.0), Confidence::Measured),
         // 2,000 is twenty times the largest size that was run.
-        (Some(12_000_000.0), Mark::Far),
-        (Some(30_206.0), Mark::Inferred),
-        (None, Mark::NotRun),
-        (Some(10.0), Mark::Target),
+        (Some(12_000_000.0), Confidence::Extrapolated),
+        (Some(30_206.0), Confidence::Inferred),
+        (None, Confidence::NotRun),
+        (Some(10.0), Confidence::Target),
     ];
-    let known = reckoned.cells.iter().filter_map(|cell| cell.known.as_ref());
-    let found: Vec<_> = known.map(|known| (known.value, known.mark)).collect();
+    let estimate = evaluation.cells.iter().filter_map(|cell| cell.estimate.as_ref());
+    let found: Vec<_> = estimate.map(|estimate| (estimate.value, estimate.confidence)).collect();
     assert_eq!(found, expected);
-    assert_eq!(reckoned.cells[0].left, Some((500.0 - 2005.0) / 500.0));
-    assert_eq!((reckoned.cells[4].known.as_ref(), reckoned.not_run), (None, 2));
+    assert_eq!(evaluation.cells[0].remaining, Some((500.0 - 2005.0) / 500.0));
+    assert_eq!((evaluation.cells[4].estimate.as_ref(), evaluation.not_run), (None, 2));
     let page = tables(&figures);
     for row in [
         "| courier | state | 2,010 B | m, before | 500 B | -3.01 | a table; stops at 0.249 of the target |",
@@ -214,44 +215,46 @@
 }
 
 #[test]
-fn a_fit_beyond_its_sizes_is_inferred_and_beyond_ten_times_marked() {
-    for (at, mark) in [(1.0, Mark::Measured), (1000.0, Mark::Measured), (1000.1, Mark::Inferred)]
-        .into_iter()
-        .chain([(10_000.0, Mark::Inferred), (10_000.1, Mark::Far)])
+fn a_fit_beyond_its_sizes_is_inferred_and_beyond_ten_times_extrapolated() {
+    for (at, confidence) in
+        [(1.0, Confidence::Measured), (1000.0, Confidence::Measured), (1000.1, Confidence::Inferred)]
+            .into_iter()
+            .chain([(10_000.0, Confidence::Inferred), (10_000.1, Confidence::Extrapolated)])
     {
         let mut figures = small(SMALL);
         figures.cell[0].formula =
             Some(Formula::Slope { slope: "near".into(), at: Box::new(Formula::Number(at)) });
-        let reckoned = Reckoned::of(&figures);
-        assert_eq!(reckoned.cells[0].known.as_ref().unwrap().mark, mark, "{at}");
+        let evaluation = Evaluation::new(&figures);
+        assert_eq!(evaluation.cells[0].estimate.as_ref().unwrap().confidence, confidence, "{at}");
     }
 }
 
 #[test]
-fn what_has_no_mechanism_comes_first_and_then_the_lowest_part() {
+fn shortfalls_without_a_mechanism_come_first_then_the_lowest_share() {
     let mut figures = small(SMALL);
     figures.cell[5].stops = Some(Formula::Number(0.125));
     figures.cell[5].next = "more room".into();
     // A mechanism that reaches nothing is one all the same.
     figures.cell[2].stops = Some(Formula::Number(0.0));
     figures.cell[2].next = "faster".into();
-    let reckoned = Reckoned::of(&figures);
-    let order: Vec<_> = reckoned.short.iter().map(|short| (&short.what[..], short.no_mechanism)).collect();
-    let parts: Vec<f64> = reckoned.short.iter().map(|short| short.part).collect();
+    let evaluation = Evaluation::new(&figures);
+    let order: Vec<_> =
+        evaluation.shortfalls.iter().map(|short| (&short.what[..], short.no_mechanism)).collect();
+    let parts: Vec<f64> = evaluation.shortfalls.iter().map(|short| short.reached).collect();
     assert_eq!(order[..2], [("ledger", true), ("a machine", true)], "{order:?}");
     assert!(order[2..].iter().all(|short| !short.1), "{order:?}");
     assert_eq!(parts, [0.0, 0.0, 0.0, 0.125, 500.0 / 2005.0, 0.25]);
     // Said by another cell of the role: once is enough.
     figures.cell[2].next = String::new();
-    let short = Reckoned::of(&figures).short;
+    let shortfalls = Evaluation::new(&figures).shortfalls;
     assert_eq!(
-        short.iter().map(|short| short.part).collect::<Vec<_>>(),
+        shortfalls.iter().map(|short| short.reached).collect::<Vec<_>>(),
         [0.0, 0.0, 0.125, 500.0 / 2005.0, 0.25]
     );
 }
 
 #[test]
-fn a_measured_slope_names_its_command_its_sizes_and_its_fit() {
+fn a_measured_slope_needs_its_command_sizes_and_fit() {
     let text = SMALL
         .replace("command = \"run near\"\n", "")
         .replace("sizes = [1, 100]\n", "")
@@ -262,7 +265,7 @@
 }
 
 #[test]
-fn a_fit_has_the_figures_of_its_kind() {
+fn a_fit_needs_the_parameters_of_its_kind() {
     for (from, to) in [
         ("kind = \"power\", slope = 3.0, exponent = 2.0", "kind = \"power\", slope = 3.0"),
         ("kind = \"linear\", slope = 2.0, intercept = 5.0", "kind = \"linear\", slope = 2.0, exponent = 5.0"),
@@ -275,7 +278,7 @@
 }
 
 #[test]
-fn all_faults_of_a_file_are_told_at_once_with_their_places() {
+fn all_faults_of_a_file_are_reported_at_once_with_their_lines() {
     let text = SMALL
         .replace("value = 100.0", "value = \"many\"")
         .replace("slope = \"near\", at = \"messages\"", "slope = \"nearly\", at = \"messages\"")
@@ -304,8 +307,8 @@
 }
 
 #[test]
-fn formulas_that_come_to_nothing_are_faults() {
-    for (formula, words) in [
+fn formulas_without_a_value_are_faults() {
+    for (formula, message) in [
         ("{ over = [1, { sum = [0] }] }", "divides by 0"),
         ("{ sum = [] }", "has no parts"),
         ("\"size\"", "inferred slope only"),
@@ -315,21 +318,21 @@
     ] {
         let text = SMALL.replace("{ over = [\"messages\", \"room\"] }", formula);
         let found = faults(&text);
-        assert!(found.iter().any(|fault| fault.words.contains(words)), "{formula}: {found:#?}");
+        assert!(found.iter().any(|fault| fault.message.contains(message)), "{formula}: {found:#?}");
     }
     let round =
         SMALL.replace("{ slope = \"power\", at = \"size\" }, 1.0", "{ slope = \"both\", at = \"size\" }");
     let found = faults(&round);
-    assert!(found.iter().any(|fault| fault.words.contains("inferred from itself")), "{found:#?}");
+    assert!(found.iter().any(|fault| fault.message.contains("inferred from itself")), "{found:#?}");
 }
 
 #[test]
-fn a_slope_takes_its_figures_from_a_file_beside() {
+fn a_slope_reads_its_figures_from_a_file_in_the_same_folder() {
     let json = r#"[{"name": "other"}, {"name": "list", "unit": "B", "command": "run list",
         "points": [{"size": 10, "value": 25.0}, {"size": 1000, "value": 2005.0}],
         "fit": {"kind": "linear", "slope": 2.0, "intercept": 5.0, "residual": 0.0},
         "largest": 1000, "stopped_by": "time"}]"#;
-    let given = |name: &str| match name {
+    let sources = |name: &str| match name {
         "given.json" => Ok(json.to_string()),
         _ => Err(format!("{name}: is not there")),
     };
@@ -337,30 +340,30 @@
         fit = { kind = \"linear\", slope = 2.0, intercept = 5.0, residual = 0.01 }\n";
     assert!(SMALL.contains(own));
     let from = |from: &str| SMALL.replace(own, &format!("from = \"{from}\"\n"));
-    let figures = Figures::read(&from("given.json#list"), &given).unwrap();
+    let figures = Figures::read(&from("given.json#list"), &sources).unwrap();
     let slope = &figures.slope["near"];
     assert_eq!((&slope.command[..], slope.sizes), ("run list", Some([10.0, 1000.0])));
-    assert_eq!(Reckoned::of(&figures).cells[0].known.as_ref().unwrap().value, Some(2005.0));
-    for (place, words) in [
+    assert_eq!(Evaluation::new(&figures).cells[0].estimate.as_ref().unwrap().value, Some(2005.0));
+    for (place, message) in [
         ("given.json#lists", "has no entry"),
         ("given.json#other", "missing field"),
         ("gone.json#list", "is not there"),
         ("../given.json#list", "is no name of a JSON file"),
         ("given.json", "FILE#ENTRY"),
     ] {
-        let found = Figures::read(&from(place), &given).unwrap_err();
+        let found = Figures::read(&from(place), &sources).unwrap_err();
         assert!(
-            found.iter().any(|f| f.key == "slope.near.from" && f.words.contains(words)),
+            found.iter().any(|f| f.key == "slope.near.from" && f.message.contains(message)),
             "{place}: {found:#?}"
         );
     }
     let twice = SMALL.replace(own, &format!("from = \"given.json#list\"\n{own}"));
-    let found = Figures::read(&twice, &given).unwrap_err();
-    assert!(found.iter().any(|f| f.words.contains("take command, sizes and fit out")), "{found:#?}");
+    let found = Figures::read(&twice, &sources).unwrap_err();
+    assert!(found.iter().any(|f| f.message.contains("take command, sizes and fit out")), "{found:#?}");
 }
 
 /// A file as the bench of slopes writes it: two programs beside each other.
-const BENCHED: &str = r#"{"machine": {"cores": 8, "load_at_start": 3.5}, "slopes": [
+const BENCH: &str = r#"{"machine": {"cores": 8, "load_at_start": 3.5}, "slopes": [
     {"name": "near", "binary": "old", "size_unit": "messages", "unit": "B", "command": "run both",
      "points": [{"size": 10.0, "value": 25.0, "load": 2.0}, {"size": 1000.0, "value": 2005.0, "load": 30.5,
                  "seen": "nothing"}],
@@ -375,116 +378,114 @@
 const NEAR: &str = "command = \"run near\"\nsizes = [10, 1000]\n\
     fit = { kind = \"linear\", slope = 2.0, intercept = 5.0, residual = 0.01 }\n";
 
-fn benched(json: &str, from: &str) -> Result<Figures, Vec<Fault>> {
+fn read_bench(json: &str, from: &str) -> Result<Figures, Vec<Fault>> {
     assert!(SMALL.contains(NEAR));
-    let given = |name: &str| match name {
+    let sources = |name: &str| match name {
         "bench.json" => Ok(json.to_string()),
         _ => Err(format!("{name}: is not there")),
     };
-    Figures::read(&SMALL.replace(NEAR, &format!("from = \"{from}\"\n")), &given)
+    Figures::read(&SMALL.replace(NEAR, &format!("from = \"{from}\"\n")), &sources)
 }
 
 #[test]
-fn a_slope_takes_its_figures_from_a_file_of_the_bench_by_program() {
-    let old = benched(BENCHED, "bench.json#near@old").unwrap();
+fn a_slope_reads_its_figures_from_a_bench_file_by_binary() {
+    let old = read_bench(BENCH, "bench.json#near@old").unwrap();
     let slope = &old.slope["near"];
     assert_eq!((&slope.command[..], slope.sizes), ("run both", Some([10.0, 1000.0])));
     assert_eq!((slope.loads, &slope.stopped_by[..]), (Some([2.0, 30.5]), "time"));
-    assert_eq!(Reckoned::of(&old).cells[0].known.as_ref().unwrap().value, Some(2005.0));
+    assert_eq!(Evaluation::new(&old).cells[0].estimate.as_ref().unwrap().value, Some(2005.0));
     assert!(tables(&old).contains("10 to 1,000 messages; time; load 2 to 30.5"), "{}", tables(&old));
     // A power law's scale is its value at size 1.
-    let new = benched(BENCHED, "bench.json#near@new").unwrap();
-    let reckoned = Reckoned::of(&new);
-    let known = reckoned.cells[0].known.as_ref().unwrap();
-    assert_eq!((known.value, known.mark), (Some(3000.0), Mark::Inferred));
+    let new = read_bench(BENCH, "bench.json#near@new").unwrap();
+    let evaluation = Evaluation::new(&new);
+    let estimate = evaluation.cells[0].estimate.as_ref().unwrap();
+    assert_eq!((estimate.value, estimate.confidence), (Some(3000.0), Confidence::Inferred));
     // An only one needs no program's name.
     let alone =
-        BENCHED.replace("\"name\": \"near\", \"binary\": \"new\"", "\"name\": \"far\", \"binary\": \"new\"");
-    assert_eq!(benched(&alone, "bench.json#near").unwrap().slope["near"].sizes, Some([10.0, 1000.0]));
+        BENCH.replace("\"name\": \"near\", \"binary\": \"new\"", "\"name\": \"far\", \"binary\": \"new\"");
+    assert_eq!(read_bench(&alone, "bench.json#near").unwrap().slope["near"].sizes, Some([10.0, 1000.0]));
 }
 
 #[test]
-fn a_size_that_was_run_has_the_value_of_its_run_and_no_other() {
+fn a_measured_size_has_its_measured_value_and_no_other_size_has() {
     // Off the fit, and twice at one size: their mean.
-    let twice = BENCHED.replace(
+    let twice = BENCH.replace(
         "\"seen\": \"nothing\"}]",
         "\"seen\": \"nothing\"}, {\"size\": 1000.0, \"value\": 4005.0, \"load\": 1.0}]",
     );
-    for (json, residual, size, value, mark) in [
-        (BENCHED, "0.0", 1000.0, Some(2005.0), Mark::Measured),
-        (&twice, "0.0", 1000.0, Some(3005.0), Mark::Measured),
-        (&twice, "0.0", 500.0, Some(1005.0), Mark::Measured),
-        (&twice, "0.0", 2000.0, Some(4005.0), Mark::Inferred),
-        (&twice, "1.5", 1000.0, Some(3005.0), Mark::Measured),
-        (&twice, "1.5", 500.0, None, Mark::NoFit),
+    for (json, residual, size, value, confidence) in [
+        (BENCH, "0.0", 1000.0, Some(2005.0), Confidence::Measured),
+        (&twice, "0.0", 1000.0, Some(3005.0), Confidence::Measured),
+        (&twice, "0.0", 500.0, Some(1005.0), Confidence::Measured),
+        (&twice, "0.0", 2000.0, Some(4005.0), Confidence::Inferred),
+        (&twice, "1.5", 1000.0, Some(3005.0), Confidence::Measured),
+        (&twice, "1.5", 500.0, None, Confidence::NoFit),
     ] {
         let json = json.replace("\"residual\": 0.0}", &format!("\"residual\": {residual}}}"));
-        let mut figures = benched(&json, "bench.json#near@old").unwrap();
+        let mut figures = read_bench(&json, "bench.json#near@old").unwrap();
         figures.target.get_mut("messages").unwrap().value = size;
-        let reckoned = Reckoned::of(&figures);
-        let known = reckoned.cells[0].known.as_ref().unwrap();
-        assert_eq!((known.value, known.mark), (value, mark), "{residual} at {size}");
+        let evaluation = Evaluation::new(&figures);
+        let estimate = evaluation.cells[0].estimate.as_ref().unwrap();
+        assert_eq!((estimate.value, estimate.confidence), (value, confidence), "{residual} at {size}");
     }
 }
 
 #[test]
-fn a_file_of_the_bench_is_held_to_its_form() {
-    for (json, from, words) in [
-        (BENCHED.to_string(), "bench.json#near", "has several entries"),
-        (BENCHED.to_string(), "bench.json#near@none", "has no entry"),
+fn bench_files_are_validated() {
+    for (json, from, message) in [
+        (BENCH.to_string(), "bench.json#near", "has several entries"),
+        (BENCH.to_string(), "bench.json#near@none", "has no entry"),
         (
-            BENCHED.replace("\"size_unit\": \"messages\"", "\"size_unit\": \"entries\""),
+            BENCH.replace("\"size_unit\": \"messages\"", "\"size_unit\": \"entries\""),
             "bench.json#near@old",
             "count",
         ),
         (
-            BENCHED.replace("\"load\": 2.0}", "\"load\": 2.0, \"by\": 1}"),
+            BENCH.replace("\"load\": 2.0}", "\"load\": 2.0, \"by\": 1}"),
             "bench.json#near@old",
             "unknown field `by`",
         ),
-        (BENCHED.replace("\"load\": 2.0}", "\"note\": 2.0}"), "bench.json#near@old", "unknown field `note`"),
-        (BENCHED.replace("\"intercept\": 5.0, ", ""), "bench.json#near@old", "missing field `intercept`"),
-        (BENCHED.replace("\"scale\": 3.0", "\"slope\": 3.0"), "bench.json#near@new", "`slope`"),
-        (BENCHED.replace("\"kind\": \"power\"", "\"kind\": \"square\""), "bench.json#near@new", "`square`"),
-        (BENCHED.replace("\"largest\": 1000.0, ", ""), "bench.json#near@old", "missing field `largest`"),
-        (BENCHED.replace("\"machine\"", "\"machines\""), "bench.json#near@old", "unknown field `machines`"),
-        (
-            BENCHED.replace("{\"cores\": 8, \"load_at_start\": 3.5}", "8"),
-            "bench.json#near@old",
-            "invalid type",
-        ),
+        (BENCH.replace("\"load\": 2.0}", "\"note\": 2.0}"), "bench.json#near@old", "unknown field `note`"),
+        (BENCH.replace("\"intercept\": 5.0, ", ""), "bench.json#near@old", "missing field `intercept`"),
+        (BENCH.replace("\"scale\": 3.0", "\"slope\": 3.0"), "bench.json#near@new", "`slope`"),
+        (BENCH.replace("\"kind\": \"power\"", "\"kind\": \"square\""), "bench.json#near@new", "`square`"),
+        (BENCH.replace("\"largest\": 1000.0, ", ""), "bench.json#near@old", "missing field `largest`"),
+        (BENCH.replace("\"machine\"", "\"machines\""), "bench.json#near@old", "unknown field `machines`"),
+        (BENCH.replace("{\"cores\": 8, \"load_at_start\": 3.5}", "8"), "bench.json#near@old", "invalid type"),
     ] {
-        let found = benched(&json, from).expect_err(words);
+        let found = read_bench(&json, from).expect_err(message);
         assert!(
-            found.iter().any(|f| f.key == "slope.near.from" && f.words.contains(words)),
-            "{words}: {found:#?}"
+            found.iter().any(|f| f.key == "slope.near.from" && f.message.contains(message)),
+            "{message}: {found:#?}"
         );
     }
     // A fault of one entry is none of the others.
-    let other = BENCHED.replace("\"scale\": 3.0, ", "");
-    assert!(benched(&other, "bench.json#near@old").is_ok());
-    assert!(benched(&other, "bench.json#near@new").is_err());
+    let other = BENCH.replace("\"scale\": 3.0, ", "");
+    assert!(read_bench(&other, "bench.json#near@old").is_ok());
+    assert!(read_bench(&other, "bench.json#near@new").is_err());
 }
 
 #[test]
-fn a_fit_that_is_off_by_more_than_the_values_gives_no_value() {
-    for (residual, value, mark) in
-        [("1.0", Some(2005.0), Mark::Measured), ("1.01", None, Mark::NoFit), ("187.0", None, Mark::NoFit)]
-    {
+fn a_fit_with_a_residual_above_one_gives_no_value() {
+    for (residual, value, confidence) in [
+        ("1.0", Some(2005.0), Confidence::Measured),
+        ("1.01", None, Confidence::NoFit),
+        ("187.0", None, Confidence::NoFit),
+    ] {
         let figures = small(&SMALL.replacen("residual = 0.01", &format!("residual = {residual}"), 1));
-        let reckoned = Reckoned::of(&figures);
-        let known = reckoned.cells[0].known.as_ref().unwrap();
-        assert_eq!((known.value, known.mark), (value, mark), "{residual}");
+        let evaluation = Evaluation::new(&figures);
+        let estimate = evaluation.cells[0].estimate.as_ref().unwrap();
+        assert_eq!((estimate.value, estimate.confidence), (value, confidence), "{residual}");
         let page = tables(&figures).replace("  ", " ");
         let row = "| courier | state | no fit holds | x, before | 500 B | | a table |";
         assert_eq!(page.contains(row), value.is_none(), "{page}");
         assert_eq!(page.contains("| x: no fit holds | "), value.is_none(), "{page}");
-        assert_eq!(reckoned.not_run, if value.is_none() { 4 } else { 2 });
+        assert_eq!(evaluation.not_run, if value.is_none() { 4 } else { 2 });
     }
 }
 
 #[test]
-fn what_is_said_not_to_be_run_has_no_figures_and_an_inferred_slope_its_formula() {
+fn a_slope_not_run_has_no_figures_and_an_inferred_one_needs_its_formula() {
     let text = SMALL
         .replace("standing = \"inferred\"\n", "standing = \"not-run\"\n")
         .replace("standing = \"not-run\"\n\n[[role]]", "standing = \"inferred\"\n\n[[role]]");
@@ -493,7 +494,7 @@
 }
 
 #[test]
-fn a_page_without_its_markers_is_refused_whole() {
+fn a_page_without_all_markers_is_rejected() {
     let figures = small(SMALL);
     let error = render("<!-- table: roles -->\n<!-- end -->\n<!-- table: next -->", &figures).unwrap_err();
     for name in ["failures", "next", "slopes"] {
@@ -503,10 +504,10 @@
 }
 
 #[test]
-fn fits_and_numbers() {
-    let fit = Fit { kind: Kind::Linear, slope: 2.0, intercept: Some(1.0), exponent: None, residual: 0.0 };
-    assert_eq!(fit.at(3.0), 7.0);
-    assert_eq!(Fit { kind: Kind::Power, exponent: Some(0.5), ..fit }.at(9.0), 6.0);
+fn fits_and_number_formatting() {
+    let fit = Fit { kind: FitKind::Linear, slope: 2.0, intercept: Some(1.0), exponent: None, residual: 0.0 };
+    assert_eq!(fit.value_at(3.0), 7.0);
+    assert_eq!(Fit { kind: FitKind::Power, exponent: Some(0.5), ..fit }.value_at(9.0), 6.0);
     for (value, text) in [
         (0.0, "0"),
         (3_769_230.8, "3,770,000"),
@@ -517,7 +518,7 @@
         (1.0, "1"),
         (25.4, "25.4"),
     ] {
-        assert_eq!(number(value), text);
+        assert_eq!(format_number(value), text);
     }
-    assert_eq!(Standing::default(), Standing::NotRun);
+    assert_eq!(Evidence::default(), Evidence::NotRun);
 }
