--- a/crates/capacity/benches/turn.rs
+++ b/crates/capacity/benches/turn.rs
@@ -1,7 +1,7 @@
-//! What one turn of the decisions costs in processor time, by the destinations that are known and by the
-//! messages that are held: `cargo bench -p meadowhold-capacity --bench turn -- --out FILE.json`. The decisions
-//! alone, in simulated time, without sockets, journal or doors; Cargo runs it in crates/capacity: paths begin
-//! there.
+//! Processor time of one turn of the decisions, by the number of known destinations and by the number of
+//! mails held: `cargo bench -p meadowhold-capacity --bench turn -- --out FILE.json`. Measures the decisions
+//! alone, in simulated time, without sockets, journal or clients. Cargo runs the bench in crates/capacity,
+//! and relative paths start there.
 #![forbid(unsafe_code)]
 
 use std::path::PathBuf;
@@ -19,14 +19,14 @@
 
 const DESTINATIONS: [usize; 6] = [100, 1_000, 8_000, 30_000, 100_000, 300_000];
 const HELD_MAILS: [usize; 4] = [1_000, 3_000, 10_000, 30_000];
-/// From one turn to the next, and what comes in at each: 400 messages a second.
+/// Time between turns and mails accepted per turn: 400 mails a second.
 const TURN_INTERVAL: Time = 50;
 const ARRIVALS_PER_TURN: usize = 2;
-/// Of the destinations, as many are down as of the target's.
+/// Share of destinations that are down, as in the target.
 const DOWN_SHARE: f64 = 0.023;
 const WARM_UP_TURNS: usize = 400;
 const MEASURED_TURNS: usize = 4_000;
-/// A size is looked at no longer.
+/// Maximum duration of each measuring phase of one size.
 const MAX_DURATION: Duration = Duration::from_secs(3);
 
 fn settings(room: usize) -> Settings {
@@ -45,7 +45,7 @@
         couriers: 1,
         slots: 64,
         max_mails: room,
-        // What cannot be delivered stays held: no attempt is the last one.
+        // Mails that cannot be delivered stay held: no connect is the last one.
         max_connects: 1_000_000_000,
         timer_resolution: TURN_INTERVAL,
         connection_timeout: SECOND,
@@ -62,14 +62,15 @@
     }
 }
 
-/// The decisions among endpoints that answer in the next turn; those of the first `down` destinations refuse.
+/// The decisions with simulated endpoints that answer by the next turn; the first `down` destinations are
+/// unreachable.
 struct Simulation {
     control: Control,
     down: usize,
     now: Time,
     next_mail: usize,
     free_mails: Vec<usize>,
-    /// Of the messages by their indices: their destinations.
+    /// The destination of each mail, by mail index.
     destination_of: Vec<usize>,
     inputs: Vec<Input>,
     actions: Vec<Action>,
@@ -157,7 +158,8 @@
         }
     }
 
-    /// Processor time of a turn, in microseconds, over many of them with messages for what is up.
+    /// Mean processor time of a turn in microseconds, over many turns with mails for destinations that are
+    /// up.
     fn measure(&mut self, destinations: usize) -> Result<(f64, String), String> {
         let mut rng = Rng::with_seed(destinations as u64);
         let mut turns = |simulation: &mut Simulation, limit: usize| {
@@ -176,7 +178,7 @@
         let used = thread_cpu_seconds()? - before;
         let (relayed, unreached) = (self.relayed - relayed, self.unreached - unreached);
         if relayed == 0 {
-            return Err("nothing was delivered".to_string());
+            return Err("no mail was relayed".to_string());
         }
         let message = format!(
             "{count} turns, {relayed} delivered, {unreached} attempts refused, {} given up",
@@ -186,18 +188,20 @@
     }
 }
 
-/// Seconds that this thread has been on a processor.
+/// Processor time of this thread in seconds.
 fn thread_cpu_seconds() -> Result<f64, String> {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").map_err(|e| e.to_string())?;
     let first = text.split_whitespace().next().and_then(|nanoseconds| nanoseconds.parse::<f64>().ok());
-    first.map(|nanoseconds| nanoseconds / 1e9).ok_or_else(|| "no processor time is told".to_string())
+    first
+        .map(|nanoseconds| nanoseconds / 1e9)
+        .ok_or_else(|| "/proc/thread-self/schedstat has no processor time".to_string())
 }
 
 fn by_destinations(destinations: usize) -> Result<(f64, String), String> {
     Simulation::new(destinations, 0, 10_000).measure(destinations)
 }
 
-/// So many messages held for 2.3 hundredths of all destinations of the target.
+/// Holds this many mails for the 2.3% of all destinations that are down.
 fn by_held_mails(mails: usize) -> Result<(f64, String), String> {
     let destinations = DESTINATIONS[DESTINATIONS.len() - 1];
     let down = (destinations as f64 * DOWN_SHARE) as usize;
@@ -215,14 +219,14 @@
 
 fn run() -> Result<(), String> {
     let mut arguments = pico_args::Arguments::from_env();
-    // Guards against a minute of load where benches are only tried, as by `cargo test --all-targets`.
+    // Guards against a minute of load when benches are only checked, as by `cargo test --all-targets`.
     if !arguments.contains("--bench") {
         println!("turn: run by cargo bench");
         return Ok(());
     }
     let out: Option<PathBuf> = arguments.opt_value_from_str("--out").map_err(|e| e.to_string())?;
     if let Some(rest) = arguments.finish().first() {
-        return Err(format!("what is {}?", rest.to_string_lossy()));
+        return Err(format!("unexpected argument: {}", rest.to_string_lossy()));
     }
     let cores = std::thread::available_parallelism().map_or(0, usize::from);
     let machine = json!({"cores": cores, "load_at_start": load_average()});
--- a/crates/capacity/src/evaluate.rs
+++ b/crates/capacity/src/evaluate.rs
@@ -1,34 +1,35 @@
-//! The arithmetic: what a formula comes to at the target, and how well that is known.
+//! Evaluates formulas at the target and determines how reliable each result is.
 
 use std::collections::BTreeSet;
 
 use crate::file::{Cell, Evidence, Failure, Fault, Figures, Formula, Revision, Slope, MISSING, SIZE};
 
-/// A size beyond so many times the largest that was run says next to nothing.
+/// Results at sizes beyond this multiple of the largest measured size mean next to nothing.
 pub const MAX_EXTRAPOLATION: f64 = 10.0;
 
-/// How a value is known, from the best to the worst: a value is known no better than the worst of its parts.
+/// How reliable a value is, from best to worst; a value is only as reliable as the worst of its parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Confidence {
-    /// From the target's own figures.
+    /// Calculated from figures of the target alone.
     Target,
-    /// At a size that was run, or by a fit within the sizes that were.
+    /// At a measured size, or by a fit within the range of measured sizes.
     Measured,
-    /// By a formula, or by a fit beyond the largest size that was run.
+    /// By a formula, or by a fit beyond the largest measured size.
     Inferred,
-    /// By a fit beyond ten times the largest size that was run.
+    /// By a fit beyond `MAX_EXTRAPOLATION` times the largest measured size.
     Extrapolated,
-    /// It was run, and no fit through what was measured says anything.
+    /// Measured, but no fit to the measurements is meaningful.
     NoFit,
     NotRun,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Estimate {
-    /// Nothing: not run.
+    /// `None` if it was not run or no fit is meaningful.
     pub value: Option<f64>,
     pub confidence: Confidence,
-    /// Of which text of the program, and the greatest size asked for over the largest that was run.
+    /// The measured revisions of the program, and the largest ratio of a size asked for to the largest
+    /// measured size.
     pub revisions: BTreeSet<Revision>,
     pub extrapolation: f64,
 }
@@ -52,8 +53,8 @@
     }
 }
 
-/// What a formula comes to. `size` is that of the inferred slope it belongs to; `through` are the slopes that are
-/// being reckoned already, and guards against one that is inferred from itself.
+/// Evaluates a formula. `size` is the size of the inferred slope that the formula belongs to; `visiting`
+/// holds the slopes under evaluation and guards against one that is inferred from itself.
 fn evaluate(
     figures: &Figures,
     formula: &Formula,
@@ -62,17 +63,17 @@
 ) -> Result<Estimate, String> {
     match formula {
         Formula::Number(number) if number.is_finite() => Ok(Estimate::exact(*number)),
-        Formula::Number(number) => Err(format!("{number} is no figure")),
+        Formula::Number(number) => Err(format!("{number} is not a finite number")),
         Formula::Variable(name) if name == SIZE => size
             .map(Estimate::exact)
-            .ok_or(format!("{SIZE:?} stands in the formula of an inferred slope only")),
+            .ok_or(format!("{SIZE:?} is allowed in the formula of an inferred slope only")),
         Formula::Variable(name) => match figures.target.get(name) {
             Some(figure) => Ok(Estimate::exact(figure.value)),
             None => Err(format!("the target has no figure {name:?}")),
         },
         Formula::Slope { slope, at } => {
             let at = evaluate(figures, at, size, visiting)?;
-            let found = figures.slope.get(slope).ok_or_else(|| format!("there is no slope {slope:?}"))?;
+            let found = figures.slope.get(slope).ok_or_else(|| format!("unknown slope {slope:?}"))?;
             if visiting.contains(&slope.as_str()) {
                 return Err(format!("the slope {slope:?} is inferred from itself"));
             }
@@ -85,7 +86,7 @@
             let [upper, lower] = &**over;
             let lower = evaluate(figures, lower, size, visiting)?;
             if lower.value == Some(0.0) {
-                return Err("divides by 0".to_string());
+                return Err("division by zero".to_string());
             }
             Ok(evaluate(figures, upper, size, visiting)?.combine(lower, |a, b| a / b))
         }
@@ -101,7 +102,7 @@
     operation: impl Fn(f64, f64) -> f64,
 ) -> Result<Estimate, String> {
     if terms.is_empty() {
-        return Err("has no parts".to_string());
+        return Err("is empty; a sum or product needs terms".to_string());
     }
     let mut all = Estimate::exact(first);
     for term in terms {
@@ -118,7 +119,7 @@
 ) -> Result<Estimate, String> {
     let without_value = |confidence| Estimate { value: None, confidence, ..at.clone() };
     match (slope.standing, slope.fit, slope.sizes) {
-        // Without a fit that holds, what was measured at that very size is still that.
+        // Without a meaningful fit, a value measured at exactly this size still counts.
         (Evidence::Measured, Some(fit), _)
             if !fit.is_usable() && at.value.is_none_or(|size| slope.measured_at(size).is_none()) =>
         {
@@ -149,34 +150,34 @@
                 let confidence = estimate.confidence.max(at.confidence).max(Confidence::Inferred);
                 Ok(Estimate { confidence, ..estimate })
             }
-            // What the formula names is looked at all the same.
+            // Evaluated nevertheless, to find faults in what the formula refers to.
             (Some(formula), None) => {
                 evaluate(figures, formula, Some(1.0), visiting).map(|_| without_value(Confidence::NotRun))
             }
             (None, _) => Ok(without_value(Confidence::NotRun)),
         },
-        // A measured one without its figures is told of as such.
+        // A measured slope without its figures is reported as a fault by the validation of the file.
         _ => Ok(without_value(Confidence::NotRun)),
     }
 }
 
-/// A cell at the target.
+/// A cell evaluated at the target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EvaluatedCell {
     pub estimate: Option<Estimate>,
     pub budget: Option<f64>,
-    /// Of the budget, as a part; below 0: over it.
+    /// Share of the budget that remains; negative if the budget is exceeded.
     pub remaining: Option<f64>,
-    /// The part of the target that today's text reaches, 1 at most; nothing where that is not known.
+    /// Share of the target that the current program reaches, at most 1; `None` if unknown.
     pub reached: Option<f64>,
 }
 
-/// What stops short of the target, by the part that is reached.
+/// Something that stops short of the target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shortfall {
     pub what: String,
     pub reached: f64,
-    /// Nothing carries it at all.
+    /// No mechanism carries it at all.
     pub no_mechanism: bool,
     pub confidence: Confidence,
     pub next: String,
@@ -186,12 +187,12 @@
     pub figures: &'a Figures,
     pub cells: Vec<EvaluatedCell>,
     pub shortfalls: Vec<Shortfall>,
-    /// Cells and failures of which nothing was run, or by which no fit holds.
+    /// Cells and failures that were not run or have no meaningful fit.
     pub not_run: usize,
 }
 
 impl<'a> Evaluation<'a> {
-    /// All formulas that come to nothing.
+    /// Faults of all formulas that cannot be evaluated.
     pub fn faults(figures: &Figures) -> Vec<Fault> {
         let mut faults = Vec::new();
         let mut check = |key: String, formula: &Formula, size: Option<f64>, visiting: &[&str]| {
@@ -221,7 +222,7 @@
         faults
     }
 
-    /// The figures have been checked; what comes to nothing all the same counts as not run.
+    /// The figures have been validated; a formula that nevertheless cannot be evaluated counts as not run.
     pub fn new(figures: &'a Figures) -> Evaluation<'a> {
         let estimate = |formula: &Option<Formula>| {
             formula.as_ref().map(|formula| {
@@ -253,14 +254,14 @@
                 let budget_use = at.as_ref().and_then(|estimate| estimate.value).zip(budget);
                 let within_budget =
                     budget_use.map(|(value, budget)| if value > budget { budget / value } else { 1.0 });
-                // What stops first decides.
+                // The lower limit applies.
                 let stop = stops.as_ref().and_then(|stops| stops.value);
                 let reached = [stop, within_budget]
                     .into_iter()
                     .flatten()
                     .reduce(f64::min)
                     .map(|reached| reached.min(1.0));
-                // A cell that stops where another of its role says what is to be done has no place of its own.
+                // If another cell of the role says what is to be done, this cell has no row of its own.
                 let next_elsewhere = cell.stops.is_some() && cell.next.is_empty();
                 if let Some(reached) = reached.filter(|reached| *reached < 1.0 && !next_elsewhere) {
                     let by = if stop.is_some_and(|stop| stop <= reached) { &stops } else { &at };
@@ -276,7 +277,7 @@
             let reached = stops.as_ref().and_then(|stops| stops.value);
             if let Some(reached) = reached.filter(|reached| *reached < 1.0) {
                 let confidence = stops.map_or(Confidence::NotRun, |estimate| estimate.confidence);
-                // That nothing carries it needs no run; a part that is reached does.
+                // The absence of a mechanism needs no run as evidence; a share that is reached does.
                 let own_confidence = match failure.standing {
                     _ if reached <= 0.0 => Confidence::Target,
                     Evidence::Measured => Confidence::Measured,
@@ -286,7 +287,7 @@
                 shortfalls.push(Shortfall::failure(failure, reached, confidence.max(own_confidence)));
             }
         }
-        // The sort keeps the file's order among equals.
+        // The sort is stable and keeps the order of the file among equals.
         shortfalls.sort_by(|a, b| b.no_mechanism.cmp(&a.no_mechanism).then(a.reached.total_cmp(&b.reached)));
         let without_value =
             |cell: &&EvaluatedCell| cell.estimate.as_ref().is_some_and(|estimate| estimate.value.is_none());
--- a/crates/capacity/src/file.rs
+++ b/crates/capacity/src/file.rs
@@ -1,4 +1,5 @@
-//! The file of figures: what it may say, and all that is wrong with it at once, each fault with its line and key.
+//! The input file `capacity.toml`: its types, and its validation, which reports all faults at once, each with
+//! its line and key.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,12 +10,13 @@
 
 use crate::evaluate::Evaluation;
 
-/// Names `size` in a formula of an inferred slope: the size that the slope is asked at.
+/// Variable in the formula of an inferred slope: the size at which the slope is evaluated.
 pub const SIZE: &str = "size";
-/// What a cell or a failure is carried by where nothing carries it.
+/// Value of `carried_by` if no mechanism carries a cell or a failure.
 pub const MISSING: &str = "missing";
 
-/// Something that a formula may be: it has a value for whatever it names, or a fault; there are no loops.
+/// A formula. Evaluating it gives a value for everything it refers to, or a fault; references must not form a
+/// cycle.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(
     untagged,
@@ -35,7 +37,7 @@
     Product {
         product: Vec<Formula>,
     },
-    /// The first over the second.
+    /// The first divided by the second.
     Quotient {
         over: Box<[Formula; 2]>,
     },
@@ -61,18 +63,18 @@
     }
 }
 
-/// How a slope is known.
+/// The evidence for a slope or a failure.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Evidence {
     Measured,
-    /// By a formula from other slopes.
+    /// Calculated by a formula from other slopes.
     Inferred,
     #[default]
     NotRun,
 }
 
-/// Which text of the program was measured.
+/// The revision of the program that was measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Revision {
@@ -94,16 +96,16 @@
 pub struct Fit {
     pub kind: FitKind,
     pub slope: f64,
-    /// Of a line; 0 where it is not said.
+    /// Of a line; 0 if not given.
     pub intercept: Option<f64>,
     /// Of a power law.
     pub exponent: Option<f64>,
-    /// Part of the measured values that the fit leaves unexplained (root of the mean square).
+    /// Relative residual of the fit (root mean square).
     pub residual: f64,
 }
 
 impl Fit {
-    /// Whether it says anything: one that is off by more than the values themselves does not.
+    /// Whether the fit is meaningful: it is not if its residual exceeds the measured values themselves.
     pub fn is_usable(&self) -> bool {
         self.residual <= 1.0
     }
@@ -121,22 +123,23 @@
 pub struct Slope {
     pub what: String,
     pub unit: String,
-    /// What its size counts.
+    /// What the size counts.
     pub of: String,
     pub standing: Evidence,
     pub text: Option<Revision>,
-    /// `FILE#NAME`, or `FILE#NAME@BINARY` where the file has several programs' entries: an entry of a file of slopes beside this one, in place of command, sizes and fit.
+    /// `FILE#NAME`, or `FILE#NAME@BINARY` if the file has entries of several programs: refers to an entry of
+    /// a file of slopes in the same folder, in place of command, sizes and fit.
     pub from: Option<String>,
     pub command: String,
-    /// The smallest and the largest size that were run.
+    /// The smallest and the largest measured size.
     pub sizes: Option<[f64; 2]>,
     pub fit: Option<Fit>,
-    /// What kept the run from a larger size.
+    /// What prevented a larger size from being measured.
     pub stopped_by: String,
-    /// The machine's load averages beside the runs, the smallest and the largest; from the file beside.
+    /// The smallest and the largest load average of the machine during the runs; from the file of slopes.
     #[serde(skip)]
     pub loads: Option<[f64; 2]>,
-    /// Size and value of each run; from the file beside.
+    /// Size and value of each run; from the file of slopes.
     #[serde(skip)]
     pub points: Vec<[f64; 2]>,
     /// Of an inferred slope.
@@ -177,9 +180,10 @@
 pub struct Role {
     pub name: String,
     pub what: String,
-    /// There is no such part in today's text: why, and what it would do. It has no cells.
+    /// Set if the current program has no such part: the reason, and what the part would do. Such a role has
+    /// no cells.
     pub missing: String,
-    /// What is to be done where it is missing.
+    /// What is to be done if the role is missing.
     pub next: String,
 }
 
@@ -188,18 +192,18 @@
 pub struct Cell {
     pub role: String,
     pub column: Option<Column>,
-    /// What stands in the cell, where the column's heading does not say it.
+    /// What the cell holds, if the heading of its column does not say so.
     pub what: String,
     pub unit: String,
-    /// Nothing: the role has none of it.
+    /// `None` if the role uses none of it.
     pub formula: Option<Formula>,
     pub budget: Option<Formula>,
     /// The mechanism, or `missing`.
     pub carried_by: String,
-    /// The part of the target at which today's text stops.
+    /// The share of the target that the current program reaches.
     pub stops: Option<Formula>,
-    /// What is to be done where the target is not reached. Left out where another cell of the role says it: this one
-    /// then stands in no place of its own in what comes next.
+    /// What is to be done if the target is not reached. Omitted if another cell of the role says so; this
+    /// cell then has no row of its own in the table of next steps.
     pub next: String,
 }
 
@@ -213,13 +217,13 @@
     /// The mechanism, or `missing`.
     pub carried_by: String,
     pub standing: Evidence,
-    /// What measured it.
+    /// The run that measured it.
     pub run: String,
     pub stops: Option<Formula>,
     pub next: String,
 }
 
-/// All that stands in the file.
+/// The complete contents of the file.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Figures {
@@ -230,7 +234,7 @@
     pub failure: Vec<Failure>,
 }
 
-/// Something wrong with a file: on which line (0: nowhere in particular), at which key, and what.
+/// A fault in a file: its line (0 if it has none), its key, and a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
     pub line: usize,
@@ -249,7 +253,7 @@
     }
 }
 
-/// An entry of a file of slopes, as the programs that measure write it.
+/// An entry of a file of slopes, as written by the measuring programs.
 #[derive(Clone, Debug, Deserialize)]
 struct Entry {
     name: String,
@@ -262,7 +266,7 @@
     stopped_by: String,
 }
 
-/// A file of the bench of slopes: entries of several programs beside each other, and the machine they ran on.
+/// A file of the slopes bench: entries of several programs, and the machine they ran on.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Bench {
@@ -271,7 +275,8 @@
     slopes: Vec<serde_json::Value>,
 }
 
-/// An entry of such a file: each field is known, so that one that comes to mean more is not passed over.
+/// An entry of such a file. All fields are declared, so that an unknown one is rejected instead of being
+/// ignored.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct BenchEntry {
@@ -324,7 +329,7 @@
     }
 }
 
-/// What a slope takes from a file beside.
+/// What a slope takes from a file of slopes.
 struct SourceEntry {
     unit: String,
     command: String,
@@ -332,13 +337,13 @@
     points: Vec<[f64; 2]>,
     fit: Option<Fit>,
     stopped_by: String,
-    /// What a size counts, where the file says it.
+    /// What the size counts, if the file says so.
     of: Option<String>,
-    /// The machine's load averages, from the smallest to the largest, where the file says them.
+    /// The smallest and the largest load average of the machine, if the file has them.
     loads: Option<[f64; 2]>,
 }
 
-/// From the least to the largest.
+/// The smallest and the largest value.
 fn range(values: impl Iterator<Item = f64>) -> [f64; 2] {
     values.fold([f64::INFINITY, f64::NEG_INFINITY], |[from, to], value| [from.min(value), to.max(value)])
 }
@@ -382,8 +387,8 @@
 }
 
 impl Figures {
-    /// Reads a file's text; `beside` gives the text of a file that stands beside it. All faults that can be told are
-    /// told at once.
+    /// Reads the text of the file; `read_source` returns the text of another file in the same folder. Reports
+    /// all faults that can be found at once.
     pub fn read(
         text: &str,
         read_source: &dyn Fn(&str) -> Result<String, String>,
@@ -397,8 +402,8 @@
             let reported: Vec<String> = faults.iter().map(|fault| fault.key.clone()).collect();
             let mut more = figures.load_sources(read_source);
             more.extend(figures.faults());
-            // A key that could not be read has its default now, which is no fault of the file's own; the same where
-            // a file beside could not.
+            // A key that could not be read has its default value by now; faults that follow from this are not
+            // reported. The same holds if the file of slopes could not be read.
             let unreadable: Vec<String> =
                 more.iter().filter_map(|f| f.key.strip_suffix(".from").map(String::from)).collect();
             let is_consequence = |key: &str| {
@@ -421,7 +426,7 @@
         Err(faults)
     }
 
-    /// Takes in what stands in files beside.
+    /// Fills slopes with their entries from files of slopes.
     fn load_sources(&mut self, read_source: &dyn Fn(&str) -> Result<String, String>) -> Vec<Fault> {
         let mut faults = Vec::new();
         for (name, slope) in &mut self.slope {
@@ -430,13 +435,13 @@
                 faults.push(Fault { line: 0, key: format!("slope.{name}.from"), message });
             };
             if slope.fit.is_some() || slope.sizes.is_some() || !slope.command.is_empty() {
-                fault("the figures come from a file; take command, sizes and fit out here".to_string());
+                fault("the figures come from a file; remove command, sizes and fit here".to_string());
                 continue;
             }
             match find_entry(&from, read_source) {
                 Ok(source) => {
                     if let Some(of) = source.of.filter(|of| *of != slope.of) {
-                        fault(format!("its sizes count {of:?}, and `of` says {:?}", slope.of));
+                        fault(format!("its sizes count {of:?}, but `of` is {:?}", slope.of));
                     }
                     slope.sizes = Some(source.sizes);
                     slope.points = source.points;
@@ -457,12 +462,12 @@
         let mut fault = |key: String, message: String| faults.push(Fault { line: 0, key, message });
         for (name, figure) in &self.target {
             if name == SIZE || self.slope.contains_key(name) {
-                fault(format!("target.{name}"), "the name is taken; give another".to_string());
+                fault(format!("target.{name}"), "the name is already in use; choose another".to_string());
             }
             if !figure.value.is_finite() || figure.value <= 0.0 {
                 fault(
                     format!("target.{name}.value"),
-                    format!("{} is no figure above 0; give one", figure.value),
+                    format!("must be a finite number above 0, not {}", figure.value),
                 );
             }
         }
@@ -471,10 +476,10 @@
         }
         for (i, role) in self.role.iter().enumerate() {
             if role.name.is_empty() || self.role[..i].iter().any(|other| other.name == role.name) {
-                fault(format!("role.{i}.name"), "give each role a name of its own".to_string());
+                fault(format!("role.{i}.name"), "each role needs a unique name".to_string());
             }
             if role.missing.is_empty() != role.next.is_empty() {
-                let message = "say what is to be done where the role is missing, and only there";
+                let message = "must be set if the role is missing, and only then";
                 fault(format!("role.{i}.next"), message.to_string());
             }
             for (column, heading) in COLUMNS {
@@ -483,27 +488,31 @@
                     (0, false) | (1, true) => {}
                     (0, true) => fault(
                         format!("role.{i}"),
-                        format!("there is no cell for its {heading}; give one, without a formula if it has none"),
+                        format!(
+                            "has no cell for {heading}; add one, without a formula if the role uses none"
+                        ),
                     ),
                     (n, _) => fault(
                         format!("role.{i}"),
-                        format!("there are {n} cells for its {heading}; give one, or none where the role is missing"),
+                        format!(
+                            "has {n} cells for {heading}; there must be one, or none if the role is missing"
+                        ),
                     ),
                 }
             }
         }
         for (i, cell) in self.cell.iter().enumerate() {
             if !self.role.iter().any(|role| role.name == cell.role) {
-                fault(format!("cell.{i}.role"), format!("there is no role {:?}", cell.role));
+                fault(format!("cell.{i}.role"), format!("unknown role {:?}", cell.role));
             }
             if cell.column.is_none() {
                 fault(
                     format!("cell.{i}.column"),
-                    "is not set; give state, messages, processor, memory, bytes or disk".to_string(),
+                    "is not set; must be state, messages, processor, memory, bytes or disk".to_string(),
                 );
             }
             if cell.formula.is_none() && cell.budget.is_some() {
-                fault(format!("cell.{i}.budget"), "there is no formula to hold against it".to_string());
+                fault(format!("cell.{i}.budget"), "a budget needs a formula to compare it with".to_string());
             }
             if cell.formula.is_some() || !cell.carried_by.is_empty() {
                 let key_of = |key: &str| format!("cell.{i}{key}");
@@ -524,7 +533,7 @@
                 }
             }
             if failure.standing != Evidence::NotRun && failure.run.is_empty() {
-                fault(key_of(".run"), "say which run shows it, or that it is not-run".to_string());
+                fault(key_of(".run"), "is not set; name the run, or set standing to not-run".to_string());
             }
             let has_next = !failure.next.is_empty();
             check_carried_by(&failure.carried_by, failure.stops.is_some(), has_next, &mut |key, message| {
@@ -536,23 +545,23 @@
     }
 }
 
-/// What carries a cell or a failure, and what stands with it where nothing does.
+/// Checks the mechanism of a cell or a failure, and what must be given if there is none.
 fn check_carried_by(by: &str, stops: bool, has_next: bool, fault: &mut dyn FnMut(&str, String)) {
     if by.is_empty() {
-        fault(".carried_by", format!("is not set; name the mechanism, or give {MISSING:?}"));
+        fault(".carried_by", format!("is not set; name the mechanism, or use {MISSING:?}"));
     }
     if by == MISSING && !stops {
         let message =
-            "say at which part of the target today's text stops; 0 where there is no mechanism at all";
+            "is not set; must be the share of the target that is reached, 0 if there is no mechanism at all";
         fault(".stops", message.to_string());
     }
     if stops && !has_next {
-        fault(".next", "it stops short of the target; say what is to be done".to_string());
+        fault(".next", "is not set, but the target is not reached; say what is to be done".to_string());
     }
 }
 
 impl Slope {
-    /// What was measured at this very size, in the mean.
+    /// Mean of the values measured at exactly this size.
     pub fn measured_at(&self, size: f64) -> Option<f64> {
         let values: Vec<f64> = self.points.iter().filter(|p| p[0] == size).map(|p| p[1]).collect();
         (!values.is_empty()).then(|| values.iter().sum::<f64>() / values.len() as f64)
@@ -560,75 +569,79 @@
 
     fn check(&self, fault: &mut dyn FnMut(&str, String)) {
         if self.what.is_empty() || self.of.is_empty() {
-            fault("", "say what it is of (`what`), and what its size counts (`of`)".to_string());
+            fault("", "`what` and `of` must be set: what is measured, and what the size counts".to_string());
         }
         match self.standing {
             Evidence::Measured => {
                 if self.command.trim().is_empty() {
-                    fault(".command", "it is measured; name the command of the run".to_string());
+                    fault(".command", "a measured slope needs the command of its run".to_string());
                 }
                 match self.sizes {
                     None => {
-                        fault(".sizes", "it is measured; give the smallest and the largest size".to_string())
+                        fault(".sizes", "a measured slope needs its smallest and largest size".to_string())
                     }
                     Some([from, to]) if !(from >= 0.0 && to >= from && to.is_finite() && to > 0.0) => {
-                        fault(".sizes", format!("[{from}, {to}] is no range of sizes"));
+                        fault(".sizes", format!("[{from}, {to}] is not a valid range of sizes"));
                     }
                     Some(_) => {}
                 }
                 match self.fit {
-                    None => fault(".fit", "it is measured; give the fit".to_string()),
+                    None => fault(".fit", "a measured slope needs a fit".to_string()),
                     Some(fit) => {
                         let parameters = [Some(fit.slope), Some(fit.residual), fit.intercept, fit.exponent];
                         if parameters.iter().flatten().any(|value| !value.is_finite()) || fit.residual < 0.0 {
-                            fault(".fit", "has a figure that is none".to_string());
+                            fault(
+                                ".fit",
+                                "all values must be finite, and the residual must not be negative"
+                                    .to_string(),
+                            );
                         }
                         if (fit.kind == FitKind::Power) != fit.exponent.is_some()
                             || (fit.kind == FitKind::Power && fit.intercept.is_some())
                         {
                             let message =
-                                "a power law has an exponent, a line an intercept, and neither the other's";
+                                "a power law has an exponent and no intercept, a line has no exponent";
                             fault(".fit", message.to_string());
                         }
                     }
                 }
                 if self.text.is_none() {
-                    fault(".text", "it is measured; say of which text: before or after".to_string());
+                    fault(".text", "a measured slope needs its text: before or after".to_string());
                 }
                 if self.formula.is_some() {
-                    fault(".formula", "it is measured; a formula stands with what is inferred".to_string());
+                    fault(".formula", "a measured slope cannot have a formula".to_string());
                 }
             }
             Evidence::Inferred => {
                 if self.formula.is_none() {
-                    fault(".formula", "it is inferred; say from which slopes, by which formula".to_string());
+                    fault(".formula", "an inferred slope needs a formula".to_string());
                 }
                 if self.fit.is_some() || self.from.is_some() {
-                    fault(".fit", "it is inferred; a fit stands with what is measured".to_string());
+                    fault(".fit", "an inferred slope cannot have a fit".to_string());
                 }
             }
             Evidence::NotRun => {
                 if self.fit.is_some() || self.formula.is_some() || self.from.is_some() {
-                    fault(".standing", "it has figures, and is said not to be run".to_string());
+                    fault(".standing", "a slope with figures cannot be not-run".to_string());
                 }
             }
         }
     }
 }
 
-/// The entry that `FILE#NAME` or `FILE#NAME@BINARY` stands for.
+/// Finds the entry for `FILE#NAME` or `FILE#NAME@BINARY`.
 fn find_entry(
     from: &str,
     read_source: &dyn Fn(&str) -> Result<String, String>,
 ) -> Result<SourceEntry, String> {
-    let (file, wanted) = from.split_once('#').ok_or("name it as FILE#ENTRY")?;
+    let (file, wanted) = from.split_once('#').ok_or("must have the form FILE#ENTRY")?;
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     if !file.ends_with(".json") || !file.chars().all(is_allowed) {
-        return Err(format!("{file:?} is no name of a JSON file beside this one"));
+        return Err(format!("{file:?} is not the name of a JSON file in the same folder"));
     }
     let value: serde_json::Value =
         serde_json::from_str(&read_source(file)?).map_err(|error| format!("{file}: {error}"))?;
-    // Each entry by itself: one that cannot be read is no fault of the others.
+    // Entries are decoded one by one: an invalid entry does not affect the others.
     let (entries, is_bench) = match value {
         serde_json::Value::Array(entries) => (entries, false),
         other => {
@@ -650,7 +663,7 @@
     let (first, second) = (found.next(), found.next());
     let first = first.ok_or_else(|| format!("{file} has no entry {wanted:?}"))?.clone();
     if second.is_some() {
-        return Err(format!("{file} has several entries {wanted:?}; name one as FILE#ENTRY@BINARY"));
+        return Err(format!("{file} has several entries {wanted:?}; use FILE#ENTRY@BINARY"));
     }
     let fault = |error| format!("{file}, entry {wanted:?}: {error}");
     if is_bench {
@@ -663,8 +676,8 @@
     Ok(entry.into())
 }
 
-/// Reads a table over and over, without the key that could not be read last time, so that the next fault is found
-/// too. Every key has a default, so that one which is taken out hides no other.
+/// Decodes the table repeatedly, each time without the key that failed before, to find all faults. Every key
+/// has a default, so that removing one does not hide the fault of another.
 fn decode(mut table: Table) -> (Option<Figures>, Vec<Fault>) {
     let mut faults: Vec<Fault> = Vec::new();
     loop {
@@ -683,8 +696,8 @@
     }
 }
 
-/// Takes the value at a path out of a table. What lies in a table that has no defaults (a fit, a formula) takes the
-/// whole of it out: that is done by `Figures`' own keys, three deep at most.
+/// Removes the value at a path from a table. A fault inside a table without defaults (a fit, a formula)
+/// removes that whole table: only keys of `Figures` itself are removed, at most three levels deep.
 fn remove_key(table: &mut Table, path: &[String]) -> bool {
     let Some((first, rest)) = path.split_first() else { return false };
     let entry = match (table.get_mut(first), rest) {
@@ -709,7 +722,7 @@
     text.as_bytes()[..offset.min(text.len())].iter().filter(|&&b| b == b'\n').count() + 1
 }
 
-/// Where the keys of a file stand.
+/// Lines of the keys of a file.
 struct KeyLines(Vec<(String, usize)>);
 
 impl KeyLines {
@@ -721,7 +734,7 @@
         KeyLines(lines)
     }
 
-    /// The line of a key, or of the nearest table round it; 0 where the file names neither.
+    /// The line of a key or of the nearest enclosing table; 0 if the file has neither.
     fn line_of_key(&self, mut key: &str) -> usize {
         loop {
             if let Some((_, line)) = self.0.iter().find(|(estimate, _)| estimate == key) {
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,6 +1,6 @@
-//! What the target asks of each role, reckoned from slopes that were measured, and the tables of `docs/CAPACITY.md`.
-//! `file` reads what stands in `docs/capacity/capacity.toml`, `reckon` does the arithmetic, `page` writes the tables.
-//! Nothing here reads or writes a file: texts come in and go out, and `main` has the disk.
+//! Evaluates what the target requires of each role from measured slopes, and renders the tables of
+//! `docs/CAPACITY.md`. `file` parses `docs/capacity/capacity.toml`, `evaluate` does the arithmetic, `page`
+//! renders the tables. The library works on strings only; `main` reads and writes the files.
 #![forbid(unsafe_code)]
 
 pub mod evaluate;
--- a/crates/capacity/src/main.rs
+++ b/crates/capacity/src/main.rs
@@ -1,5 +1,6 @@
-//! `meadowhold-capacity [FOLDER]`: writes the tables of `docs/CAPACITY.md` anew from `docs/capacity/capacity.toml`, both
-//! under FOLDER (the working folder unless said). What is wrong with the file is told at once; nothing is written then.
+//! `meadowhold-capacity [FOLDER]`: regenerates the tables of `docs/CAPACITY.md` from
+//! `docs/capacity/capacity.toml`, both under FOLDER (default: the working directory). If the input has
+//! faults, all of them are reported and nothing is written.
 #![forbid(unsafe_code)]
 
 use std::path::PathBuf;
@@ -26,13 +27,13 @@
     let mut arguments = env::args_os().skip(1);
     let folder = arguments.next().map_or_else(|| PathBuf::from("."), PathBuf::from);
     if arguments.next().is_some() {
-        return Err("too many arguments; give one folder at most".to_string());
+        return Err("too many arguments; expected at most one folder".to_string());
     }
     let read = |name: &str| fs::read_to_string(folder.join(name)).map_err(|error| format!("{name}: {error}"));
     let read_source = |name: &str| read(&format!("docs/capacity/{name}"));
     let figures = Figures::read(&read_source("capacity.toml")?, &read_source).map_err(|faults| {
         let lines: Vec<String> = faults.iter().map(|fault| format!("  {fault}")).collect();
-        format!("docs/capacity/capacity.toml cannot be reckoned with:\n{}", lines.join("\n"))
+        format!("docs/capacity/capacity.toml is invalid:\n{}", lines.join("\n"))
     })?;
     const PAGE: &str = "docs/CAPACITY.md";
     let old = read(PAGE)?;
--- a/crates/capacity/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -1,4 +1,5 @@
-//! The page's tables. What stands between a table's marker and its end is written anew; the rest is the author's.
+//! Renders the tables of the page. The text between a table's marker and its end marker is replaced; the rest
+//! is written by hand.
 
 use std::fmt::Write;
 
@@ -9,7 +10,7 @@
 
 type RenderTable = fn(&Evaluation) -> String;
 
-/// Each table by its marker's name.
+/// The tables, by the names of their markers.
 pub const TABLES: [(&str, RenderTable); 4] = [
     ("roles", render_roles),
     ("failures", render_failures),
@@ -21,7 +22,7 @@
     format!("<!-- table: {name} -->")
 }
 
-/// The page with its tables as the figures have them. The error names every marker that is not there, or not once.
+/// Replaces the tables of a page. The error names every marker that does not occur exactly once.
 pub fn render(page: &str, figures: &Figures) -> Result<String, String> {
     let evaluation = Evaluation::new(figures);
     let (mut page, mut faults) = (page.to_string(), Vec::new());
@@ -33,7 +34,7 @@
         let end = start.and_then(|at| page[at..].find(END).map(|end| at + end));
         match start.zip(end) {
             Some((from, to)) => page.replace_range(from..to, &format!("\n\n{}\n", table(&evaluation))),
-            None => faults.push(format!("{marker} stands there not once, or without {END:?} after it")),
+            None => faults.push(format!("{marker} must occur exactly once, followed by {END:?}")),
         }
     }
     if faults.is_empty() {
@@ -43,7 +44,7 @@
     }
 }
 
-/// Three digits that count, and commas between thousands.
+/// Three significant digits, with commas between thousands.
 pub fn format_number(value: f64) -> String {
     if value == 0.0 {
         return "0".to_string();
@@ -73,7 +74,7 @@
     format!("{} {unit}", format_number(value)).trim_end().to_string()
 }
 
-/// How a value is known, in a word of the legend.
+/// Symbol of a confidence level, as explained in the legend of the page.
 fn confidence_symbol(confidence: Confidence) -> &'static str {
     match confidence {
         Confidence::Target => "t",
@@ -99,7 +100,7 @@
     text
 }
 
-/// A bar would end the cell.
+/// A vertical bar or a line break would end the cell.
 fn escape_cell(text: &str) -> String {
     text.replace('|', "/").replace('\n', " ")
 }
--- a/crates/capacity/tests/command.rs
+++ b/crates/capacity/tests/command.rs
@@ -1,4 +1,4 @@
-//! The program: writes the page, and refuses bad figures with one message and without a change.
+//! The command writes the page, and rejects invalid figures with one message and without changing the page.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -8,7 +8,7 @@
 const PAGE: &str = "# Page\n\n<!-- table: roles -->\n<!-- end -->\n<!-- table: failures -->\n<!-- end -->\n\
     <!-- table: next -->\n<!-- end -->\n<!-- table: slopes -->\n<!-- end -->\nthe author's\n";
 
-/// A folder of the test's own with a file of figures and a page.
+/// A folder for one test, with a file of figures and a page.
 fn folder(name: &str, figures: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     fs::create_dir_all(folder.join("docs/capacity")).unwrap();
--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -1,4 +1,4 @@
-//! The page says what the file's arithmetic comes to, and the file is held to what it must say.
+//! The page matches the evaluation of the file, and invalid files are rejected.
 
 use std::fs;
 use std::path::PathBuf;
@@ -20,13 +20,13 @@
         .unwrap_or_else(|faults| panic!("{faults:#?}"))
 }
 
-/// A page with nothing but its tables.
+/// A page that consists of its tables only.
 fn tables(figures: &Figures) -> String {
     let empty: String = TABLES.iter().map(|(name, _)| format!("<!-- table: {name} -->\n{END}\n")).collect();
     render(&empty, figures).unwrap()
 }
 
-/// What stands before the table of the slopes themselves.
+/// Everything before the table of slopes.
 fn without_slopes(figures: &Figures) -> String {
     let tables = tables(figures);
     tables.split("<!-- table: slopes -->").next().unwrap().to_string()
@@ -70,7 +70,7 @@
             assert_ne!(before, without_slopes(&other), "{name}");
         }
     }
-    assert!(changed > 0, "no cell hangs on a measured slope");
+    assert!(changed > 0, "no cell depends on a measured slope");
 }
 
 #[test]
@@ -188,7 +188,7 @@
     let evaluation = Evaluation::new(&figures);
     let expected = [
         (Some(2005.0), Confidence::Measured),
-        // 2,000 is twenty times the largest size that was run.
+        // 2,000 is twenty times the largest measured size.
         (Some(12_000_000.0), Confidence::Extrapolated),
         (Some(30_206.0), Confidence::Inferred),
         (None, Confidence::NotRun),
@@ -234,7 +234,7 @@
     let mut figures = small(SMALL);
     figures.cell[5].stops = Some(Formula::Number(0.125));
     figures.cell[5].next = "more room".into();
-    // A mechanism that reaches nothing is one all the same.
+    // A mechanism that reaches nothing still counts as a mechanism.
     figures.cell[2].stops = Some(Formula::Number(0.0));
     figures.cell[2].next = "faster".into();
     let evaluation = Evaluation::new(&figures);
@@ -244,7 +244,7 @@
     assert_eq!(order[..2], [("ledger", true), ("a machine", true)], "{order:?}");
     assert!(order[2..].iter().all(|short| !short.1), "{order:?}");
     assert_eq!(parts, [0.0, 0.0, 0.0, 0.125, 500.0 / 2005.0, 0.25]);
-    // Said by another cell of the role: once is enough.
+    // If another cell of the role says what is to be done, it is listed once only.
     figures.cell[2].next = String::new();
     let shortfalls = Evaluation::new(&figures).shortfalls;
     assert_eq!(
@@ -309,8 +309,8 @@
 #[test]
 fn formulas_without_a_value_are_faults() {
     for (formula, message) in [
-        ("{ over = [1, { sum = [0] }] }", "divides by 0"),
-        ("{ sum = [] }", "has no parts"),
+        ("{ over = [1, { sum = [0] }] }", "division by zero"),
+        ("{ sum = [] }", "a sum or product needs terms"),
         ("\"size\"", "inferred slope only"),
         ("\"nobody\"", "no figure \"nobody\""),
         ("{ slope = \"near\" }", "expected a number"),
@@ -348,7 +348,7 @@
         ("given.json#lists", "has no entry"),
         ("given.json#other", "missing field"),
         ("gone.json#list", "is not there"),
-        ("../given.json#list", "is no name of a JSON file"),
+        ("../given.json#list", "is not the name of a JSON file"),
         ("given.json", "FILE#ENTRY"),
     ] {
         let found = Figures::read(&from(place), &sources).unwrap_err();
@@ -359,10 +359,10 @@
     }
     let twice = SMALL.replace(own, &format!("from = \"given.json#list\"\n{own}"));
     let found = Figures::read(&twice, &sources).unwrap_err();
-    assert!(found.iter().any(|f| f.message.contains("take command, sizes and fit out")), "{found:#?}");
+    assert!(found.iter().any(|f| f.message.contains("remove command, sizes and fit here")), "{found:#?}");
 }
 
-/// A file as the bench of slopes writes it: two programs beside each other.
+/// A file as written by the slopes bench, with entries of two programs.
 const BENCH: &str = r#"{"machine": {"cores": 8, "load_at_start": 3.5}, "slopes": [
     {"name": "near", "binary": "old", "size_unit": "messages", "unit": "B", "command": "run both",
      "points": [{"size": 10.0, "value": 25.0, "load": 2.0}, {"size": 1000.0, "value": 2005.0, "load": 30.5,
@@ -395,12 +395,12 @@
     assert_eq!((slope.loads, &slope.stopped_by[..]), (Some([2.0, 30.5]), "time"));
     assert_eq!(Evaluation::new(&old).cells[0].estimate.as_ref().unwrap().value, Some(2005.0));
     assert!(tables(&old).contains("10 to 1,000 messages; time; load 2 to 30.5"), "{}", tables(&old));
-    // A power law's scale is its value at size 1.
+    // The scale of a power law is its value at size 1.
     let new = read_bench(BENCH, "bench.json#near@new").unwrap();
     let evaluation = Evaluation::new(&new);
     let estimate = evaluation.cells[0].estimate.as_ref().unwrap();
     assert_eq!((estimate.value, estimate.confidence), (Some(3000.0), Confidence::Inferred));
-    // An only one needs no program's name.
+    // A unique entry needs no name of a program.
     let alone =
         BENCH.replace("\"name\": \"near\", \"binary\": \"new\"", "\"name\": \"far\", \"binary\": \"new\"");
     assert_eq!(read_bench(&alone, "bench.json#near").unwrap().slope["near"].sizes, Some([10.0, 1000.0]));
@@ -408,7 +408,7 @@
 
 #[test]
 fn a_measured_size_has_its_measured_value_and_no_other_size_has() {
-    // Off the fit, and twice at one size: their mean.
+    // Values off the fit, two of them at one size, which give their mean.
     let twice = BENCH.replace(
         "\"seen\": \"nothing\"}]",
         "\"seen\": \"nothing\"}, {\"size\": 1000.0, \"value\": 4005.0, \"load\": 1.0}]",
@@ -459,7 +459,7 @@
             "{message}: {found:#?}"
         );
     }
-    // A fault of one entry is none of the others.
+    // A fault in one entry does not affect the others.
     let other = BENCH.replace("\"scale\": 3.0, ", "");
     assert!(read_bench(&other, "bench.json#near@old").is_ok());
     assert!(read_bench(&other, "bench.json#near@new").is_err());
