--- a/crates/capacity/benches/turn.rs
+++ b/crates/capacity/benches/turn.rs
@@ -29,7 +29,7 @@
 /// Maximum duration of each measuring phase of one size.
 const MAX_DURATION: Duration = Duration::from_secs(3);
 
-fn settings(room: usize) -> Settings {
+fn settings(max_mails: usize) -> Settings {
     let class = QueueClass {
         effect: Effect::Redeliverable,
         dedup_by_zone: false,
@@ -44,7 +44,7 @@
         seed: 1,
         couriers: 1,
         slots: 64,
-        max_mails: room,
+        max_mails,
         // Mails that cannot be delivered stay held: no connect is the last one.
         max_connects: 1_000_000_000,
         timer_resolution: TURN_INTERVAL,
@@ -80,7 +80,7 @@
 }
 
 impl Simulation {
-    fn new(destinations: usize, down: usize, room: usize) -> Simulation {
+    fn new(destinations: usize, down: usize, max_mails: usize) -> Simulation {
         let listed = |destination| {
             Input::ListEntry(ListEntry {
                 endpoint: destination,
@@ -96,7 +96,7 @@
             .chain([Input::ListEnd])
             .collect();
         Simulation {
-            control: Control::new(settings(room)),
+            control: Control::new(settings(max_mails)),
             down,
             now: SECOND,
             next_mail: 0,
@@ -162,7 +162,7 @@
     /// up.
     fn measure(&mut self, destinations: usize) -> Result<(f64, String), String> {
         let mut rng = Rng::with_seed(destinations as u64);
-        let mut turns = |simulation: &mut Simulation, limit: usize| {
+        let mut run_turns = |simulation: &mut Simulation, limit: usize| {
             let (start, mut count) = (Instant::now(), 0);
             while count < limit && start.elapsed() < MAX_DURATION {
                 (0..ARRIVALS_PER_TURN)
@@ -172,19 +172,19 @@
             }
             count
         };
-        turns(self, WARM_UP_TURNS);
+        run_turns(self, WARM_UP_TURNS);
         let (before, relayed, unreached) = (thread_cpu_seconds()?, self.relayed, self.unreached);
-        let count = turns(self, MEASURED_TURNS);
+        let count = run_turns(self, MEASURED_TURNS);
         let used = thread_cpu_seconds()? - before;
         let (relayed, unreached) = (self.relayed - relayed, self.unreached - unreached);
         if relayed == 0 {
             return Err("no mail was relayed".to_string());
         }
-        let message = format!(
+        let summary = format!(
             "{count} turns, {relayed} delivered, {unreached} attempts refused, {} given up",
             self.given_up
         );
-        Ok((used * 1e6 / count as f64, message))
+        Ok((used * 1e6 / count as f64, summary))
     }
 }
 
@@ -206,7 +206,7 @@
     let destinations = DESTINATIONS[DESTINATIONS.len() - 1];
     let down = (destinations as f64 * DOWN_SHARE) as usize;
     let mut simulation = Simulation::new(destinations, down, 2 * mails + 10_000);
-    (0..mails).for_each(|message| simulation.accept(message % down));
+    (0..mails).for_each(|mail| simulation.accept(mail % down));
     simulation.measure(destinations)
 }
 
--- a/crates/capacity/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -91,8 +91,8 @@
     if estimate.confidence == Confidence::Extrapolated {
         let _ = write!(text, " ({} x the largest run)", format_number(estimate.extrapolation));
     }
-    for of in &estimate.revisions {
-        text += match of {
+    for revision in &estimate.revisions {
+        text += match revision {
             Revision::Before => ", before",
             Revision::After => ", after",
         };
@@ -137,15 +137,16 @@
         }
         for (column, heading) in COLUMNS {
             let cells = evaluation.figures.cell.iter().zip(&evaluation.cells);
-            let mut own = cells.filter(|(of, _)| of.role == role.name && of.column == Some(column));
-            let Some((of, EvaluatedCell { estimate: at, budget, remaining, reached })) = own.next() else {
+            let mut matching =
+                cells.filter(|(cell, _)| cell.role == role.name && cell.column == Some(column));
+            let Some((cell, EvaluatedCell { estimate, budget, remaining, reached })) = matching.next() else {
                 continue;
             };
             let what =
-                if of.what.is_empty() { heading.to_string() } else { format!("{heading}: {}", of.what) };
-            let value = match at {
+                if cell.what.is_empty() { heading.to_string() } else { format!("{heading}: {}", cell.what) };
+            let value = match estimate {
                 None => "none".to_string(),
-                Some(Estimate { value: Some(value), .. }) => format_with_unit(*value, &of.unit),
+                Some(Estimate { value: Some(value), .. }) => format_with_unit(*value, &cell.unit),
                 Some(Estimate { confidence: Confidence::NoFit, .. }) => "no fit holds".to_string(),
                 Some(_) => "not run".to_string(),
             };
@@ -154,10 +155,10 @@
                 "| {} | {} | {value} | {} | {} | {} | {} |",
                 role.name,
                 escape_cell(&what),
-                at.as_ref().map_or(String::new(), confidence_text),
-                budget.map_or(String::new(), |budget| format_with_unit(budget, &of.unit)),
+                estimate.as_ref().map_or(String::new(), confidence_text),
+                budget.map_or(String::new(), |budget| format_with_unit(budget, &cell.unit)),
                 format_share(*remaining),
-                carried_by_text(&of.carried_by, *reached),
+                carried_by_text(&cell.carried_by, *reached),
             );
         }
     }
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -465,7 +465,7 @@
     }
 
     /// Marks the complete state for publication, for a consumer that has lost earlier updates.
-    pub fn mark_all_pending(&mut self) {
+    pub fn mark_all_unpublished(&mut self) {
         for (unpublished, member) in self.unpublished.iter_mut().zip(self.view.others()) {
             // A member that has never been heard of has nothing to publish.
             if *unpublished == Change::Unchanged && member.state != MemberState::Unknown {
--- a/crates/fleet/src/thread.rs
+++ b/crates/fleet/src/thread.rs
@@ -130,9 +130,9 @@
     let mut events = Events::with_capacity(8);
     // One byte more than allowed, to tell a truncated datagram from one that just fits.
     let mut buffer = [0; wire::MAX_DATAGRAM_BYTES + 1];
-    let mut unread = false;
+    let mut more_to_read = false;
     loop {
-        let wait = if unread { 0 } else { node.next_deadline().saturating_sub(now()) };
+        let wait = if more_to_read { 0 } else { node.next_deadline().saturating_sub(now()) };
         let wait = Duration::from_micros(wait * 100);
         if poll.poll(&mut events, Some(wait)).is_err() {
             // Interrupted by a signal; guards against a busy loop in case of any other error.
@@ -140,13 +140,13 @@
         }
         // Datagrams are read before timers are handled: after a pause of the process the replies to probes
         // are still in the socket buffer.
-        unread = true;
+        more_to_read = true;
         for _ in 0..MAX_READS_PER_TURN {
             match socket.recv_from(&mut buffer) {
                 Ok((length, SocketAddr::V4(from))) => node.receive(now(), from, &buffer[..length], &mut send),
                 Ok(_) => {}
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                    unread = false;
+                    more_to_read = false;
                     break;
                 }
                 // An ICMP error for an earlier datagram that did not reach its recipient.
@@ -158,14 +158,14 @@
         while let Ok(command) = commands.pop() {
             match command {
                 Command::Leave => leave = true,
-                Command::ResendAll => node.mark_all_pending(),
+                Command::ResendAll => node.mark_all_unpublished(),
             }
         }
         let mut published = false;
         node.publish(&mut |update| {
-            let put = updates.push(update).is_ok();
-            published |= put;
-            put
+            let pushed = updates.push(update).is_ok();
+            published |= pushed;
+            pushed
         });
         if leave {
             node.leave(now(), &mut send);
