--- a/crates/capacity/benches/turn.rs
+++ b/crates/capacity/benches/turn.rs
@@ -1,7 +1,7 @@
-//! What one turn of the decisions costs in processor time, by the destinations that are known and by the
-//! messages that are held: `cargo bench -p meadowhold-capacity --bench turn -- --out FILE.json`. The decisions
-//! alone, in simulated time, without sockets, journal or doors; Cargo runs it in crates/capacity: paths begin
-//! there.
+//! Processor time of one turn of the decisions, by the number of known destinations and by the number of
+//! mails held: `cargo bench -p meadowhold-capacity --bench turn -- --out FILE.json`. Measures the decisions
+//! alone, in simulated time, without sockets, journal or clients. Cargo runs the bench in crates/capacity,
+//! and relative paths start there.
 #![forbid(unsafe_code)]
 
 use std::path::PathBuf;
@@ -18,18 +18,18 @@
 use serde_json::json;
 
 const DESTINATIONS: [usize; 6] = [100, 1_000, 8_000, 30_000, 100_000, 300_000];
-const HELD: [usize; 4] = [1_000, 3_000, 10_000, 30_000];
-/// From one turn to the next, and what comes in at each: 400 messages a second.
-const STEP: Time = 50;
-const COMING: usize = 2;
-/// Of the destinations, as many are down as of the target's.
-const DOWN: f64 = 0.023;
-const WARM: usize = 400;
-const TURNS: usize = 4_000;
-/// A size is looked at no longer.
-const LONGEST: Duration = Duration::from_secs(3);
+const HELD_MAILS: [usize; 4] = [1_000, 3_000, 10_000, 30_000];
+/// Time between turns and mails accepted per turn: 400 mails a second.
+const TURN_INTERVAL: Time = 50;
+const ARRIVALS_PER_TURN: usize = 2;
+/// Share of destinations that are down, as in the target.
+const DOWN_SHARE: f64 = 0.023;
+const WARM_UP_TURNS: usize = 400;
+const MEASURED_TURNS: usize = 4_000;
+/// Maximum duration of each measuring phase of one size.
+const MAX_DURATION: Duration = Duration::from_secs(3);
 
-fn settings(room: usize) -> Settings {
+fn settings(max_mails: usize) -> Settings {
     let class = QueueClass {
         effect: Effect::Redeliverable,
         dedup_by_zone: false,
@@ -44,10 +44,10 @@
         seed: 1,
         couriers: 1,
         slots: 64,
-        max_mails: room,
-        // What cannot be delivered stays held: no attempt is the last one.
+        max_mails,
+        // Mails that cannot be delivered stay held: no connect is the last one.
         max_connects: 1_000_000_000,
-        timer_resolution: STEP,
+        timer_resolution: TURN_INTERVAL,
         connection_timeout: SECOND,
         idle_timeout: 5 * SECOND,
         cold_capacity: 0.25,
@@ -62,28 +62,29 @@
     }
 }
 
-/// The decisions among endpoints that answer in the next turn; those of the first `down` destinations refuse.
-struct World {
+/// The decisions with simulated endpoints that answer by the next turn; the first `down` destinations are
+/// unreachable.
+struct Simulation {
     control: Control,
     down: usize,
     now: Time,
-    next: usize,
-    free: Vec<usize>,
-    /// Of the messages by their indices: their destinations.
-    of: Vec<usize>,
+    next_mail: usize,
+    free_mails: Vec<usize>,
+    /// The destination of each mail, by mail index.
+    destination_of: Vec<usize>,
     inputs: Vec<Input>,
     actions: Vec<Action>,
-    delivered: usize,
-    refused: usize,
+    relayed: usize,
+    unreached: usize,
     given_up: usize,
 }
 
-impl World {
-    fn new(destinations: usize, down: usize, room: usize) -> World {
-        let listed = |dest| {
+impl Simulation {
+    fn new(destinations: usize, down: usize, max_mails: usize) -> Simulation {
+        let listed = |destination| {
             Input::ListEntry(ListEntry {
-                endpoint: dest,
-                destination: dest,
+                endpoint: destination,
+                destination,
                 zone: 0,
                 kind: 0,
                 status: EndpointStatus::Ready,
@@ -94,34 +95,34 @@
             .chain((0..destinations).map(listed))
             .chain([Input::ListEnd])
             .collect();
-        World {
-            control: Control::new(settings(room)),
+        Simulation {
+            control: Control::new(settings(max_mails)),
             down,
             now: SECOND,
-            next: 0,
-            free: Vec::new(),
-            of: Vec::new(),
+            next_mail: 0,
+            free_mails: Vec::new(),
+            destination_of: Vec::new(),
             inputs,
             actions: Vec::new(),
-            delivered: 0,
-            refused: 0,
+            relayed: 0,
+            unreached: 0,
             given_up: 0,
         }
     }
 
-    fn take(&mut self, dest: usize) {
-        let mail = self.free.pop().unwrap_or_else(|| {
-            self.next += 1;
-            self.of.push(0);
-            self.next - 1
+    fn accept(&mut self, destination: usize) {
+        let mail = self.free_mails.pop().unwrap_or_else(|| {
+            self.next_mail += 1;
+            self.destination_of.push(0);
+            self.next_mail - 1
         });
-        self.of[mail] = dest;
-        let (since, due) = (self.now, self.now + 86_400 * SECOND);
+        self.destination_of[mail] = destination;
+        let (submitted_at, deadline) = (self.now, self.now + 86_400 * SECOND);
         self.inputs.push(Input::AcceptedMail(AcceptedMail {
             mail,
-            destination: dest,
-            submitted_at: since,
-            deadline: due,
+            destination,
+            submitted_at,
+            deadline,
             ..AcceptedMail::default()
         }));
     }
@@ -129,98 +130,103 @@
     fn turn(&mut self) {
         let inputs = std::mem::take(&mut self.inputs);
         self.control.step(self.now, &inputs, &mut self.actions);
-        self.now += STEP;
+        self.now += TURN_INTERVAL;
         for action in std::mem::take(&mut self.actions) {
             match action {
                 Action::Connect { mail, .. } => {
-                    let refuses = self.of[mail] < self.down;
-                    let (outcome, over) =
-                        if refuses { (Outcome::Unreached, false) } else { (Outcome::Relayed, true) };
-                    self.delivered += usize::from(over);
-                    self.refused += usize::from(refuses);
-                    let (wait, took, kept, report) = (0, STEP, false, None);
+                    let is_down = self.destination_of[mail] < self.down;
+                    let (outcome, finished) =
+                        if is_down { (Outcome::Unreached, false) } else { (Outcome::Relayed, true) };
+                    self.relayed += usize::from(finished);
+                    self.unreached += usize::from(is_down);
+                    let (retry_after, duration, reused_connection, limit_report) =
+                        (0, TURN_INTERVAL, false, None);
                     self.inputs.push(Input::ConnectResult(ConnectResult {
                         mail,
                         outcome,
-                        finished: over,
-                        retry_after: wait,
-                        duration: took,
-                        reused_connection: kept,
-                        limit_report: report,
+                        finished,
+                        retry_after,
+                        duration,
+                        reused_connection,
+                        limit_report,
                     }));
                 }
                 Action::Defer { .. } | Action::Bounce { .. } => self.given_up += 1,
-                Action::FreeMail(mail) => self.free.push(mail),
+                Action::FreeMail(mail) => self.free_mails.push(mail),
                 _ => {}
             }
         }
     }
 
-    /// Processor time of a turn, in microseconds, over many of them with messages for what is up.
-    fn look(&mut self, destinations: usize) -> Result<(f64, String), String> {
-        let mut chance = Rng::with_seed(destinations as u64);
-        let mut turns = |world: &mut World, most: usize| {
+    /// Mean processor time of a turn in microseconds, over many turns with mails for destinations that are
+    /// up.
+    fn measure(&mut self, destinations: usize) -> Result<(f64, String), String> {
+        let mut rng = Rng::with_seed(destinations as u64);
+        let mut run_turns = |simulation: &mut Simulation, limit: usize| {
             let (start, mut count) = (Instant::now(), 0);
-            while count < most && start.elapsed() < LONGEST {
-                (0..COMING).for_each(|_| world.take(chance.usize(world.down..destinations)));
-                world.turn();
+            while count < limit && start.elapsed() < MAX_DURATION {
+                (0..ARRIVALS_PER_TURN)
+                    .for_each(|_| simulation.accept(rng.usize(simulation.down..destinations)));
+                simulation.turn();
                 count += 1;
             }
             count
         };
-        turns(self, WARM);
-        let (before, delivered, refused) = (ran()?, self.delivered, self.refused);
-        let count = turns(self, TURNS);
-        let used = ran()? - before;
-        let (delivered, refused) = (self.delivered - delivered, self.refused - refused);
-        if delivered == 0 {
-            return Err("nothing was delivered".to_string());
+        run_turns(self, WARM_UP_TURNS);
+        let (before, relayed, unreached) = (thread_cpu_seconds()?, self.relayed, self.unreached);
+        let count = run_turns(self, MEASURED_TURNS);
+        let used = thread_cpu_seconds()? - before;
+        let (relayed, unreached) = (self.relayed - relayed, self.unreached - unreached);
+        if relayed == 0 {
+            return Err("no mail was relayed".to_string());
         }
-        let words = format!(
-            "{count} turns, {delivered} delivered, {refused} attempts refused, {} given up",
+        let summary = format!(
+            "{count} turns, {relayed} delivered, {unreached} attempts refused, {} given up",
             self.given_up
         );
-        Ok((used * 1e6 / count as f64, words))
+        Ok((used * 1e6 / count as f64, summary))
     }
 }
 
-/// Seconds that this thread has been on a processor.
-fn ran() -> Result<f64, String> {
+/// Processor time of this thread in seconds.
+fn thread_cpu_seconds() -> Result<f64, String> {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").map_err(|e| e.to_string())?;
     let first = text.split_whitespace().next().and_then(|nanoseconds| nanoseconds.parse::<f64>().ok());
-    first.map(|nanoseconds| nanoseconds / 1e9).ok_or_else(|| "no processor time is told".to_string())
+    first
+        .map(|nanoseconds| nanoseconds / 1e9)
+        .ok_or_else(|| "/proc/thread-self/schedstat has no processor time".to_string())
 }
 
 fn by_destinations(destinations: usize) -> Result<(f64, String), String> {
-    World::new(destinations, 0, 10_000).look(destinations)
+    Simulation::new(destinations, 0, 10_000).measure(destinations)
 }
 
-/// So many messages held for 2.3 hundredths of all destinations of the target.
-fn by_held(held: usize) -> Result<(f64, String), String> {
+/// Holds this many mails for the 2.3% of all destinations that are down.
+fn by_held_mails(mails: usize) -> Result<(f64, String), String> {
     let destinations = DESTINATIONS[DESTINATIONS.len() - 1];
-    let down = (destinations as f64 * DOWN) as usize;
-    let mut world = World::new(destinations, down, 2 * held + 10_000);
-    (0..held).for_each(|message| world.take(message % down));
-    world.look(destinations)
+    let down = (destinations as f64 * DOWN_SHARE) as usize;
+    let mut simulation = Simulation::new(destinations, down, 2 * mails + 10_000);
+    (0..mails).for_each(|mail| simulation.accept(mail % down));
+    simulation.measure(destinations)
 }
 
 type Measure = fn(usize) -> Result<(f64, String), String>;
 
 const SLOPES: [(&str, &str, &[usize], Measure); 2] = [
     ("turn", "destinations", &DESTINATIONS, by_destinations),
-    ("turn-held", "messages held", &HELD, by_held),
+    ("turn-held", "messages held", &HELD_MAILS, by_held_mails),
 ];
 
 fn run() -> Result<(), String> {
     let mut arguments = pico_args::Arguments::from_env();
-    // Guards against a minute of load where benches are only tried, as by `cargo test --all-targets`.
+    // Guards against a minute of load when benches are only checked, as by `cargo test --all-targets`.
     if !arguments.contains("--bench") {
         println!("turn: run by cargo bench");
         return Ok(());
     }
     let out: Option<PathBuf> = arguments.opt_value_from_str("--out").map_err(|e| e.to_string())?;
     if let Some(rest) = arguments.finish().first() {
-        return Err(format!("what is {}?", rest.to_string_lossy()));
+        return Err(format!("unexpected argument: {}", rest.to_string_lossy()));
     }
     let cores = std::thread::available_parallelism().map_or(0, usize::from);
     let machine = json!({"cores": cores, "load_at_start": load_average()});
@@ -229,9 +235,9 @@
     for (name, of, sizes, measure) in SLOPES {
         let mut rows = Vec::new();
         for &size in sizes {
-            let (value, seen) = measure(size)?;
-            eprintln!("{name} at {size}: {value} us, {seen}");
-            rows.push(Row::new(size, value, seen));
+            let (value, summary) = measure(size)?;
+            eprintln!("{name} at {size}: {value} us, {summary}");
+            rows.push(Row::new(size, value, summary));
         }
         let unit = "us of processor a turn, two messages coming in at each";
         let slope = Slope::new((name, "linked"), (of, unit), command, rows, "the bench's largest size");
@@ -249,8 +255,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(words) => {
-            eprintln!("turn: {words}");
+        Err(message) => {
+            eprintln!("turn: {message}");
             ExitCode::FAILURE
         }
     }
--- a/crates/courier/src/members.rs
+++ b/crates/courier/src/members.rs
@@ -8,9 +8,9 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
-use meadowhold_fleet::node::{Fact, Setup};
-use meadowhold_fleet::thread::{self, End, Handle, Wish};
-use meadowhold_fleet::view::{self, Member, News, View};
+use meadowhold_fleet::node::{Setup, Update};
+use meadowhold_fleet::thread::{self, Command, Exit, Handle};
+use meadowhold_fleet::view::{self, Change, Member, View};
 use serde::Deserialize;
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
@@ -80,7 +80,7 @@
     // The seed need not be secret, only different from that of other couriers: from the clock and the address.
     let seed = clock.as_nanos() as u64 ^ u64::from(listen.ip().to_bits()).rotate_left(32);
     let start = clock.as_millis() as u64;
-    let setup = Setup { name: view::name(&name), at: listen, others, start, seed };
+    let setup = Setup { name: view::truncate_name(&name), at: listen, others, start, seed };
     let wake = Arc::new(Notify::new());
     let notify = wake.clone();
     let handle = thread::start(setup, move || notify.notify_one());
@@ -102,7 +102,7 @@
             self.wake.notified().await;
             self.process_events();
             // The thread sends its last wake-up just before it ends, so its end has to be polled for.
-            while self.handle.borrow().closing() && !self.ended.get() {
+            while self.handle.borrow().is_closing() && !self.ended.get() {
                 sleep(POLL_INTERVAL).await;
                 self.process_events();
             }
@@ -112,27 +112,27 @@
     fn process_events(&self) {
         let mut handle = self.handle.borrow_mut();
         let now = (handle.start.elapsed().as_micros() / 100) as meadowhold_fleet::Time;
-        while let Some(fact) = handle.fact() {
-            match fact {
-                Fact::Member(member, news) => {
-                    handle.view.put(now, &member);
-                    log(&member, news);
+        while let Some(update) = handle.next_update() {
+            match update {
+                Update::Member(member, change) => {
+                    handle.view.replace_member(now, &member);
+                    log(&member, change);
                 }
-                Fact::Part { cut_off, tally, .. } => {
-                    let (up, named) = (tally.up(), tally.named());
+                Update::Partition { cut_off, tally, .. } => {
+                    let (up, named) = (tally.up(), tally.configured());
                     match cut_off {
                         // At the start nothing has been heard of any other member yet.
-                        true if tally.unheard + 1 == named => {}
+                        true if tally.unknown + 1 == named => {}
                         true => log::warn!("cut off from the other couriers: {up} of {named} are up"),
                         false => log::info!("joined with the other couriers: {up} of {named} are up"),
                     }
                 }
             }
         }
-        match handle.end() {
+        match handle.try_join() {
             None => {}
-            Some(Some(End { counts, fault })) => {
-                log::info!("membership has ended: {counts:?}, {} requests lost", handle.lost);
+            Some(Some(Exit { counts, fault })) => {
+                log::info!("membership has ended: {counts:?}, {} requests lost", handle.lost_commands);
                 if let Some(fault) = fault {
                     log::error!("membership: {fault}");
                 }
@@ -147,7 +147,7 @@
 
     /// Tells the other couriers that this one leaves, and waits for the thread to end, up to `LEAVE_TIMEOUT`.
     pub async fn leave(&self) {
-        self.handle.borrow_mut().wish(Wish::Leave);
+        self.handle.borrow_mut().send_command(Command::Leave);
         let ended = async {
             while !self.ended.get() {
                 self.process_events();
@@ -160,15 +160,15 @@
     }
 }
 
-fn log(member: &Member, news: News) {
+fn log(member: &Member, change: Change) {
     let (name, at) = (member.name, member.at);
-    match news {
-        News::Up => log::info!("member {name} at {at} is up"),
-        News::Back => log::info!("member {name} at {at} is back"),
-        News::Restarted => log::info!("member {name} at {at} has restarted"),
-        News::Down => log::info!("member {name} at {at} is down"),
-        News::Suspected => log::debug!("member {name} at {at} is suspected to be down"),
-        News::Cleared => log::debug!("member {name} at {at} is no longer suspected"),
-        News::Nothing => {}
+    match change {
+        Change::Up => log::info!("member {name} at {at} is up"),
+        Change::Recovered => log::info!("member {name} at {at} is back"),
+        Change::Restarted => log::info!("member {name} at {at} has restarted"),
+        Change::Down => log::info!("member {name} at {at} is down"),
+        Change::Suspected => log::debug!("member {name} at {at} is suspected to be down"),
+        Change::Cleared => log::debug!("member {name} at {at} is no longer suspected"),
+        Change::Unchanged => {}
     }
 }
