--- a/crates/rig/src/client.rs
+++ b/crates/rig/src/client.rs
@@ -9,15 +9,15 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-use crate::record::{Hand, Heard, Record, Seen};
+use crate::record::{ClientAnswer, HandIn, Observation, Record};
 use crate::schedule::{Class, Mail};
 
 /// A client waits so long for an answer, and then closes its connection.
-const PATIENCE: Duration = Duration::from_millis(400);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 /// It comes again so long after a refusal that names no time, or when nobody could be reached.
-const AGAIN: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Connections to a courier whose link is silent never come up.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A request of the protocol: words of any bytes.
 pub fn request(words: &[&[u8]]) -> Vec<u8> {
@@ -34,7 +34,7 @@
 pub struct Pool {
     courier: SocketAddr,
     spare: usize,
-    open: VecDeque<Open>,
+    open: VecDeque<Connection>,
 }
 
 impl Pool {
@@ -43,7 +43,7 @@
     }
 
     /// An open connection, of those that are there or a new one; `None`: the courier cannot be reached.
-    async fn take(&mut self) -> Option<Open> {
+    async fn take(&mut self) -> Option<Connection> {
         // Those that were closed between requests are dropped.
         self.open.retain(is_open);
         while self.open.len() < self.spare {
@@ -58,15 +58,15 @@
         }
     }
 
-    async fn connect(&self) -> Option<Open> {
-        let open = timeout(CONNECT, TcpStream::connect(self.courier)).await.ok()?.ok()?;
+    async fn connect(&self) -> Option<Connection> {
+        let open = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.courier)).await.ok()?.ok()?;
         let _ = open.set_nodelay(true);
         Some(BufReader::new(open))
     }
 }
 
 /// Whether nothing has come, and its end has not either.
-fn is_open(open: &Open) -> bool {
+fn is_open(open: &Connection) -> bool {
     let mut byte = [0];
     matches!(open.get_ref().try_read(&mut byte), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock)
 }
@@ -87,72 +87,74 @@
         loop {
             let now = Instant::now();
             if now >= end {
-                record.add(Seen::NeverOffered { mail: number });
+                record.add(Observation::NeverOffered { mail: number });
                 break;
             }
             let Some(open) = pool.take().await else {
-                sleep(AGAIN).await;
+                sleep(RETRY_DELAY).await;
                 continue;
             };
-            let hand = Hand { mail: number, attempt };
-            let (heard, wait, kept) = put(open, hand, &mail, end - now, &body).await;
-            pool.open.extend(kept);
-            record.add(Seen::Answered { hand, courier: mail.courier, heard });
+            let hand = HandIn { mail: number, attempt };
+            let (answer, wait, reusable) = put(open, hand, &mail, end - now, &body).await;
+            pool.open.extend(reusable);
+            record.add(Observation::Answered { hand, courier: mail.courier, answer });
             attempt += 1;
-            match heard {
+            match answer {
                 // What was not heard counts for nothing, and is not handed in again here: whether it ran is
                 // the first hand-in's matter.
-                Heard::Taken | Heard::Failed | Heard::Nothing | Heard::Closed => break,
-                Heard::Busy => sleep(wait.unwrap_or(AGAIN)).await,
+                ClientAnswer::Taken | ClientAnswer::Failed | ClientAnswer::None | ClientAnswer::Closed => {
+                    break
+                }
+                ClientAnswer::Busy => sleep(wait.unwrap_or(RETRY_DELAY)).await,
             }
         }
     }
 }
 
-type Open = BufReader<TcpStream>;
+type Connection = BufReader<TcpStream>;
 
 async fn put(
-    mut open: Open,
-    hand: Hand,
+    mut open: Connection,
+    hand: HandIn,
     mail: &Mail,
     left: Duration,
     body: &[u8],
-) -> (Heard, Option<Duration>, Option<Open>) {
+) -> (ClientAnswer, Option<Duration>, Option<Connection>) {
     let key = if mail.class == Class::Tagged { format!("k={:016x},", hand.mail + 1) } else { String::new() };
     let (class, time, destination) = (mail.class.name(), left.as_millis(), mail.destination);
     let pairs = format!("c={class},t=acme,d={time},{key}dest={destination}");
     let (item, id) = (format!("{:016x}", mail.key), hand.id());
     let words = request(&[b"MSG.PUT", item.as_bytes(), id.as_bytes(), pairs.as_bytes(), body]);
     let mut line = String::new();
-    let asked = async {
+    let exchange = async {
         if open.get_mut().write_all(&words).await.is_err() {
-            return Heard::Nothing;
+            return ClientAnswer::None;
         }
         match open.read_line(&mut line).await {
-            Ok(1..) if line.ends_with("\r\n") => Heard::Taken,
-            _ => Heard::Closed,
+            Ok(1..) if line.ends_with("\r\n") => ClientAnswer::Taken,
+            _ => ClientAnswer::Closed,
         }
     };
-    match timeout(PATIENCE, asked).await {
-        Ok(Heard::Taken) => {}
-        Ok(heard) => return (heard, None, None),
-        Err(_) => return (Heard::Nothing, None, None),
+    match timeout(ANSWER_TIMEOUT, exchange).await {
+        Ok(ClientAnswer::Taken) => {}
+        Ok(answer) => return (answer, None, None),
+        Err(_) => return (ClientAnswer::None, None, None),
     }
     let line = line.trim_end();
-    let heard = match line {
-        _ if line.starts_with('+') => Heard::Taken,
-        _ if line == "-BUSY" || line.starts_with("-BUSY ") => Heard::Busy,
-        _ => Heard::Failed,
+    let answer = match line {
+        _ if line.starts_with('+') => ClientAnswer::Taken,
+        _ if line == "-BUSY" || line.starts_with("-BUSY ") => ClientAnswer::Busy,
+        _ => ClientAnswer::Failed,
     };
     let wait = line.strip_prefix("-BUSY ").and_then(|ms| ms.parse().ok()).map(Duration::from_millis);
-    (heard, wait, Some(open))
+    (answer, wait, Some(open))
 }
 
 /// One call to an endpoint from a courier's address, as the courier makes it.
 ///
 /// # Errors
 /// Where the endpoint cannot be reached.
-pub async fn call(from: IpAddr, to: SocketAddr, hand: Hand) -> std::io::Result<()> {
+pub async fn call(from: IpAddr, to: SocketAddr, hand: HandIn) -> std::io::Result<()> {
     let socket = TcpSocket::new_v4()?;
     socket.bind((from, 0).into())?;
     let mut open = socket.connect(to).await?;
@@ -166,22 +168,22 @@
 /// Connects, asks nothing, and stays until it is closed; then comes again. Ends with the task that runs it.
 pub async fn stay_idle(courier: SocketAddr) {
     loop {
-        if let Ok(Ok(mut open)) = timeout(CONNECT, TcpStream::connect(courier)).await {
+        if let Ok(Ok(mut open)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(courier)).await {
             let mut nothing = [0; 16];
             let _ = open.read(&mut nothing).await;
         }
-        sleep(AGAIN).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
 /// Whether a courier answers `PING`, asked once.
 pub async fn is_ready(courier: SocketAddr) -> bool {
-    let asked = async {
+    let exchange = async {
         let mut open = BufReader::new(TcpStream::connect(courier).await?);
         open.get_mut().write_all(&request(&[b"PING"])).await?;
         let mut line = String::new();
         open.read_line(&mut line).await?;
         Ok::<_, std::io::Error>(line == "+PONG\r\n")
     };
-    matches!(timeout(CONNECT, asked).await, Ok(Ok(true)))
+    matches!(timeout(CONNECT_TIMEOUT, exchange).await, Ok(Ok(true)))
 }
--- a/crates/rig/src/command.rs
+++ b/crates/rig/src/command.rs
@@ -54,20 +54,23 @@
             let couriers =
                 arguments.opt_value_from_str("--couriers").map_err(|e| format!("--couriers: {e}"))?;
             let file = arguments.free_from_str::<PathBuf>().map_err(|_| "name the day's file".to_string())?;
-            nothing_else(arguments.finish())?;
+            reject_extra_arguments(arguments.finish())?;
             let mut day = read(&file)?;
             day.couriers = couriers.unwrap_or(day.couriers);
             let faults = day.faults();
             if !faults.is_empty() {
-                return Err(told(&format!("{} with --couriers {}", file.display(), day.couriers), &faults));
+                return Err(fault_list(
+                    &format!("{} with --couriers {}", file.display(), day.couriers),
+                    &faults,
+                ));
             }
             let seed = seed.unwrap_or(1);
             println!("{}; seed {seed}, {} couriers", day.about, day.couriers);
             finish(&play(&day, seed)?, seed)
         }
         Some("first") => {
-            nothing_else(arguments.finish())?;
-            let day = Day::read(FIRST).map_err(|faults| told("first.toml", &faults))?;
+            reject_extra_arguments(arguments.finish())?;
+            let day = Day::read(FIRST).map_err(|faults| fault_list("first.toml", &faults))?;
             println!("{}", day.about);
             let verdict = play(&day, 1)?;
             let g = &verdict.figures;
@@ -85,13 +88,13 @@
         Some("hollow") => {
             let file =
                 arguments.free_from_str::<PathBuf>().map_err(|_| "name the couriers' file".to_string())?;
-            nothing_else(arguments.finish())?;
+            reject_extra_arguments(arguments.finish())?;
             crate::scale::hollow::main(&file)
         }
         Some("guard") => {
             let folder =
                 arguments.free_from_str::<PathBuf>().map_err(|_| "name the run's folder".to_string())?;
-            nothing_else(arguments.finish())?;
+            reject_extra_arguments(arguments.finish())?;
             crate::scale::guard::main(&folder)
         }
         Some(other) => Err(format!("no command {other}; see meadowhold-rig --help")),
@@ -116,16 +119,17 @@
     let parallel: Option<usize> =
         arguments.opt_value_from_str("--parallel").map_err(|e| format!("--parallel: {e}"))?;
     let logs: Option<PathBuf> = arguments.opt_value_from_str("--logs").map_err(|e| format!("--logs: {e}"))?;
-    nothing_else(arguments.finish())?;
+    reject_extra_arguments(arguments.finish())?;
     let soak = soak::Soak {
         seeds: seeds.unwrap_or(1..=50),
         without: Vec::new(),
         parallel: parallel.unwrap_or(SOAK_PARALLEL),
         logs: logs.unwrap_or_else(|| std::env::temp_dir().join("meadowhold-soak")),
     };
-    let binary = binary()?;
-    let plays =
-        until_called_off(async { Ok(soak::soak(&soak, &binary, |play| println!("{}", play.line())).await) })?;
+    let binary = courier_binary()?;
+    let plays = run_until_signalled(async {
+        Ok(soak::soak(&soak, &binary, |play| println!("{}", play.line())).await)
+    })?;
     println!("{}", soak::summary(&plays));
     if plays.iter().all(soak::Play::kept) {
         return Ok(());
@@ -147,7 +151,7 @@
         |text: &str| text.split(',').map(|one| one.trim().parse::<usize>()).collect::<Result<Vec<_>, _>>();
     let points = arguments.opt_value_from_fn("--points", list).map_err(|e| format!("--points: {e}"))?;
     let file = arguments.opt_free_from_str::<PathBuf>().map_err(|e| e.to_string())?;
-    nothing_else(arguments.finish())?;
+    reject_extra_arguments(arguments.finish())?;
     let (name, text) = match file {
         None => ("scale.toml".to_string(), SCALE.to_string()),
         Some(file) => {
@@ -156,7 +160,7 @@
             (name.clone(), text.map_err(|e| format!("{name} cannot be read: {e}"))?)
         }
     };
-    let day = scale::day::Day::read(&text).map_err(|faults| told(&name, &faults))?;
+    let day = scale::day::Day::read(&text).map_err(|faults| fault_list(&name, &faults))?;
     let days: Vec<scale::day::Day> = match (&points, couriers) {
         (Some(_), Some(_)) => return Err("give --couriers or --points".to_string()),
         (Some(points), None) => {
@@ -170,15 +174,15 @@
     for day in &days {
         let faults = [day.faults(), day.beyond(&machine)].concat();
         if !faults.is_empty() {
-            return Err(told(&format!("{name} with {} couriers", day.couriers), &faults));
+            return Err(fault_list(&format!("{name} with {} couriers", day.couriers), &faults));
         }
     }
     let rig = std::env::current_exe().map_err(|e| e.to_string())?;
-    let programs = scale::run::Programs { courier: binary()?, rig, folder };
+    let programs = scale::run::Programs { courier: courier_binary()?, rig, folder };
     let mut reports = Vec::new();
     for day in &days {
         println!("{}; seed {seed}, {} couriers", day.about, day.couriers);
-        let report = until_called_off(scale::run::run(day, seed, &programs, true))?;
+        let report = run_until_signalled(scale::run::run(day, seed, &programs, true))?;
         print!("{report}");
         reports.push(report);
     }
@@ -201,14 +205,14 @@
     Err(format!("a rule was broken, with seed {seed}"))
 }
 
-fn nothing_else(rest: Vec<OsString>) -> Result<(), String> {
+fn reject_extra_arguments(rest: Vec<OsString>) -> Result<(), String> {
     match rest.first() {
         Some(first) => Err(format!("what is {}? See meadowhold-rig --help", first.to_string_lossy())),
         None => Ok(()),
     }
 }
 
-fn told(file: &str, faults: &[crate::day::Fault]) -> String {
+fn fault_list(file: &str, faults: &[crate::day::Fault]) -> String {
     let lines: Vec<String> = faults.iter().map(|fault| format!("\n  {fault}")).collect();
     format!("{file} cannot be run:{}", lines.concat())
 }
@@ -220,11 +224,11 @@
 pub fn read(file: &Path) -> Result<Day, String> {
     let text =
         std::fs::read_to_string(file).map_err(|e| format!("{} cannot be read: {e}", file.display()))?;
-    Day::read(&text).map_err(|faults| told(&file.display().to_string(), &faults))
+    Day::read(&text).map_err(|faults| fault_list(&file.display().to_string(), &faults))
 }
 
 /// The courier's program stands beside this one.
-fn binary() -> Result<PathBuf, String> {
+fn courier_binary() -> Result<PathBuf, String> {
     let own = std::env::current_exe().map_err(|e| e.to_string())?;
     let binary = own.with_file_name("meadowhold");
     if binary.is_file() {
@@ -234,13 +238,13 @@
 }
 
 fn play(day: &Day, seed: u64) -> Result<Verdict, String> {
-    let binary = binary()?;
-    until_called_off(run(day, seed, &binary))
+    let binary = courier_binary()?;
+    run_until_signalled(run(day, seed, &binary))
 }
 
 /// Runs it until it is over or called off, by whatever may call it off. Guards against couriers that outlive a run:
 /// they end with what started them.
-fn until_called_off<T>(what: impl Future<Output = Result<T, String>>) -> Result<T, String> {
+fn run_until_signalled<T>(what: impl Future<Output = Result<T, String>>) -> Result<T, String> {
     let runtime =
         tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(|e| e.to_string())?;
     runtime.block_on(async {
--- a/crates/rig/src/day.rs
+++ b/crates/rig/src/day.rs
@@ -457,7 +457,7 @@
                 fault(format!("trouble.{i}.what"), "is not set; give kill, stop, cut, ...".to_string());
                 continue;
             };
-            let many = self.many(what);
+            let many = self.target_count(what);
             if let Some(which) = t.which.iter().find(|&&which| which >= many) {
                 fault(format!("trouble.{i}.which"), format!("there is no {which}; give 0 to {}", many - 1));
             }
@@ -465,7 +465,7 @@
     }
 
     /// How many there are of what a trouble befalls.
-    pub fn many(&self, what: What) -> usize {
+    pub fn target_count(&self, what: What) -> usize {
         match what {
             what if what.is_list() => self.list.agents,
             what if what.is_endpoint() => self.endpoints.destinations * self.endpoints.each,
@@ -483,7 +483,7 @@
         let line = e.span().map_or(0, |span| line_of(text, span.start));
         vec![Fault { line, key: String::new(), words: e.message().to_string() }]
     })?;
-    let (day, mut faults) = decode(table);
+    let (day, mut faults) = decode_all(table);
     if let Some(day) = day {
         faults.extend(check(&day));
         if faults.is_empty() {
@@ -503,7 +503,7 @@
 
 /// Reads a table over and over, without the key that could not be read last time, so that the next fault is found
 /// too. Every key has a default, so that one which is taken out hides no other.
-fn decode<T: serde::de::DeserializeOwned>(mut table: Table) -> (Option<T>, Vec<Fault>) {
+fn decode_all<T: serde::de::DeserializeOwned>(mut table: Table) -> (Option<T>, Vec<Fault>) {
     let mut faults: Vec<Fault> = Vec::new();
     loop {
         let error = match serde_path_to_error::deserialize::<_, T>(Value::Table(table.clone())) {
@@ -514,7 +514,7 @@
         let path: Vec<String> =
             path.into_iter().map(|part| part.trim_matches(['[', ']']).to_string()).collect();
         let words = error.inner().message().trim().to_string();
-        let taken = take_out(&mut table, &path);
+        let taken = remove_value(&mut table, &path);
         faults.push(Fault { line: 0, key: path.join("."), words });
         if !taken {
             return (None, faults);
@@ -523,16 +523,16 @@
 }
 
 /// Takes the value at a path out of a table; a fault within an array of plain values takes the array out.
-fn take_out(table: &mut Table, path: &[String]) -> bool {
+fn remove_value(table: &mut Table, path: &[String]) -> bool {
     let Some((first, rest)) = path.split_first() else { return false };
     let Some(value) = table.get_mut(first) else { return false };
     let deeper = match (value, rest) {
         (_, []) => false,
-        (Value::Table(inner), rest) => return take_out(inner, rest),
+        (Value::Table(inner), rest) => return remove_value(inner, rest),
         (Value::Array(items), [index, rest @ ..]) => {
             let item = index.parse().ok().and_then(|index: usize| items.get_mut(index));
             match item {
-                Some(Value::Table(inner)) if !rest.is_empty() => return take_out(inner, rest),
+                Some(Value::Table(inner)) if !rest.is_empty() => return remove_value(inner, rest),
                 _ => false,
             }
         }
--- a/crates/rig/src/endpoint.rs
+++ b/crates/rig/src/endpoint.rs
@@ -21,7 +21,7 @@
 use tokio::time::sleep;
 
 use crate::day;
-use crate::record::{lock, Fate, Hand, Record, Seen};
+use crate::record::{lock, CallResult, HandIn, Observation, Record};
 use crate::relay;
 
 /// A call that hangs looks so often whether it may end.
@@ -29,9 +29,9 @@
 
 /// What is out of order with an endpoint that takes connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Mood {
+pub enum Mode {
     #[default]
-    Well,
+    Normal,
     /// Answers 503.
     Busy,
     /// Answers 500 to this part of the calls.
@@ -43,9 +43,9 @@
 }
 
 struct State {
-    mood: Mood,
+    mode: Mode,
     chance: Rng,
-    out: usize,
+    in_flight: usize,
     /// Which second this is, and how many calls it has served.
     second: (u64, u32),
 }
@@ -105,7 +105,7 @@
         let listener = TcpListener::bind((at, 0)).await?;
         let address = listener.local_addr()?;
         let (up, up_in) = watch::channel(true);
-        let state = State { mood: Mood::Well, chance: Rng::with_seed(seed), out: 0, second: (0, 0) };
+        let state = State { mode: Mode::Normal, chance: Rng::with_seed(seed), in_flight: 0, second: (0, 0) };
         let (settings, state) = (settings.clone(), Mutex::new(state));
         let inner = Arc::new(Inner { index, settings, record, numbers, couriers, state });
         let mut task = JoinSet::new();
@@ -113,14 +113,14 @@
         Ok(Endpoint { address, inner, up, _task: task })
     }
 
-    pub fn set_mood(&self, mood: Mood) {
-        lock(&self.inner.state).mood = mood;
+    pub fn set_mode(&self, mode: Mode) {
+        lock(&self.inner.state).mode = mode;
     }
 
     /// Down: connections are refused, and those that are open reset.
     pub fn set_up(&self, up: bool) {
         if self.up.send_replace(up) != up {
-            self.inner.record.add(Seen::Out { endpoint: self.inner.index, back: up });
+            self.inner.record.add(Observation::Outage { endpoint: self.inner.index, back: up });
         }
     }
 }
@@ -151,7 +151,7 @@
             changed = up.changed() => if changed.is_err() { return },
             accepted = accepted => match accepted {
                 Ok((stream, from)) => {
-                    inner.record.add(Seen::Connected { endpoint: inner.index });
+                    inner.record.add(Observation::Connected { endpoint: inner.index });
                     open.spawn(serve(inner.clone(), stream, from.ip()));
                 }
                 Err(_) => sleep(Duration::from_millis(10)).await,
@@ -180,13 +180,13 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        lock(&self.0.state).out -= 1;
+        lock(&self.0.state).in_flight -= 1;
     }
 }
 
 impl Inner {
     /// What becomes of a call that has come whole, and for how long it runs.
-    fn settle(&self) -> (Fate, Duration) {
+    fn decide(&self) -> (CallResult, Duration) {
         let mut state = lock(&self.state);
         let (state, e) = (&mut *state, &self.settings);
         let now = self.record.now();
@@ -196,21 +196,21 @@
         }
         let [from, to] = e.serve_ms;
         let takes = Duration::from_millis(state.chance.u64(from..=to));
-        let errors = match state.mood {
-            Mood::Busy => return (Fate::Busy, Duration::ZERO),
-            Mood::Limit(wait) => return (Fate::Full(wait), Duration::ZERO),
-            Mood::Errors(part) => part,
-            Mood::Well | Mood::Hangs => e.errors,
+        let errors = match state.mode {
+            Mode::Busy => return (CallResult::Busy, Duration::ZERO),
+            Mode::Limit(wait) => return (CallResult::Throttled(wait), Duration::ZERO),
+            Mode::Errors(part) => part,
+            Mode::Normal | Mode::Hangs => e.errors,
         };
         if e.limit && f64::from(state.second.1) >= e.rate {
             let left = 1 + (1_000_000 - now % 1_000_000) / 1000;
-            return (Fate::Full(left), Duration::ZERO);
+            return (CallResult::Throttled(left), Duration::ZERO);
         }
-        if state.out >= e.slots {
-            return (Fate::Busy, Duration::ZERO);
+        if state.in_flight >= e.slots {
+            return (CallResult::Busy, Duration::ZERO);
         }
         state.second.1 += 1;
-        (if state.chance.f64() < errors { Fate::Failed } else { Fate::Served }, takes)
+        (if state.chance.f64() < errors { CallResult::Failed } else { CallResult::Relayed }, takes)
     }
 
     async fn answer(
@@ -231,28 +231,28 @@
             }
             _ => Vec::new(),
         };
-        let hands: Option<Vec<Hand>> = ids.iter().map(|id| Hand::read(id)).collect();
+        let hands: Option<Vec<HandIn>> = ids.iter().map(|id| HandIn::read(id)).collect();
         let Some(hands) = hands.filter(|hands| !hands.is_empty() && hands.len() <= self.settings.batch)
         else {
-            self.record.add(Seen::Strange { endpoint: self.index });
+            self.record.add(Observation::MalformedCall { endpoint: self.index });
             return plain(400);
         };
         let call = self.numbers.next();
-        let (fate, takes) = self.settle();
-        self.record.add(Seen::Called { call, link, courier, endpoint: self.index, hands, fate });
-        if fate.ran() {
-            lock(&self.state).out += 1;
+        let (result, takes) = self.decide();
+        self.record.add(Observation::Called { call, link, courier, endpoint: self.index, hands, result });
+        if result.took_effect() {
+            lock(&self.state).in_flight += 1;
             let _slot = Slot(self.clone());
             sleep(takes).await;
-            while lock(&self.state).mood == Mood::Hangs {
+            while lock(&self.state).mode == Mode::Hangs {
                 sleep(HANG_POLL).await;
             }
         }
-        self.record.add(Seen::Replied { call });
-        match fate {
-            Fate::Failed => plain(500),
-            Fate::Busy => plain(503),
-            Fate::Full(wait) => {
+        self.record.add(Observation::Replied { call });
+        match result {
+            CallResult::Failed => plain(500),
+            CallResult::Busy => plain(503),
+            CallResult::Throttled(wait) => {
                 let mut full = plain(429);
                 let seconds = format!("{:.3}", wait as f64 / 1000.0);
                 if let Ok(seconds) = seconds.parse() {
@@ -260,11 +260,11 @@
                 }
                 full
             }
-            Fate::Served if batch => {
+            CallResult::Relayed if batch => {
                 let states: Vec<ItemState> = ids.iter().map(|id| ItemState { id, state: "ok" }).collect();
                 Response::new(Full::new(serde_json::to_vec(&states).unwrap_or_default().into()))
             }
-            Fate::Served => plain(200),
+            CallResult::Relayed => plain(200),
         }
     }
 }
--- a/crates/rig/src/fit.rs
+++ b/crates/rig/src/fit.rs
@@ -40,7 +40,7 @@
 
 /// Why no line can be put through some points.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unfit {
+pub enum FitError {
     /// Fewer than two.
     TooFew,
     /// All of one size.
@@ -51,25 +51,25 @@
     NotPositive,
 }
 
-impl fmt::Display for Unfit {
+impl fmt::Display for FitError {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         out.write_str(match self {
-            Unfit::TooFew => "fewer than two points",
-            Unfit::OneSize => "all points are of one size",
-            Unfit::NotFinite => "a point is not a finite number",
-            Unfit::NotPositive => "a point at or below 0 has no logarithm",
+            FitError::TooFew => "fewer than two points",
+            FitError::OneSize => "all points are of one size",
+            FitError::NotFinite => "a point is not a finite number",
+            FitError::NotPositive => "a point at or below 0 has no logarithm",
         })
     }
 }
 
-impl std::error::Error for Unfit {}
+impl std::error::Error for FitError {}
 
 impl Fit {
     /// Fits points by a kind.
     ///
     /// # Errors
     /// Where the points bear no line of that kind.
-    pub fn of(kind: Kind, points: &[Point]) -> Result<Fit, Unfit> {
+    pub fn of(kind: Kind, points: &[Point]) -> Result<Fit, FitError> {
         match kind {
             Kind::Linear => Fit::linear(points),
             Kind::Power => Fit::power(points),
@@ -80,7 +80,7 @@
     ///
     /// # Errors
     /// With fewer than two points, all of one size, or any that is not finite.
-    pub fn linear(points: &[Point]) -> Result<Fit, Unfit> {
+    pub fn linear(points: &[Point]) -> Result<Fit, FitError> {
         let (slope, intercept) = line(points)?;
         let residual = residual(points, |size| intercept + slope * size);
         Ok(Fit::Linear { slope, intercept, residual })
@@ -90,9 +90,9 @@
     ///
     /// # Errors
     /// As for a linear fit, and with any size or value at or below 0.
-    pub fn power(points: &[Point]) -> Result<Fit, Unfit> {
+    pub fn power(points: &[Point]) -> Result<Fit, FitError> {
         if points.iter().any(|point| point.size <= 0.0 || point.value <= 0.0) {
-            return Err(Unfit::NotPositive);
+            return Err(FitError::NotPositive);
         }
         let logs: Vec<Point> = points.iter().map(|p| Point::new(p.size.ln(), p.value.ln())).collect();
         let (exponent, log_scale) = line(&logs)?;
@@ -117,15 +117,15 @@
 }
 
 /// The slope and intercept of least squares, about the means so that large sizes lose no digits.
-fn line(points: &[Point]) -> Result<(f64, f64), Unfit> {
+fn line(points: &[Point]) -> Result<(f64, f64), FitError> {
     if points.len() < 2 {
-        return Err(Unfit::TooFew);
+        return Err(FitError::TooFew);
     }
     if points.iter().any(|point| !point.size.is_finite() || !point.value.is_finite()) {
-        return Err(Unfit::NotFinite);
+        return Err(FitError::NotFinite);
     }
     if points.iter().all(|point| point.size == points[0].size) {
-        return Err(Unfit::OneSize);
+        return Err(FitError::OneSize);
     }
     let count = points.len() as f64;
     let size = points.iter().map(|point| point.size).sum::<f64>() / count;
--- a/crates/rig/src/fit/tests.rs
+++ b/crates/rig/src/fit/tests.rs
@@ -1,4 +1,4 @@
-use super::{Fit, Kind, Point, Unfit};
+use super::{Fit, FitError, Kind, Point};
 
 fn points(rows: &[(f64, f64)]) -> Vec<Point> {
     rows.iter().map(|&(size, value)| Point::new(size, value)).collect()
@@ -59,13 +59,13 @@
 
 #[test]
 fn what_bears_no_line_is_refused() {
-    let rows: [(&[(f64, f64)], Unfit); 6] = [
-        (&[], Unfit::TooFew),
-        (&[(1.0, 1.0)], Unfit::TooFew),
-        (&[(5.0, 1.0), (5.0, 2.0), (5.0, 3.0)], Unfit::OneSize),
-        (&[(1.0, f64::NAN), (2.0, 2.0)], Unfit::NotFinite),
-        (&[(1.0, 1.0), (2.0, f64::INFINITY)], Unfit::NotFinite),
-        (&[(f64::NAN, 1.0), (2.0, 2.0)], Unfit::NotFinite),
+    let rows: [(&[(f64, f64)], FitError); 6] = [
+        (&[], FitError::TooFew),
+        (&[(1.0, 1.0)], FitError::TooFew),
+        (&[(5.0, 1.0), (5.0, 2.0), (5.0, 3.0)], FitError::OneSize),
+        (&[(1.0, f64::NAN), (2.0, 2.0)], FitError::NotFinite),
+        (&[(1.0, 1.0), (2.0, f64::INFINITY)], FitError::NotFinite),
+        (&[(f64::NAN, 1.0), (2.0, 2.0)], FitError::NotFinite),
     ];
     for (rows, why) in rows {
         for kind in [Kind::Linear, Kind::Power] {
@@ -82,7 +82,7 @@
         [(1.0, -1.0), (2.0, 2.0)],
         [(-1.0, 1.0), (2.0, 2.0)],
     ] {
-        assert_eq!(Fit::power(&points(&rows)), Err(Unfit::NotPositive), "{rows:?}");
+        assert_eq!(Fit::power(&points(&rows)), Err(FitError::NotPositive), "{rows:?}");
         assert!(Fit::linear(&points(&rows)).is_ok(), "{rows:?}");
     }
 }
--- a/crates/rig/src/judge.rs
+++ b/crates/rig/src/judge.rs
@@ -7,7 +7,7 @@
 use hdrhistogram::Histogram;
 
 use crate::day::{Day, Link};
-use crate::record::{Event, Fate, Hand, Heard, Process, Seen};
+use crate::record::{CallResult, ClientAnswer, Event, HandIn, Observation, Process};
 use crate::schedule::{Class, Mail};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -54,9 +54,9 @@
 
 /// What is left of the couriers when the day is over.
 #[derive(Clone, Debug, Default)]
-pub struct Left {
+pub struct FinalState {
     /// What their journals still owe.
-    pub owed: HashSet<Hand>,
+    pub owed: HashSet<HandIn>,
     /// What is wrong with their logs or folders, by courier.
     pub faults: Vec<(usize, String)>,
     /// When the day ended, in microseconds from the start of the record.
@@ -149,7 +149,7 @@
 }
 
 /// Broken rules that are shown in full, of each rule.
-const SHOWN: usize = 4;
+const MAX_SHOWN: usize = 4;
 
 impl fmt::Display for Verdict {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -207,7 +207,7 @@
                 0 => writeln!(f, "{name:<34} kept")?,
                 count => writeln!(f, "{name:<34} BROKEN {count} times")?,
             }
-            for broken in self.broken.iter().filter(|broken| broken.rule == rule).take(SHOWN) {
+            for broken in self.broken.iter().filter(|broken| broken.rule == rule).take(MAX_SHOWN) {
                 writeln!(f, "  at {:.3} s: {}", broken.at as f64 / 1e6, broken.words)?;
             }
         }
@@ -216,32 +216,32 @@
 }
 
 /// No notice is overdue until so long after a courier is ready again, in microseconds.
-const AFTER_READY: u64 = 1_500_000;
+const NOTICE_GRACE_US: u64 = 1_500_000;
 /// What was on its way when a mail's 200 was read may arrive so much later, in microseconds.
-const CROSSING: u64 = 1_000_000;
+const IN_FLIGHT_US: u64 = 1_000_000;
 /// So many refusals in a row tell of a courier that serves nobody.
-const REFUSED_ENOUGH: u64 = 15;
+const MIN_REFUSALS: u64 = 15;
 /// A process that is killed closes its connections within this of its end, in microseconds.
-const CLOSED_BEFORE_END: u64 = 200_000;
+const CLOSE_TO_END_US: u64 = 200_000;
 /// Clocks of the two sides of a link differ by less, in microseconds.
-const SLACK: u64 = 20_000;
+const CLOCK_SKEW_US: u64 = 20_000;
 
 #[derive(Default)]
-struct Letter {
+struct MailHistory {
     taken: Option<(u64, usize)>,
     ran: Vec<u64>,
-    served: Option<u64>,
+    relayed_at: Option<u64>,
     /// The courier sent another call on the connection of the answer, and so had read it.
-    read: Option<u64>,
+    read_at: Option<u64>,
     notices: Vec<(u64, bool)>,
     /// A call for it came, whatever became of that.
     is_tried: bool,
 }
 
-impl Letter {
+impl MailHistory {
     fn end(&self) -> Option<u64> {
         let notice = self.notices.first().map(|notice| notice.0);
-        self.served.into_iter().chain(notice).min()
+        self.relayed_at.into_iter().chain(notice).min()
     }
 }
 
@@ -249,15 +249,15 @@
 struct Courier {
     process: u32,
     /// Since when it has been down, stopped, asked to end, or not ready.
-    away: Option<u64>,
+    down_since: Option<u64>,
     /// Since when its notices have not got through.
-    mute: Option<u64>,
-    aways: Vec<(u64, u64)>,
+    notices_blocked: Option<u64>,
+    outages: Vec<(u64, u64)>,
     started: Option<u64>,
     ends: Vec<u64>,
     /// When a process served for the first time.
-    backs: Vec<u64>,
-    lost: Vec<u64>,
+    ready_times: Vec<u64>,
+    folder_losses: Vec<u64>,
     /// How many of its kinds of links are at fault.
     faulty: u32,
     continued: u64,
@@ -270,15 +270,15 @@
     /// Since when all that was handed in has been refused with no call in between, and how much that was.
     refusing: Option<(u64, u64)>,
     /// When SIGTERM was sent to the process that runs, and all times at which it was.
-    asked: Vec<u64>,
+    term_sent: Vec<u64>,
 }
 
 struct Call {
     courier: usize,
     endpoint: usize,
     process: u32,
-    hands: Vec<Hand>,
-    fate: Fate,
+    hands: Vec<HandIn>,
+    result: CallResult,
     answered: bool,
 }
 
@@ -295,7 +295,7 @@
     /// When the load began.
     base: u64,
     verdict: Verdict,
-    letters: BTreeMap<Hand, Letter>,
+    histories: BTreeMap<HandIn, MailHistory>,
     couriers: Vec<Courier>,
     endpoints: Vec<Endpoint>,
     calls: HashMap<u64, Call>,
@@ -304,18 +304,18 @@
     asks: VecDeque<u64>,
     ready: Histogram<u64>,
     /// Requests that were written whole on a connection that ended without an answer.
-    closed: Vec<(u64, Hand, usize)>,
+    closed: Vec<(u64, HandIn, usize)>,
 }
 
 /// Judges a day by what was seen of it. `base`: when its load began, in microseconds from the start of the record.
-pub fn judge(day: &Day, mails: &[Mail], base: u64, events: &[Event], left: &Left) -> Verdict {
+pub fn judge(day: &Day, mails: &[Mail], base: u64, events: &[Event], left: &FinalState) -> Verdict {
     let endpoints = day.endpoints.destinations * day.endpoints.each;
     let mut judge = Judge {
         day,
         mails,
         base,
         verdict: Verdict::default(),
-        letters: BTreeMap::new(),
+        histories: BTreeMap::new(),
         couriers: vec![Courier::default(); day.couriers],
         endpoints: (0..endpoints).map(|_| Endpoint::default()).collect(),
         calls: HashMap::new(),
@@ -324,7 +324,7 @@
         ready: histogram(),
         closed: Vec::new(),
     };
-    events.iter().for_each(|event| judge.see(event.at, &event.seen));
+    events.iter().for_each(|event| judge.observe(event.at, &event.seen));
     judge.end(left)
 }
 
@@ -338,49 +338,49 @@
         self.verdict.broken.push(Broken { rule, at, words });
     }
 
-    fn class(&self, hand: Hand) -> Class {
+    fn class(&self, hand: HandIn) -> Class {
         self.mails.get(hand.mail as usize).map_or(Class::Again, |mail| mail.class)
     }
 
-    fn see(&mut self, at: u64, seen: &Seen) {
+    fn observe(&mut self, at: u64, seen: &Observation) {
         match seen {
-            Seen::Answered { hand, courier, heard } => {
-                self.watch_refusals(at, *courier, *heard);
+            Observation::Answered { hand, courier, answer } => {
+                self.watch_refusals(at, *courier, *answer);
                 let g = &mut self.verdict.figures;
                 g.handed += u64::from(hand.attempt == 0);
-                match heard {
-                    Heard::Taken => {
+                match answer {
+                    ClientAnswer::Taken => {
                         g.taken += 1;
-                        self.letters.entry(*hand).or_default().taken = Some((at, *courier));
+                        self.histories.entry(*hand).or_default().taken = Some((at, *courier));
                     }
-                    Heard::Busy => g.busy += 1,
-                    Heard::Nothing => g.unheard += 1,
-                    Heard::Closed => {
+                    ClientAnswer::Busy => g.busy += 1,
+                    ClientAnswer::None => g.unheard += 1,
+                    ClientAnswer::Closed => {
                         g.unheard += 1;
                         // A link that the day itself cuts is no close of the courier's.
                         if self.couriers[*courier].faulty == 0 {
                             self.closed.push((at, *hand, *courier));
                         }
                     }
-                    Heard::Failed => {
+                    ClientAnswer::Failed => {
                         let words = format!("mail {} was answered as failed", hand.id());
                         self.breaks(Rule::CouriersSound, at, words);
                     }
                 }
             }
-            Seen::NeverOffered { .. } => self.verdict.figures.never_offered += 1,
-            Seen::Called { call, link, courier, endpoint, hands, fate } => {
-                self.called(at, *call, *link, (*courier, *endpoint), hands, *fate);
+            Observation::NeverOffered { .. } => self.verdict.figures.never_offered += 1,
+            Observation::Called { call, link, courier, endpoint, hands, result } => {
+                self.called(at, *call, *link, (*courier, *endpoint), hands, *result);
             }
-            Seen::Replied { call } => self.replied(at, *call),
-            Seen::Strange { endpoint } => {
+            Observation::Replied { call } => self.replied(at, *call),
+            Observation::MalformedCall { endpoint } => {
                 self.breaks(Rule::CallsInForm, at, format!("endpoint {endpoint} got a strange call"));
             }
-            Seen::Notice { hand, dead } => self.notice(at, *hand, *dead),
-            Seen::Connected { endpoint } => {
+            Observation::Notice { hand, dead } => self.notice(at, *hand, *dead),
+            Observation::Connected { endpoint } => {
                 self.verdict.figures.connects += 1;
                 let recent = &mut self.endpoints[*endpoint].connects;
-                let peak = slide(recent, at, 100_000);
+                let peak = count_in_window(recent, at, 100_000);
                 let most = self.day.rules.most_connects;
                 let passed = most > 0 && peak == most + 1;
                 self.verdict.figures.connects_peak = self.verdict.figures.connects_peak.max(peak);
@@ -389,25 +389,25 @@
                     self.breaks(Rule::Budgets, at, words);
                 }
             }
-            Seen::Out { endpoint, back } => {
+            Observation::Outage { endpoint, back } => {
                 let endpoint = &mut self.endpoints[*endpoint];
                 endpoint.back = back.then_some(at);
                 endpoint.recent.clear();
             }
-            Seen::Asked { refused, .. } => {
+            Observation::ListRequest { refused, .. } => {
                 let since = at.saturating_sub(self.base) / 1000;
                 let g = &mut self.verdict.figures;
                 g.asks += 1;
                 g.asks_refused += u64::from(*refused);
                 g.last_refused = if *refused { since } else { g.last_refused };
-                let peak = slide(&mut self.asks, at, 1_000_000);
+                let peak = count_in_window(&mut self.asks, at, 1_000_000);
                 self.verdict.figures.asks_peak = self.verdict.figures.asks_peak.max(peak);
                 let most = self.day.rules.most_asks;
                 if most > 0 && peak == most + 1 {
                     self.breaks(Rule::Budgets, at, format!("the list service got {peak} asks in a second"));
                 }
             }
-            Seen::Told { courier, endpoint, drains } => {
+            Observation::ListSent { courier, endpoint, drains } => {
                 let courier = &mut self.couriers[*courier];
                 let process = courier.process;
                 match drains {
@@ -420,14 +420,16 @@
                     }
                 }
             }
-            Seen::Process { courier, what } => self.process(at, *courier, *what),
-            Seen::Links { courier, link, faulty } => {
+            Observation::Process { courier, what } => self.process(at, *courier, *what),
+            Observation::LinksChanged { courier, link, faulty } => {
                 let courier = &mut self.couriers[*courier];
                 courier.faulty = if *faulty { courier.faulty + 1 } else { courier.faulty.saturating_sub(1) };
                 // Notices go the same way as the list.
                 match (link, faulty) {
-                    (Link::List, true) => drop(courier.mute.get_or_insert(at)),
-                    (Link::List, false) => courier.aways.extend(courier.mute.take().map(|since| (since, at))),
+                    (Link::List, true) => drop(courier.notices_blocked.get_or_insert(at)),
+                    (Link::List, false) => {
+                        courier.outages.extend(courier.notices_blocked.take().map(|since| (since, at)))
+                    }
                     _ => {}
                 }
             }
@@ -435,16 +437,16 @@
     }
 
     /// A courier that is up and refuses all that it is asked for, without a call in between, serves nobody.
-    fn watch_refusals(&mut self, at: u64, number: usize, heard: Heard) {
+    fn watch_refusals(&mut self, at: u64, number: usize, answer: ClientAnswer) {
         let longest = self.day.rules.serves_ms * 1000;
         let courier = &mut self.couriers[number];
-        if longest == 0 || heard == Heard::Taken || courier.away.is_some() {
+        if longest == 0 || answer == ClientAnswer::Taken || courier.down_since.is_some() {
             courier.refusing = None;
             return;
         }
         let (since, count) = courier.refusing.unwrap_or((at, 0));
         courier.refusing = Some((since, count + 1));
-        if count + 1 >= REFUSED_ENOUGH && at >= since + longest {
+        if count + 1 >= MIN_REFUSALS && at >= since + longest {
             courier.refusing = None;
             let words =
                 format!("courier {number} served nobody of {} for {} ms", count + 1, (at - since) / 1000);
@@ -455,8 +457,8 @@
     /// Requests without an answer that were forwarded all the same, though their process went on.
     fn judge_closed(&mut self) {
         for (at, hand, number) in std::mem::take(&mut self.closed) {
-            let ended = |&end: &u64| end + CLOSED_BEFORE_END > at && end < at + CLOSED_BEFORE_END;
-            let is_forwarded = self.letters.get(&hand).is_some_and(|letter| letter.is_tried);
+            let ended = |&end: &u64| end + CLOSE_TO_END_US > at && end < at + CLOSE_TO_END_US;
+            let is_forwarded = self.histories.get(&hand).is_some_and(|history| history.is_tried);
             if is_forwarded && !self.couriers[number].ends.iter().any(ended) {
                 let words =
                     format!("mail {} was forwarded, and its connection closed with no answer", hand.id());
@@ -466,12 +468,12 @@
     }
 
     /// Counts a message that ended without one call, by when it was taken on.
-    fn count_untried(&mut self, hand: Hand, taken: u64, number: usize) {
+    fn count_untried(&mut self, hand: HandIn, taken: u64, number: usize) {
         let courier = &self.couriers[number];
         let end_after =
             |asked: u64| courier.ends.iter().copied().find(|&end| end >= asked).unwrap_or(u64::MAX);
-        let in_shutdown = courier.asked.iter().any(|&asked| taken >= asked && taken < end_after(asked));
-        let next_asked = courier.asked.iter().copied().find(|&asked| asked >= taken);
+        let in_shutdown = courier.term_sent.iter().any(|&asked| taken >= asked && taken < end_after(asked));
+        let next_asked = courier.term_sent.iter().copied().find(|&asked| asked >= taken);
         let mail = &self.mails[hand.mail as usize];
         let due = self.base + mail.at + mail.time * 1000;
         let untried = &mut self.verdict.figures.untried;
@@ -486,19 +488,19 @@
     fn process(&mut self, at: u64, number: usize, what: Process) {
         let courier = &mut self.couriers[number];
         courier.refusing = None;
-        if what == Process::Asked {
-            courier.asked.push(at);
+        if what == Process::TermSent {
+            courier.term_sent.push(at);
         }
         let is_back = match what {
             Process::Started => {
                 courier.process += 1;
                 courier.started = Some(at);
-                courier.away.get_or_insert(at);
+                courier.down_since.get_or_insert(at);
                 false
             }
             Process::Ready => {
                 if let Some(started) = courier.started.take() {
-                    courier.backs.push(at);
+                    courier.ready_times.push(at);
                     let took = (at - started) / 1000;
                     let _ = self.ready.record(took);
                     if took > self.day.rules.ready_ms {
@@ -515,29 +517,29 @@
                 courier.continued = at;
                 true
             }
-            Process::Asked | Process::Stopped => {
-                courier.away.get_or_insert(at);
+            Process::TermSent | Process::Stopped => {
+                courier.down_since.get_or_insert(at);
                 false
             }
             Process::Ended => {
-                courier.away.get_or_insert(at);
+                courier.down_since.get_or_insert(at);
                 courier.ends.push(at);
                 courier.started = None;
                 false
             }
             Process::FolderLost => {
-                courier.lost.push(at);
+                courier.folder_losses.push(at);
                 false
             }
             Process::Crashed => {
-                courier.away.get_or_insert(at);
+                courier.down_since.get_or_insert(at);
                 self.breaks(Rule::CouriersSound, at, format!("courier {number} ended by itself"));
                 false
             }
         };
         let courier = &mut self.couriers[number];
-        if let Some(since) = courier.away.take_if(|_| is_back) {
-            courier.aways.push((since, at));
+        if let Some(since) = courier.down_since.take_if(|_| is_back) {
+            courier.outages.push((since, at));
         }
     }
 
@@ -547,17 +549,19 @@
         call: u64,
         link: u64,
         (number, endpoint): (usize, usize),
-        hands: &[Hand],
-        fate: Fate,
+        hands: &[HandIn],
+        result: CallResult,
     ) {
         let rules = &self.day.rules;
         self.couriers[number].refusing = None;
         self.verdict.figures.calls += 1;
-        self.verdict.figures.refused += u64::from(!fate.ran());
+        self.verdict.figures.refused += u64::from(!result.took_effect());
         // The answer before this call on its connection has been read.
         if let Some(before) = self.links.get(&link).and_then(|before| self.calls.get(before)) {
-            for hand in before.hands.iter().filter(|_| before.answered && before.fate == Fate::Served) {
-                self.letters.entry(*hand).or_default().read.get_or_insert(at);
+            for hand in
+                before.hands.iter().filter(|_| before.answered && before.result == CallResult::Relayed)
+            {
+                self.histories.entry(*hand).or_default().read_at.get_or_insert(at);
             }
         }
         let courier = &self.couriers[number];
@@ -575,7 +579,7 @@
         }
         if let Some(&(told, from, until)) = courier.waits.get(&endpoint) {
             let from = from.max(courier.continued) + rules.wait_grace_ms * 1000;
-            if told == process && sound && at > from && at + SLACK < until {
+            if told == process && sound && at > from && at + CLOCK_SKEW_US < until {
                 let words = format!(
                     "courier {number} called endpoint {endpoint} {} ms before the end of a told wait",
                     (until - at) / 1000
@@ -588,7 +592,7 @@
                 broken.push((Rule::CallsInForm, format!("no client handed in mail {}", hand.id())));
                 continue;
             };
-            let taken = self.letters.get(&hand).is_some_and(|letter| letter.taken.is_some());
+            let taken = self.histories.get(&hand).is_some_and(|history| history.taken.is_some());
             if mail.class == Class::Turns && taken {
                 let last = self.couriers[number].turns.entry(mail.key).or_insert((hand.mail, sound));
                 if hand.mail < last.0 && sound && last.1 {
@@ -602,15 +606,15 @@
                     *last = (hand.mail, sound);
                 }
             }
-            let letter = self.letters.entry(hand).or_default();
-            letter.is_tried = true;
-            if sound && letter.read.is_some_and(|read| at > read + CROSSING) {
+            let history = self.histories.entry(hand).or_default();
+            history.is_tried = true;
+            if sound && history.read_at.is_some_and(|read| at > read + IN_FLIGHT_US) {
                 let words = format!("mail {} was called again after its 200 had been read", hand.id());
                 broken.push((Rule::OneEnd, words));
             }
-            if fate.ran() {
-                let first = letter.ran.first().copied();
-                letter.ran.push(at);
+            if result.took_effect() {
+                let first = history.ran.first().copied();
+                history.ran.push(at);
                 let again = first.is_some_and(|first| match mail.class {
                     Class::Once => true,
                     Class::Tagged => at > first + (rules.window_s * 1e6) as u64,
@@ -628,14 +632,14 @@
             }
         }
         broken.into_iter().for_each(|(rule, words)| self.breaks(rule, at, words));
-        self.weigh(at, endpoint);
+        self.check_cold_budget(at, endpoint);
         let hands = hands.to_vec();
-        self.calls.insert(call, Call { courier: number, endpoint, process, hands, fate, answered: false });
+        self.calls.insert(call, Call { courier: number, endpoint, process, hands, result, answered: false });
         self.links.insert(link, call);
     }
 
     /// What a cold endpoint got in the last while, against what it bears.
-    fn weigh(&mut self, at: u64, number: usize) {
+    fn check_cold_budget(&mut self, at: u64, number: usize) {
         let (e, rules) = (&self.day.endpoints, &self.day.rules);
         let endpoint = &mut self.endpoints[number];
         let Some(back) = endpoint.back else { return };
@@ -644,7 +648,7 @@
             endpoint.back = None;
             return;
         }
-        let calls = slide(&mut endpoint.recent, at, (rules.tip_s * 1e6) as u64);
+        let calls = count_in_window(&mut endpoint.recent, at, (rules.tip_s * 1e6) as u64);
         let warmth = e.cold_from + (1.0 - e.cold_from) * warm;
         let good_for = rules.tip_multiple * e.rate * warmth * rules.tip_s;
         let budget = budget(good_for);
@@ -665,13 +669,13 @@
     fn replied(&mut self, at: u64, number: u64) {
         let Some(call) = self.calls.get_mut(&number) else { return };
         call.answered = true;
-        match call.fate {
-            Fate::Served => {
+        match call.result {
+            CallResult::Relayed => {
                 for hand in &call.hands {
-                    self.letters.entry(*hand).or_default().served.get_or_insert(at);
+                    self.histories.entry(*hand).or_default().relayed_at.get_or_insert(at);
                 }
             }
-            Fate::Full(wait) => {
+            CallResult::Throttled(wait) => {
                 let courier = &mut self.couriers[call.courier];
                 let until = at + wait * 1000;
                 let told = courier.waits.entry(call.endpoint).or_insert((call.process, at, until));
@@ -681,16 +685,16 @@
                     told.2 = told.2.max(until);
                 }
             }
-            Fate::Failed | Fate::Busy => {}
+            CallResult::Failed | CallResult::Busy => {}
         }
     }
 
-    fn notice(&mut self, at: u64, hand: Hand, dead: bool) {
+    fn notice(&mut self, at: u64, hand: HandIn, dead: bool) {
         let once = self.class(hand) == Class::Once;
-        let letter = self.letters.entry(hand).or_default();
-        let (read, first, taken) = (letter.read, letter.notices.first().copied(), letter.taken);
-        let ran = !letter.ran.is_empty();
-        letter.notices.push((at, dead));
+        let history = self.histories.entry(hand).or_default();
+        let (read, first, taken) = (history.read_at, history.notices.first().copied(), history.taken);
+        let ran = !history.ran.is_empty();
+        history.notices.push((at, dead));
         if let Some((_, before)) = first.filter(|first| first.1 != dead) {
             let name = |dead| if dead { "dead" } else { "bounced" };
             let words = format!("mail {} is {} and was {}", hand.id(), name(dead), name(before));
@@ -699,10 +703,12 @@
         // One that was decided on before may have waited for its way to be free.
         let courier = taken.map(|taken| &self.couriers[taken.1]);
         let open = courier.is_none_or(|courier| {
-            let last = courier.aways.iter().map(|away| away.1).max();
-            courier.mute.is_none() && courier.away.is_none() && last.is_none_or(|last| Some(last) < read)
+            let last = courier.outages.iter().map(|outage| outage.1).max();
+            courier.notices_blocked.is_none()
+                && courier.down_since.is_none()
+                && last.is_none_or(|last| Some(last) < read)
         });
-        if open && read.is_some_and(|read| at > read + CROSSING) {
+        if open && read.is_some_and(|read| at > read + IN_FLIGHT_US) {
             let words = format!("a notice came for mail {}, the 200 of which had been read", hand.id());
             self.breaks(Rule::OneEnd, at, words);
         }
@@ -714,32 +720,32 @@
     }
 
     /// When a mail's end is due: restarts and stops of its courier, and a link that takes no notices, put it off.
-    fn due(&self, hand: Hand, courier: usize) -> u64 {
+    fn due(&self, hand: HandIn, courier: usize) -> u64 {
         let mail = &self.mails[hand.mail as usize];
         let mut due = self.base + mail.at + mail.time * 1000;
-        for &(from, to) in &self.couriers[courier].aways {
-            if from <= due + self.day.rules.late_ms * 1000 && due < to + AFTER_READY {
-                due = to + AFTER_READY;
+        for &(from, to) in &self.couriers[courier].outages {
+            if from <= due + self.day.rules.late_ms * 1000 && due < to + NOTICE_GRACE_US {
+                due = to + NOTICE_GRACE_US;
             }
         }
         due
     }
 
-    fn end(mut self, left: &Left) -> Verdict {
+    fn end(mut self, left: &FinalState) -> Verdict {
         for courier in &mut self.couriers {
-            let open = [courier.away.take(), courier.mute.take()];
-            courier.aways.extend(open.into_iter().flatten().map(|since| (since, left.at)));
-            courier.aways.sort_unstable();
+            let open = [courier.down_since.take(), courier.notices_blocked.take()];
+            courier.outages.extend(open.into_iter().flatten().map(|since| (since, left.at)));
+            courier.outages.sort_unstable();
         }
         self.judge_closed();
         let (mut relays, late) = (histogram(), self.day.rules.late_ms * 1000);
-        let letters = std::mem::take(&mut self.letters);
-        for (&hand, letter) in &letters {
-            let Some((taken, courier)) = letter.taken else { continue };
+        let histories = std::mem::take(&mut self.histories);
+        for (&hand, history) in &histories {
+            let Some((taken, courier)) = history.taken else { continue };
             let due = self.due(hand, courier);
-            let lost = self.couriers[courier].lost.iter().any(|&lost| lost > taken);
+            let lost = self.couriers[courier].folder_losses.iter().any(|&lost| lost > taken);
             let g = &mut self.verdict.figures;
-            let Some(end) = letter.end() else {
+            let Some(end) = history.end() else {
                 let owed = left.owed.contains(&hand);
                 match (owed, lost) {
                     (true, _) => g.owed += 1,
@@ -756,7 +762,7 @@
                 }
                 continue;
             };
-            match (letter.served, letter.notices.first()) {
+            match (history.relayed_at, history.notices.first()) {
                 (Some(served), _) => {
                     g.relayed += 1;
                     let _ = relays.record(served.saturating_sub(taken) / 1000);
@@ -764,7 +770,7 @@
                 (None, Some((_, true))) => g.dead += 1,
                 (None, _) => g.bounced += 1,
             }
-            if !letter.is_tried {
+            if !history.is_tried {
                 self.count_untried(hand, taken, courier);
             }
             let g = &mut self.verdict.figures;
@@ -786,7 +792,9 @@
             .iter()
             .map(|courier| {
                 let ended = courier.ends.first().copied();
-                ended.and_then(|ended| courier.backs.iter().find(|&&back| back > ended).copied()).unwrap_or(0)
+                ended
+                    .and_then(|ended| courier.ready_times.iter().find(|&&back| back > ended).copied())
+                    .unwrap_or(0)
             })
             .collect();
         back.sort_unstable();
@@ -814,7 +822,7 @@
 }
 
 /// Adds a moment to those within a span of time; how many there are.
-fn slide(recent: &mut VecDeque<u64>, at: u64, span: u64) -> u64 {
+fn count_in_window(recent: &mut VecDeque<u64>, at: u64, span: u64) -> u64 {
     while recent.front().is_some_and(|&first| first + span <= at) {
         recent.pop_front();
     }
--- a/crates/rig/src/judge/tests.rs
+++ b/crates/rig/src/judge/tests.rs
@@ -26,43 +26,43 @@
 const TURN: u32 = 3;
 const NEXT: u32 = 4;
 
-fn hand(mail: u32) -> Hand {
-    Hand { mail, attempt: 0 }
+fn hand(mail: u32) -> HandIn {
+    HandIn { mail, attempt: 0 }
 }
 
-fn taken(mail: u32) -> Seen {
-    Seen::Answered { hand: hand(mail), courier: 0, heard: Heard::Taken }
+fn taken(mail: u32) -> Observation {
+    Observation::Answered { hand: hand(mail), courier: 0, answer: ClientAnswer::Taken }
 }
 
-fn called(call: u64, mail: u32, fate: Fate) -> Seen {
-    Seen::Called { call, link: 1, courier: 0, endpoint: 0, hands: vec![hand(mail)], fate }
+fn called(call: u64, mail: u32, result: CallResult) -> Observation {
+    Observation::Called { call, link: 1, courier: 0, endpoint: 0, hands: vec![hand(mail)], result }
 }
 
-fn replied(call: u64) -> Seen {
-    Seen::Replied { call }
+fn replied(call: u64) -> Observation {
+    Observation::Replied { call }
 }
 
-fn notice(mail: u32, dead: bool) -> Seen {
-    Seen::Notice { hand: hand(mail), dead }
+fn notice(mail: u32, dead: bool) -> Observation {
+    Observation::Notice { hand: hand(mail), dead }
 }
 
-fn process(what: Process) -> Seen {
-    Seen::Process { courier: 0, what }
+fn process(what: Process) -> Observation {
+    Observation::Process { courier: 0, what }
 }
 
-fn told(drains: bool) -> Seen {
-    Seen::Told { courier: 0, endpoint: 0, drains }
+fn told(drains: bool) -> Observation {
+    Observation::ListSent { courier: 0, endpoint: 0, drains }
 }
 
 /// Judges what was seen, each with its time in milliseconds; the owed are on file at the end, at 9 s.
-fn verdict(seen: Vec<(u64, Seen)>, owed: &[u32]) -> Verdict {
+fn verdict(seen: Vec<(u64, Observation)>, owed: &[u32]) -> Verdict {
     let events: Vec<Event> = seen.into_iter().map(|(at, seen)| Event { at: at * MS, seen }).collect();
     let owed = owed.iter().map(|&mail| hand(mail)).collect();
-    judge(&day(), &mails(), 0, &events, &Left { owed, faults: Vec::new(), at: 9000 * MS })
+    judge(&day(), &mails(), 0, &events, &FinalState { owed, faults: Vec::new(), at: 9000 * MS })
 }
 
 /// What was seen, and the rules that it breaks.
-type Row<'a> = (&'a str, Vec<(u64, Seen)>, &'a [Rule]);
+type Row<'a> = (&'a str, Vec<(u64, Observation)>, &'a [Rule]);
 
 fn table(rows: Vec<Row>) {
     for (name, seen, rules) in rows {
@@ -74,12 +74,12 @@
 
 #[test]
 fn each_mail_taken_on_has_one_end_in_time() {
-    use Fate::Served;
+    use CallResult::Relayed;
     let lost = process(Process::FolderLost);
     table(vec![
         ("none", vec![(1, taken(AGAIN))], &[Rule::NoMailLost]),
-        ("relayed", vec![(1, taken(AGAIN)), (2, called(1, AGAIN, Served)), (3, replied(1))], &[]),
-        ("out, never answered", vec![(1, taken(AGAIN)), (2, called(1, AGAIN, Served))], &[Rule::NoMailLost]),
+        ("relayed", vec![(1, taken(AGAIN)), (2, called(1, AGAIN, Relayed)), (3, replied(1))], &[]),
+        ("out, never answered", vec![(1, taken(AGAIN)), (2, called(1, AGAIN, Relayed))], &[Rule::NoMailLost]),
         ("a notice", vec![(1, taken(AGAIN)), (900, notice(AGAIN, false))], &[]),
         ("a late one", vec![(1, taken(AGAIN)), (1501, notice(AGAIN, false))], &[Rule::NoMailLost]),
         ("the same again", vec![(1, taken(AGAIN)), (9, notice(AGAIN, true)), (20, notice(AGAIN, true))], &[]),
@@ -94,9 +94,9 @@
             "a notice for one whose 200 had been read",
             vec![
                 (1, taken(AGAIN)),
-                (2, called(1, AGAIN, Served)),
+                (2, called(1, AGAIN, Relayed)),
                 (3, replied(1)),
-                (4, called(2, TAGGED, Served)),
+                (4, called(2, TAGGED, Relayed)),
                 (1005, notice(AGAIN, true)),
             ],
             &[Rule::OneEnd],
@@ -119,14 +119,14 @@
 
 #[test]
 fn effects_come_once_where_they_must() {
-    use Fate::{Failed, Full, Served};
+    use CallResult::{Failed, Relayed, Throttled};
     let twice = |mail, first, at| {
-        vec![(1, taken(mail)), (10, called(1, mail, first)), (at, called(2, mail, Served)), (at, replied(2))]
+        vec![(1, taken(mail)), (10, called(1, mail, first)), (at, called(2, mail, Relayed)), (at, replied(2))]
     };
     table(vec![
-        ("once, served", twice(ONCE, Served, 50), &[Rule::NoEffectTwice]),
+        ("once, served", twice(ONCE, Relayed, 50), &[Rule::NoEffectTwice]),
         ("once, 500", twice(ONCE, Failed, 50), &[Rule::NoEffectTwice]),
-        ("once, refused", twice(ONCE, Full(1), 50), &[]),
+        ("once, refused", twice(ONCE, Throttled(1), 50), &[]),
         ("tagged within its window", twice(TAGGED, Failed, 900), &[]),
         ("tagged after it", twice(TAGGED, Failed, 1011), &[Rule::NoEffectTwice]),
         ("again", twice(AGAIN, Failed, 1011), &[]),
@@ -140,15 +140,15 @@
 
 #[test]
 fn drains_and_waits_bind_the_process_that_was_told() {
-    let call = |at| vec![(at, taken(AGAIN)), (at, called(1, AGAIN, Fate::Served)), (at, replied(1))];
-    let after = |mut seen: Vec<(u64, Seen)>, at| {
+    let call = |at| vec![(at, taken(AGAIN)), (at, called(1, AGAIN, CallResult::Relayed)), (at, replied(1))];
+    let after = |mut seen: Vec<(u64, Observation)>, at| {
         seen.extend(call(at));
         seen
     };
     let restart =
         [(10, process(Process::Ended)), (11, process(Process::Started)), (12, process(Process::Ready))];
-    let again = |seen: Vec<(u64, Seen)>| [seen, restart.to_vec()].concat();
-    let full = vec![(1, called(9, AGAIN, Fate::Full(800))), (2, replied(9))];
+    let again = |seen: Vec<(u64, Observation)>| [seen, restart.to_vec()].concat();
+    let full = vec![(1, called(9, AGAIN, CallResult::Throttled(800))), (2, replied(9))];
     let stop = vec![(3, process(Process::Stopped)), (500, process(Process::Continued))];
     table(vec![
         ("in its grace", after(vec![(1, told(true))], 501), &[]),
@@ -165,13 +165,13 @@
 
 #[test]
 fn a_later_mail_of_a_key_does_not_go_before_an_earlier_one() {
-    use Fate::{Full, Served};
+    use CallResult::{Relayed, Throttled};
     let both = |first, second| {
         vec![
             (1, taken(TURN)),
             (2, taken(NEXT)),
-            (3, called(1, first, Full(0))),
-            (4, called(2, second, Served)),
+            (3, called(1, first, Throttled(0))),
+            (4, called(2, second, Relayed)),
             (5, replied(2)),
             (6, notice(first, true)),
         ]
@@ -189,10 +189,10 @@
     }
     // Ten calls a second warm, a tenth of it at first: four in two seconds, twice over; 7.6 after a tenth of the time to
     // warm up, which makes 15 and not 16; none is counted for one that is warm, or was not out.
-    let back = |at| (at, Seen::Out { endpoint: 0, back: true });
-    let calls = |at, calls: u64| (0..calls).map(move |call| (at, called(call, 90, Fate::Busy)));
-    let spread = |many: u64| (0..many).map(|call| (2 + call * 100, called(call, 90, Fate::Busy)));
-    type Falls<'a> = (&'a str, Vec<(u64, Seen)>, usize);
+    let back = |at| (at, Observation::Outage { endpoint: 0, back: true });
+    let calls = |at, calls: u64| (0..calls).map(move |call| (at, called(call, 90, CallResult::Busy)));
+    let spread = |many: u64| (0..many).map(|call| (2 + call * 100, called(call, 90, CallResult::Busy)));
+    type Falls<'a> = (&'a str, Vec<(u64, Observation)>, usize);
     let rows: [Falls; 9] = [
         ("the bound at its coldest", [back(1)].into_iter().chain(calls(2, 10)).collect(), 0),
         ("one call more", [back(1)].into_iter().chain(calls(2, 11)).collect(), 1),
@@ -216,52 +216,53 @@
 
 #[test]
 fn asks_and_connections_are_counted_in_sliding_spans() {
-    let mut seen: Vec<(u64, Seen)> =
-        (0..5).map(|i| (i * 300, Seen::Asked { agent: 0, refused: false })).collect();
-    seen.extend((0..4).map(|i| (2000 + i * 60, Seen::Connected { endpoint: 1 })));
+    let mut seen: Vec<(u64, Observation)> =
+        (0..5).map(|i| (i * 300, Observation::ListRequest { agent: 0, refused: false })).collect();
+    seen.extend((0..4).map(|i| (2000 + i * 60, Observation::Connected { endpoint: 1 })));
     let g = verdict(seen, &[]).figures;
     assert_eq!((g.asks_peak, g.asks, g.connects_peak, g.connects), (4, 5, 2, 4));
 }
 
-fn answered(heard: Heard) -> Seen {
-    Seen::Answered { hand: hand(AGAIN), courier: 0, heard }
+fn answered(answer: ClientAnswer) -> Observation {
+    Observation::Answered { hand: hand(AGAIN), courier: 0, answer }
 }
 
-fn judged_with(change: impl FnOnce(&mut Day), seen: Vec<(u64, Seen)>) -> Verdict {
+fn judged_with(change: impl FnOnce(&mut Day), seen: Vec<(u64, Observation)>) -> Verdict {
     let mut day = day();
     change(&mut day);
     let events: Vec<Event> = seen.into_iter().map(|(at, seen)| Event { at: at * MS, seen }).collect();
-    judge(&day, &mails(), 0, &events, &Left { at: 9000 * MS, ..Left::default() })
+    judge(&day, &mails(), 0, &events, &FinalState { at: 9000 * MS, ..FinalState::default() })
 }
 
 #[test]
 fn a_courier_that_is_up_and_serves_nobody_is_not_sound() {
-    let refusals = || (0..20).map(|i| (i * 250, answered(Heard::Busy)));
-    let with = |more: Vec<(u64, Seen)>| {
-        let mut seen: Vec<(u64, Seen)> = refusals().chain(more).collect();
+    let refusals = || (0..20).map(|i| (i * 250, answered(ClientAnswer::Busy)));
+    let with = |more: Vec<(u64, Observation)>| {
+        let mut seen: Vec<(u64, Observation)> = refusals().chain(more).collect();
         seen.sort_by_key(|one| one.0);
         judged_with(|day| day.rules.serves_ms = 4000, seen).breaks(Rule::CouriersSound)
     };
     assert_eq!(with(Vec::new()), 1);
-    assert_eq!(with(vec![(2001, called(1, ONCE, Fate::Busy))]), 0, "a call in between");
+    assert_eq!(with(vec![(2001, called(1, ONCE, CallResult::Busy))]), 0, "a call in between");
     assert_eq!(with(vec![(2001, process(Process::Started)), (2002, process(Process::Ready))]), 0, "a start");
-    assert_eq!(with(vec![(1, process(Process::Asked))]), 0, "it is asked to end");
+    assert_eq!(with(vec![(1, process(Process::TermSent))]), 0, "it is asked to end");
     assert_eq!(judged_with(|_| (), refusals().collect()).breaks(Rule::CouriersSound), 0, "not judged");
 }
 
 #[test]
 fn a_request_that_was_forwarded_and_closed_with_no_answer_is_lost_unless_its_process_ended() {
-    let seen = |ended: Vec<(u64, Seen)>| {
-        let first = vec![(10, called(1, AGAIN, Fate::Served)), (20, answered(Heard::Closed))];
+    let seen = |ended: Vec<(u64, Observation)>| {
+        let first = vec![(10, called(1, AGAIN, CallResult::Relayed)), (20, answered(ClientAnswer::Closed))];
         judged_with(|_| (), first.into_iter().chain(ended).collect()).breaks(Rule::NoMailLost)
     };
     assert_eq!(seen(Vec::new()), 1);
     assert_eq!(seen(vec![(50, process(Process::Ended))]), 0);
     assert_eq!(seen(vec![(500, process(Process::Ended))]), 1);
-    let links = Seen::Links { courier: 0, link: Link::Clients, faulty: true };
-    let cut = vec![(10, called(1, AGAIN, Fate::Served)), (15, links), (20, answered(Heard::Closed))];
+    let links = Observation::LinksChanged { courier: 0, link: Link::Clients, faulty: true };
+    let cut =
+        vec![(10, called(1, AGAIN, CallResult::Relayed)), (15, links), (20, answered(ClientAnswer::Closed))];
     assert!(judged_with(|_| (), cut).kept(), "the day cut the client's link");
-    let unread = judged_with(|_| (), vec![(20, answered(Heard::Closed))]);
+    let unread = judged_with(|_| (), vec![(20, answered(ClientAnswer::Closed))]);
     assert!(unread.kept(), "{:?}", unread.broken);
 }
 
@@ -270,9 +271,9 @@
     let seen = vec![
         (10, taken(AGAIN)),
         (20, taken(TAGGED)),
-        (30, process(Process::Asked)),
+        (30, process(Process::TermSent)),
         (40, taken(ONCE)),
-        (50, called(1, TAGGED, Fate::Busy)),
+        (50, called(1, TAGGED, CallResult::Busy)),
         (60, process(Process::Ended)),
         (70, taken(TURN)),
         (900, notice(AGAIN, false)),
--- a/crates/rig/src/list.rs
+++ b/crates/rig/src/list.rs
@@ -21,16 +21,16 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-use crate::record::{lock, Hand, Record, Seen};
+use crate::record::{lock, HandIn, Observation, Record};
 
 /// An empty line comes so often where nothing changes.
-const TURN: Duration = Duration::from_secs(2);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// What is out of order with an agent's answers on the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mood {
+pub enum Mode {
     #[default]
-    Well,
+    Normal,
     /// 503 to all that ask, and open watches end.
     Refuses,
     /// Takes connections and says nothing; open watches stay open and are silent.
@@ -54,13 +54,13 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Held {
+struct Version {
     index: u64,
     entries: Vec<Entry>,
 }
 
 #[derive(Serialize)]
-pub(crate) struct Told<'a> {
+pub(crate) struct ListEntry<'a> {
     pub name: &'a str,
     pub address: String,
     pub zone: &'static str,
@@ -73,10 +73,10 @@
 }
 
 #[derive(Serialize)]
-pub(crate) struct Answer<'a> {
+pub(crate) struct ListAnswer<'a> {
     pub index: u64,
     pub snapshot: bool,
-    pub endpoints: Vec<Told<'a>>,
+    pub endpoints: Vec<ListEntry<'a>>,
 }
 
 /// The addresses at which each courier finds the endpoints, by courier and endpoint, and which courier's relay
@@ -86,16 +86,16 @@
     pub couriers: Arc<HashMap<IpAddr, usize>>,
 }
 
-impl Held {
+impl Version {
     /// What a courier is told that has heard up to `after`; `None`: all of it.
-    fn told(&self, addresses: &Addresses, courier: usize, after: Option<u64>) -> Answer<'_> {
+    fn list_for(&self, addresses: &Addresses, courier: usize, after: Option<u64>) -> ListAnswer<'_> {
         let places = lock(&addresses.endpoints);
-        let news = self.entries.iter().filter(|entry| match after {
+        let listed = self.entries.iter().filter(|entry| match after {
             Some(after) => entry.changed > after,
             None => !entry.gone,
         });
         let told = |entry: &'_ Entry| places[courier][entry.endpoint].to_string();
-        let endpoints = news.map(|entry| Told {
+        let endpoints = listed.map(|entry| ListEntry {
             name: &entry.name,
             address: told(entry),
             zone: "a",
@@ -109,22 +109,22 @@
             weight: entry.rate,
             since_ms: entry.since_ms,
         });
-        Answer { index: self.index, snapshot: after.is_none(), endpoints: endpoints.collect() }
+        ListAnswer { index: self.index, snapshot: after.is_none(), endpoints: endpoints.collect() }
     }
 }
 
 struct Agent {
     index: usize,
-    held: watch::Sender<Held>,
-    mood: watch::Sender<Mood>,
-    knobs: Mutex<Knobs>,
+    held: watch::Sender<Version>,
+    mode: watch::Sender<Mode>,
+    state: Mutex<AgentState>,
     most_asks: usize,
     addresses: Arc<Addresses>,
     record: Arc<Record>,
 }
 
 #[derive(Default)]
-struct Knobs {
+struct AgentState {
     stale: bool,
     indented: bool,
     /// When it took an ask within the last second, in microseconds.
@@ -132,7 +132,7 @@
 }
 
 pub struct List {
-    truth: Mutex<Held>,
+    truth: Mutex<Version>,
     agents: Vec<Arc<Agent>>,
     pub at: Vec<SocketAddr>,
     _tasks: JoinSet<()>,
@@ -150,14 +150,14 @@
         addresses: Arc<Addresses>,
         record: Arc<Record>,
     ) -> io::Result<List> {
-        let truth = Held { index: 1, entries };
+        let truth = Version { index: 1, entries };
         let (mut agents, mut places, mut tasks) = (Vec::new(), Vec::new(), JoinSet::new());
         for (index, &at) in at.iter().enumerate() {
             let listener = TcpListener::bind((at, 0)).await?;
             places.push(listener.local_addr()?);
-            let (held, mood) = (watch::Sender::new(truth.clone()), watch::Sender::new(Mood::Well));
-            let (knobs, addresses, record) = (Mutex::default(), addresses.clone(), record.clone());
-            let agent = Arc::new(Agent { index, held, mood, knobs, most_asks, addresses, record });
+            let (held, mode) = (watch::Sender::new(truth.clone()), watch::Sender::new(Mode::Normal));
+            let (state, addresses, record) = (Mutex::default(), addresses.clone(), record.clone());
+            let agent = Arc::new(Agent { index, held, mode, state, most_asks, addresses, record });
             tasks.spawn(listen(agent.clone(), listener));
             agents.push(agent);
         }
@@ -174,7 +174,7 @@
             change(entry);
             entry.changed = index;
         }
-        self.tell(&truth);
+        self.publish(&truth);
     }
 
     /// Lists a newcomer at the place of an endpoint that was dropped, under a name that has not been used.
@@ -188,25 +188,25 @@
             let new = Entry { name, drains: false, gone: false, since_ms, changed: index, ..last };
             truth.entries.push(new);
         }
-        self.tell(&truth);
+        self.publish(&truth);
     }
 
-    fn tell(&self, truth: &Held) {
+    fn publish(&self, truth: &Version) {
         for agent in &self.agents {
-            if !lock(&agent.knobs).stale {
+            if !lock(&agent.state).stale {
                 agent.held.send_replace(truth.clone());
             }
         }
     }
 
-    pub fn set_mood(&self, agent: usize, mood: Mood) {
-        self.agents[agent].mood.send_replace(mood);
+    pub fn set_mode(&self, agent: usize, mode: Mode) {
+        self.agents[agent].mode.send_replace(mode);
     }
 
     /// A stale agent keeps what it has, and catches up in the end.
     pub fn set_stale(&self, agent: usize, stale: bool) {
         let truth = lock(&self.truth);
-        lock(&self.agents[agent].knobs).stale = stale;
+        lock(&self.agents[agent].state).stale = stale;
         if !stale {
             self.agents[agent].held.send_replace(truth.clone());
         }
@@ -214,12 +214,12 @@
 
     /// Lists and the changes on a watch are written over many lines each.
     pub fn set_indented(&self, agent: usize, indented: bool) {
-        lock(&self.agents[agent].knobs).indented = indented;
+        lock(&self.agents[agent].state).indented = indented;
     }
 
     /// What a courier's configuration names as known.
     pub fn known(&self, addresses: &Addresses, courier: usize) -> serde_json::Value {
-        serde_json::to_value(lock(&self.truth).told(addresses, courier, None)).unwrap_or_default()
+        serde_json::to_value(lock(&self.truth).list_for(addresses, courier, None)).unwrap_or_default()
     }
 }
 
@@ -275,12 +275,12 @@
         if request.uri().path() != "/catalog/members" {
             return plain(404, Vec::new());
         }
-        let mut mood = self.mood.subscribe();
-        let refused = *mood.borrow() != Mood::Well || self.is_overbooked();
-        self.record.add(Seen::Asked { agent: self.index, refused });
-        if *mood.borrow_and_update() == Mood::Silent {
+        let mut mode = self.mode.subscribe();
+        let refused = *mode.borrow() != Mode::Normal || self.is_over_limit();
+        self.record.add(Observation::ListRequest { agent: self.index, refused });
+        if *mode.borrow_and_update() == Mode::Silent {
             // Whoever waits for so long is answered in the end that it came in vain.
-            let _ = mood.wait_for(|mood| *mood != Mood::Silent).await;
+            let _ = mode.wait_for(|mode| *mode != Mode::Silent).await;
             return plain(503, Vec::new());
         }
         if refused {
@@ -292,42 +292,42 @@
         });
         let Some(after) = after else {
             let held = self.held.borrow().clone();
-            let told = held.told(&self.addresses, courier, None);
+            let told = held.list_for(&self.addresses, courier, None);
             let text = self.text(&told);
-            self.tells(courier, &told, &held);
+            self.record_sent(courier, &told, &held);
             return plain(200, text);
         };
         let (lines, body) = Channel::new(4);
-        tokio::spawn(self.watch(courier, after, lines, mood));
+        tokio::spawn(self.watch(courier, after, lines, mode));
         Response::new(body.boxed())
     }
 
-    fn text(&self, told: &Answer) -> Vec<u8> {
-        let indented = lock(&self.knobs).indented;
+    fn text(&self, told: &ListAnswer) -> Vec<u8> {
+        let indented = lock(&self.state).indented;
         let text = if indented { serde_json::to_vec_pretty(told) } else { serde_json::to_vec(told) };
         text.unwrap_or_default()
     }
 
     /// Takes an ask if that is within the bound; one that is refused costs it nothing.
-    fn is_overbooked(&self) -> bool {
+    fn is_over_limit(&self) -> bool {
         let now = self.record.now();
-        let mut knobs = lock(&self.knobs);
-        while knobs.asks.front().is_some_and(|&at| at + 1_000_000 < now) {
-            knobs.asks.pop_front();
+        let mut state = lock(&self.state);
+        while state.asks.front().is_some_and(|&at| at + 1_000_000 < now) {
+            state.asks.pop_front();
         }
-        if self.most_asks > 0 && knobs.asks.len() >= self.most_asks {
+        if self.most_asks > 0 && state.asks.len() >= self.most_asks {
             return true;
         }
-        knobs.asks.push_back(now);
+        state.asks.push_back(now);
         false
     }
 
     /// What a courier has been told counts from now on.
-    fn tells(&self, courier: usize, told: &Answer, held: &Held) {
+    fn record_sent(&self, courier: usize, told: &ListAnswer, held: &Version) {
         for entry in &held.entries {
             if told.endpoints.iter().any(|told| told.name == entry.name) {
                 let (endpoint, drains) = (entry.endpoint, entry.drains || entry.gone);
-                self.record.add(Seen::Told { courier, endpoint, drains });
+                self.record.add(Observation::ListSent { courier, endpoint, drains });
             }
         }
     }
@@ -337,36 +337,36 @@
         courier: usize,
         mut after: u64,
         mut lines: Sender<Bytes>,
-        mut mood: watch::Receiver<Mood>,
+        mut mode: watch::Receiver<Mode>,
     ) {
         let mut held = self.held.subscribe();
         loop {
             let now = held.borrow_and_update().clone();
-            if *mood.borrow_and_update() == Mood::Refuses {
+            if *mode.borrow_and_update() == Mode::Refuses {
                 return;
             }
-            if *mood.borrow() == Mood::Silent {
-                let _ = mood.wait_for(|mood| *mood != Mood::Silent).await;
+            if *mode.borrow() == Mode::Silent {
+                let _ = mode.wait_for(|mode| *mode != Mode::Silent).await;
                 return;
             }
             if now.index != after {
                 // One that knows another truth, or none, is told all of it.
                 let known = Some(after).filter(|&after| after > 0 && after < now.index);
-                let told = now.told(&self.addresses, courier, known);
+                let told = now.list_for(&self.addresses, courier, known);
                 let mut line = self.text(&told);
                 line.push(b'\n');
                 if lines.send_data(line.into()).await.is_err() {
                     return;
                 }
-                self.tells(courier, &told, &now);
+                self.record_sent(courier, &told, &now);
                 after = now.index;
             }
             tokio::select! {
                 changed = held.changed() => if changed.is_err() { return },
-                changed = mood.changed() => if changed.is_err() { return },
-                () = sleep(TURN) => {
+                changed = mode.changed() => if changed.is_err() { return },
+                () = sleep(KEEPALIVE_INTERVAL) => {
                     // Guards against a watch whose far side is gone and that would be kept for good.
-                    let sent = timeout(TURN * 5, lines.send_data(Bytes::from_static(b"\n"))).await;
+                    let sent = timeout(KEEPALIVE_INTERVAL * 5, lines.send_data(Bytes::from_static(b"\n"))).await;
                     if !matches!(sent, Ok(Ok(()))) {
                         return;
                     }
@@ -382,8 +382,8 @@
     let notices: Result<Vec<Notice>, _> = lines.map(serde_json::from_slice).collect();
     let Ok(notices) = notices else { return plain(400, Vec::new()) };
     for notice in notices {
-        let Some(hand) = Hand::read(&notice.id) else { return plain(400, Vec::new()) };
-        record.add(Seen::Notice { hand, dead: notice.result == "dead" });
+        let Some(hand) = HandIn::read(&notice.id) else { return plain(400, Vec::new()) };
+        record.add(Observation::Notice { hand, dead: notice.result == "dead" });
     }
     plain(204, Vec::new())
 }
--- a/crates/rig/src/list/tests.rs
+++ b/crates/rig/src/list/tests.rs
@@ -21,7 +21,7 @@
     let list = List::start(&[], vec![entry(0), entry(1)], 0, addresses.clone(), record).await.unwrap();
     let told = |after| {
         let truth = lock(&list.truth);
-        let told = truth.told(&addresses, 0, after);
+        let told = truth.list_for(&addresses, 0, after);
         told.endpoints.iter().map(|e| format!("{} {} {}", e.name, e.status, e.since_ms)).collect::<Vec<_>>()
     };
     list.change(1, |entry| entry.gone = true);
--- a/crates/rig/src/process.rs
+++ b/crates/rig/src/process.rs
@@ -59,7 +59,7 @@
     }
 
     /// Waits for the process to end.
-    pub async fn ended(&mut self) -> Option<ExitStatus> {
+    pub async fn wait_for_end(&mut self) -> Option<ExitStatus> {
         let status = self.child.as_mut()?.wait().await.ok();
         self.child = None;
         status
@@ -70,15 +70,15 @@
         self.child.as_mut().is_some_and(|child| !matches!(child.try_wait(), Ok(None)))
     }
 
-    pub fn lose_folder(&self) {
+    pub fn delete_state(&self) {
         let _ = fs::remove_dir_all(self.state());
     }
 
     /// Cuts the end of its journal off, as if it had not been written yet when the process ended.
-    pub fn cut_journal(&self) {
+    pub fn truncate_journal(&self) {
         let Ok(file) = fs::OpenOptions::new().write(true).open(self.state().join("journal")) else { return };
         let length = file.metadata().map_or(0, |metadata| metadata.len());
-        let _ = file.set_len(length.saturating_sub(CUT_BYTES));
+        let _ = file.set_len(length.saturating_sub(TRUNCATED_BYTES));
     }
 
     pub fn log(&self) -> String {
@@ -103,10 +103,10 @@
 }
 
 /// A few records of the journal.
-const CUT_BYTES: u64 = 2048;
+const TRUNCATED_BYTES: u64 = 2048;
 
 /// So much of a log is shown where something is wrong with it.
-const LAST_LINES: usize = 12;
+const LOG_TAIL_LINES: usize = 12;
 
 /// What a log says that must not be there: a panic, an error, or a count of what must hold and did not; and, if there
 /// is any of it, how the log ends.
@@ -118,7 +118,7 @@
     let bad = |line: &&str| line.contains("panicked at") || line.contains("ERROR") || broken(line);
     let mut faults: Vec<String> = log.lines().filter(bad).map(str::to_string).collect();
     if !faults.is_empty() {
-        let last: Vec<&str> = log.lines().rev().take(LAST_LINES).collect();
+        let last: Vec<&str> = log.lines().rev().take(LOG_TAIL_LINES).collect();
         let last: Vec<String> = last.iter().rev().map(|line| format!("\n      {line}")).collect();
         faults.push(format!("the end of its log:{}", last.concat()));
     }
--- a/crates/rig/src/record.rs
+++ b/crates/rig/src/record.rs
@@ -7,50 +7,50 @@
 
 /// A hand-in: a mail of the schedule, and which of its tries. Each has an id of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Hand {
+pub struct HandIn {
     pub mail: u32,
     pub attempt: u32,
 }
 
-impl Hand {
+impl HandIn {
     pub fn id(self) -> String {
         format!("{:08x}{:08x}", self.mail, self.attempt)
     }
 
-    pub fn read(id: &str) -> Option<Hand> {
+    pub fn read(id: &str) -> Option<HandIn> {
         let (mail, attempt) = (id.get(..8)?, id.get(8..).filter(|rest| rest.len() == 8)?);
         let number = |text| u32::from_str_radix(text, 16).ok();
-        Some(Hand { mail: number(mail)?, attempt: number(attempt)? })
+        Some(HandIn { mail: number(mail)?, attempt: number(attempt)? })
     }
 }
 
 /// What a client was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum ClientAnswer {
     Taken,
     Busy,
     Failed,
     /// No answer in the client's time.
-    Nothing,
+    None,
     /// The connection ended after the whole request had been written, without an answer.
     Closed,
 }
 
 /// What an endpoint made of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
-    Served,
+pub enum CallResult {
+    Relayed,
     /// 500: it may have run, and counts as having run.
     Failed,
     /// 429, with the wait in milliseconds.
-    Full(u64),
+    Throttled(u64),
     /// 503.
     Busy,
 }
 
-impl Fate {
-    pub fn ran(self) -> bool {
-        matches!(self, Fate::Served | Fate::Failed)
+impl CallResult {
+    pub fn took_effect(self) -> bool {
+        matches!(self, CallResult::Relayed | CallResult::Failed)
     }
 }
 
@@ -59,7 +59,7 @@
     Started,
     Ready,
     /// SIGTERM was sent.
-    Asked,
+    TermSent,
     /// Killed or ended.
     Ended,
     Stopped,
@@ -70,11 +70,11 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Seen {
+pub enum Observation {
     Answered {
-        hand: Hand,
+        hand: HandIn,
         courier: usize,
-        heard: Heard,
+        answer: ClientAnswer,
     },
     /// No courier could be reached in the mail's time.
     NeverOffered {
@@ -86,36 +86,36 @@
         link: u64,
         courier: usize,
         endpoint: usize,
-        hands: Vec<Hand>,
-        fate: Fate,
+        hands: Vec<HandIn>,
+        result: CallResult,
     },
     /// Its answer was written.
     Replied {
         call: u64,
     },
     /// A call for a mail that nobody handed in, or in a form that is not the protocol's.
-    Strange {
+    MalformedCall {
         endpoint: usize,
     },
     Notice {
-        hand: Hand,
+        hand: HandIn,
         dead: bool,
     },
     Connected {
         endpoint: usize,
     },
     /// An endpoint refuses connections, or is back and cold.
-    Out {
+    Outage {
         endpoint: usize,
         back: bool,
     },
     /// The list service was asked, for the list or a watch; whether it had nothing to give.
-    Asked {
+    ListRequest {
         agent: usize,
         refused: bool,
     },
     /// A courier was told of an endpoint's status.
-    Told {
+    ListSent {
         courier: usize,
         endpoint: usize,
         drains: bool,
@@ -125,7 +125,7 @@
         what: Process,
     },
     /// A courier's links of a kind are at fault, or no longer.
-    Links {
+    LinksChanged {
         courier: usize,
         link: Link,
         faulty: bool,
@@ -136,7 +136,7 @@
 pub struct Event {
     /// Microseconds from the start of the day.
     pub at: u64,
-    pub seen: Seen,
+    pub seen: Observation,
 }
 
 pub struct Record {
@@ -154,7 +154,7 @@
         self.start.elapsed().as_micros() as u64
     }
 
-    pub fn add(&self, seen: Seen) {
+    pub fn add(&self, seen: Observation) {
         let mut events = lock(&self.events);
         // Under the lock, so that times never run backwards.
         events.push(Event { at: self.now(), seen });
--- a/crates/rig/src/relay.rs
+++ b/crates/rig/src/relay.rs
@@ -26,9 +26,9 @@
 
 /// How a link is out of order.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Knob {
+pub enum LinkFault {
     #[default]
-    Well,
+    None,
     /// New connections are refused, open ones reset.
     Cut,
     /// Connections open and stay open, and nothing goes this way; when it is over they are reset.
@@ -41,20 +41,20 @@
     Reset(Way, f64),
 }
 
-impl Knob {
+impl LinkFault {
     fn holds(self, way: Way) -> bool {
-        self == Knob::Silent || self == Knob::Held(way)
+        self == LinkFault::Silent || self == LinkFault::Held(way)
     }
 }
 
 /// Bytes that have been passed on, each way.
 #[derive(Debug, Default)]
-pub struct Passed {
+pub struct PassedBytes {
     pub requests: AtomicU64,
     pub answers: AtomicU64,
 }
 
-impl Passed {
+impl PassedBytes {
     fn add(&self, way: Way, bytes: usize) {
         let count = if way == Way::Request { &self.requests } else { &self.answers };
         count.fetch_add(bytes as u64, Ordering::Relaxed);
@@ -67,14 +67,14 @@
 }
 
 /// Looks at what goes back over a connection, before it is passed on; made anew for each.
-pub type Look = Arc<dyn Fn() -> Looking + Send + Sync>;
-pub type Looking = Box<dyn FnMut(&[u8]) + Send>;
+pub type InspectorFactory = Arc<dyn Fn() -> Inspector + Send + Sync>;
+pub type Inspector = Box<dyn FnMut(&[u8]) + Send>;
 
 /// A relay of TCP connections from its own address to another. It ends when it is dropped.
 pub struct Relay {
     pub address: SocketAddr,
-    pub passed: Arc<Passed>,
-    knob: watch::Sender<Knob>,
+    pub passed: Arc<PassedBytes>,
+    fault: watch::Sender<LinkFault>,
     _task: JoinSet<()>,
 }
 
@@ -85,47 +85,47 @@
     /// # Errors
     /// Where no port can be had.
     pub async fn start(at: IpAddr, from: IpAddr, to: SocketAddr, seed: u64) -> io::Result<Relay> {
-        Relay::with(at, from, to, seed, None).await
+        Relay::start_with_inspector(at, from, to, seed, None).await
     }
 
     /// The same, with a look at each answer.
     ///
     /// # Errors
     /// Where no port can be had.
-    pub async fn with(
+    pub async fn start_with_inspector(
         at: IpAddr,
         from: IpAddr,
         to: SocketAddr,
         seed: u64,
-        look: Option<Look>,
+        inspect: Option<InspectorFactory>,
     ) -> io::Result<Relay> {
         let listener = TcpListener::bind((at, 0)).await?;
         let address = listener.local_addr()?;
-        let (knob, knob_in) = watch::channel(Knob::Well);
-        let (mut task, passed) = (JoinSet::new(), Arc::new(Passed::default()));
-        let way = (from, to, passed.clone(), look);
-        task.spawn(listen(address, listener, knob_in, way, Rng::with_seed(seed)));
-        Ok(Relay { address, passed, knob, _task: task })
+        let (fault, fault_in) = watch::channel(LinkFault::None);
+        let (mut task, passed) = (JoinSet::new(), Arc::new(PassedBytes::default()));
+        let way = (from, to, passed.clone(), inspect);
+        task.spawn(listen(address, listener, fault_in, way, Rng::with_seed(seed)));
+        Ok(Relay { address, passed, fault, _task: task })
     }
 
-    pub fn set(&self, knob: Knob) {
-        self.knob.send_replace(knob);
+    pub fn set(&self, fault: LinkFault) {
+        self.fault.send_replace(fault);
     }
 }
 
 /// From which address, to where, what counts it, and what looks at it.
-type Onwards = (IpAddr, SocketAddr, Arc<Passed>, Option<Look>);
+type Route = (IpAddr, SocketAddr, Arc<PassedBytes>, Option<InspectorFactory>);
 
 async fn listen(
     address: SocketAddr,
     listener: TcpListener,
-    mut knob: watch::Receiver<Knob>,
-    way: Onwards,
+    mut fault: watch::Receiver<LinkFault>,
+    way: Route,
     mut chance: Rng,
 ) {
     let (mut listener, mut open) = (Some(listener), JoinSet::new());
     loop {
-        let cut = *knob.borrow_and_update() == Knob::Cut;
+        let cut = *fault.borrow_and_update() == LinkFault::Cut;
         if cut {
             listener = None;
         } else if listener.is_none() {
@@ -140,10 +140,10 @@
             }
         };
         tokio::select! {
-            changed = knob.changed() => if changed.is_err() { return },
+            changed = fault.changed() => if changed.is_err() { return },
             accepted = accepted => match accepted {
                 Ok((stream, _)) => {
-                    open.spawn(pass_on(stream, knob.clone(), way.clone(), chance.fork()));
+                    open.spawn(forward(stream, fault.clone(), way.clone(), chance.fork()));
                 }
                 Err(_) => sleep(Duration::from_millis(10)).await,
             },
@@ -153,17 +153,17 @@
     }
 }
 
-async fn pass_on(
+async fn forward(
     mut near: TcpStream,
-    mut knob: watch::Receiver<Knob>,
-    (from, to, passed, look): Onwards,
+    mut fault: watch::Receiver<LinkFault>,
+    (from, to, passed, inspect): Route,
     chance: Rng,
 ) {
-    let both_ways = async {
+    let forwarding = async {
         // Nobody is reached through a link that is silent, and what waited there is reset in the end.
-        while knob.borrow_and_update().holds(Way::Request) {
-            knob.changed().await.map_err(io::Error::other)?;
-            if !knob.borrow().holds(Way::Request) {
+        while fault.borrow_and_update().holds(Way::Request) {
+            fault.changed().await.map_err(io::Error::other)?;
+            if !fault.borrow().holds(Way::Request) {
                 return Err(io::ErrorKind::ConnectionReset.into());
             }
         }
@@ -176,15 +176,21 @@
         let (far_in, far_out) = far.split();
         let (there, back) = (chance.clone(), Rng::with_seed(chance.clone().u64(..)));
         let both = tokio::try_join!(
-            pump(near_in, far_out, (Way::Request, &passed, None), knob.clone(), there),
-            pump(far_in, near_out, (Way::Answer, &passed, look.map(|look| look())), knob.clone(), back)
+            copy(near_in, far_out, (Way::Request, &passed, None), fault.clone(), there),
+            copy(
+                far_in,
+                near_out,
+                (Way::Answer, &passed, inspect.map(|inspect| inspect())),
+                fault.clone(),
+                back
+            )
         );
         if both.is_err() {
             reset(&far);
         }
         both.map(drop)
     };
-    if both_ways.await.is_err() {
+    if forwarding.await.is_err() {
         reset(&near);
     }
 }
@@ -194,25 +200,25 @@
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-async fn pump(
+async fn copy(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
-    (way, passed, mut look): (Way, &Passed, Option<Looking>),
-    mut knob: watch::Receiver<Knob>,
+    (way, passed, mut inspect): (Way, &PassedBytes, Option<Inspector>),
+    mut fault: watch::Receiver<LinkFault>,
     mut chance: Rng,
 ) -> io::Result<()> {
-    let broken = || Err(io::ErrorKind::ConnectionReset.into());
+    let reset_error = || Err(io::ErrorKind::ConnectionReset.into());
     let mut buffer = vec![0; 16 << 10];
     let mut held = false;
     loop {
-        let now = *knob.borrow_and_update();
-        if now == Knob::Cut || (held && !now.holds(way)) {
-            return broken();
+        let now = *fault.borrow_and_update();
+        if now == LinkFault::Cut || (held && !now.holds(way)) {
+            return reset_error();
         }
         held = now.holds(way);
         let read = tokio::select! {
             biased;
-            changed = knob.changed() => {
+            changed = fault.changed() => {
                 changed.map_err(io::Error::other)?;
                 continue;
             }
@@ -221,14 +227,14 @@
         if read == 0 {
             return to.shutdown().await;
         }
-        if let Some(look) = &mut look {
-            look(&buffer[..read]);
+        if let Some(inspect) = &mut inspect {
+            inspect(&buffer[..read]);
         }
         match now {
-            Knob::Slow(by) => sleep(by).await,
-            Knob::Reset(broken_way, share) if broken_way == way && chance.f64() < share => {
+            LinkFault::Slow(by) => sleep(by).await,
+            LinkFault::Reset(reset_way, share) if reset_way == way && chance.f64() < share => {
                 to.write_all(&buffer[..read / 2]).await?;
-                return broken();
+                return reset_error();
             }
             _ => {}
         }
@@ -239,7 +245,7 @@
 
 /// What befalls each datagram, as chances.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Weather {
+pub struct DatagramFaults {
     pub lost: f64,
     pub doubled: f64,
     pub late: f64,
@@ -247,15 +253,15 @@
 }
 
 /// How much later each copy of a datagram is passed on; none: it is lost.
-pub fn fates(weather: &Weather, chance: &mut Rng) -> Vec<Duration> {
-    if chance.f64() < weather.lost {
+pub fn copy_delays(faults: &DatagramFaults, chance: &mut Rng) -> Vec<Duration> {
+    if chance.f64() < faults.lost {
         return Vec::new();
     }
-    let copies = 1 + usize::from(chance.f64() < weather.doubled);
+    let copies = 1 + usize::from(chance.f64() < faults.doubled);
     let late = |chance: &mut Rng| {
-        let late = chance.f64() < weather.late;
+        let late = chance.f64() < faults.late;
         if late {
-            weather.late_by.mul_f64(chance.f64())
+            faults.late_by.mul_f64(chance.f64())
         } else {
             Duration::ZERO
         }
@@ -271,7 +277,12 @@
 impl Datagrams {
     /// `ends`: each courier's own address for notes. `sockets`: what stands for the second at the first, and for the
     /// first at the second.
-    pub fn start(ends: [SocketAddr; 2], sockets: [UdpSocket; 2], weather: Weather, seed: u64) -> Datagrams {
+    pub fn start(
+        ends: [SocketAddr; 2],
+        sockets: [UdpSocket; 2],
+        faults: DatagramFaults,
+        seed: u64,
+    ) -> Datagrams {
         let mut tasks = JoinSet::new();
         let sockets = sockets.map(std::sync::Arc::new);
         for side in 0..2 {
@@ -287,7 +298,7 @@
                             if from != ends[side] {
                                 continue;
                             }
-                            for delay in fates(&weather, &mut chance) {
+                            for delay in copy_delays(&faults, &mut chance) {
                                 let (note, far) = (buffer[..length].to_vec(), far.clone());
                                 let at = Instant::now() + delay;
                                 late.spawn(async move {
--- a/crates/rig/src/run.rs
+++ b/crates/rig/src/run.rs
@@ -15,26 +15,26 @@
 
 use crate::client::{self, Pool};
 use crate::day::{Day, Link, Sent, Trouble, What};
-use crate::endpoint::{Endpoint, Mood, Numbers};
-use crate::judge::{judge, Left, Verdict};
-use crate::list::{Addresses, Entry, List, Mood as ListMood};
+use crate::endpoint::{Endpoint, Mode, Numbers};
+use crate::judge::{judge, FinalState, Verdict};
+use crate::list::{Addresses, Entry, List, Mode as ListMode};
 use crate::process::{faults_in, Courier};
-use crate::record::{Fate, Hand, Heard, Process, Record, Seen};
-use crate::relay::{Datagrams, Knob, Relay, Way, Weather};
-use crate::schedule::{Class, Drawn, Mail, Schedule};
+use crate::record::{CallResult, ClientAnswer, HandIn, Observation, Process, Record};
+use crate::relay::{DatagramFaults, Datagrams, LinkFault, Relay, Way};
+use crate::schedule::{Class, DrawnTrouble, Mail, Schedule};
 
 /// Where couriers listen for clients and for notes, each on an address of its own.
-const CLIENTS: u16 = 6379;
-const NOTES: u16 = 6380;
+const CLIENT_PORT: u16 = 6379;
+const NOTE_PORT: u16 = 6380;
 /// A run keeps this port of its network to itself.
-const CLAIM: u16 = 6378;
+const CLAIM_PORT: u16 = 6378;
 /// SIGKILL follows so long after SIGTERM, and a start so long after the end of a planned restart.
-pub(crate) const TERM_LASTS: Duration = Duration::from_millis(3700);
-const RESTARTS_AFTER: Duration = Duration::from_millis(600);
+pub(crate) const TERM_GRACE: Duration = Duration::from_millis(3700);
+const RESTART_DELAY: Duration = Duration::from_millis(600);
 const POLL: Duration = Duration::from_millis(20);
 /// Where a moment of the record is waited for to the millisecond; and for how long at most.
-const CLOSE_POLL: Duration = Duration::from_millis(1);
-const NEXT_TAKEN: Duration = Duration::from_secs(1);
+const TAKEN_POLL: Duration = Duration::from_millis(1);
+const NEXT_TAKEN_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A network of a run's own on loopback: 127.x/16.
 pub(crate) struct Net {
@@ -50,7 +50,7 @@
         let start = std::process::id() % many;
         for i in 0..many {
             let x = first + ((start + i) % many) as u8;
-            if let Ok(claim) = UdpSocket::bind((Ipv4Addr::new(127, x, 255, 254), CLAIM)) {
+            if let Ok(claim) = UdpSocket::bind((Ipv4Addr::new(127, x, 255, 254), CLAIM_PORT)) {
                 return Ok(Net { x, _claim: claim });
             }
         }
@@ -87,36 +87,36 @@
 }
 
 impl Links {
-    fn set(&self, link: Link, knob: Knob) {
+    fn set(&self, link: Link, fault: LinkFault) {
         match link {
-            Link::Endpoints => self.endpoints.iter().for_each(|relay| relay.set(knob)),
-            Link::List => self.list.set(knob),
-            Link::Clients => self.clients.set(knob),
+            Link::Endpoints => self.endpoints.iter().for_each(|relay| relay.set(fault)),
+            Link::List => self.list.set(fault),
+            Link::Clients => self.clients.set(fault),
         }
     }
 }
 
-struct World {
+struct Testbed {
     day: Day,
     record: Arc<Record>,
     endpoints: Vec<Endpoint>,
     list: List,
     links: Vec<Links>,
     couriers: Vec<tokio::sync::Mutex<Courier>>,
-    wrong: Option<Wrong>,
+    defect: Option<Defect>,
     _notes: Vec<Datagrams>,
     _net: Net,
 }
 
 /// A courier that is wrong on purpose, so that a test can show that the judge sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wrong {
+pub enum Defect {
     /// Its folder is empty at each start.
     EmptiesFolder,
     /// What it put on file last is gone with its process, as if it answered before it wrote.
-    AnswersFirst,
+    AnswersBeforeWriting,
     /// It sends once-only messages twice.
-    SendsAgain,
+    RepeatsOnceOnly,
 }
 
 /// What may be chosen beside a day and its seed.
@@ -124,7 +124,7 @@
 pub struct Options {
     /// Where the couriers' logs are kept if a rule is broken.
     pub logs: Option<PathBuf>,
-    pub wrong: Option<Wrong>,
+    pub defect: Option<Defect>,
 }
 
 /// Runs a day with a seed and judges it.
@@ -141,55 +141,55 @@
 /// As those of `run`.
 pub async fn run_with(day: &Day, seed: u64, binary: &Path, options: &Options) -> Result<Verdict, String> {
     let schedule = Schedule::draw(day, seed);
-    let world = World::build(day, seed, binary, options.wrong)
+    let testbed = Testbed::build(day, seed, binary, options.defect)
         .await
         .map_err(|e| format!("the day cannot be set up: {e}"))?;
-    let world = Arc::new(world);
-    world.start_all().await?;
+    let testbed = Arc::new(testbed);
+    testbed.start_all().await?;
     let mut watched = JoinSet::new();
-    watched.spawn(world.clone().watch_couriers());
-    if options.wrong == Some(Wrong::SendsAgain) {
-        watched.spawn(world.clone().send_again(schedule.mails.clone()));
+    watched.spawn(testbed.clone().watch_couriers());
+    if options.defect == Some(Defect::RepeatsOnceOnly) {
+        watched.spawn(testbed.clone().repeat_once_only_calls(schedule.mails.clone()));
     }
-    for links in &world.links {
+    for links in &testbed.links {
         for _ in 0..day.mails.idle {
             watched.spawn(client::stay_idle(links.clients.address));
         }
     }
 
-    let (start, base) = (Instant::now(), world.record.now());
+    let (start, base) = (Instant::now(), testbed.record.now());
     let mut clients = JoinSet::new();
-    for (courier, links) in world.links.iter().enumerate() {
+    for (courier, links) in testbed.links.iter().enumerate() {
         for client in 0..day.mails.clients {
             let numbered = schedule.mails.iter().enumerate();
             let own = numbered.filter(|(_, mail)| (mail.courier, mail.client) == (courier, client));
             let own = own.map(|(number, mail)| (number as u32, mail.clone())).collect();
-            let (body, record) = (vec![b'x'; day.mails.body], world.record.clone());
+            let (body, record) = (vec![b'x'; day.mails.body], testbed.record.clone());
             let pool = Pool::new(links.clients.address, day.mails.spare);
             clients.spawn(client::hand_in(pool, own, body, start, record));
         }
     }
     let mut troubles = JoinSet::new();
     for drawn in schedule.troubles.clone() {
-        troubles.spawn(world.clone().befall(drawn, start));
+        troubles.spawn(testbed.clone().apply_trouble(drawn, start));
     }
     while clients.join_next().await.is_some() {}
     while troubles.join_next().await.is_some() {}
     let settle = Instant::now() + Duration::from_secs_f64(day.settle_s);
-    while open(&world.record) > 0 && Instant::now() < settle {
+    while count_open(&testbed.record) > 0 && Instant::now() < settle {
         sleep(POLL).await;
     }
     watched.shutdown().await;
-    let left = world.end().await;
-    let verdict = world.record.read(|events| judge(day, &schedule.mails, base, events, &left));
+    let left = testbed.end().await;
+    let verdict = testbed.record.read(|events| judge(day, &schedule.mails, base, events, &left));
     if let Some(logs) = options.logs.as_ref().filter(|_| !verdict.kept()) {
-        world.keep_logs(logs, &verdict).await.map_err(|e| format!("{}: {e}", logs.display()))?;
+        testbed.keep_logs(logs, &verdict).await.map_err(|e| format!("{}: {e}", logs.display()))?;
     }
     Ok(verdict)
 }
 
-impl World {
-    async fn build(day: &Day, seed: u64, binary: &Path, wrong: Option<Wrong>) -> io::Result<World> {
+impl Testbed {
+    async fn build(day: &Day, seed: u64, binary: &Path, defect: Option<Defect>) -> io::Result<Testbed> {
         let net = Net::claim()?;
         let record = Arc::new(Record::new(std::time::Instant::now()));
         let by_address: HashMap<IpAddr, usize> = (0..day.couriers).map(|i| (net.courier(i), i)).collect();
@@ -227,7 +227,7 @@
             }
             let agent = list.at[courier % list.at.len()];
             let to_list = Relay::start(near, own, agent, seed ^ 1).await?;
-            let clients = Relay::start(near, near, (own, CLIENTS).into(), seed ^ 2).await?;
+            let clients = Relay::start(near, near, (own, CLIENT_PORT).into(), seed ^ 2).await?;
             let places = to_endpoints.iter().map(|relay| relay.address).collect();
             crate::record::lock(&addresses.endpoints).push(places);
             links.push(Links { endpoints: to_endpoints, list: to_list, clients });
@@ -235,71 +235,71 @@
         let (peers, notes) = notes(day, &net, seed).await?;
         let mut couriers = Vec::new();
         for (courier, links) in links.iter().enumerate() {
-            let listen = SocketAddr::from((net.courier(courier), CLIENTS));
+            let listen = SocketAddr::from((net.courier(courier), CLIENT_PORT));
             let mut config = json!({"name": format!("n{courier}"), "listen": listen.to_string(),
                 "discovery": links.list.address.to_string(), "seed": format!("{:x}", seed ^ courier as u64),
                 "limits": {"sockets": day.courier.sockets, "disk_mb": day.courier.disk_mb},
                 "known": list.known(&addresses, courier), "settings": settings(day)});
             if let Some(others) = peers.get(courier) {
-                let listen = SocketAddr::from((net.courier(courier), NOTES));
+                let listen = SocketAddr::from((net.courier(courier), NOTE_PORT));
                 config["peers"] = json!({"listen": listen.to_string(), "others": others});
             }
             couriers.push(tokio::sync::Mutex::new(Courier::new(binary, listen, &config)?));
         }
-        Ok(World {
+        Ok(Testbed {
             day: day.clone(),
             record,
             endpoints,
             list,
             links,
             couriers,
-            wrong,
+            defect,
             _notes: notes,
             _net: net,
         })
     }
 
-    fn saw(&self, courier: usize, what: Process) {
-        self.record.add(Seen::Process { courier, what });
+    fn record_process(&self, courier: usize, what: Process) {
+        self.record.add(Observation::Process { courier, what });
     }
 
     /// Starts a courier and waits until it serves.
     async fn start(&self, number: usize, courier: &mut Courier) -> Result<(), String> {
-        self.begin(number, courier)?;
-        self.serves(number, courier).await
+        self.spawn(number, courier)?;
+        self.wait_until_ready(number, courier).await
     }
 
-    fn begin(&self, number: usize, courier: &mut Courier) -> Result<(), String> {
-        match self.wrong {
-            Some(Wrong::EmptiesFolder) => courier.lose_folder(),
-            Some(Wrong::AnswersFirst) => courier.cut_journal(),
-            Some(Wrong::SendsAgain) | None => {}
+    fn spawn(&self, number: usize, courier: &mut Courier) -> Result<(), String> {
+        match self.defect {
+            Some(Defect::EmptiesFolder) => courier.delete_state(),
+            Some(Defect::AnswersBeforeWriting) => courier.truncate_journal(),
+            Some(Defect::RepeatsOnceOnly) | None => {}
         }
         courier.start().map_err(|e| format!("the courier's program cannot be started: {e}"))?;
-        self.saw(number, Process::Started);
+        self.record_process(number, Process::Started);
         Ok(())
     }
 
-    async fn serves(&self, number: usize, courier: &mut Courier) -> Result<(), String> {
+    async fn wait_until_ready(&self, number: usize, courier: &mut Courier) -> Result<(), String> {
         let end = Instant::now() + Duration::from_millis(self.day.rules.ready_ms * 2);
         while !client::is_ready(courier.listen).await {
             if courier.has_crashed() || Instant::now() > end {
-                self.saw(number, Process::Crashed);
+                self.record_process(number, Process::Crashed);
                 return Err(format!("courier {number} does not serve:\n{}", courier.log()));
             }
             sleep(POLL).await;
         }
-        self.saw(number, Process::Ready);
+        self.record_process(number, Process::Ready);
         Ok(())
     }
 
     async fn start_all(self: &Arc<Self>) -> Result<(), String> {
         let mut starts = JoinSet::new();
         for number in 0..self.couriers.len() {
-            let world = self.clone();
+            let testbed = self.clone();
             starts.spawn(async move {
-                let mut courier = world.couriers[number].lock().await;
-                world.start(number, &mut courier).await
+                let mut courier = testbed.couriers[number].lock().await;
+                testbed.start(number, &mut courier).await
             });
         }
         while let Some(started) = starts.join_next().await {
@@ -315,7 +315,7 @@
             for (number, courier) in self.couriers.iter().enumerate() {
                 let Ok(mut courier) = courier.try_lock() else { continue };
                 if courier.has_crashed() && !std::mem::replace(&mut crashed[number], true) {
-                    self.saw(number, Process::Crashed);
+                    self.record_process(number, Process::Crashed);
                 }
             }
             sleep(POLL).await;
@@ -324,20 +324,20 @@
 
     async fn kill(&self, number: usize, courier: &mut Courier) {
         courier.signal(Signal::KILL);
-        courier.ended().await;
-        self.saw(number, Process::Ended);
+        courier.wait_for_end().await;
+        self.record_process(number, Process::Ended);
     }
 
     /// What befalls one courier's process; it is locked for as long as that lasts.
-    async fn befall_process(self: Arc<Self>, drawn: Drawn, number: usize) {
+    async fn apply_process_trouble(self: Arc<Self>, drawn: DrawnTrouble, number: usize) {
         let lasts = Duration::from_micros(drawn.until - drawn.at);
         let mut courier = self.couriers[number].lock().await;
         match drawn.what {
             What::Kill | What::FolderLost => {
                 self.kill(number, &mut courier).await;
                 if drawn.what == What::FolderLost {
-                    courier.lose_folder();
-                    self.saw(number, Process::FolderLost);
+                    courier.delete_state();
+                    self.record_process(number, Process::FolderLost);
                 }
                 sleep(lasts).await;
             }
@@ -345,7 +345,7 @@
                 self.kill(number, &mut courier).await;
                 for cut in drawn.cuts {
                     if courier.start().is_ok() {
-                        self.saw(number, Process::Started);
+                        self.record_process(number, Process::Started);
                         sleep(Duration::from_millis(cut)).await;
                         self.kill(number, &mut courier).await;
                     }
@@ -353,21 +353,21 @@
             }
             What::Term => {
                 courier.signal(Signal::TERM);
-                self.saw(number, Process::Asked);
-                if timeout(TERM_LASTS, courier.ended()).await.is_err() {
+                self.record_process(number, Process::TermSent);
+                if timeout(TERM_GRACE, courier.wait_for_end()).await.is_err() {
                     courier.signal(Signal::KILL);
-                    courier.ended().await;
+                    courier.wait_for_end().await;
                 }
-                self.saw(number, Process::Ended);
-                sleep(RESTARTS_AFTER).await;
+                self.record_process(number, Process::Ended);
+                sleep(RESTART_DELAY).await;
             }
             What::Signals => return self.signal_in_series(&drawn, number, &mut courier).await,
             What::Stop => {
                 courier.signal(Signal::STOP);
-                self.saw(number, Process::Stopped);
+                self.record_process(number, Process::Stopped);
                 sleep(lasts).await;
                 courier.signal(Signal::CONT);
-                return self.saw(number, Process::Continued);
+                return self.record_process(number, Process::Continued);
             }
             _ => return,
         }
@@ -375,22 +375,22 @@
         let _ = self.start(number, &mut courier).await;
     }
 
-    async fn signal_in_series(&self, drawn: &Drawn, number: usize, courier: &mut Courier) {
+    async fn signal_in_series(&self, drawn: &DrawnTrouble, number: usize, courier: &mut Courier) {
         if drawn.behind_taken {
-            let _ = timeout(NEXT_TAKEN, self.next_taken(number)).await;
+            let _ = timeout(NEXT_TAKEN_TIMEOUT, self.next_taken(number)).await;
         }
         let mut left = drawn.signals.iter().copied();
         loop {
             let ended = self.signal_process(&mut left, number, courier).await;
             if ended {
-                sleep(RESTARTS_AFTER).await;
+                sleep(RESTART_DELAY).await;
             }
-            if ended && self.begin(number, courier).is_err() {
+            if ended && self.spawn(number, courier).is_err() {
                 return;
             }
             if left.len() == 0 {
                 // One that does not serve has been noted as crashed.
-                let _ = self.serves(number, courier).await;
+                let _ = self.wait_until_ready(number, courier).await;
                 return;
             }
         }
@@ -412,9 +412,13 @@
                 Some((_, gap)) => Some(Instant::now() + Duration::from_millis(gap)),
             };
             let until = until.into_iter().chain(kill_at).min().unwrap_or_else(Instant::now);
-            if timeout(until.saturating_duration_since(Instant::now()), courier.ended()).await.is_ok() {
+            if timeout(until.saturating_duration_since(Instant::now()), courier.wait_for_end()).await.is_ok()
+            {
                 // A signal that only asks for the configuration to be read ends nothing.
-                self.saw(number, if kill_at.is_some() { Process::Ended } else { Process::Crashed });
+                self.record_process(
+                    number,
+                    if kill_at.is_some() { Process::Ended } else { Process::Crashed },
+                );
                 return true;
             }
             match next {
@@ -422,9 +426,9 @@
                 Some((Sent::Term, _)) if Some(until) != kill_at => {
                     courier.signal(Signal::TERM);
                     if kill_at.is_none() {
-                        self.saw(number, Process::Asked);
+                        self.record_process(number, Process::TermSent);
                     }
-                    kill_at.get_or_insert(Instant::now() + TERM_LASTS);
+                    kill_at.get_or_insert(Instant::now() + TERM_GRACE);
                 }
                 _ => {
                     self.kill(number, courier).await;
@@ -437,19 +441,21 @@
     /// Done right behind the next answer that takes a message on.
     async fn next_taken(&self, number: usize) {
         let known = self.record.read(<[_]>::len);
-        let is_taken = |seen: &Seen| matches!(seen, Seen::Answered { courier, heard: Heard::Taken, .. } if *courier == number);
+        let is_taken = |seen: &Observation| matches!(seen, Observation::Answered { courier, answer: ClientAnswer::Taken, .. } if *courier == number);
         while !self.record.read(|events| events[known..].iter().any(|event| is_taken(&event.seen))) {
-            sleep(CLOSE_POLL).await;
+            sleep(TAKEN_POLL).await;
         }
     }
 
     /// Sends each once-only call that was served again, as a wrong courier would.
-    async fn send_again(self: Arc<Self>, mails: Vec<Mail>) {
+    async fn repeat_once_only_calls(self: Arc<Self>, mails: Vec<Mail>) {
         let mut known = 0;
         loop {
-            let calls: Vec<(usize, Hand)> = self.record.read(|events| {
+            let calls: Vec<(usize, HandIn)> = self.record.read(|events| {
                 let new = events[known..].iter().filter_map(|event| match &event.seen {
-                    Seen::Called { endpoint, hands, fate: Fate::Served, .. } => Some((*endpoint, hands[0])),
+                    Observation::Called { endpoint, hands, result: CallResult::Relayed, .. } => {
+                        Some((*endpoint, hands[0]))
+                    }
                     _ => None,
                 });
                 let new = new.collect();
@@ -475,38 +481,38 @@
         Ok(())
     }
 
-    async fn befall(self: Arc<Self>, drawn: Drawn, start: Instant) {
+    async fn apply_trouble(self: Arc<Self>, drawn: DrawnTrouble, start: Instant) {
         let until = start + Duration::from_micros(drawn.until);
         sleep_until(start + Duration::from_micros(drawn.at)).await;
         if drawn.what.is_process() {
             let mut each = JoinSet::new();
             for &number in &drawn.which {
-                each.spawn(self.clone().befall_process(drawn.clone(), number));
+                each.spawn(self.clone().apply_process_trouble(drawn.clone(), number));
             }
             while each.join_next().await.is_some() {}
             return;
         }
-        self.turn(&drawn, true);
+        self.set_trouble(&drawn, true);
         sleep_until(until).await;
-        self.turn(&drawn, false);
+        self.set_trouble(&drawn, false);
     }
 
     /// Turns the knobs of a trouble, or turns them back.
-    fn turn(&self, drawn: &Drawn, on: bool) {
-        let trouble = &self.day.trouble[drawn.of];
+    fn set_trouble(&self, drawn: &DrawnTrouble, on: bool) {
+        let trouble = &self.day.trouble[drawn.index];
         for &number in &drawn.which {
             match drawn.what {
-                what if what.is_list() => self.turn_agent(what, number, on),
-                what if what.is_endpoint() => self.turn_endpoint(what, trouble, number, on),
+                what if what.is_list() => self.set_agent_trouble(what, number, on),
+                what if what.is_endpoint() => self.set_endpoint_trouble(what, trouble, number, on),
                 what => {
-                    let knob = if on { knob(what, trouble) } else { Knob::Well };
-                    let seen = Seen::Links { courier: number, link: trouble.link, faulty: on };
+                    let fault = if on { link_fault(what, trouble) } else { LinkFault::None };
+                    let seen = Observation::LinksChanged { courier: number, link: trouble.link, faulty: on };
                     // Noted for as long as it lasts: what the cut does is seen after its begin.
                     if on {
                         self.record.add(seen);
-                        self.links[number].set(trouble.link, knob);
+                        self.links[number].set(trouble.link, fault);
                     } else {
-                        self.links[number].set(trouble.link, knob);
+                        self.links[number].set(trouble.link, fault);
                         self.record.add(seen);
                     }
                 }
@@ -514,25 +520,25 @@
         }
     }
 
-    fn turn_agent(&self, what: What, agent: usize, on: bool) {
-        let mood = |mood| if on { mood } else { ListMood::Well };
+    fn set_agent_trouble(&self, what: What, agent: usize, on: bool) {
+        let mode = |mode| if on { mode } else { ListMode::Normal };
         match what {
-            What::List503 => self.list.set_mood(agent, mood(ListMood::Refuses)),
-            What::ListSilent => self.list.set_mood(agent, mood(ListMood::Silent)),
+            What::List503 => self.list.set_mode(agent, mode(ListMode::Refuses)),
+            What::ListSilent => self.list.set_mode(agent, mode(ListMode::Silent)),
             What::ListStale => self.list.set_stale(agent, on),
             _ => self.list.set_indented(agent, on),
         }
     }
 
-    fn turn_endpoint(&self, what: What, trouble: &Trouble, number: usize, on: bool) {
+    fn set_endpoint_trouble(&self, what: What, trouble: &Trouble, number: usize, on: bool) {
         let endpoint = &self.endpoints[number];
-        let mood = |mood| endpoint.set_mood(if on { mood } else { Mood::Well });
+        let mode = |mode| endpoint.set_mode(if on { mode } else { Mode::Normal });
         match what {
             What::Drain => self.list.change(number, |entry| entry.drains = on),
-            What::Busy => mood(Mood::Busy),
-            What::Errors => mood(Mood::Errors(trouble.chance)),
-            What::Limit => mood(Mood::Limit(trouble.delay_ms)),
-            What::Hang => mood(Mood::Hangs),
+            What::Busy => mode(Mode::Busy),
+            What::Errors => mode(Mode::Errors(trouble.chance)),
+            What::Limit => mode(Mode::Limit(trouble.delay_ms)),
+            What::Hang => mode(Mode::Hangs),
             What::Replace => {
                 endpoint.set_up(!on);
                 if on {
@@ -552,18 +558,18 @@
     }
 
     /// Asks all couriers to end, and reads what they leave.
-    async fn end(self: &Arc<Self>) -> Left {
-        let mut left = Left { at: self.record.now(), ..Left::default() };
+    async fn end(self: &Arc<Self>) -> FinalState {
+        let mut left = FinalState { at: self.record.now(), ..FinalState::default() };
         let mut ends = JoinSet::new();
         for number in 0..self.couriers.len() {
-            let world = self.clone();
+            let testbed = self.clone();
             ends.spawn(async move {
-                let mut courier = world.couriers[number].lock().await;
+                let mut courier = testbed.couriers[number].lock().await;
                 let mut faults = Vec::new();
                 courier.signal(Signal::TERM);
-                if timeout(TERM_LASTS * 2, courier.ended()).await.is_err() {
+                if timeout(TERM_GRACE * 2, courier.wait_for_end()).await.is_err() {
                     faults.push("does not end when it is asked to".to_string());
-                    world.kill(number, &mut courier).await;
+                    testbed.kill(number, &mut courier).await;
                 }
                 faults.extend(faults_in(&courier.log()));
                 let owed = courier.owed().await.unwrap_or_else(|e| {
@@ -575,7 +581,7 @@
         }
         while let Some(ended) = ends.join_next().await {
             let Ok((number, owed, faults)) = ended else { continue };
-            left.owed.extend(owed.iter().filter_map(|id| Hand::read(id)));
+            left.owed.extend(owed.iter().filter_map(|id| HandIn::read(id)));
             left.faults.extend(faults.into_iter().map(|fault| (number, fault)));
         }
         left
@@ -583,21 +589,23 @@
 }
 
 /// Mails that were taken on and have no end yet; what went with a folder will have none.
-pub(crate) fn open(record: &Record) -> usize {
+pub(crate) fn count_open(record: &Record) -> usize {
     record.read(|events| {
         let (mut open, mut served) = (HashSet::new(), HashMap::new());
         let mut ended = HashSet::new();
         for event in events {
             match &event.seen {
-                Seen::Answered { hand, courier, heard: Heard::Taken } => {
+                Observation::Answered { hand, courier, answer: ClientAnswer::Taken } => {
                     open.insert((*hand, *courier));
                 }
-                Seen::Process { courier, what: Process::FolderLost } => open.retain(|one| one.1 != *courier),
-                Seen::Notice { hand, .. } => drop(ended.insert(*hand)),
-                Seen::Called { call, hands, fate: Fate::Served, .. } => {
+                Observation::Process { courier, what: Process::FolderLost } => {
+                    open.retain(|one| one.1 != *courier)
+                }
+                Observation::Notice { hand, .. } => drop(ended.insert(*hand)),
+                Observation::Called { call, hands, result: CallResult::Relayed, .. } => {
                     served.insert(*call, hands);
                 }
-                Seen::Replied { call } => {
+                Observation::Replied { call } => {
                     ended.extend(served.get(call).into_iter().flat_map(|hands| hands.iter().copied()));
                 }
                 _ => {}
@@ -614,7 +622,7 @@
     }
     let n = &day.notes;
     let late_by = Duration::from_millis(n.late_ms);
-    let weather = Weather { lost: n.lost, doubled: n.doubled, late: n.late, late_by };
+    let faults = DatagramFaults { lost: n.lost, doubled: n.doubled, late: n.late, late_by };
     let (mut peers, mut relays) = (vec![Vec::new(); day.couriers], Vec::new());
     for a in 0..day.couriers {
         for b in a + 1..day.couriers {
@@ -622,25 +630,25 @@
             let at_b = tokio::net::UdpSocket::bind((net.relays(b), 0)).await?;
             peers[a].push(at_a.local_addr()?.to_string());
             peers[b].push(at_b.local_addr()?.to_string());
-            let ends = [a, b].map(|courier| SocketAddr::from((net.courier(courier), NOTES)));
+            let ends = [a, b].map(|courier| SocketAddr::from((net.courier(courier), NOTE_PORT)));
             let seed = seed ^ (a as u64) << 24 ^ (b as u64) << 32;
-            relays.push(Datagrams::start(ends, [at_a, at_b], weather, seed));
+            relays.push(Datagrams::start(ends, [at_a, at_b], faults, seed));
         }
     }
     Ok((peers, relays))
 }
 
 /// How a trouble of links turns the knob of one.
-fn knob(what: What, trouble: &Trouble) -> Knob {
+fn link_fault(what: What, trouble: &Trouble) -> LinkFault {
     match what {
-        What::Cut => Knob::Cut,
-        What::CutRequests => Knob::Held(Way::Request),
-        What::CutAnswers => Knob::Held(Way::Answer),
-        What::Silent => Knob::Silent,
-        What::Slow => Knob::Slow(Duration::from_millis(trouble.delay_ms)),
-        What::ResetRequests => Knob::Reset(Way::Request, trouble.chance),
-        What::ResetAnswers => Knob::Reset(Way::Answer, trouble.chance),
-        _ => Knob::Well,
+        What::Cut => LinkFault::Cut,
+        What::CutRequests => LinkFault::Held(Way::Request),
+        What::CutAnswers => LinkFault::Held(Way::Answer),
+        What::Silent => LinkFault::Silent,
+        What::Slow => LinkFault::Slow(Duration::from_millis(trouble.delay_ms)),
+        What::ResetRequests => LinkFault::Reset(Way::Request, trouble.chance),
+        What::ResetAnswers => LinkFault::Reset(Way::Answer, trouble.chance),
+        _ => LinkFault::None,
     }
 }
 
--- a/crates/rig/src/scale/run.rs
+++ b/crates/rig/src/scale/run.rs
@@ -29,10 +29,10 @@
 use super::versions::Versions;
 use crate::client::{self, Pool};
 use crate::endpoint::{Endpoint, Numbers};
-use crate::judge::{judge, Left};
-use crate::record::{lock, Hand, Process as Happened, Record, Seen};
-use crate::relay::{Knob, Look, Relay};
-use crate::run::{open, settings, Net, TERM_LASTS};
+use crate::judge::{judge, FinalState};
+use crate::record::{lock, HandIn, Observation, Process as Happened, Record};
+use crate::relay::{InspectorFactory, LinkFault, Relay};
+use crate::run::{count_open, settings, Net, TERM_GRACE};
 use crate::schedule::Schedule;
 
 /// Where real couriers listen for clients and, with nobody to tell, for notes; and all for membership.
@@ -183,7 +183,10 @@
             let mut own = Vec::new();
             for relay in 0..relays {
                 let (seed, look) = (seed ^ (relay as u64 + 2) << 8, watched(&books, relay, number));
-                own.push(Relay::with(near, link(number), relay_at(relay), seed, Some(look)).await?);
+                own.push(
+                    Relay::start_with_inspector(near, link(number), relay_at(relay), seed, Some(look))
+                        .await?,
+                );
             }
             to_relays.push(own);
             if place.real {
@@ -311,7 +314,7 @@
     }
 
     fn saw(&self, courier: usize, what: Happened) {
-        self.record.add(Seen::Process { courier, what });
+        self.record.add(Observation::Process { courier, what });
     }
 
     fn breaks(&self, rule: Rule, words: String) {
@@ -514,7 +517,7 @@
         cut.store(last, Ordering::SeqCst);
         while clients.join_next().await.is_some() {}
         let settle = Instant::now() + seconds(day.settle_s);
-        while open(&self.record) > 0 && Instant::now() < settle {
+        while count_open(&self.record) > 0 && Instant::now() < settle {
             sleep(POLL).await;
         }
         let left = self.end(report).await;
@@ -624,9 +627,9 @@
         }
         let (what, lasts) = (trouble.what, seconds(trouble.for_s));
         let knob = match what {
-            Some(What::Region | What::Source) => Some(Knob::Cut),
-            Some(What::Slow) => Some(Knob::Slow(Duration::from_millis(trouble.delay_ms))),
-            Some(What::Silent) => Some(Knob::Silent),
+            Some(What::Region | What::Source) => Some(LinkFault::Cut),
+            Some(What::Slow) => Some(LinkFault::Slow(Duration::from_millis(trouble.delay_ms))),
+            Some(What::Silent) => Some(LinkFault::Silent),
             _ => None,
         };
         let couriers_end = self.to_relays.len();
@@ -643,7 +646,7 @@
             };
             set(knob);
             sleep(lasts).await;
-            set(Knob::Well);
+            set(LinkFault::None);
             return self.calm(couriers);
         }
         let mut each = JoinSet::new();
@@ -727,8 +730,8 @@
     }
 
     /// Asks all processes to end, and reads what they leave.
-    async fn end(self: &Arc<Self>, report: &mut Report) -> Left {
-        let mut left = Left { at: self.record.now(), ..Left::default() };
+    async fn end(self: &Arc<Self>, report: &mut Report) -> FinalState {
+        let mut left = FinalState { at: self.record.now(), ..FinalState::default() };
         let mut ends = JoinSet::new();
         for (number, process) in self.processes.iter().enumerate() {
             let (world, process) = (self.clone(), process.clone());
@@ -737,7 +740,7 @@
                 let (mut faults, real) = (Vec::new(), one.place.real);
                 lock(&world.ids)[number] = None;
                 one.signal(Signal::TERM);
-                let lasts = if real { TERM_LASTS * 2 } else { HOLLOW_ENDS };
+                let lasts = if real { TERM_GRACE * 2 } else { HOLLOW_ENDS };
                 match timeout(lasts, one.ended()).await {
                     Ok(Some(status)) if !status.success() => faults.push(format!("ended with {status}")),
                     Ok(_) => {}
@@ -758,7 +761,7 @@
         }
         while let Some(ended) = ends.join_next().await {
             let Ok((number, real, owed, faults, log)) = ended else { continue };
-            left.owed.extend(owed.iter().filter_map(|id| Hand::read(id)));
+            left.owed.extend(owed.iter().filter_map(|id| HandIn::read(id)));
             report.membership.add(&log);
             for fault in faults {
                 if real {
@@ -788,7 +791,7 @@
 }
 
 /// Notes each version that a relay tells a courier of a process.
-fn watched(books: &Arc<Mutex<Books>>, relay: usize, process: usize) -> Look {
+fn watched(books: &Arc<Mutex<Books>>, relay: usize, process: usize) -> InspectorFactory {
     let books = books.clone();
     Arc::new(move || {
         let (books, mut versions) = (books.clone(), Versions::default());
--- a/crates/rig/src/scale/sorter.rs
+++ b/crates/rig/src/scale/sorter.rs
@@ -11,7 +11,7 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-use crate::record::Hand;
+use crate::record::HandIn;
 use crate::relay;
 
 /// Of a first call that names no message: it is dropped.
@@ -80,7 +80,7 @@
     let text = String::from_utf8_lossy(call);
     let mark = if text.starts_with("POST /hook/batch ") { "\"id\":\"" } else { "x-request-id: " };
     let at = text.to_ascii_lowercase().find(mark)? + mark.len();
-    Hand::read(text.get(at..at + 16)?).map(|hand| hand.mail)
+    HandIn::read(text.get(at..at + 16)?).map(|hand| hand.mail)
 }
 
 #[cfg(test)]
--- a/crates/rig/src/scale/source.rs
+++ b/crates/rig/src/scale/source.rs
@@ -22,8 +22,8 @@
 use tokio::time::{sleep, timeout};
 
 use super::books::Books;
-use crate::list::{plain, take_notices, Answer, Reply, Told};
-use crate::record::{lock, Record, Seen};
+use crate::list::{plain, take_notices, ListAnswer, ListEntry, Reply};
+use crate::record::{lock, Observation, Record};
 
 /// An empty line comes so often where nothing changes.
 const TURN: Duration = Duration::from_secs(2);
@@ -281,7 +281,7 @@
         if let Some(real) = follower.real {
             if after.is_none() {
                 for endpoint in 0..self.setup.live.0 * self.setup.live.1 {
-                    self.setup.record.add(Seen::Told { courier: real, endpoint, drains: false });
+                    self.setup.record.add(Observation::ListSent { courier: real, endpoint, drains: false });
                 }
             }
             let places = lock(&self.places).get(real).cloned().unwrap_or_default();
@@ -303,7 +303,7 @@
         let nowhere = self.nowhere.to_string();
         let told = news.map(|entry| {
             let place = entry.live.and_then(|endpoint| places.get(endpoint));
-            Told {
+            ListEntry {
                 name: &entry.name,
                 address: place.map_or_else(|| nowhere.clone(), SocketAddr::to_string),
                 zone: "a",
@@ -314,7 +314,8 @@
                 since_ms: entry.since_ms,
             }
         });
-        let answer = Answer { index: truth.version, snapshot: after.is_none(), endpoints: told.collect() };
+        let answer =
+            ListAnswer { index: truth.version, snapshot: after.is_none(), endpoints: told.collect() };
         let mut text = serde_json::to_vec(&answer).unwrap_or_default();
         text.push(b'\n');
         text.into()
--- a/crates/rig/src/scale/sums.rs
+++ b/crates/rig/src/scale/sums.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 
 use super::gauge::{self, Taken};
-use crate::relay::Passed;
+use crate::relay::PassedBytes;
 
 /// Sums at one moment, by process of couriers.
 #[derive(Clone, Debug, Default)]
@@ -30,14 +30,18 @@
 pub struct Gauge {
     last: Vec<Option<(u32, Taken)>>,
     /// By process, and by relay those of its followers.
-    links: Vec<Vec<Arc<Passed>>>,
-    followers: Vec<Vec<Arc<Passed>>>,
+    links: Vec<Vec<Arc<PassedBytes>>>,
+    followers: Vec<Vec<Arc<PassedBytes>>>,
     source: i32,
     pub sums: Sums,
 }
 
 impl Gauge {
-    pub fn new(links: Vec<Vec<Arc<Passed>>>, followers: Vec<Vec<Arc<Passed>>>, source: i32) -> Gauge {
+    pub fn new(
+        links: Vec<Vec<Arc<PassedBytes>>>,
+        followers: Vec<Vec<Arc<PassedBytes>>>,
+        source: i32,
+    ) -> Gauge {
         let many = links.len();
         let sums = Sums {
             processor_s: vec![0.0; many],
@@ -57,7 +61,7 @@
             let now = id.and_then(|id| Some((id, gauge::of_process(id)?)));
             self.put(number, now);
         }
-        let of = |links: &Vec<Arc<Passed>>| {
+        let of = |links: &Vec<Arc<PassedBytes>>| {
             links
                 .iter()
                 .map(|link| link.both())
--- a/crates/rig/src/schedule.rs
+++ b/crates/rig/src/schedule.rs
@@ -44,13 +44,13 @@
 
 /// A trouble as it was drawn, in microseconds from the start of the day.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Drawn {
+pub struct DrawnTrouble {
     pub what: What,
     pub at: u64,
     pub until: u64,
     pub which: Vec<usize>,
     /// Its place in the file, for the rest of its figures.
-    pub of: usize,
+    pub index: usize,
     /// Milliseconds after each of the starts that are cut short.
     pub cuts: Vec<u64>,
     /// A series of signals, each with the milliseconds before it.
@@ -62,11 +62,11 @@
 pub struct Schedule {
     /// By time.
     pub mails: Vec<Mail>,
-    pub troubles: Vec<Drawn>,
+    pub troubles: Vec<DrawnTrouble>,
 }
 
 /// A start is cut short within so many milliseconds: reading the journal falls into them.
-const START_MS: u64 = 60;
+const MAX_START_CUT_MS: u64 = 60;
 
 impl Schedule {
     pub fn draw(day: &Day, seed: u64) -> Schedule {
@@ -79,7 +79,7 @@
                 .trouble
                 .iter()
                 .enumerate()
-                .filter_map(|(i, t)| drawn(day, i, t, &mut chance))
+                .filter_map(|(i, t)| draw_trouble(day, i, t, &mut chance))
                 .collect(),
         }
     }
@@ -120,23 +120,23 @@
     }
 }
 
-fn drawn(day: &Day, of: usize, trouble: &Trouble, chance: &mut Rng) -> Option<Drawn> {
+fn draw_trouble(day: &Day, index: usize, trouble: &Trouble, chance: &mut Rng) -> Option<DrawnTrouble> {
     let what = trouble.what?;
     let [from, to] = trouble.at_s;
     let at = from + (to - from) * chance.f64();
     let mut which = trouble.which.clone();
     if which.is_empty() {
-        let mut all: Vec<usize> = (0..day.many(what)).collect();
+        let mut all: Vec<usize> = (0..day.target_count(what)).collect();
         chance.shuffle(&mut all);
         all.truncate((trouble.part * all.len() as f64).round() as usize);
         which = all;
         which.sort_unstable();
     }
-    let cuts = (0..trouble.times).map(|_| chance.u64(1..=START_MS)).collect();
+    let cuts = (0..trouble.times).map(|_| chance.u64(1..=MAX_START_CUT_MS)).collect();
     let us = |seconds: f64| (seconds * 1e6) as u64;
     let signals = trouble.signals.iter().copied().zip(trouble.gaps_ms.iter().copied()).collect();
     let (until, behind_taken) = (us(at + trouble.for_s), trouble.behind_taken);
-    Some(Drawn { what, at: us(at), until, which, of, cuts, signals, behind_taken })
+    Some(DrawnTrouble { what, at: us(at), until, which, index, cuts, signals, behind_taken })
 }
 
 #[cfg(test)]
--- a/crates/rig/src/soak.rs
+++ b/crates/rig/src/soak.rs
@@ -63,8 +63,8 @@
     format!("BROKEN: {}", words.collect::<Vec<_>>().join("; "))
 }
 
-/// Plays all seeds; `tell` hears of each as it ends. Returns them in the order of their seeds.
-pub async fn soak(soak: &Soak, binary: &Path, mut tell: impl FnMut(&Play)) -> Vec<Play> {
+/// Plays all seeds; `on_end` hears of each as it ends. Returns them in the order of their seeds.
+pub async fn soak(soak: &Soak, binary: &Path, mut on_end: impl FnMut(&Play)) -> Vec<Play> {
     let permits = Arc::new(Semaphore::new(soak.parallel.max(1)));
     let mut playing = JoinSet::new();
     for seed in soak.seeds.clone().filter(|seed| !soak.without.contains(seed)) {
@@ -82,7 +82,7 @@
     let mut plays = Vec::new();
     while let Some(play) = playing.join_next().await {
         let Ok(play) = play else { continue };
-        tell(&play);
+        on_end(&play);
         plays.push(play);
     }
     plays.sort_by_key(|play| play.drawing.seed);
--- a/crates/rig/tests/relay.rs
+++ b/crates/rig/tests/relay.rs
@@ -3,15 +3,15 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-use meadowhold_rig::relay::{fates, Datagrams, Knob, Relay, Way, Weather};
+use meadowhold_rig::relay::{copy_delays, DatagramFaults, Datagrams, LinkFault, Relay, Way};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::time::{timeout, Instant};
 
 const HERE: Ipv4Addr = Ipv4Addr::LOCALHOST;
 /// Nothing that is held back comes in this time.
-const WHILE: Duration = Duration::from_millis(150);
-const LONG: Duration = Duration::from_secs(5);
+const HELD_WAIT: Duration = Duration::from_millis(150);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 struct Ends {
     relay: Relay,
@@ -27,7 +27,7 @@
 
     async fn pair(&self) -> (TcpStream, TcpStream) {
         let near = TcpStream::connect(self.relay.address).await.unwrap();
-        let (far, _) = timeout(LONG, self.far.accept()).await.unwrap().unwrap();
+        let (far, _) = timeout(TIMEOUT, self.far.accept()).await.unwrap().unwrap();
         (near, far)
     }
 }
@@ -47,7 +47,7 @@
 
 async fn is_reset(stream: &mut TcpStream) -> bool {
     let mut rest = Vec::new();
-    let ended = timeout(LONG, stream.read_to_end(&mut rest)).await;
+    let ended = timeout(TIMEOUT, stream.read_to_end(&mut rest)).await;
     ended.unwrap().is_err_and(|e| e.kind() == std::io::ErrorKind::ConnectionReset)
 }
 
@@ -55,22 +55,22 @@
 async fn a_link_that_is_well_passes_all_on_both_ways_and_closes_with_its_ends() {
     let ends = Ends::new().await;
     let (mut near, mut far) = ends.pair().await;
-    assert_eq!(pass(&mut near, &mut far, LONG).await, 8);
-    assert_eq!(pass(&mut far, &mut near, LONG).await, 8);
+    assert_eq!(pass(&mut near, &mut far, TIMEOUT).await, 8);
+    assert_eq!(pass(&mut far, &mut near, TIMEOUT).await, 8);
     drop(near);
-    assert_eq!(timeout(LONG, far.read(&mut [0; 8])).await.unwrap().unwrap(), 0);
+    assert_eq!(timeout(TIMEOUT, far.read(&mut [0; 8])).await.unwrap().unwrap(), 0);
 }
 
 #[tokio::test]
 async fn a_cut_link_resets_what_is_open_refuses_what_is_new_and_comes_back_where_it_was() {
     let ends = Ends::new().await;
     let (mut near, mut far) = ends.pair().await;
-    ends.relay.set(Knob::Cut);
+    ends.relay.set(LinkFault::Cut);
     assert!(is_reset(&mut near).await && is_reset(&mut far).await);
     let refused = TcpStream::connect(ends.relay.address).await.unwrap_err();
     assert_eq!(refused.kind(), std::io::ErrorKind::ConnectionRefused);
-    ends.relay.set(Knob::Well);
-    let end = Instant::now() + LONG;
+    ends.relay.set(LinkFault::None);
+    let end = Instant::now() + TIMEOUT;
     while TcpStream::connect(ends.relay.address).await.is_err() {
         assert!(Instant::now() < end, "it does not come back");
         tokio::time::sleep(Duration::from_millis(5)).await;
@@ -81,37 +81,37 @@
 async fn what_is_held_back_one_way_or_both_does_not_come_and_is_reset_in_the_end() {
     // (knob, whether requests come, whether answers come)
     let rows = [
-        (Knob::Held(Way::Request), false, true),
-        (Knob::Held(Way::Answer), true, false),
-        (Knob::Silent, false, false),
+        (LinkFault::Held(Way::Request), false, true),
+        (LinkFault::Held(Way::Answer), true, false),
+        (LinkFault::Silent, false, false),
     ];
-    for (knob, requests, answers) in rows {
+    for (fault, requests, answers) in rows {
         let ends = Ends::new().await;
         let (mut near, mut far) = ends.pair().await;
-        ends.relay.set(knob);
-        let patience = |comes| if comes { LONG } else { WHILE };
+        ends.relay.set(fault);
+        let patience = |comes| if comes { TIMEOUT } else { HELD_WAIT };
         assert_eq!(
             pass(&mut near, &mut far, patience(requests)).await,
             if requests { 8 } else { 0 },
-            "{knob:?}"
+            "{fault:?}"
         );
         assert_eq!(
             pass(&mut far, &mut near, patience(answers)).await,
             if answers { 8 } else { 0 },
-            "{knob:?}"
+            "{fault:?}"
         );
-        ends.relay.set(Knob::Well);
-        assert!(is_reset(&mut near).await, "{knob:?}");
+        ends.relay.set(LinkFault::None);
+        assert!(is_reset(&mut near).await, "{fault:?}");
     }
 }
 
 #[tokio::test]
 async fn nobody_is_reached_through_a_silent_link() {
     let ends = Ends::new().await;
-    ends.relay.set(Knob::Silent);
+    ends.relay.set(LinkFault::Silent);
     let mut near = TcpStream::connect(ends.relay.address).await.unwrap();
-    assert!(timeout(WHILE, ends.far.accept()).await.is_err());
-    ends.relay.set(Knob::Well);
+    assert!(timeout(HELD_WAIT, ends.far.accept()).await.is_err());
+    ends.relay.set(LinkFault::None);
     assert!(is_reset(&mut near).await);
 }
 
@@ -119,10 +119,10 @@
 async fn a_slow_link_takes_its_time() {
     let ends = Ends::new().await;
     let (mut near, mut far) = ends.pair().await;
-    ends.relay.set(Knob::Slow(WHILE));
+    ends.relay.set(LinkFault::Slow(HELD_WAIT));
     let start = Instant::now();
-    assert_eq!(pass(&mut near, &mut far, LONG).await, 8);
-    assert!(start.elapsed() >= WHILE);
+    assert_eq!(pass(&mut near, &mut far, TIMEOUT).await, 8);
+    assert!(start.elapsed() >= HELD_WAIT);
 }
 
 #[tokio::test]
@@ -130,10 +130,10 @@
     for way in [Way::Request, Way::Answer] {
         let ends = Ends::new().await;
         let (mut near, mut far) = ends.pair().await;
-        ends.relay.set(Knob::Reset(way, 1.0));
+        ends.relay.set(LinkFault::Reset(way, 1.0));
         let (from, to) = if way == Way::Request { (&mut near, &mut far) } else { (&mut far, &mut near) };
         // Half at most: a reset may overtake what was not read yet.
-        assert!(pass(from, to, LONG).await <= 4, "{way:?}");
+        assert!(pass(from, to, TIMEOUT).await <= 4, "{way:?}");
         assert!(is_reset(from).await, "{way:?}");
     }
 }
@@ -141,9 +141,9 @@
 #[test]
 fn datagrams_fare_as_the_chances_say() {
     let late_by = Duration::from_millis(100);
-    let weather = Weather { lost: 0.2, doubled: 0.1, late: 0.5, late_by };
+    let faults = DatagramFaults { lost: 0.2, doubled: 0.1, late: 0.5, late_by };
     let mut chance = fastrand::Rng::with_seed(5);
-    let all: Vec<Vec<Duration>> = (0..10_000).map(|_| fates(&weather, &mut chance)).collect();
+    let all: Vec<Vec<Duration>> = (0..10_000).map(|_| copy_delays(&faults, &mut chance)).collect();
     let part =
         |holds: &dyn Fn(&Vec<Duration>) -> bool| all.iter().filter(|fate| holds(fate)).count() as f64 / 1e4;
     assert!((part(&|fate| fate.is_empty()) - 0.2).abs() < 0.02);
@@ -158,15 +158,15 @@
     let (a, b, for_b, for_a) = (socket().await, socket().await, socket().await, socket().await);
     let place = |socket: &UdpSocket| -> SocketAddr { socket.local_addr().unwrap() };
     let (at_a, at_b) = (place(&for_b), place(&for_a));
-    let weather = Weather { lost: 0.0, doubled: 1.0, late: 0.5, late_by: Duration::from_millis(100) };
-    let _notes = Datagrams::start([place(&a), place(&b)], [for_b, for_a], weather, 3);
+    let faults = DatagramFaults { lost: 0.0, doubled: 1.0, late: 0.5, late_by: Duration::from_millis(100) };
+    let _notes = Datagrams::start([place(&a), place(&b)], [for_b, for_a], faults, 3);
     for number in 0..20u8 {
         a.send_to(&[number], at_a).await.unwrap();
     }
     let mut came = Vec::new();
     for _ in 0..40 {
         let mut buffer = [0; 8];
-        let (length, from) = timeout(LONG, b.recv_from(&mut buffer)).await.unwrap().unwrap();
+        let (length, from) = timeout(TIMEOUT, b.recv_from(&mut buffer)).await.unwrap().unwrap();
         assert_eq!((length, from), (1, at_b));
         came.push(buffer[0]);
     }
--- a/crates/rig/tests/soak.rs
+++ b/crates/rig/tests/soak.rs
@@ -7,7 +7,7 @@
 use common::binary;
 use meadowhold_rig::day::{Day, Sent, Trouble, What};
 use meadowhold_rig::judge::{Rule, Verdict};
-use meadowhold_rig::run::{run_with, Options, Wrong};
+use meadowhold_rig::run::{run_with, Defect, Options};
 use meadowhold_rig::soak::draw::Drawing;
 use meadowhold_rig::soak::{soak, summary, Play, Soak};
 
@@ -73,7 +73,7 @@
 }
 
 /// One kill right behind an answer, one planned restart, and no other trouble.
-fn with(wrong: Option<Wrong>) -> Verdict {
+fn with(defect: Option<Defect>) -> Verdict {
     let mut day = Drawing::of(1).day;
     day.couriers = 1;
     (day.seconds, day.settle_s) = (4.0, 5.0);
@@ -86,7 +86,7 @@
         ..Trouble::default()
     };
     day.trouble = vec![restart];
-    runtime().block_on(run_with(&day, 1, binary(), &Options { logs: None, wrong })).unwrap()
+    runtime().block_on(run_with(&day, 1, binary(), &Options { logs: None, defect })).unwrap()
 }
 
 #[test]
@@ -98,15 +98,15 @@
 
 #[test]
 fn a_courier_that_empties_its_folder_at_a_restart_loses_messages() {
-    assert!(with(Some(Wrong::EmptiesFolder)).breaks(Rule::NoMailLost) > 0);
+    assert!(with(Some(Defect::EmptiesFolder)).breaks(Rule::NoMailLost) > 0);
 }
 
 #[test]
 fn a_courier_that_answers_before_its_record_is_written_loses_messages() {
-    assert!(with(Some(Wrong::AnswersFirst)).breaks(Rule::NoMailLost) > 0);
+    assert!(with(Some(Defect::AnswersBeforeWriting)).breaks(Rule::NoMailLost) > 0);
 }
 
 #[test]
 fn a_courier_that_sends_once_only_messages_again_has_them_take_effect_twice() {
-    assert!(with(Some(Wrong::SendsAgain)).breaks(Rule::NoEffectTwice) > 0);
+    assert!(with(Some(Defect::RepeatsOnceOnly)).breaks(Rule::NoEffectTwice) > 0);
 }
