--- a/crates/rig/src/command.rs
+++ b/crates/rig/src/command.rs
@@ -53,7 +53,9 @@
                 arguments.opt_value_from_str("--seed").map_err(|e| format!("--seed: {e}"))?;
             let couriers =
                 arguments.opt_value_from_str("--couriers").map_err(|e| format!("--couriers: {e}"))?;
-            let file = arguments.free_from_str::<PathBuf>().map_err(|_| "name the day's file".to_string())?;
+            let file = arguments
+                .free_from_str::<PathBuf>()
+                .map_err(|_| "missing argument: the day's file".to_string())?;
             reject_extra_arguments(arguments.finish())?;
             let mut day = read(&file)?;
             day.couriers = couriers.unwrap_or(day.couriers);
@@ -86,14 +88,16 @@
         Some("scale") => scale(arguments),
         // Internal subcommands that a scale run starts itself.
         Some("hollow") => {
-            let file =
-                arguments.free_from_str::<PathBuf>().map_err(|_| "name the couriers' file".to_string())?;
+            let file = arguments
+                .free_from_str::<PathBuf>()
+                .map_err(|_| "missing argument: the couriers' file".to_string())?;
             reject_extra_arguments(arguments.finish())?;
             crate::scale::hollow::main(&file)
         }
         Some("guard") => {
-            let folder =
-                arguments.free_from_str::<PathBuf>().map_err(|_| "name the run's folder".to_string())?;
+            let folder = arguments
+                .free_from_str::<PathBuf>()
+                .map_err(|_| "missing argument: the run's folder".to_string())?;
             reject_extra_arguments(arguments.finish())?;
             crate::scale::guard::main(&folder)
         }
@@ -207,7 +211,9 @@
 
 fn reject_extra_arguments(rest: Vec<OsString>) -> Result<(), String> {
     match rest.first() {
-        Some(first) => Err(format!("what is {}? See meadowhold-rig --help", first.to_string_lossy())),
+        Some(first) => {
+            Err(format!("unexpected argument {}; see meadowhold-rig --help", first.to_string_lossy()))
+        }
         None => Ok(()),
     }
 }
@@ -248,15 +254,15 @@
     let runtime =
         tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(|e| e.to_string())?;
     runtime.block_on(async {
-        let handler = |kind| signal(kind).map_err(|e| format!("no signal can be heard: {e}"));
+        let handler = |kind| signal(kind).map_err(|e| format!("signal handler cannot be installed: {e}"));
         let (mut interrupt, mut terminate) =
             (handler(SignalKind::interrupt())?, handler(SignalKind::terminate())?);
         let mut hangup = handler(SignalKind::hangup())?;
         tokio::select! {
             result = what => result,
-            _ = hangup.recv() => Err("called off".to_string()),
-            _ = interrupt.recv() => Err("called off".to_string()),
-            _ = terminate.recv() => Err("called off".to_string()),
+            _ = hangup.recv() => Err("interrupted by a signal".to_string()),
+            _ = interrupt.recv() => Err("interrupted by a signal".to_string()),
+            _ = terminate.recv() => Err("interrupted by a signal".to_string()),
         }
     })
 }
--- a/crates/rig/src/run.rs
+++ b/crates/rig/src/run.rs
@@ -55,7 +55,7 @@
                 return Ok(Net { x, _claim: claim });
             }
         }
-        Err(io::Error::other("each network on loopback is in use"))
+        Err(io::Error::other("all loopback networks from 127.201 to 127.254 are in use"))
     }
 
     pub(crate) fn ip(&self, row: u8, number: usize) -> IpAddr {
@@ -286,7 +286,7 @@
         while !client::is_ready(courier.listen).await {
             if courier.has_crashed() || Instant::now() > end {
                 self.record_process(number, Process::Crashed);
-                return Err(format!("courier {number} does not serve:\n{}", courier.log()));
+                return Err(format!("courier {number} did not become ready:\n{}", courier.log()));
             }
             sleep(POLL).await;
         }
