--- a/crates/rig/src/client.rs
+++ b/crates/rig/src/client.rs
@@ -34,41 +34,41 @@
 pub struct Pool {
     courier: SocketAddr,
     spare: usize,
-    open: VecDeque<Connection>,
+    idle: VecDeque<Connection>,
 }
 
 impl Pool {
     pub fn new(courier: SocketAddr, spare: usize) -> Pool {
-        Pool { courier, spare, open: VecDeque::new() }
+        Pool { courier, spare, idle: VecDeque::new() }
     }
 
     /// Returns a pooled connection or opens a new one; `None` if the courier cannot be reached.
     async fn take(&mut self) -> Option<Connection> {
         // Drop connections that the courier closed between requests.
-        self.open.retain(is_open);
-        while self.open.len() < self.spare {
+        self.idle.retain(is_idle);
+        while self.idle.len() < self.spare {
             match self.connect().await {
-                Some(open) => self.open.push_back(open),
+                Some(connection) => self.idle.push_back(connection),
                 None => break,
             }
         }
-        match self.open.pop_front() {
-            Some(open) => Some(open),
+        match self.idle.pop_front() {
+            Some(connection) => Some(connection),
             None => self.connect().await,
         }
     }
 
     async fn connect(&self) -> Option<Connection> {
-        let open = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.courier)).await.ok()?.ok()?;
-        let _ = open.set_nodelay(true);
-        Some(BufReader::new(open))
+        let connection = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.courier)).await.ok()?.ok()?;
+        let _ = connection.set_nodelay(true);
+        Some(BufReader::new(connection))
     }
 }
 
 /// Whether a connection is idle: no unread data and no end of stream.
-fn is_open(open: &Connection) -> bool {
+fn is_idle(connection: &Connection) -> bool {
     let mut byte = [0];
-    matches!(open.get_ref().try_read(&mut byte), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock)
+    matches!(connection.get_ref().try_read(&mut byte), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock)
 }
 
 /// Hands in a client's mails one after the other, each at its scheduled time or once the previous one has been
@@ -91,13 +91,13 @@
                 record.add(Observation::NeverOffered { mail: number });
                 break;
             }
-            let Some(open) = pool.take().await else {
+            let Some(connection) = pool.take().await else {
                 sleep(RETRY_DELAY).await;
                 continue;
             };
             let hand = HandIn { mail: number, attempt };
-            let (answer, wait, reusable) = put(open, hand, &mail, end - now, &body).await;
-            pool.open.extend(reusable);
+            let (answer, wait, reusable) = put(connection, hand, &mail, end - now, &body).await;
+            pool.idle.extend(reusable);
             record.add(Observation::Answered { hand, courier: mail.courier, answer });
             attempt += 1;
             match answer {
@@ -115,7 +115,7 @@
 type Connection = BufReader<TcpStream>;
 
 async fn put(
-    mut open: Connection,
+    mut connection: Connection,
     hand: HandIn,
     mail: &Mail,
     left: Duration,
@@ -128,10 +128,10 @@
     let words = request(&[b"MSG.PUT", item.as_bytes(), id.as_bytes(), pairs.as_bytes(), body]);
     let mut line = String::new();
     let exchange = async {
-        if open.get_mut().write_all(&words).await.is_err() {
+        if connection.get_mut().write_all(&words).await.is_err() {
             return ClientAnswer::None;
         }
-        match open.read_line(&mut line).await {
+        match connection.read_line(&mut line).await {
             Ok(1..) if line.ends_with("\r\n") => ClientAnswer::Taken,
             _ => ClientAnswer::Closed,
         }
@@ -148,7 +148,7 @@
         _ => ClientAnswer::Failed,
     };
     let wait = line.strip_prefix("-BUSY ").and_then(|ms| ms.parse().ok()).map(Duration::from_millis);
-    (answer, wait, Some(open))
+    (answer, wait, Some(connection))
 }
 
 /// Makes one call to an endpoint from a courier's address, in the form that a courier uses.
@@ -158,21 +158,21 @@
 pub async fn call(from: IpAddr, to: SocketAddr, hand: HandIn) -> std::io::Result<()> {
     let socket = TcpSocket::new_v4()?;
     socket.bind((from, 0).into())?;
-    let mut open = socket.connect(to).await?;
+    let mut connection = socket.connect(to).await?;
     let id = hand.id();
     let head = format!("POST /hook HTTP/1.1\r\nHost: x\r\nX-Request-Id: {id}\r\nContent-Length: 0\r\n\r\n");
-    open.write_all(head.as_bytes()).await?;
+    connection.write_all(head.as_bytes()).await?;
     let mut answer = [0; 256];
-    open.read(&mut answer).await.map(drop)
+    connection.read(&mut answer).await.map(drop)
 }
 
 /// Connects without sending a request, waits until the connection is closed, and connects again. Runs until its task
 /// is aborted.
 pub async fn stay_idle(courier: SocketAddr) {
     loop {
-        if let Ok(Ok(mut open)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(courier)).await {
+        if let Ok(Ok(mut connection)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(courier)).await {
             let mut nothing = [0; 16];
-            let _ = open.read(&mut nothing).await;
+            let _ = connection.read(&mut nothing).await;
         }
         sleep(RETRY_DELAY).await;
     }
@@ -181,10 +181,10 @@
 /// Whether a courier answers a single `PING`.
 pub async fn is_ready(courier: SocketAddr) -> bool {
     let exchange = async {
-        let mut open = BufReader::new(TcpStream::connect(courier).await?);
-        open.get_mut().write_all(&request(&[b"PING"])).await?;
+        let mut connection = BufReader::new(TcpStream::connect(courier).await?);
+        connection.get_mut().write_all(&request(&[b"PING"])).await?;
         let mut line = String::new();
-        open.read_line(&mut line).await?;
+        connection.read_line(&mut line).await?;
         Ok::<_, std::io::Error>(line == "+PONG\r\n")
     };
     matches!(timeout(CONNECT_TIMEOUT, exchange).await, Ok(Ok(true)))
--- a/crates/rig/src/endpoint.rs
+++ b/crates/rig/src/endpoint.rs
@@ -131,12 +131,12 @@
     listener: TcpListener,
     mut up: watch::Receiver<bool>,
 ) {
-    let (mut listener, mut open) = (Some(listener), JoinSet::new());
+    let (mut listener, mut connections) = (Some(listener), JoinSet::new());
     loop {
         let is_up = *up.borrow_and_update();
         if !is_up {
             listener = None;
-            open.shutdown().await;
+            connections.shutdown().await;
         } else if listener.is_none() {
             listener = TcpListener::bind(address).await.ok();
         }
@@ -152,11 +152,11 @@
             accepted = accepted => match accepted {
                 Ok((stream, from)) => {
                     inner.record.add(Observation::Connected { endpoint: inner.index });
-                    open.spawn(serve(inner.clone(), stream, from.ip()));
+                    connections.spawn(serve(inner.clone(), stream, from.ip()));
                 }
                 Err(_) => sleep(Duration::from_millis(10)).await,
             },
-            Some(_) = open.join_next() => {}
+            Some(_) = connections.join_next() => {}
         }
     }
 }
--- a/crates/rig/src/judge.rs
+++ b/crates/rig/src/judge.rs
@@ -229,7 +229,7 @@
 #[derive(Default)]
 struct MailHistory {
     taken: Option<(u64, usize)>,
-    ran: Vec<u64>,
+    effects: Vec<u64>,
     relayed_at: Option<u64>,
     /// When the courier sent the next call on the connection of the 200, which shows that it had read the 200.
     read_at: Option<u64>,
@@ -253,22 +253,22 @@
     /// Since when a link fault has blocked its notices.
     notices_blocked: Option<u64>,
     outages: Vec<(u64, u64)>,
-    started: Option<u64>,
+    started_at: Option<u64>,
     ends: Vec<u64>,
     /// When each started process became ready.
     ready_times: Vec<u64>,
     folder_losses: Vec<u64>,
     /// Number of its kinds of links that have a fault.
-    faulty: u32,
-    continued: u64,
+    faulty_links: u32,
+    continued_at: u64,
     /// By endpoint: the process that was told of a drain, and when; the process that was told to wait, and the begin and
     /// end of the wait.
     drains: HashMap<usize, (u32, u64)>,
     waits: HashMap<usize, (u32, u64, u64)>,
     /// By key: the last mail for which a call arrived, and whether the links had no fault then.
-    turns: HashMap<u64, (u32, bool)>,
+    last_called: HashMap<u64, (u32, bool)>,
     /// Start and number of consecutive refusals without a call in between.
-    refusing: Option<(u64, u64)>,
+    refusals: Option<(u64, u64)>,
     /// Times at which SIGTERM was sent.
     term_sent: Vec<u64>,
 }
@@ -284,48 +284,54 @@
 
 #[derive(Default)]
 struct Endpoint {
-    back: Option<u64>,
-    recent: VecDeque<u64>,
-    connects: VecDeque<u64>,
+    cold_since: Option<u64>,
+    recent_calls: VecDeque<u64>,
+    recent_connects: VecDeque<u64>,
 }
 
 struct Judge<'a> {
     day: &'a Day,
     mails: &'a [Mail],
     /// When the load began.
-    base: u64,
+    load_start: u64,
     verdict: Verdict,
     histories: BTreeMap<HandIn, MailHistory>,
     couriers: Vec<Courier>,
     endpoints: Vec<Endpoint>,
     calls: HashMap<u64, Call>,
     /// The last call on each connection.
-    links: HashMap<u64, u64>,
-    asks: VecDeque<u64>,
-    ready: Histogram<u64>,
+    last_on_link: HashMap<u64, u64>,
+    recent_requests: VecDeque<u64>,
+    ready_ms: Histogram<u64>,
     /// Requests that were written completely on a connection that then closed without an answer.
-    closed: Vec<(u64, HandIn, usize)>,
+    closed_unanswered: Vec<(u64, HandIn, usize)>,
 }
 
-/// Judges a day by its record. `base`: start of the load, in microseconds since the start of the record.
-pub fn judge(day: &Day, mails: &[Mail], base: u64, events: &[Event], left: &FinalState) -> Verdict {
+/// Judges a day by its record. `load_start`: start of the load, in microseconds since the start of the record.
+pub fn judge(
+    day: &Day,
+    mails: &[Mail],
+    load_start: u64,
+    events: &[Event],
+    final_state: &FinalState,
+) -> Verdict {
     let endpoints = day.endpoints.destinations * day.endpoints.each;
     let mut judge = Judge {
         day,
         mails,
-        base,
+        load_start,
         verdict: Verdict::default(),
         histories: BTreeMap::new(),
         couriers: vec![Courier::default(); day.couriers],
         endpoints: (0..endpoints).map(|_| Endpoint::default()).collect(),
         calls: HashMap::new(),
-        links: HashMap::new(),
-        asks: VecDeque::new(),
-        ready: histogram(),
-        closed: Vec::new(),
+        last_on_link: HashMap::new(),
+        recent_requests: VecDeque::new(),
+        ready_ms: histogram(),
+        closed_unanswered: Vec::new(),
     };
     events.iter().for_each(|event| judge.observe(event.at, &event.observation));
-    judge.end(left)
+    judge.end(final_state)
 }
 
 fn histogram() -> Histogram<u64> {
@@ -358,8 +364,8 @@
                     ClientAnswer::Closed => {
                         g.unheard += 1;
                         // While the day injects link faults, the close may not be the courier's doing.
-                        if self.couriers[*courier].faulty == 0 {
-                            self.closed.push((at, *hand, *courier));
+                        if self.couriers[*courier].faulty_links == 0 {
+                            self.closed_unanswered.push((at, *hand, *courier));
                         }
                     }
                     ClientAnswer::Failed => {
@@ -379,7 +385,7 @@
             Observation::Notice { hand, dead } => self.notice(at, *hand, *dead),
             Observation::Connected { endpoint } => {
                 self.verdict.figures.connects += 1;
-                let recent = &mut self.endpoints[*endpoint].connects;
+                let recent = &mut self.endpoints[*endpoint].recent_connects;
                 let peak = count_in_window(recent, at, 100_000);
                 let most = self.day.rules.most_connects;
                 let passed = most > 0 && peak == most + 1;
@@ -391,16 +397,16 @@
             }
             Observation::Outage { endpoint, back } => {
                 let endpoint = &mut self.endpoints[*endpoint];
-                endpoint.back = back.then_some(at);
-                endpoint.recent.clear();
+                endpoint.cold_since = back.then_some(at);
+                endpoint.recent_calls.clear();
             }
             Observation::ListRequest { refused, .. } => {
-                let since = at.saturating_sub(self.base) / 1000;
+                let since = at.saturating_sub(self.load_start) / 1000;
                 let g = &mut self.verdict.figures;
                 g.asks += 1;
                 g.asks_refused += u64::from(*refused);
                 g.last_refused = if *refused { since } else { g.last_refused };
-                let peak = count_in_window(&mut self.asks, at, 1_000_000);
+                let peak = count_in_window(&mut self.recent_requests, at, 1_000_000);
                 self.verdict.figures.asks_peak = self.verdict.figures.asks_peak.max(peak);
                 let most = self.day.rules.most_asks;
                 if most > 0 && peak == most + 1 {
@@ -413,7 +419,7 @@
                 match drains {
                     false => drop(courier.drains.remove(endpoint)),
                     // Over a faulty link the message may not have arrived.
-                    true if courier.faulty > 0 => {}
+                    true if courier.faulty_links > 0 => {}
                     true => {
                         let told = courier.drains.entry(*endpoint).or_insert((process, at));
                         *told = if told.0 == process { *told } else { (process, at) };
@@ -423,7 +429,8 @@
             Observation::Process { courier, what } => self.process(at, *courier, *what),
             Observation::LinksChanged { courier, link, faulty } => {
                 let courier = &mut self.couriers[*courier];
-                courier.faulty = if *faulty { courier.faulty + 1 } else { courier.faulty.saturating_sub(1) };
+                courier.faulty_links =
+                    if *faulty { courier.faulty_links + 1 } else { courier.faulty_links.saturating_sub(1) };
                 // Notices use the same link as the list.
                 match (link, faulty) {
                     (Link::List, true) => drop(courier.notices_blocked.get_or_insert(at)),
@@ -441,13 +448,13 @@
         let longest = self.day.rules.serves_ms * 1000;
         let courier = &mut self.couriers[number];
         if longest == 0 || answer == ClientAnswer::Taken || courier.down_since.is_some() {
-            courier.refusing = None;
+            courier.refusals = None;
             return;
         }
-        let (since, count) = courier.refusing.unwrap_or((at, 0));
-        courier.refusing = Some((since, count + 1));
+        let (since, count) = courier.refusals.unwrap_or((at, 0));
+        courier.refusals = Some((since, count + 1));
         if count + 1 >= MIN_REFUSALS && at >= since + longest {
-            courier.refusing = None;
+            courier.refusals = None;
             let words =
                 format!("courier {number} served nobody of {} for {} ms", count + 1, (at - since) / 1000);
             self.breaks(Rule::CouriersSound, at, words);
@@ -457,7 +464,7 @@
     /// Reports mails that were forwarded although their connection was closed without an answer, unless the process
     /// ended at that time.
     fn judge_closed(&mut self) {
-        for (at, hand, number) in std::mem::take(&mut self.closed) {
+        for (at, hand, number) in std::mem::take(&mut self.closed_unanswered) {
             let ended = |&end: &u64| end + CLOSE_TO_END_US > at && end < at + CLOSE_TO_END_US;
             let is_forwarded = self.histories.get(&hand).is_some_and(|history| history.is_tried);
             if is_forwarded && !self.couriers[number].ends.iter().any(ended) {
@@ -476,7 +483,7 @@
         let in_shutdown = courier.term_sent.iter().any(|&asked| taken >= asked && taken < end_after(asked));
         let next_asked = courier.term_sent.iter().copied().find(|&asked| asked >= taken);
         let mail = &self.mails[hand.mail as usize];
-        let due = self.base + mail.at + mail.time * 1000;
+        let due = self.load_start + mail.at + mail.time * 1000;
         let untried = &mut self.verdict.figures.untried;
         match () {
             () if in_shutdown => untried.in_shutdown += 1,
@@ -488,22 +495,22 @@
 
     fn process(&mut self, at: u64, number: usize, what: Process) {
         let courier = &mut self.couriers[number];
-        courier.refusing = None;
+        courier.refusals = None;
         if what == Process::TermSent {
             courier.term_sent.push(at);
         }
         let is_back = match what {
             Process::Started => {
                 courier.process += 1;
-                courier.started = Some(at);
+                courier.started_at = Some(at);
                 courier.down_since.get_or_insert(at);
                 false
             }
             Process::Ready => {
-                if let Some(started) = courier.started.take() {
+                if let Some(started) = courier.started_at.take() {
                     courier.ready_times.push(at);
                     let took = (at - started) / 1000;
-                    let _ = self.ready.record(took);
+                    let _ = self.ready_ms.record(took);
                     if took > self.day.rules.ready_ms {
                         self.breaks(
                             Rule::CouriersSound,
@@ -515,7 +522,7 @@
                 true
             }
             Process::Continued => {
-                courier.continued = at;
+                courier.continued_at = at;
                 true
             }
             Process::TermSent | Process::Stopped => {
@@ -525,7 +532,7 @@
             Process::Ended => {
                 courier.down_since.get_or_insert(at);
                 courier.ends.push(at);
-                courier.started = None;
+                courier.started_at = None;
                 false
             }
             Process::FolderLost => {
@@ -554,11 +561,11 @@
         result: CallResult,
     ) {
         let rules = &self.day.rules;
-        self.couriers[number].refusing = None;
+        self.couriers[number].refusals = None;
         self.verdict.figures.calls += 1;
         self.verdict.figures.refused += u64::from(!result.took_effect());
         // A new call on a connection shows that the courier has read the previous answer on it.
-        if let Some(before) = self.links.get(&link).and_then(|before| self.calls.get(before)) {
+        if let Some(before) = self.last_on_link.get(&link).and_then(|before| self.calls.get(before)) {
             for hand in
                 before.hands.iter().filter(|_| before.answered && before.result == CallResult::Relayed)
             {
@@ -566,10 +573,10 @@
             }
         }
         let courier = &self.couriers[number];
-        let (process, sound) = (courier.process, courier.faulty == 0);
+        let (process, sound) = (courier.process, courier.faulty_links == 0);
         let mut broken = Vec::new();
         if let Some(&(told, since)) = courier.drains.get(&endpoint) {
-            let since = since.max(courier.continued);
+            let since = since.max(courier.continued_at);
             if told == process && sound && at > since + rules.drain_grace_ms * 1000 {
                 let words = format!(
                     "courier {number} called endpoint {endpoint} {} ms after it was told that it drains",
@@ -579,7 +586,7 @@
             }
         }
         if let Some(&(told, from, until)) = courier.waits.get(&endpoint) {
-            let from = from.max(courier.continued) + rules.wait_grace_ms * 1000;
+            let from = from.max(courier.continued_at) + rules.wait_grace_ms * 1000;
             if told == process && sound && at > from && at + CLOCK_SKEW_US < until {
                 let words = format!(
                     "courier {number} called endpoint {endpoint} {} ms before the end of a told wait",
@@ -595,7 +602,7 @@
             };
             let taken = self.histories.get(&hand).is_some_and(|history| history.taken.is_some());
             if mail.class == Class::Turns && taken {
-                let last = self.couriers[number].turns.entry(mail.key).or_insert((hand.mail, sound));
+                let last = self.couriers[number].last_called.entry(mail.key).or_insert((hand.mail, sound));
                 if hand.mail < last.0 && sound && last.1 {
                     let words = format!(
                         "courier {number}, key {}: mail {} was called after mail {}",
@@ -614,8 +621,8 @@
                 broken.push((Rule::OneEnd, words));
             }
             if result.took_effect() {
-                let first = history.ran.first().copied();
-                history.ran.push(at);
+                let first = history.effects.first().copied();
+                history.effects.push(at);
                 let again = first.is_some_and(|first| match mail.class {
                     Class::Once => true,
                     Class::Tagged => at > first + (rules.window_s * 1e6) as u64,
@@ -636,20 +643,20 @@
         self.check_cold_budget(at, endpoint);
         let hands = hands.to_vec();
         self.calls.insert(call, Call { courier: number, endpoint, process, hands, result, answered: false });
-        self.links.insert(link, call);
+        self.last_on_link.insert(link, call);
     }
 
     /// Checks the calls at a cold endpoint within the sliding window against its budget.
     fn check_cold_budget(&mut self, at: u64, number: usize) {
         let (e, rules) = (&self.day.endpoints, &self.day.rules);
         let endpoint = &mut self.endpoints[number];
-        let Some(back) = endpoint.back else { return };
-        let warm = (at - back) as f64 / (e.cold_s * 1e6);
+        let Some(since) = endpoint.cold_since else { return };
+        let warm = (at - since) as f64 / (e.cold_s * 1e6);
         if warm >= 1.0 {
-            endpoint.back = None;
+            endpoint.cold_since = None;
             return;
         }
-        let calls = count_in_window(&mut endpoint.recent, at, (rules.tip_s * 1e6) as u64);
+        let calls = count_in_window(&mut endpoint.recent_calls, at, (rules.tip_s * 1e6) as u64);
         let warmth = e.cold_from + (1.0 - e.cold_from) * warm;
         let good_for = rules.tip_multiple * e.rate * warmth * rules.tip_s;
         let budget = budget(good_for);
@@ -661,7 +668,7 @@
         }
         if used > 1.0 {
             // Report an overload only once per outage.
-            endpoint.back = None;
+            endpoint.cold_since = None;
             let words = format!("endpoint {number} got {calls} calls while cold and bears {budget:.0}");
             self.breaks(Rule::NotPushedOver, at, words);
         }
@@ -694,7 +701,7 @@
         let once = self.class(hand) == Class::Once;
         let history = self.histories.entry(hand).or_default();
         let (read, first, taken) = (history.read_at, history.notices.first().copied(), history.taken);
-        let ran = !history.ran.is_empty();
+        let took_effect = !history.effects.is_empty();
         history.notices.push((at, dead));
         if let Some((_, before)) = first.filter(|first| first.1 != dead) {
             let name = |dead| if dead { "dead" } else { "bounced" };
@@ -714,7 +721,7 @@
             self.breaks(Rule::OneEnd, at, words);
         }
         // A client that is told of a bounce hands the mail in again, so a once-only mail must not have taken effect.
-        if once && ran && !dead {
+        if once && took_effect && !dead {
             let words = format!("once mail {} took effect and was told of as refused", hand.id());
             self.breaks(Rule::NoEffectTwice, at, words);
         }
@@ -723,7 +730,7 @@
     /// Deadline of a mail's end; extended by outages of its courier and of the link for notices.
     fn due(&self, hand: HandIn, courier: usize) -> u64 {
         let mail = &self.mails[hand.mail as usize];
-        let mut due = self.base + mail.at + mail.time * 1000;
+        let mut due = self.load_start + mail.at + mail.time * 1000;
         for &(from, to) in &self.couriers[courier].outages {
             if from <= due + self.day.rules.late_ms * 1000 && due < to + NOTICE_GRACE_US {
                 due = to + NOTICE_GRACE_US;
@@ -732,10 +739,10 @@
         due
     }
 
-    fn end(mut self, left: &FinalState) -> Verdict {
+    fn end(mut self, final_state: &FinalState) -> Verdict {
         for courier in &mut self.couriers {
             let open = [courier.down_since.take(), courier.notices_blocked.take()];
-            courier.outages.extend(open.into_iter().flatten().map(|since| (since, left.at)));
+            courier.outages.extend(open.into_iter().flatten().map(|since| (since, final_state.at)));
             courier.outages.sort_unstable();
         }
         self.judge_closed();
@@ -747,19 +754,19 @@
             let lost = self.couriers[courier].folder_losses.iter().any(|&lost| lost > taken);
             let g = &mut self.verdict.figures;
             let Some(end) = history.end() else {
-                let owed = left.owed.contains(&hand);
+                let owed = final_state.owed.contains(&hand);
                 match (owed, lost) {
                     (true, _) => g.owed += 1,
                     (false, true) => g.with_folder += 1,
                     (false, false) => {
                         let words = format!("mail {} of courier {courier} has no end", hand.id());
-                        self.breaks(Rule::NoMailLost, left.at, words);
+                        self.breaks(Rule::NoMailLost, final_state.at, words);
                     }
                 }
-                if owed && left.at > due + late {
+                if owed && final_state.at > due + late {
                     let words =
                         format!("mail {} of courier {courier} is owed long after its time", hand.id());
-                    self.breaks(Rule::NoMailLost, left.at, words);
+                    self.breaks(Rule::NoMailLost, final_state.at, words);
                 }
                 continue;
             };
@@ -783,8 +790,8 @@
                 self.breaks(Rule::NoMailLost, end, words);
             }
         }
-        for (courier, fault) in &left.faults {
-            self.breaks(Rule::CouriersSound, left.at, format!("courier {courier}: {fault}"));
+        for (courier, fault) in &final_state.faults {
+            self.breaks(Rule::CouriersSound, final_state.at, format!("courier {courier}: {fault}"));
         }
         let first = self.couriers.iter().filter_map(|courier| courier.ends.first()).min().copied();
         // When each courier was ready again after its first end; 0 for couriers that never ended or never came back.
@@ -804,13 +811,14 @@
             let place = (back.len() * 95).div_ceil(100).max(1) - 1;
             g.fleet_back = back[place].saturating_sub(first) / 1000;
         }
-        (g.starts, g.ready_last) = (self.ready.len(), self.ready.max());
-        (g.ready_p50, g.ready_p95) = (self.ready.value_at_quantile(0.5), self.ready.value_at_quantile(0.95));
-        let (most_ready, nine_in_ten) = (self.day.rules.most_ready_ms, self.ready.value_at_quantile(0.9));
+        (g.starts, g.ready_last) = (self.ready_ms.len(), self.ready_ms.max());
+        (g.ready_p50, g.ready_p95) =
+            (self.ready_ms.value_at_quantile(0.5), self.ready_ms.value_at_quantile(0.95));
+        let (most_ready, nine_in_ten) = (self.day.rules.most_ready_ms, self.ready_ms.value_at_quantile(0.9));
         (g.relay_p50, g.relay_p99) = (relays.value_at_quantile(0.5), relays.value_at_quantile(0.99));
         if most_ready > 0 && nine_in_ten > most_ready {
             let words = format!("nine in ten starts served after {nine_in_ten} ms, not {most_ready}");
-            self.breaks(Rule::CouriersSound, left.at, words);
+            self.breaks(Rule::CouriersSound, final_state.at, words);
         }
         self.verdict
     }
--- a/crates/rig/src/list.rs
+++ b/crates/rig/src/list.rs
@@ -224,18 +224,18 @@
 }
 
 async fn listen(agent: Arc<Agent>, listener: TcpListener) {
-    let mut open = JoinSet::new();
+    let mut connections = JoinSet::new();
     loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, from)) => {
                     if let Some(&courier) = agent.addresses.couriers.get(&from.ip()) {
-                        open.spawn(serve(agent.clone(), stream, courier));
+                        connections.spawn(serve(agent.clone(), stream, courier));
                     }
                 }
                 Err(_) => sleep(Duration::from_millis(10)).await,
             },
-            Some(_) = open.join_next() => {}
+            Some(_) = connections.join_next() => {}
         }
     }
 }
--- a/crates/rig/src/relay.rs
+++ b/crates/rig/src/relay.rs
@@ -123,7 +123,7 @@
     way: Route,
     mut chance: Rng,
 ) {
-    let (mut listener, mut open) = (Some(listener), JoinSet::new());
+    let (mut listener, mut connections) = (Some(listener), JoinSet::new());
     loop {
         let cut = *fault.borrow_and_update() == LinkFault::Cut;
         if cut {
@@ -143,12 +143,12 @@
             changed = fault.changed() => if changed.is_err() { return },
             accepted = accepted => match accepted {
                 Ok((stream, _)) => {
-                    open.spawn(forward(stream, fault.clone(), way.clone(), chance.fork()));
+                    connections.spawn(forward(stream, fault.clone(), way.clone(), chance.fork()));
                 }
                 Err(_) => sleep(Duration::from_millis(10)).await,
             },
             // Discard tasks that have ended.
-            Some(_) = open.join_next() => {}
+            Some(_) = connections.join_next() => {}
         }
     }
 }
