--- a/crates/rig/src/client.rs
+++ b/crates/rig/src/client.rs
@@ -154,7 +154,7 @@
 /// Makes one call to an endpoint from a courier's address, in the form that a courier uses.
 ///
 /// # Errors
-/// Where the endpoint cannot be reached.
+/// If the endpoint cannot be reached.
 pub async fn call(from: IpAddr, to: SocketAddr, hand: HandIn) -> std::io::Result<()> {
     let socket = TcpSocket::new_v4()?;
     socket.bind((from, 0).into())?;
--- a/crates/rig/src/judge.rs
+++ b/crates/rig/src/judge.rs
@@ -219,7 +219,7 @@
 const NOTICE_GRACE_US: u64 = 1_500_000;
 /// How long after the courier read a mail's 200 a call or notice already on its way may still arrive, in microseconds.
 const IN_FLIGHT_US: u64 = 1_000_000;
-/// Number of consecutive refusals from which on a courier counts as serving nobody.
+/// Fewest consecutive refusals after which a courier is reported as refusing everything.
 const MIN_REFUSALS: u64 = 15;
 /// Largest difference between the recorded end of a killed process and the closing of its connections, in microseconds.
 const CLOSE_TO_END_US: u64 = 200_000;
--- a/crates/rig/src/record.rs
+++ b/crates/rig/src/record.rs
@@ -96,6 +96,8 @@
     MalformedCall {
         endpoint: usize,
     },
+    /// A notice arrived. `dead`: its result is `dead` and not `bounced`. After `bounced` the client may hand the mail in
+    /// again.
     Notice {
         hand: HandIn,
         dead: bool,
