--- a/crates/rig/src/command.rs
+++ b/crates/rig/src/command.rs
@@ -131,11 +131,11 @@
         logs: logs.unwrap_or_else(|| std::env::temp_dir().join("meadowhold-soak")),
     };
     let binary = courier_binary()?;
-    let plays = run_until_signalled(async {
-        Ok(soak::soak(&soak, &binary, |play| println!("{}", play.line())).await)
+    let results = run_until_signalled(async {
+        Ok(soak::soak(&soak, &binary, |result| println!("{}", result.line())).await)
     })?;
-    println!("{}", soak::summary(&plays));
-    if plays.iter().all(soak::Play::kept) {
+    println!("{}", soak::summary(&results));
+    if results.iter().all(soak::SeedResult::kept) {
         return Ok(());
     }
     Err(format!("a seed broke a rule; logs are in {}", soak.logs.display()))
--- a/crates/rig/src/endpoint.rs
+++ b/crates/rig/src/endpoint.rs
@@ -52,9 +52,9 @@
 
 /// Counter that numbers the calls and connections of all endpoints of a run.
 #[derive(Default)]
-pub struct Numbers(AtomicU64);
+pub struct IdCounter(AtomicU64);
 
-impl Numbers {
+impl IdCounter {
     fn next(&self) -> u64 {
         self.0.fetch_add(1, Ordering::Relaxed)
     }
@@ -71,7 +71,7 @@
     index: usize,
     settings: day::Endpoints,
     record: Arc<Record>,
-    numbers: Arc<Numbers>,
+    numbers: Arc<IdCounter>,
     /// The courier whose relay connects from an address.
     couriers: Arc<HashMap<IpAddr, usize>>,
     state: Mutex<State>,
@@ -98,7 +98,7 @@
         at: IpAddr,
         settings: &day::Endpoints,
         record: Arc<Record>,
-        numbers: Arc<Numbers>,
+        numbers: Arc<IdCounter>,
         couriers: Arc<HashMap<IpAddr, usize>>,
         seed: u64,
     ) -> io::Result<Endpoint> {
--- a/crates/rig/src/judge.rs
+++ b/crates/rig/src/judge.rs
@@ -45,7 +45,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Broken {
+pub struct Violation {
     pub rule: Rule,
     /// Microseconds from the start of the record.
     pub at: u64,
@@ -134,7 +134,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
-    pub broken: Vec<Broken>,
+    pub broken: Vec<Violation>,
     pub figures: Figures,
 }
 
@@ -341,7 +341,7 @@
 
 impl Judge<'_> {
     fn breaks(&mut self, rule: Rule, at: u64, words: String) {
-        self.verdict.broken.push(Broken { rule, at, words });
+        self.verdict.broken.push(Violation { rule, at, words });
     }
 
     fn class(&self, hand: HandIn) -> Class {
--- a/crates/rig/src/run.rs
+++ b/crates/rig/src/run.rs
@@ -15,7 +15,7 @@
 
 use crate::client::{self, Pool};
 use crate::day::{Day, Link, Sent, Trouble, What};
-use crate::endpoint::{Endpoint, Mode, Numbers};
+use crate::endpoint::{Endpoint, IdCounter, Mode};
 use crate::judge::{judge, FinalState, Verdict};
 use crate::list::{Addresses, Entry, List, Mode as ListMode};
 use crate::process::{faults_in, Courier};
@@ -196,7 +196,7 @@
         let by_address: HashMap<IpAddr, usize> = (0..day.couriers).map(|i| (net.courier(i), i)).collect();
         let by_address = Arc::new(by_address);
         let (mut endpoints, mut entries) = (Vec::new(), Vec::new());
-        let numbers = Arc::new(Numbers::default());
+        let numbers = Arc::new(IdCounter::default());
         for number in 0..day.endpoints.destinations * day.endpoints.each {
             let (record, couriers) = (record.clone(), by_address.clone());
             let (at, seed) = (net.endpoint(number), seed ^ number as u64);
--- a/crates/rig/src/scale/run.rs
+++ b/crates/rig/src/scale/run.rs
@@ -28,7 +28,7 @@
 use super::sums::{each, followed, Gauge, Sums};
 use super::versions::Versions;
 use crate::client::{self, Pool};
-use crate::endpoint::{Endpoint, Numbers};
+use crate::endpoint::{Endpoint, IdCounter};
 use crate::judge::{judge, FinalState};
 use crate::record::{lock, HandIn, Observation, Process as Happened, Record};
 use crate::relay::{InspectorFactory, LinkFault, Relay};
@@ -166,7 +166,7 @@
         })?;
 
         let by_address: HashMap<IpAddr, usize> = (0..day.real).map(|real| (address(real), real)).collect();
-        let (by_address, numbers) = (Arc::new(by_address), Arc::new(Numbers::default()));
+        let (by_address, numbers) = (Arc::new(by_address), Arc::new(IdCounter::default()));
         let mut endpoints = Vec::new();
         for number in 0..day.live.destinations * day.live.each {
             let (at, record, numbers) = (net.ip(ROW_ENDPOINTS, number), record.clone(), numbers.clone());
--- a/crates/rig/src/soak.rs
+++ b/crates/rig/src/soak.rs
@@ -12,7 +12,7 @@
 
 use crate::judge::{Rule, Verdict};
 use crate::run::{run_with, Options};
-use draw::Drawing;
+use draw::DrawnDay;
 
 /// Parameters of a soak.
 pub struct Soak {
@@ -26,13 +26,13 @@
 }
 
 /// Result of one seed.
-pub struct Play {
-    pub drawing: Drawing,
+pub struct SeedResult {
+    pub drawn: DrawnDay,
     /// `Err` if the day could not be run.
     pub verdict: Result<Verdict, String>,
 }
 
-impl Play {
+impl SeedResult {
     pub fn kept(&self) -> bool {
         self.verdict.as_ref().is_ok_and(Verdict::kept)
     }
@@ -40,14 +40,14 @@
     /// One line with the seed, its result, the mails taken and those of them that ended without a call, and the drawn
     /// day.
     pub fn line(&self) -> String {
-        let drawing = &self.drawing;
+        let drawn = &self.drawn;
         match &self.verdict {
-            Err(words) => format!("seed {}: NOT PLAYED: {words}; {drawing}", drawing.seed),
+            Err(words) => format!("seed {}: NOT PLAYED: {words}; {drawn}", drawn.seed),
             Ok(verdict) => {
                 let figures = &verdict.figures;
                 let ended = if verdict.kept() { "kept".to_string() } else { broken(verdict) };
                 let (taken, untried) = (figures.taken, &figures.untried);
-                format!("seed {}: {ended}; taken {taken}, untried {untried}; {drawing}", drawing.seed)
+                format!("seed {}: {ended}; taken {taken}, untried {untried}; {drawn}", drawn.seed)
             }
         }
     }
@@ -65,35 +65,37 @@
 }
 
 /// Runs all seeds and calls `on_end` after each. Returns the results ordered by seed.
-pub async fn soak(soak: &Soak, binary: &Path, mut on_end: impl FnMut(&Play)) -> Vec<Play> {
+pub async fn soak(soak: &Soak, binary: &Path, mut on_end: impl FnMut(&SeedResult)) -> Vec<SeedResult> {
     let permits = Arc::new(Semaphore::new(soak.parallel.max(1)));
-    let mut playing = JoinSet::new();
+    let mut running = JoinSet::new();
     for seed in soak.seeds.clone().filter(|seed| !soak.without.contains(seed)) {
         let (permits, binary) = (permits.clone(), binary.to_path_buf());
         let logs = soak.logs.join(format!("seed-{seed}"));
-        playing.spawn(async move {
+        running.spawn(async move {
             // Acquiring cannot fail: the semaphore is never closed.
             let _permit = permits.acquire_owned().await.ok();
-            let drawing = Drawing::of(seed);
+            let drawn = DrawnDay::of(seed);
             let options = Options { logs: Some(logs), ..Options::default() };
-            let verdict = run_with(&drawing.day, seed, &binary, &options).await;
-            Play { drawing, verdict }
+            let verdict = run_with(&drawn.day, seed, &binary, &options).await;
+            SeedResult { drawn, verdict }
         });
     }
-    let mut plays = Vec::new();
-    while let Some(play) = playing.join_next().await {
-        let Ok(play) = play else { continue };
-        on_end(&play);
-        plays.push(play);
+    let mut results = Vec::new();
+    while let Some(result) = running.join_next().await {
+        let Ok(result) = result else { continue };
+        on_end(&result);
+        results.push(result);
     }
-    plays.sort_by_key(|play| play.drawing.seed);
-    plays
+    results.sort_by_key(|result| result.drawn.seed);
+    results
 }
 
 /// One-line summary of all results.
-pub fn summary(plays: &[Play]) -> String {
-    let failed: Vec<u64> = plays.iter().filter(|play| !play.kept()).map(|play| play.drawing.seed).collect();
-    let figures = plays.iter().filter_map(|play| play.verdict.as_ref().ok()).map(|verdict| &verdict.figures);
+pub fn summary(results: &[SeedResult]) -> String {
+    let failed: Vec<u64> =
+        results.iter().filter(|result| !result.kept()).map(|result| result.drawn.seed).collect();
+    let figures =
+        results.iter().filter_map(|result| result.verdict.as_ref().ok()).map(|verdict| &verdict.figures);
     let (mut taken, mut in_shutdown, mut before, mut elsewhere) = (0, 0, 0, 0);
     for figures in figures {
         taken += figures.taken;
@@ -105,7 +107,7 @@
     format!(
         "{} seeds, {} kept, failed {failed:?}; of {taken} taken on {untried} ended untried: {before} taken on before a \
          SIGTERM in their time, {in_shutdown} after it, {elsewhere} elsewhere",
-        plays.len(),
-        plays.len() - failed.len()
+        results.len(),
+        results.len() - failed.len()
     )
 }
--- a/crates/rig/src/soak/draw.rs
+++ b/crates/rig/src/soak/draw.rs
@@ -9,7 +9,7 @@
 /// Seed of the random stream for drawing; differs from the streams for the day's load and troubles.
 const STREAM: u64 = 0x736f_616b;
 const DESTINATIONS: usize = 3;
-const EACH: usize = 2;
+const ENDPOINTS_EACH: usize = 2;
 /// Earliest and latest time of the restart, in seconds of the day.
 const RESTART_S: [f64; 2] = [2.5, 3.5];
 /// How long the load continues after the restart: beyond the kill, the next start, and the end of the mails that were
@@ -18,25 +18,25 @@
 /// Capacity of all endpoints together, as a multiple of the load.
 const HEADROOM: [f64; 2] = [1.2, 4.0];
 /// Number of idle clients, if there are any: more than a courier with the default number of sockets accepts.
-const CROWD: usize = 120;
+const IDLE_CLIENTS: usize = 120;
 
 /// The day drawn from a seed.
 #[derive(Clone, Debug)]
-pub struct Drawing {
+pub struct DrawnDay {
     pub seed: u64,
     pub day: Day,
 }
 
-impl Drawing {
+impl DrawnDay {
     /// Draws the day of a seed; deterministic.
-    pub fn of(seed: u64) -> Drawing {
+    pub fn of(seed: u64) -> DrawnDay {
         let mut chance = Rng::with_seed(seed ^ STREAM);
         let at = between(&mut chance, RESTART_S);
         let mut trouble = vec![restart(&mut chance, at)];
-        trouble.extend(hang(&mut chance, at));
-        trouble.extend(others(&mut chance, at));
-        let crowd = if chance.f64() < 0.25 { CROWD } else { 0 };
-        let mails = load(&mut chance, crowd);
+        trouble.extend(hanging_endpoints(&mut chance, at));
+        trouble.extend(other_troubles(&mut chance, at));
+        let idle = if chance.f64() < 0.25 { IDLE_CLIENTS } else { 0 };
+        let mails = load(&mut chance, idle);
         let day = Day {
             about: format!("soak, seed {seed}"),
             seconds: at + AFTER_S,
@@ -45,8 +45,8 @@
             mails: mails.clone(),
             endpoints: Endpoints {
                 destinations: DESTINATIONS,
-                each: EACH,
-                rate: mails.rate / (DESTINATIONS * EACH) as f64 * between(&mut chance, HEADROOM),
+                each: ENDPOINTS_EACH,
+                rate: mails.rate / (DESTINATIONS * ENDPOINTS_EACH) as f64 * between(&mut chance, HEADROOM),
                 limit: chance.bool(),
                 serve_ms: serve_ms(&mut chance),
                 ..Endpoints::default()
@@ -57,7 +57,7 @@
             trouble,
             ..Day::default()
         };
-        Drawing { seed, day }
+        DrawnDay { seed, day }
     }
 }
 
@@ -65,10 +65,10 @@
     low + (high - low) * chance.f64()
 }
 
-fn load(chance: &mut Rng, crowd: usize) -> Mails {
+fn load(chance: &mut Rng, idle: usize) -> Mails {
     let rate = between(chance, [100.0, 300.0]);
     let spare = [0, 4][chance.usize(..2)];
-    Mails { rate, clients: 12, spare, idle: crowd, time_ms: [1500, 4000], ..Mails::default() }
+    Mails { rate, clients: 12, spare, idle, time_ms: [1500, 4000], ..Mails::default() }
 }
 
 /// Short calls, or calls long enough to occupy half or nearly all of the courier's slots at the highest load.
@@ -114,10 +114,13 @@
 }
 
 /// Endpoints that hang around the time of the signal and until after the shutdown.
-fn hang(chance: &mut Rng, at: f64) -> Option<Trouble> {
+fn hanging_endpoints(chance: &mut Rng, at: f64) -> Option<Trouble> {
     // An endpoint's destination is its number modulo the number of destinations.
-    let (one, whole, other) =
-        (chance.usize(..DESTINATIONS * EACH), chance.usize(..DESTINATIONS), chance.usize(..EACH));
+    let (one, whole, other) = (
+        chance.usize(..DESTINATIONS * ENDPOINTS_EACH),
+        chance.usize(..DESTINATIONS),
+        chance.usize(..ENDPOINTS_EACH),
+    );
     let whole = [whole, whole + DESTINATIONS];
     let elsewhere = (whole[0] + 1) % DESTINATIONS + other * DESTINATIONS;
     let which = match chance.u32(..5) {
@@ -135,11 +138,11 @@
 }
 
 /// Up to two other troubles near the restart.
-fn others(chance: &mut Rng, at: f64) -> Vec<Trouble> {
+fn other_troubles(chance: &mut Rng, at: f64) -> Vec<Trouble> {
     let mut troubles = Vec::new();
     for _ in 0..chance.usize(..3) {
         let begin = at + between(chance, [-0.5, 3.0]);
-        let which = vec![chance.usize(..DESTINATIONS * EACH)];
+        let which = vec![chance.usize(..DESTINATIONS * ENDPOINTS_EACH)];
         let base = Trouble { at_s: [begin, begin], for_s: between(chance, [0.5, 3.0]), ..Trouble::default() };
         troubles.push(match chance.u32(..5) {
             0 => Trouble { what: Some(What::Drain), which, ..base },
@@ -152,7 +155,7 @@
     troubles
 }
 
-impl fmt::Display for Drawing {
+impl fmt::Display for DrawnDay {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let day = &self.day;
         let Mails { rate, spare, idle, .. } = day.mails;
--- a/crates/rig/tests/soak.rs
+++ b/crates/rig/tests/soak.rs
@@ -9,8 +9,8 @@
 use meadowhold_rig::day::{Day, Sent, Trouble, What};
 use meadowhold_rig::judge::{Rule, Verdict};
 use meadowhold_rig::run::{run_with, Defect, Options};
-use meadowhold_rig::soak::draw::Drawing;
-use meadowhold_rig::soak::{soak, summary, Play, Soak};
+use meadowhold_rig::soak::draw::DrawnDay;
+use meadowhold_rig::soak::{soak, summary, SeedResult, Soak};
 
 /// Seeds that CI runs; `docs/results.md` lists those that were run by hand.
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=8;
@@ -23,16 +23,16 @@
 #[test]
 fn a_seed_draws_the_same_day_each_time_and_one_that_can_be_run() {
     for seed in 1..=2000 {
-        let drawing = Drawing::of(seed);
-        assert_eq!(drawing.day, Drawing::of(seed).day);
-        assert_eq!(drawing.day.faults(), [], "seed {seed}: {drawing}");
+        let drawn = DrawnDay::of(seed);
+        assert_eq!(drawn.day, DrawnDay::of(seed).day);
+        assert_eq!(drawn.day.faults(), [], "seed {seed}: {drawn}");
     }
-    assert_ne!(Drawing::of(1).day, Drawing::of(2).day);
+    assert_ne!(DrawnDay::of(1).day, DrawnDay::of(2).day);
 }
 
 #[test]
 fn drawn_days_hold_every_kind_of_restart_and_trouble() {
-    let days: Vec<Day> = (1..=200).map(|seed| Drawing::of(seed).day).collect();
+    let days: Vec<Day> = (1..=200).map(|seed| DrawnDay::of(seed).day).collect();
     let has = |what: What| days.iter().filter(|day| day.trouble.iter().any(|t| t.what == Some(what))).count();
     let kinds =
         [What::Hang, What::Drain, What::Crash, What::ListSilent, What::ResetRequests, What::ResetAnswers];
@@ -56,17 +56,17 @@
 fn restarts_under_trouble_break_no_rule() {
     let known_red = known_red();
     let mut failed = Vec::new();
-    let mut plays: Vec<Play> = Vec::new();
+    let mut results: Vec<SeedResult> = Vec::new();
     for seeds in SEEDS.collect::<Vec<_>>().chunks(PARALLEL) {
         let (first, last) = (seeds[0], seeds[seeds.len() - 1]);
         let batch =
             Soak { seeds: first..=last, without: known_red.clone(), parallel: PARALLEL, logs: logs() };
-        plays.extend(runtime().block_on(soak(&batch, binary(), |play| println!("{}", play.line()))));
+        results.extend(runtime().block_on(soak(&batch, binary(), |result| println!("{}", result.line()))));
     }
-    println!("{}", summary(&plays));
-    failed.extend(plays.iter().filter(|play| !play.kept()).map(Play::line));
+    println!("{}", summary(&results));
+    failed.extend(results.iter().filter(|result| !result.kept()).map(SeedResult::line));
     assert!(failed.is_empty(), "{}", failed.join("\n"));
-    assert_eq!(plays.len() + SEEDS.filter(|seed| known_red.contains(seed)).count(), SEEDS.count());
+    assert_eq!(results.len() + SEEDS.filter(|seed| known_red.contains(seed)).count(), SEEDS.count());
 }
 
 fn logs() -> PathBuf {
@@ -75,7 +75,7 @@
 
 /// A day with one kill immediately after an answer, one planned restart, and no other trouble.
 fn run_with_defect(defect: Option<Defect>) -> Verdict {
-    let mut day = Drawing::of(1).day;
+    let mut day = DrawnDay::of(1).day;
     day.couriers = 1;
     (day.seconds, day.settle_s) = (4.0, 5.0);
     let restart = Trouble {
