--- a/crates/rig/src/client.rs
+++ b/crates/rig/src/client.rs
@@ -1,4 +1,4 @@
-//! The clients' stand-in: hands mails in over RESP2 and waits for each answer, as the protocol's page has it.
+//! Mock clients: hand mails in over RESP2 and wait for each answer, as the protocol requires.
 
 use std::collections::VecDeque;
 use std::net::{IpAddr, SocketAddr};
@@ -9,17 +9,17 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-use crate::record::{Hand, Heard, Record, Seen};
+use crate::record::{ClientAnswer, HandIn, Observation, Record};
 use crate::schedule::{Class, Mail};
 
-/// A client waits so long for an answer, and then closes its connection.
-const PATIENCE: Duration = Duration::from_millis(400);
-/// It comes again so long after a refusal that names no time, or when nobody could be reached.
-const AGAIN: Duration = Duration::from_millis(50);
-/// Connections to a courier whose link is silent never come up.
-const CONNECT: Duration = Duration::from_secs(1);
+/// How long a client waits for an answer before it closes its connection.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+/// Delay before a retry after a `-BUSY` answer without a time, or after a failed connection attempt.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Bounds connection attempts: over a silent link they would otherwise never end.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A request of the protocol: words of any bytes.
+/// Encodes a request as a RESP array of bulk strings.
 pub fn request(words: &[&[u8]]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", words.len()).into_bytes();
     for word in words {
@@ -30,48 +30,49 @@
     out
 }
 
-/// A client's connections to its courier: the one that waits for an answer, and spare ones that are used in turn.
+/// A client's connections to its courier: the one in use, and spare ones that are used in rotation.
 pub struct Pool {
     courier: SocketAddr,
     spare: usize,
-    open: VecDeque<Open>,
+    idle: VecDeque<Connection>,
 }
 
 impl Pool {
     pub fn new(courier: SocketAddr, spare: usize) -> Pool {
-        Pool { courier, spare, open: VecDeque::new() }
+        Pool { courier, spare, idle: VecDeque::new() }
     }
 
-    /// An open connection, of those that are there or a new one; `None`: the courier cannot be reached.
-    async fn take(&mut self) -> Option<Open> {
-        // Those that were closed between requests are dropped.
-        self.open.retain(is_open);
-        while self.open.len() < self.spare {
+    /// Returns a pooled connection or opens a new one; `None` if the courier cannot be reached.
+    async fn take(&mut self) -> Option<Connection> {
+        // Drop connections that the courier closed between requests.
+        self.idle.retain(is_idle);
+        while self.idle.len() < self.spare {
             match self.connect().await {
-                Some(open) => self.open.push_back(open),
+                Some(connection) => self.idle.push_back(connection),
                 None => break,
             }
         }
-        match self.open.pop_front() {
-            Some(open) => Some(open),
+        match self.idle.pop_front() {
+            Some(connection) => Some(connection),
             None => self.connect().await,
         }
     }
 
-    async fn connect(&self) -> Option<Open> {
-        let open = timeout(CONNECT, TcpStream::connect(self.courier)).await.ok()?.ok()?;
-        let _ = open.set_nodelay(true);
-        Some(BufReader::new(open))
+    async fn connect(&self) -> Option<Connection> {
+        let connection = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.courier)).await.ok()?.ok()?;
+        let _ = connection.set_nodelay(true);
+        Some(BufReader::new(connection))
     }
 }
 
-/// Whether nothing has come, and its end has not either.
-fn is_open(open: &Open) -> bool {
+/// Whether a connection is idle: no unread data and no end of stream.
+fn is_idle(connection: &Connection) -> bool {
     let mut byte = [0];
-    matches!(open.get_ref().try_read(&mut byte), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock)
+    matches!(connection.get_ref().try_read(&mut byte), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock)
 }
 
-/// Hands in a client's mails, each at its time or once the one before has been answered.
+/// Hands in a client's mails one after the other, each at its scheduled time or once the previous one has been
+/// answered, whichever is later.
 pub async fn hand_in(
     mut pool: Pool,
     mails: Vec<(u32, Mail)>,
@@ -87,101 +88,104 @@
         loop {
             let now = Instant::now();
             if now >= end {
-                record.add(Seen::NeverOffered { mail: number });
+                record.add(Observation::NeverOffered { mail: number });
                 break;
             }
-            let Some(open) = pool.take().await else {
-                sleep(AGAIN).await;
+            let Some(connection) = pool.take().await else {
+                sleep(RETRY_DELAY).await;
                 continue;
             };
-            let hand = Hand { mail: number, attempt };
-            let (heard, wait, kept) = put(open, hand, &mail, end - now, &body).await;
-            pool.open.extend(kept);
-            record.add(Seen::Answered { hand, courier: mail.courier, heard });
+            let hand = HandIn { mail: number, attempt };
+            let (answer, wait, reusable) = put(connection, hand, &mail, end - now, &body).await;
+            pool.idle.extend(reusable);
+            record.add(Observation::Answered { hand, courier: mail.courier, answer });
             attempt += 1;
-            match heard {
-                // What was not heard counts for nothing, and is not handed in again here: whether it ran is
-                // the first hand-in's matter.
-                Heard::Taken | Heard::Failed | Heard::Nothing | Heard::Closed => break,
-                Heard::Busy => sleep(wait.unwrap_or(AGAIN)).await,
+            match answer {
+                // A hand-in without an answer does not count as taken and is not repeated: a retry would have an id of
+                // its own, and whether the first hand-in took effect is judged by the first id.
+                ClientAnswer::Taken | ClientAnswer::Failed | ClientAnswer::None | ClientAnswer::Closed => {
+                    break
+                }
+                ClientAnswer::Busy => sleep(wait.unwrap_or(RETRY_DELAY)).await,
             }
         }
     }
 }
 
-type Open = BufReader<TcpStream>;
+type Connection = BufReader<TcpStream>;
 
 async fn put(
-    mut open: Open,
-    hand: Hand,
+    mut connection: Connection,
+    hand: HandIn,
     mail: &Mail,
     left: Duration,
     body: &[u8],
-) -> (Heard, Option<Duration>, Option<Open>) {
+) -> (ClientAnswer, Option<Duration>, Option<Connection>) {
     let key = if mail.class == Class::Tagged { format!("k={:016x},", hand.mail + 1) } else { String::new() };
     let (class, time, destination) = (mail.class.name(), left.as_millis(), mail.destination);
     let pairs = format!("c={class},t=acme,d={time},{key}dest={destination}");
     let (item, id) = (format!("{:016x}", mail.key), hand.id());
     let words = request(&[b"MSG.PUT", item.as_bytes(), id.as_bytes(), pairs.as_bytes(), body]);
     let mut line = String::new();
-    let asked = async {
-        if open.get_mut().write_all(&words).await.is_err() {
-            return Heard::Nothing;
+    let exchange = async {
+        if connection.get_mut().write_all(&words).await.is_err() {
+            return ClientAnswer::None;
         }
-        match open.read_line(&mut line).await {
-            Ok(1..) if line.ends_with("\r\n") => Heard::Taken,
-            _ => Heard::Closed,
+        match connection.read_line(&mut line).await {
+            Ok(1..) if line.ends_with("\r\n") => ClientAnswer::Taken,
+            _ => ClientAnswer::Closed,
         }
     };
-    match timeout(PATIENCE, asked).await {
-        Ok(Heard::Taken) => {}
-        Ok(heard) => return (heard, None, None),
-        Err(_) => return (Heard::Nothing, None, None),
+    match timeout(ANSWER_TIMEOUT, exchange).await {
+        Ok(ClientAnswer::Taken) => {}
+        Ok(answer) => return (answer, None, None),
+        Err(_) => return (ClientAnswer::None, None, None),
     }
     let line = line.trim_end();
-    let heard = match line {
-        _ if line.starts_with('+') => Heard::Taken,
-        _ if line == "-BUSY" || line.starts_with("-BUSY ") => Heard::Busy,
-        _ => Heard::Failed,
+    let answer = match line {
+        _ if line.starts_with('+') => ClientAnswer::Taken,
+        _ if line == "-BUSY" || line.starts_with("-BUSY ") => ClientAnswer::Busy,
+        _ => ClientAnswer::Failed,
     };
     let wait = line.strip_prefix("-BUSY ").and_then(|ms| ms.parse().ok()).map(Duration::from_millis);
-    (heard, wait, Some(open))
+    (answer, wait, Some(connection))
 }
 
-/// One call to an endpoint from a courier's address, as the courier makes it.
+/// Makes one call to an endpoint from a courier's address, in the form that a courier uses.
 ///
 /// # Errors
-/// Where the endpoint cannot be reached.
-pub async fn call(from: IpAddr, to: SocketAddr, hand: Hand) -> std::io::Result<()> {
+/// If the endpoint cannot be reached.
+pub async fn call(from: IpAddr, to: SocketAddr, hand: HandIn) -> std::io::Result<()> {
     let socket = TcpSocket::new_v4()?;
     socket.bind((from, 0).into())?;
-    let mut open = socket.connect(to).await?;
+    let mut connection = socket.connect(to).await?;
     let id = hand.id();
     let head = format!("POST /hook HTTP/1.1\r\nHost: x\r\nX-Request-Id: {id}\r\nContent-Length: 0\r\n\r\n");
-    open.write_all(head.as_bytes()).await?;
+    connection.write_all(head.as_bytes()).await?;
     let mut answer = [0; 256];
-    open.read(&mut answer).await.map(drop)
+    connection.read(&mut answer).await.map(drop)
 }
 
-/// Connects, asks nothing, and stays until it is closed; then comes again. Ends with the task that runs it.
+/// Connects without sending a request, waits until the connection is closed, and connects again. Runs until its task
+/// is aborted.
 pub async fn stay_idle(courier: SocketAddr) {
     loop {
-        if let Ok(Ok(mut open)) = timeout(CONNECT, TcpStream::connect(courier)).await {
+        if let Ok(Ok(mut connection)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(courier)).await {
             let mut nothing = [0; 16];
-            let _ = open.read(&mut nothing).await;
+            let _ = connection.read(&mut nothing).await;
         }
-        sleep(AGAIN).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
-/// Whether a courier answers `PING`, asked once.
+/// Whether a courier answers a single `PING`.
 pub async fn is_ready(courier: SocketAddr) -> bool {
-    let asked = async {
-        let mut open = BufReader::new(TcpStream::connect(courier).await?);
-        open.get_mut().write_all(&request(&[b"PING"])).await?;
+    let exchange = async {
+        let mut connection = BufReader::new(TcpStream::connect(courier).await?);
+        connection.get_mut().write_all(&request(&[b"PING"])).await?;
         let mut line = String::new();
-        open.read_line(&mut line).await?;
+        connection.read_line(&mut line).await?;
         Ok::<_, std::io::Error>(line == "+PONG\r\n")
     };
-    matches!(timeout(CONNECT, asked).await, Ok(Ok(true)))
+    matches!(timeout(CONNECT_TIMEOUT, exchange).await, Ok(Ok(true)))
 }
--- a/crates/rig/src/command.rs
+++ b/crates/rig/src/command.rs
@@ -31,16 +31,16 @@
 
 The courier's program, meadowhold, is looked for beside this one. A broken rule ends in failure.";
 
-/// Plays of the soak at the same time: each takes about a core.
+/// Soak runs in parallel; each takes about one core.
 const SOAK_PARALLEL: usize = 3;
 
 const FIRST: &str = include_str!("../days/first.toml");
 const SCALE: &str = include_str!("../days/scale.toml");
 
-/// Runs the command; a run's result is what it prints.
+/// Runs the command and prints its result.
 ///
 /// # Errors
-/// One plain message: what is wrong with the arguments or the day's file, or that a rule was broken.
+/// One message that says what is wrong with the arguments or the day's file, or that a rule was broken.
 pub fn main(mut arguments: pico_args::Arguments) -> Result<(), String> {
     if arguments.contains(["-h", "--help"]) {
         println!("{HELP}");
@@ -53,21 +53,26 @@
                 arguments.opt_value_from_str("--seed").map_err(|e| format!("--seed: {e}"))?;
             let couriers =
                 arguments.opt_value_from_str("--couriers").map_err(|e| format!("--couriers: {e}"))?;
-            let file = arguments.free_from_str::<PathBuf>().map_err(|_| "name the day's file".to_string())?;
-            nothing_else(arguments.finish())?;
+            let file = arguments
+                .free_from_str::<PathBuf>()
+                .map_err(|_| "missing argument: the day's file".to_string())?;
+            reject_extra_arguments(arguments.finish())?;
             let mut day = read(&file)?;
             day.couriers = couriers.unwrap_or(day.couriers);
             let faults = day.faults();
             if !faults.is_empty() {
-                return Err(told(&format!("{} with --couriers {}", file.display(), day.couriers), &faults));
+                return Err(fault_list(
+                    &format!("{} with --couriers {}", file.display(), day.couriers),
+                    &faults,
+                ));
             }
             let seed = seed.unwrap_or(1);
             println!("{}; seed {seed}, {} couriers", day.about, day.couriers);
             finish(&play(&day, seed)?, seed)
         }
         Some("first") => {
-            nothing_else(arguments.finish())?;
-            let day = Day::read(FIRST).map_err(|faults| told("first.toml", &faults))?;
+            reject_extra_arguments(arguments.finish())?;
+            let day = Day::read(FIRST).map_err(|faults| fault_list("first.toml", &faults))?;
             println!("{}", day.about);
             let verdict = play(&day, 1)?;
             let g = &verdict.figures;
@@ -81,17 +86,19 @@
         }
         Some("soak") => soak(arguments),
         Some("scale") => scale(arguments),
-        // Programs of a scale run's own.
+        // Internal subcommands that a scale run starts itself.
         Some("hollow") => {
-            let file =
-                arguments.free_from_str::<PathBuf>().map_err(|_| "name the couriers' file".to_string())?;
-            nothing_else(arguments.finish())?;
+            let file = arguments
+                .free_from_str::<PathBuf>()
+                .map_err(|_| "missing argument: the couriers' file".to_string())?;
+            reject_extra_arguments(arguments.finish())?;
             crate::scale::hollow::main(&file)
         }
         Some("guard") => {
-            let folder =
-                arguments.free_from_str::<PathBuf>().map_err(|_| "name the run's folder".to_string())?;
-            nothing_else(arguments.finish())?;
+            let folder = arguments
+                .free_from_str::<PathBuf>()
+                .map_err(|_| "missing argument: the run's folder".to_string())?;
+            reject_extra_arguments(arguments.finish())?;
             crate::scale::guard::main(&folder)
         }
         Some(other) => Err(format!("no command {other}; see meadowhold-rig --help")),
@@ -102,7 +109,7 @@
     }
 }
 
-/// Seeds as `A..B`, both of them played, or one alone.
+/// Parses a range of seeds, `A..B` with both ends included, or a single seed.
 fn seeds(text: &str) -> Result<RangeInclusive<u64>, String> {
     let number = |text: &str| text.parse::<u64>().map_err(|e| format!("{text}: {e}"));
     match text.split_once("..") {
@@ -116,18 +123,19 @@
     let parallel: Option<usize> =
         arguments.opt_value_from_str("--parallel").map_err(|e| format!("--parallel: {e}"))?;
     let logs: Option<PathBuf> = arguments.opt_value_from_str("--logs").map_err(|e| format!("--logs: {e}"))?;
-    nothing_else(arguments.finish())?;
+    reject_extra_arguments(arguments.finish())?;
     let soak = soak::Soak {
         seeds: seeds.unwrap_or(1..=50),
         without: Vec::new(),
         parallel: parallel.unwrap_or(SOAK_PARALLEL),
         logs: logs.unwrap_or_else(|| std::env::temp_dir().join("meadowhold-soak")),
     };
-    let binary = binary()?;
-    let plays =
-        until_called_off(async { Ok(soak::soak(&soak, &binary, |play| println!("{}", play.line())).await) })?;
-    println!("{}", soak::summary(&plays));
-    if plays.iter().all(soak::Play::kept) {
+    let binary = courier_binary()?;
+    let results = run_until_signalled(async {
+        Ok(soak::soak(&soak, &binary, |result| println!("{}", result.line())).await)
+    })?;
+    println!("{}", soak::summary(&results));
+    if results.iter().all(soak::SeedResult::kept) {
         return Ok(());
     }
     Err(format!("a seed broke a rule; logs are in {}", soak.logs.display()))
@@ -147,7 +155,7 @@
         |text: &str| text.split(',').map(|one| one.trim().parse::<usize>()).collect::<Result<Vec<_>, _>>();
     let points = arguments.opt_value_from_fn("--points", list).map_err(|e| format!("--points: {e}"))?;
     let file = arguments.opt_free_from_str::<PathBuf>().map_err(|e| e.to_string())?;
-    nothing_else(arguments.finish())?;
+    reject_extra_arguments(arguments.finish())?;
     let (name, text) = match file {
         None => ("scale.toml".to_string(), SCALE.to_string()),
         Some(file) => {
@@ -156,7 +164,7 @@
             (name.clone(), text.map_err(|e| format!("{name} cannot be read: {e}"))?)
         }
     };
-    let day = scale::day::Day::read(&text).map_err(|faults| told(&name, &faults))?;
+    let day = scale::day::Day::read(&text).map_err(|faults| fault_list(&name, &faults))?;
     let days: Vec<scale::day::Day> = match (&points, couriers) {
         (Some(_), Some(_)) => return Err("give --couriers or --points".to_string()),
         (Some(points), None) => {
@@ -165,20 +173,20 @@
         (None, Some(couriers)) => vec![day.at(couriers)],
         (None, None) => vec![day.clone()],
     };
-    // All sizes, before the first is started.
+    // Check all sizes before the first run is started.
     let machine = scale::gauge::machine(&folder);
     for day in &days {
         let faults = [day.faults(), day.beyond(&machine)].concat();
         if !faults.is_empty() {
-            return Err(told(&format!("{name} with {} couriers", day.couriers), &faults));
+            return Err(fault_list(&format!("{name} with {} couriers", day.couriers), &faults));
         }
     }
     let rig = std::env::current_exe().map_err(|e| e.to_string())?;
-    let programs = scale::run::Programs { courier: binary()?, rig, folder };
+    let programs = scale::run::Programs { courier: courier_binary()?, rig, folder };
     let mut reports = Vec::new();
     for day in &days {
         println!("{}; seed {seed}, {} couriers", day.about, day.couriers);
-        let report = until_called_off(scale::run::run(day, seed, &programs, true))?;
+        let report = run_until_signalled(scale::run::run(day, seed, &programs, true))?;
         print!("{report}");
         reports.push(report);
     }
@@ -201,14 +209,16 @@
     Err(format!("a rule was broken, with seed {seed}"))
 }
 
-fn nothing_else(rest: Vec<OsString>) -> Result<(), String> {
+fn reject_extra_arguments(rest: Vec<OsString>) -> Result<(), String> {
     match rest.first() {
-        Some(first) => Err(format!("what is {}? See meadowhold-rig --help", first.to_string_lossy())),
+        Some(first) => {
+            Err(format!("unexpected argument {}; see meadowhold-rig --help", first.to_string_lossy()))
+        }
         None => Ok(()),
     }
 }
 
-fn told(file: &str, faults: &[crate::day::Fault]) -> String {
+fn fault_list(file: &str, faults: &[crate::day::Fault]) -> String {
     let lines: Vec<String> = faults.iter().map(|fault| format!("\n  {fault}")).collect();
     format!("{file} cannot be run:{}", lines.concat())
 }
@@ -216,15 +226,15 @@
 /// Reads a day's file.
 ///
 /// # Errors
-/// All that is wrong with it, a line each.
+/// Lists all faults of the file, one per line.
 pub fn read(file: &Path) -> Result<Day, String> {
     let text =
         std::fs::read_to_string(file).map_err(|e| format!("{} cannot be read: {e}", file.display()))?;
-    Day::read(&text).map_err(|faults| told(&file.display().to_string(), &faults))
+    Day::read(&text).map_err(|faults| fault_list(&file.display().to_string(), &faults))
 }
 
-/// The courier's program stands beside this one.
-fn binary() -> Result<PathBuf, String> {
+/// Path of the courier's binary, which is expected in the same folder as this one.
+fn courier_binary() -> Result<PathBuf, String> {
     let own = std::env::current_exe().map_err(|e| e.to_string())?;
     let binary = own.with_file_name("meadowhold");
     if binary.is_file() {
@@ -234,25 +244,25 @@
 }
 
 fn play(day: &Day, seed: u64) -> Result<Verdict, String> {
-    let binary = binary()?;
-    until_called_off(run(day, seed, &binary))
+    let binary = courier_binary()?;
+    run_until_signalled(run(day, seed, &binary))
 }
 
-/// Runs it until it is over or called off, by whatever may call it off. Guards against couriers that outlive a run:
-/// they end with what started them.
-fn until_called_off<T>(what: impl Future<Output = Result<T, String>>) -> Result<T, String> {
+/// Runs a future until it completes or SIGINT, SIGTERM or SIGHUP arrives. Handling the signals ensures that no courier
+/// outlives the run: dropping the future kills its child processes.
+fn run_until_signalled<T>(what: impl Future<Output = Result<T, String>>) -> Result<T, String> {
     let runtime =
         tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(|e| e.to_string())?;
     runtime.block_on(async {
-        let handler = |kind| signal(kind).map_err(|e| format!("no signal can be heard: {e}"));
+        let handler = |kind| signal(kind).map_err(|e| format!("signal handler cannot be installed: {e}"));
         let (mut interrupt, mut terminate) =
             (handler(SignalKind::interrupt())?, handler(SignalKind::terminate())?);
         let mut hangup = handler(SignalKind::hangup())?;
         tokio::select! {
             result = what => result,
-            _ = hangup.recv() => Err("called off".to_string()),
-            _ = interrupt.recv() => Err("called off".to_string()),
-            _ = terminate.recv() => Err("called off".to_string()),
+            _ = hangup.recv() => Err("interrupted by a signal".to_string()),
+            _ = interrupt.recv() => Err("interrupted by a signal".to_string()),
+            _ = terminate.recv() => Err("interrupted by a signal".to_string()),
         }
     })
 }
--- a/crates/rig/src/judge.rs
+++ b/crates/rig/src/judge.rs
@@ -1,5 +1,5 @@
-//! Counts from outside what couriers did, and holds it against the rules. It reads the record of what stand-ins saw and
-//! believes nothing that a courier says of itself, but for the journals of what is still owed in the end.
+//! Checks the rules against what was observed from outside the couriers. Input is the record of the mock services; of
+//! what a courier reports about itself, only its final journal (mails still owed) and faults in its log are used.
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::fmt;
@@ -7,25 +7,25 @@
 use hdrhistogram::Histogram;
 
 use crate::day::{Day, Link};
-use crate::record::{Event, Fate, Hand, Heard, Process, Seen};
+use crate::record::{CallResult, ClientAnswer, Event, HandIn, Observation, Process};
 use crate::schedule::{Class, Mail};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rule {
-    /// A mail that was taken on has its end: relayed, a notice, or it is still owed on file within its time.
+    /// Every mail that was taken ends: it is relayed, has a notice, or is still owed in the journal within its lifetime.
     NoMailLost,
-    /// And one end only.
+    /// A mail has only one end.
     OneEnd,
     NoEffectTwice,
     DrainsKept,
     NotPushedOver,
     OrderKept,
     WaitsHeeded,
-    /// Calls are in the protocol's form and for mails that somebody handed in.
+    /// Calls follow the protocol and contain only mails that were handed in.
     CallsInForm,
-    /// Couriers run, serve in time, and their logs tell of nothing that must not be.
+    /// Couriers do not crash, are ready in time, and their logs show no fault.
     CouriersSound,
-    /// The day's own bounds on asks and connections.
+    /// The day's limits for list requests and new connections.
     Budgets,
 }
 
@@ -45,30 +45,30 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Broken {
+pub struct Violation {
     pub rule: Rule,
     /// Microseconds from the start of the record.
     pub at: u64,
     pub words: String,
 }
 
-/// What is left of the couriers when the day is over.
+/// State of the couriers after the day.
 #[derive(Clone, Debug, Default)]
-pub struct Left {
-    /// What their journals still owe.
-    pub owed: HashSet<Hand>,
-    /// What is wrong with their logs or folders, by courier.
+pub struct FinalState {
+    /// Hand-ins that their journals still owe.
+    pub owed: HashSet<HandIn>,
+    /// Faults in their logs, shutdowns or journals, by courier.
     pub faults: Vec<(usize, String)>,
-    /// When the day ended, in microseconds from the start of the record.
+    /// End of the day, in microseconds since the start of the record.
     pub at: u64,
 }
 
-/// Messages that were taken on and ended without one call, by when they were taken on.
+/// Counts of mails that were taken and ended without a call, by the time at which they were taken.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Untried {
     /// Between SIGTERM and the end of the process.
     pub in_shutdown: u64,
-    /// Before a SIGTERM that came within their time.
+    /// Before a SIGTERM that came within their lifetime.
     pub before_shutdown: u64,
     pub elsewhere: u64,
     pub by_destination: BTreeMap<usize, u64>,
@@ -100,41 +100,41 @@
     pub dead: u64,
     pub owed: u64,
     pub with_folder: u64,
-    /// Taken on by a process that died, and ended by a later one.
+    /// Mails taken by a process that ended, and ended by a later process.
     pub taken_up: u64,
     pub calls: u64,
     pub refused: u64,
-    /// Milliseconds from +OK to the answer with 200, and how late the last end came after its mail's time.
+    /// Milliseconds from `+OK` to the endpoint's 200, and the longest delay of an end beyond its mail's deadline.
     pub relay_p50: u64,
     pub relay_p99: u64,
     pub latest_end: u64,
-    /// Asks at the list service in any second at most, and altogether.
+    /// List requests: the largest number in any second, and the total.
     pub asks_peak: u64,
     pub asks: u64,
-    /// Those that got nothing, and when the last of them came, in milliseconds of the day.
+    /// Refused list requests, and the time of the last one in milliseconds of the day.
     pub asks_refused: u64,
     pub last_refused: u64,
-    /// New connections at one endpoint in any 100 ms at most, and altogether.
+    /// New connections: the largest number at one endpoint in any 100 ms, and the total.
     pub connects_peak: u64,
     pub connects: u64,
-    /// The largest part of its budget that a cold endpoint got in any span: its calls there, what it was good for, and
-    /// the bound; and calls at cold endpoints altogether.
+    /// The largest share of its budget that a cold endpoint got in any window; the calls, the expected capacity and the
+    /// budget of that window; and all calls at cold endpoints.
     pub cold_used: f64,
     pub cold_worst: (u64, f64, f64),
     pub cold_calls: u64,
-    /// Starts, and milliseconds until half, 95 in 100, and the last of them served.
+    /// Number of starts, and the median, 95th percentile and maximum of the milliseconds until ready.
     pub starts: u64,
     pub ready_p50: u64,
     pub ready_p95: u64,
     pub ready_last: u64,
-    /// Milliseconds from the first process's end to when 95 in 100 of all couriers served again.
+    /// Milliseconds from the first end of a process until 95% of all couriers were ready again.
     pub fleet_back: u64,
     pub untried: Untried,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
-    pub broken: Vec<Broken>,
+    pub broken: Vec<Violation>,
     pub figures: Figures,
 }
 
@@ -148,8 +148,8 @@
     }
 }
 
-/// Broken rules that are shown in full, of each rule.
-const SHOWN: usize = 4;
+/// Largest number of violations shown for each rule.
+const MAX_SHOWN: usize = 4;
 
 impl fmt::Display for Verdict {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -207,7 +207,7 @@
                 0 => writeln!(f, "{name:<34} kept")?,
                 count => writeln!(f, "{name:<34} BROKEN {count} times")?,
             }
-            for broken in self.broken.iter().filter(|broken| broken.rule == rule).take(SHOWN) {
+            for broken in self.broken.iter().filter(|broken| broken.rule == rule).take(MAX_SHOWN) {
                 writeln!(f, "  at {:.3} s: {}", broken.at as f64 / 1e6, broken.words)?;
             }
         }
@@ -215,172 +215,178 @@
     }
 }
 
-/// No notice is overdue until so long after a courier is ready again, in microseconds.
-const AFTER_READY: u64 = 1_500_000;
-/// What was on its way when a mail's 200 was read may arrive so much later, in microseconds.
-const CROSSING: u64 = 1_000_000;
-/// So many refusals in a row tell of a courier that serves nobody.
-const REFUSED_ENOUGH: u64 = 15;
-/// A process that is killed closes its connections within this of its end, in microseconds.
-const CLOSED_BEFORE_END: u64 = 200_000;
-/// Clocks of the two sides of a link differ by less, in microseconds.
-const SLACK: u64 = 20_000;
+/// Time after a courier is ready again before missing notices count as overdue, in microseconds.
+const NOTICE_GRACE_US: u64 = 1_500_000;
+/// How long after the courier read a mail's 200 a call or notice already on its way may still arrive, in microseconds.
+const IN_FLIGHT_US: u64 = 1_000_000;
+/// Fewest consecutive refusals after which a courier is reported as refusing everything.
+const MIN_REFUSALS: u64 = 15;
+/// Largest difference between the recorded end of a killed process and the closing of its connections, in microseconds.
+const CLOSE_TO_END_US: u64 = 200_000;
+/// Upper bound for the clock difference between the two sides of a link, in microseconds.
+const CLOCK_SKEW_US: u64 = 20_000;
 
 #[derive(Default)]
-struct Letter {
+struct MailHistory {
     taken: Option<(u64, usize)>,
-    ran: Vec<u64>,
-    served: Option<u64>,
-    /// The courier sent another call on the connection of the answer, and so had read it.
-    read: Option<u64>,
+    effects: Vec<u64>,
+    relayed_at: Option<u64>,
+    /// When the courier sent the next call on the connection of the 200, which shows that it had read the 200.
+    read_at: Option<u64>,
     notices: Vec<(u64, bool)>,
-    /// A call for it came, whatever became of that.
+    /// Whether a call for it arrived, with any result.
     is_tried: bool,
 }
 
-impl Letter {
+impl MailHistory {
     fn end(&self) -> Option<u64> {
         let notice = self.notices.first().map(|notice| notice.0);
-        self.served.into_iter().chain(notice).min()
+        self.relayed_at.into_iter().chain(notice).min()
     }
 }
 
 #[derive(Clone, Default)]
 struct Courier {
     process: u32,
-    /// Since when it has been down, stopped, asked to end, or not ready.
-    away: Option<u64>,
-    /// Since when its notices have not got through.
-    mute: Option<u64>,
-    aways: Vec<(u64, u64)>,
-    started: Option<u64>,
+    /// Since when it has been down, stopped, shutting down, or not ready.
+    down_since: Option<u64>,
+    /// Since when a link fault has blocked its notices.
+    notices_blocked: Option<u64>,
+    outages: Vec<(u64, u64)>,
+    started_at: Option<u64>,
     ends: Vec<u64>,
-    /// When a process served for the first time.
-    backs: Vec<u64>,
-    lost: Vec<u64>,
-    /// How many of its kinds of links are at fault.
-    faulty: u32,
-    continued: u64,
-    /// By endpoint: process and since when it has been told that it drains; process, and from when until when it
-    /// is to leave it alone.
+    /// When each started process became ready.
+    ready_times: Vec<u64>,
+    folder_losses: Vec<u64>,
+    /// Number of its kinds of links that have a fault.
+    faulty_links: u32,
+    continued_at: u64,
+    /// By endpoint: the process that was told of a drain, and when; the process that was told to wait, and the begin and
+    /// end of the wait.
     drains: HashMap<usize, (u32, u64)>,
     waits: HashMap<usize, (u32, u64, u64)>,
-    /// By key: the last mail of which a call came.
-    turns: HashMap<u64, (u32, bool)>,
-    /// Since when all that was handed in has been refused with no call in between, and how much that was.
-    refusing: Option<(u64, u64)>,
-    /// When SIGTERM was sent to the process that runs, and all times at which it was.
-    asked: Vec<u64>,
+    /// By key: the last mail for which a call arrived, and whether the links had no fault then.
+    last_called: HashMap<u64, (u32, bool)>,
+    /// Start and number of consecutive refusals without a call in between.
+    refusals: Option<(u64, u64)>,
+    /// Times at which SIGTERM was sent.
+    term_sent: Vec<u64>,
 }
 
 struct Call {
     courier: usize,
     endpoint: usize,
     process: u32,
-    hands: Vec<Hand>,
-    fate: Fate,
+    hands: Vec<HandIn>,
+    result: CallResult,
     answered: bool,
 }
 
 #[derive(Default)]
 struct Endpoint {
-    back: Option<u64>,
-    recent: VecDeque<u64>,
-    connects: VecDeque<u64>,
+    cold_since: Option<u64>,
+    recent_calls: VecDeque<u64>,
+    recent_connects: VecDeque<u64>,
 }
 
 struct Judge<'a> {
     day: &'a Day,
     mails: &'a [Mail],
     /// When the load began.
-    base: u64,
+    load_start: u64,
     verdict: Verdict,
-    letters: BTreeMap<Hand, Letter>,
+    histories: BTreeMap<HandIn, MailHistory>,
     couriers: Vec<Courier>,
     endpoints: Vec<Endpoint>,
     calls: HashMap<u64, Call>,
-    /// The last call that was answered on a connection.
-    links: HashMap<u64, u64>,
-    asks: VecDeque<u64>,
-    ready: Histogram<u64>,
-    /// Requests that were written whole on a connection that ended without an answer.
-    closed: Vec<(u64, Hand, usize)>,
+    /// The last call on each connection.
+    last_on_link: HashMap<u64, u64>,
+    recent_requests: VecDeque<u64>,
+    ready_ms: Histogram<u64>,
+    /// Requests that were written completely on a connection that then closed without an answer.
+    closed_unanswered: Vec<(u64, HandIn, usize)>,
 }
 
-/// Judges a day by what was seen of it. `base`: when its load began, in microseconds from the start of the record.
-pub fn judge(day: &Day, mails: &[Mail], base: u64, events: &[Event], left: &Left) -> Verdict {
+/// Judges a day by its record. `load_start`: start of the load, in microseconds since the start of the record.
+pub fn judge(
+    day: &Day,
+    mails: &[Mail],
+    load_start: u64,
+    events: &[Event],
+    final_state: &FinalState,
+) -> Verdict {
     let endpoints = day.endpoints.destinations * day.endpoints.each;
     let mut judge = Judge {
         day,
         mails,
-        base,
+        load_start,
         verdict: Verdict::default(),
-        letters: BTreeMap::new(),
+        histories: BTreeMap::new(),
         couriers: vec![Courier::default(); day.couriers],
         endpoints: (0..endpoints).map(|_| Endpoint::default()).collect(),
         calls: HashMap::new(),
-        links: HashMap::new(),
-        asks: VecDeque::new(),
-        ready: histogram(),
-        closed: Vec::new(),
+        last_on_link: HashMap::new(),
+        recent_requests: VecDeque::new(),
+        ready_ms: histogram(),
+        closed_unanswered: Vec::new(),
     };
-    events.iter().for_each(|event| judge.see(event.at, &event.seen));
-    judge.end(left)
+    events.iter().for_each(|event| judge.observe(event.at, &event.observation));
+    judge.end(final_state)
 }
 
 fn histogram() -> Histogram<u64> {
-    // Three figures; grows by itself.
+    // Three significant digits; the range grows as needed.
     Histogram::new(3).unwrap_or_else(|_| unreachable!("three figures are allowed"))
 }
 
 impl Judge<'_> {
     fn breaks(&mut self, rule: Rule, at: u64, words: String) {
-        self.verdict.broken.push(Broken { rule, at, words });
+        self.verdict.broken.push(Violation { rule, at, words });
     }
 
-    fn class(&self, hand: Hand) -> Class {
+    fn class(&self, hand: HandIn) -> Class {
         self.mails.get(hand.mail as usize).map_or(Class::Again, |mail| mail.class)
     }
 
-    fn see(&mut self, at: u64, seen: &Seen) {
+    fn observe(&mut self, at: u64, seen: &Observation) {
         match seen {
-            Seen::Answered { hand, courier, heard } => {
-                self.watch_refusals(at, *courier, *heard);
+            Observation::Answered { hand, courier, answer } => {
+                self.watch_refusals(at, *courier, *answer);
                 let g = &mut self.verdict.figures;
                 g.handed += u64::from(hand.attempt == 0);
-                match heard {
-                    Heard::Taken => {
+                match answer {
+                    ClientAnswer::Taken => {
                         g.taken += 1;
-                        self.letters.entry(*hand).or_default().taken = Some((at, *courier));
+                        self.histories.entry(*hand).or_default().taken = Some((at, *courier));
                     }
-                    Heard::Busy => g.busy += 1,
-                    Heard::Nothing => g.unheard += 1,
-                    Heard::Closed => {
+                    ClientAnswer::Busy => g.busy += 1,
+                    ClientAnswer::None => g.unheard += 1,
+                    ClientAnswer::Closed => {
                         g.unheard += 1;
-                        // A link that the day itself cuts is no close of the courier's.
-                        if self.couriers[*courier].faulty == 0 {
-                            self.closed.push((at, *hand, *courier));
+                        // While the day injects link faults, the close may not be the courier's doing.
+                        if self.couriers[*courier].faulty_links == 0 {
+                            self.closed_unanswered.push((at, *hand, *courier));
                         }
                     }
-                    Heard::Failed => {
+                    ClientAnswer::Failed => {
                         let words = format!("mail {} was answered as failed", hand.id());
                         self.breaks(Rule::CouriersSound, at, words);
                     }
                 }
             }
-            Seen::NeverOffered { .. } => self.verdict.figures.never_offered += 1,
-            Seen::Called { call, link, courier, endpoint, hands, fate } => {
-                self.called(at, *call, *link, (*courier, *endpoint), hands, *fate);
+            Observation::NeverOffered { .. } => self.verdict.figures.never_offered += 1,
+            Observation::Called { call, link, courier, endpoint, hands, result } => {
+                self.called(at, *call, *link, (*courier, *endpoint), hands, *result);
             }
-            Seen::Replied { call } => self.replied(at, *call),
-            Seen::Strange { endpoint } => {
+            Observation::Replied { call } => self.replied(at, *call),
+            Observation::MalformedCall { endpoint } => {
                 self.breaks(Rule::CallsInForm, at, format!("endpoint {endpoint} got a strange call"));
             }
-            Seen::Notice { hand, dead } => self.notice(at, *hand, *dead),
-            Seen::Connected { endpoint } => {
+            Observation::Notice { hand, dead } => self.notice(at, *hand, *dead),
+            Observation::Connected { endpoint } => {
                 self.verdict.figures.connects += 1;
-                let recent = &mut self.endpoints[*endpoint].connects;
-                let peak = slide(recent, at, 100_000);
+                let recent = &mut self.endpoints[*endpoint].recent_connects;
+                let peak = count_in_window(recent, at, 100_000);
                 let most = self.day.rules.most_connects;
                 let passed = most > 0 && peak == most + 1;
                 self.verdict.figures.connects_peak = self.verdict.figures.connects_peak.max(peak);
@@ -389,74 +395,78 @@
                     self.breaks(Rule::Budgets, at, words);
                 }
             }
-            Seen::Out { endpoint, back } => {
+            Observation::Outage { endpoint, back } => {
                 let endpoint = &mut self.endpoints[*endpoint];
-                endpoint.back = back.then_some(at);
-                endpoint.recent.clear();
+                endpoint.cold_since = back.then_some(at);
+                endpoint.recent_calls.clear();
             }
-            Seen::Asked { refused, .. } => {
-                let since = at.saturating_sub(self.base) / 1000;
+            Observation::ListRequest { refused, .. } => {
+                let since = at.saturating_sub(self.load_start) / 1000;
                 let g = &mut self.verdict.figures;
                 g.asks += 1;
                 g.asks_refused += u64::from(*refused);
                 g.last_refused = if *refused { since } else { g.last_refused };
-                let peak = slide(&mut self.asks, at, 1_000_000);
+                let peak = count_in_window(&mut self.recent_requests, at, 1_000_000);
                 self.verdict.figures.asks_peak = self.verdict.figures.asks_peak.max(peak);
                 let most = self.day.rules.most_asks;
                 if most > 0 && peak == most + 1 {
                     self.breaks(Rule::Budgets, at, format!("the list service got {peak} asks in a second"));
                 }
             }
-            Seen::Told { courier, endpoint, drains } => {
+            Observation::ListSent { courier, endpoint, drains } => {
                 let courier = &mut self.couriers[*courier];
                 let process = courier.process;
                 match drains {
                     false => drop(courier.drains.remove(endpoint)),
-                    // Over a link that is at fault it may not have come.
-                    true if courier.faulty > 0 => {}
+                    // Over a faulty link the message may not have arrived.
+                    true if courier.faulty_links > 0 => {}
                     true => {
                         let told = courier.drains.entry(*endpoint).or_insert((process, at));
                         *told = if told.0 == process { *told } else { (process, at) };
                     }
                 }
             }
-            Seen::Process { courier, what } => self.process(at, *courier, *what),
-            Seen::Links { courier, link, faulty } => {
+            Observation::Process { courier, what } => self.process(at, *courier, *what),
+            Observation::LinksChanged { courier, link, faulty } => {
                 let courier = &mut self.couriers[*courier];
-                courier.faulty = if *faulty { courier.faulty + 1 } else { courier.faulty.saturating_sub(1) };
-                // Notices go the same way as the list.
+                courier.faulty_links =
+                    if *faulty { courier.faulty_links + 1 } else { courier.faulty_links.saturating_sub(1) };
+                // Notices use the same link as the list.
                 match (link, faulty) {
-                    (Link::List, true) => drop(courier.mute.get_or_insert(at)),
-                    (Link::List, false) => courier.aways.extend(courier.mute.take().map(|since| (since, at))),
+                    (Link::List, true) => drop(courier.notices_blocked.get_or_insert(at)),
+                    (Link::List, false) => {
+                        courier.outages.extend(courier.notices_blocked.take().map(|since| (since, at)))
+                    }
                     _ => {}
                 }
             }
         }
     }
 
-    /// A courier that is up and refuses all that it is asked for, without a call in between, serves nobody.
-    fn watch_refusals(&mut self, at: u64, number: usize, heard: Heard) {
+    /// Detects a running courier that refuses every request for too long without making a call in between.
+    fn watch_refusals(&mut self, at: u64, number: usize, answer: ClientAnswer) {
         let longest = self.day.rules.serves_ms * 1000;
         let courier = &mut self.couriers[number];
-        if longest == 0 || heard == Heard::Taken || courier.away.is_some() {
-            courier.refusing = None;
+        if longest == 0 || answer == ClientAnswer::Taken || courier.down_since.is_some() {
+            courier.refusals = None;
             return;
         }
-        let (since, count) = courier.refusing.unwrap_or((at, 0));
-        courier.refusing = Some((since, count + 1));
-        if count + 1 >= REFUSED_ENOUGH && at >= since + longest {
-            courier.refusing = None;
+        let (since, count) = courier.refusals.unwrap_or((at, 0));
+        courier.refusals = Some((since, count + 1));
+        if count + 1 >= MIN_REFUSALS && at >= since + longest {
+            courier.refusals = None;
             let words =
                 format!("courier {number} served nobody of {} for {} ms", count + 1, (at - since) / 1000);
             self.breaks(Rule::CouriersSound, at, words);
         }
     }
 
-    /// Requests without an answer that were forwarded all the same, though their process went on.
+    /// Reports mails that were forwarded although their connection was closed without an answer, unless the process
+    /// ended at that time.
     fn judge_closed(&mut self) {
-        for (at, hand, number) in std::mem::take(&mut self.closed) {
-            let ended = |&end: &u64| end + CLOSED_BEFORE_END > at && end < at + CLOSED_BEFORE_END;
-            let is_forwarded = self.letters.get(&hand).is_some_and(|letter| letter.is_tried);
+        for (at, hand, number) in std::mem::take(&mut self.closed_unanswered) {
+            let ended = |&end: &u64| end + CLOSE_TO_END_US > at && end < at + CLOSE_TO_END_US;
+            let is_forwarded = self.histories.get(&hand).is_some_and(|history| history.is_tried);
             if is_forwarded && !self.couriers[number].ends.iter().any(ended) {
                 let words =
                     format!("mail {} was forwarded, and its connection closed with no answer", hand.id());
@@ -465,15 +475,15 @@
         }
     }
 
-    /// Counts a message that ended without one call, by when it was taken on.
-    fn count_untried(&mut self, hand: Hand, taken: u64, number: usize) {
+    /// Counts a mail that ended without a call, by the time at which it was taken.
+    fn count_untried(&mut self, hand: HandIn, taken: u64, number: usize) {
         let courier = &self.couriers[number];
         let end_after =
             |asked: u64| courier.ends.iter().copied().find(|&end| end >= asked).unwrap_or(u64::MAX);
-        let in_shutdown = courier.asked.iter().any(|&asked| taken >= asked && taken < end_after(asked));
-        let next_asked = courier.asked.iter().copied().find(|&asked| asked >= taken);
+        let in_shutdown = courier.term_sent.iter().any(|&asked| taken >= asked && taken < end_after(asked));
+        let next_asked = courier.term_sent.iter().copied().find(|&asked| asked >= taken);
         let mail = &self.mails[hand.mail as usize];
-        let due = self.base + mail.at + mail.time * 1000;
+        let due = self.load_start + mail.at + mail.time * 1000;
         let untried = &mut self.verdict.figures.untried;
         match () {
             () if in_shutdown => untried.in_shutdown += 1,
@@ -485,22 +495,22 @@
 
     fn process(&mut self, at: u64, number: usize, what: Process) {
         let courier = &mut self.couriers[number];
-        courier.refusing = None;
-        if what == Process::Asked {
-            courier.asked.push(at);
+        courier.refusals = None;
+        if what == Process::TermSent {
+            courier.term_sent.push(at);
         }
         let is_back = match what {
             Process::Started => {
                 courier.process += 1;
-                courier.started = Some(at);
-                courier.away.get_or_insert(at);
+                courier.started_at = Some(at);
+                courier.down_since.get_or_insert(at);
                 false
             }
             Process::Ready => {
-                if let Some(started) = courier.started.take() {
-                    courier.backs.push(at);
+                if let Some(started) = courier.started_at.take() {
+                    courier.ready_times.push(at);
                     let took = (at - started) / 1000;
-                    let _ = self.ready.record(took);
+                    let _ = self.ready_ms.record(took);
                     if took > self.day.rules.ready_ms {
                         self.breaks(
                             Rule::CouriersSound,
@@ -512,32 +522,32 @@
                 true
             }
             Process::Continued => {
-                courier.continued = at;
+                courier.continued_at = at;
                 true
             }
-            Process::Asked | Process::Stopped => {
-                courier.away.get_or_insert(at);
+            Process::TermSent | Process::Stopped => {
+                courier.down_since.get_or_insert(at);
                 false
             }
             Process::Ended => {
-                courier.away.get_or_insert(at);
+                courier.down_since.get_or_insert(at);
                 courier.ends.push(at);
-                courier.started = None;
+                courier.started_at = None;
                 false
             }
             Process::FolderLost => {
-                courier.lost.push(at);
+                courier.folder_losses.push(at);
                 false
             }
             Process::Crashed => {
-                courier.away.get_or_insert(at);
+                courier.down_since.get_or_insert(at);
                 self.breaks(Rule::CouriersSound, at, format!("courier {number} ended by itself"));
                 false
             }
         };
         let courier = &mut self.couriers[number];
-        if let Some(since) = courier.away.take_if(|_| is_back) {
-            courier.aways.push((since, at));
+        if let Some(since) = courier.down_since.take_if(|_| is_back) {
+            courier.outages.push((since, at));
         }
     }
 
@@ -547,24 +557,26 @@
         call: u64,
         link: u64,
         (number, endpoint): (usize, usize),
-        hands: &[Hand],
-        fate: Fate,
+        hands: &[HandIn],
+        result: CallResult,
     ) {
         let rules = &self.day.rules;
-        self.couriers[number].refusing = None;
+        self.couriers[number].refusals = None;
         self.verdict.figures.calls += 1;
-        self.verdict.figures.refused += u64::from(!fate.ran());
-        // The answer before this call on its connection has been read.
-        if let Some(before) = self.links.get(&link).and_then(|before| self.calls.get(before)) {
-            for hand in before.hands.iter().filter(|_| before.answered && before.fate == Fate::Served) {
-                self.letters.entry(*hand).or_default().read.get_or_insert(at);
+        self.verdict.figures.refused += u64::from(!result.took_effect());
+        // A new call on a connection shows that the courier has read the previous answer on it.
+        if let Some(before) = self.last_on_link.get(&link).and_then(|before| self.calls.get(before)) {
+            for hand in
+                before.hands.iter().filter(|_| before.answered && before.result == CallResult::Relayed)
+            {
+                self.histories.entry(*hand).or_default().read_at.get_or_insert(at);
             }
         }
         let courier = &self.couriers[number];
-        let (process, sound) = (courier.process, courier.faulty == 0);
+        let (process, sound) = (courier.process, courier.faulty_links == 0);
         let mut broken = Vec::new();
         if let Some(&(told, since)) = courier.drains.get(&endpoint) {
-            let since = since.max(courier.continued);
+            let since = since.max(courier.continued_at);
             if told == process && sound && at > since + rules.drain_grace_ms * 1000 {
                 let words = format!(
                     "courier {number} called endpoint {endpoint} {} ms after it was told that it drains",
@@ -574,8 +586,8 @@
             }
         }
         if let Some(&(told, from, until)) = courier.waits.get(&endpoint) {
-            let from = from.max(courier.continued) + rules.wait_grace_ms * 1000;
-            if told == process && sound && at > from && at + SLACK < until {
+            let from = from.max(courier.continued_at) + rules.wait_grace_ms * 1000;
+            if told == process && sound && at > from && at + CLOCK_SKEW_US < until {
                 let words = format!(
                     "courier {number} called endpoint {endpoint} {} ms before the end of a told wait",
                     (until - at) / 1000
@@ -588,9 +600,9 @@
                 broken.push((Rule::CallsInForm, format!("no client handed in mail {}", hand.id())));
                 continue;
             };
-            let taken = self.letters.get(&hand).is_some_and(|letter| letter.taken.is_some());
+            let taken = self.histories.get(&hand).is_some_and(|history| history.taken.is_some());
             if mail.class == Class::Turns && taken {
-                let last = self.couriers[number].turns.entry(mail.key).or_insert((hand.mail, sound));
+                let last = self.couriers[number].last_called.entry(mail.key).or_insert((hand.mail, sound));
                 if hand.mail < last.0 && sound && last.1 {
                     let words = format!(
                         "courier {number}, key {}: mail {} was called after mail {}",
@@ -602,15 +614,15 @@
                     *last = (hand.mail, sound);
                 }
             }
-            let letter = self.letters.entry(hand).or_default();
-            letter.is_tried = true;
-            if sound && letter.read.is_some_and(|read| at > read + CROSSING) {
+            let history = self.histories.entry(hand).or_default();
+            history.is_tried = true;
+            if sound && history.read_at.is_some_and(|read| at > read + IN_FLIGHT_US) {
                 let words = format!("mail {} was called again after its 200 had been read", hand.id());
                 broken.push((Rule::OneEnd, words));
             }
-            if fate.ran() {
-                let first = letter.ran.first().copied();
-                letter.ran.push(at);
+            if result.took_effect() {
+                let first = history.effects.first().copied();
+                history.effects.push(at);
                 let again = first.is_some_and(|first| match mail.class {
                     Class::Once => true,
                     Class::Tagged => at > first + (rules.window_s * 1e6) as u64,
@@ -628,23 +640,23 @@
             }
         }
         broken.into_iter().for_each(|(rule, words)| self.breaks(rule, at, words));
-        self.weigh(at, endpoint);
+        self.check_cold_budget(at, endpoint);
         let hands = hands.to_vec();
-        self.calls.insert(call, Call { courier: number, endpoint, process, hands, fate, answered: false });
-        self.links.insert(link, call);
+        self.calls.insert(call, Call { courier: number, endpoint, process, hands, result, answered: false });
+        self.last_on_link.insert(link, call);
     }
 
-    /// What a cold endpoint got in the last while, against what it bears.
-    fn weigh(&mut self, at: u64, number: usize) {
+    /// Checks the calls at a cold endpoint within the sliding window against its budget.
+    fn check_cold_budget(&mut self, at: u64, number: usize) {
         let (e, rules) = (&self.day.endpoints, &self.day.rules);
         let endpoint = &mut self.endpoints[number];
-        let Some(back) = endpoint.back else { return };
-        let warm = (at - back) as f64 / (e.cold_s * 1e6);
+        let Some(since) = endpoint.cold_since else { return };
+        let warm = (at - since) as f64 / (e.cold_s * 1e6);
         if warm >= 1.0 {
-            endpoint.back = None;
+            endpoint.cold_since = None;
             return;
         }
-        let calls = slide(&mut endpoint.recent, at, (rules.tip_s * 1e6) as u64);
+        let calls = count_in_window(&mut endpoint.recent_calls, at, (rules.tip_s * 1e6) as u64);
         let warmth = e.cold_from + (1.0 - e.cold_from) * warm;
         let good_for = rules.tip_multiple * e.rate * warmth * rules.tip_s;
         let budget = budget(good_for);
@@ -655,8 +667,8 @@
             (g.cold_used, g.cold_worst) = (used, (calls, good_for, budget));
         }
         if used > 1.0 {
-            // It falls once.
-            endpoint.back = None;
+            // Report an overload only once per outage.
+            endpoint.cold_since = None;
             let words = format!("endpoint {number} got {calls} calls while cold and bears {budget:.0}");
             self.breaks(Rule::NotPushedOver, at, words);
         }
@@ -665,13 +677,13 @@
     fn replied(&mut self, at: u64, number: u64) {
         let Some(call) = self.calls.get_mut(&number) else { return };
         call.answered = true;
-        match call.fate {
-            Fate::Served => {
+        match call.result {
+            CallResult::Relayed => {
                 for hand in &call.hands {
-                    self.letters.entry(*hand).or_default().served.get_or_insert(at);
+                    self.histories.entry(*hand).or_default().relayed_at.get_or_insert(at);
                 }
             }
-            Fate::Full(wait) => {
+            CallResult::Throttled(wait) => {
                 let courier = &mut self.couriers[call.courier];
                 let until = at + wait * 1000;
                 let told = courier.waits.entry(call.endpoint).or_insert((call.process, at, until));
@@ -681,82 +693,84 @@
                     told.2 = told.2.max(until);
                 }
             }
-            Fate::Failed | Fate::Busy => {}
+            CallResult::Failed | CallResult::Busy => {}
         }
     }
 
-    fn notice(&mut self, at: u64, hand: Hand, dead: bool) {
+    fn notice(&mut self, at: u64, hand: HandIn, dead: bool) {
         let once = self.class(hand) == Class::Once;
-        let letter = self.letters.entry(hand).or_default();
-        let (read, first, taken) = (letter.read, letter.notices.first().copied(), letter.taken);
-        let ran = !letter.ran.is_empty();
-        letter.notices.push((at, dead));
+        let history = self.histories.entry(hand).or_default();
+        let (read, first, taken) = (history.read_at, history.notices.first().copied(), history.taken);
+        let took_effect = !history.effects.is_empty();
+        history.notices.push((at, dead));
         if let Some((_, before)) = first.filter(|first| first.1 != dead) {
             let name = |dead| if dead { "dead" } else { "bounced" };
             let words = format!("mail {} is {} and was {}", hand.id(), name(dead), name(before));
             self.breaks(Rule::OneEnd, at, words);
         }
-        // One that was decided on before may have waited for its way to be free.
+        // During and after an outage, a notice may have been decided on earlier and delayed.
         let courier = taken.map(|taken| &self.couriers[taken.1]);
         let open = courier.is_none_or(|courier| {
-            let last = courier.aways.iter().map(|away| away.1).max();
-            courier.mute.is_none() && courier.away.is_none() && last.is_none_or(|last| Some(last) < read)
+            let last = courier.outages.iter().map(|outage| outage.1).max();
+            courier.notices_blocked.is_none()
+                && courier.down_since.is_none()
+                && last.is_none_or(|last| Some(last) < read)
         });
-        if open && read.is_some_and(|read| at > read + CROSSING) {
+        if open && read.is_some_and(|read| at > read + IN_FLIGHT_US) {
             let words = format!("a notice came for mail {}, the 200 of which had been read", hand.id());
             self.breaks(Rule::OneEnd, at, words);
         }
-        // Whoever hears that it was refused hands it in again.
-        if once && ran && !dead {
+        // A client that is told of a bounce hands the mail in again, so a once-only mail must not have taken effect.
+        if once && took_effect && !dead {
             let words = format!("once mail {} took effect and was told of as refused", hand.id());
             self.breaks(Rule::NoEffectTwice, at, words);
         }
     }
 
-    /// When a mail's end is due: restarts and stops of its courier, and a link that takes no notices, put it off.
-    fn due(&self, hand: Hand, courier: usize) -> u64 {
+    /// Deadline of a mail's end; extended by outages of its courier and of the link for notices.
+    fn due(&self, hand: HandIn, courier: usize) -> u64 {
         let mail = &self.mails[hand.mail as usize];
-        let mut due = self.base + mail.at + mail.time * 1000;
-        for &(from, to) in &self.couriers[courier].aways {
-            if from <= due + self.day.rules.late_ms * 1000 && due < to + AFTER_READY {
-                due = to + AFTER_READY;
+        let mut due = self.load_start + mail.at + mail.time * 1000;
+        for &(from, to) in &self.couriers[courier].outages {
+            if from <= due + self.day.rules.late_ms * 1000 && due < to + NOTICE_GRACE_US {
+                due = to + NOTICE_GRACE_US;
             }
         }
         due
     }
 
-    fn end(mut self, left: &Left) -> Verdict {
+    fn end(mut self, final_state: &FinalState) -> Verdict {
         for courier in &mut self.couriers {
-            let open = [courier.away.take(), courier.mute.take()];
-            courier.aways.extend(open.into_iter().flatten().map(|since| (since, left.at)));
-            courier.aways.sort_unstable();
+            let open = [courier.down_since.take(), courier.notices_blocked.take()];
+            courier.outages.extend(open.into_iter().flatten().map(|since| (since, final_state.at)));
+            courier.outages.sort_unstable();
         }
         self.judge_closed();
         let (mut relays, late) = (histogram(), self.day.rules.late_ms * 1000);
-        let letters = std::mem::take(&mut self.letters);
-        for (&hand, letter) in &letters {
-            let Some((taken, courier)) = letter.taken else { continue };
+        let histories = std::mem::take(&mut self.histories);
+        for (&hand, history) in &histories {
+            let Some((taken, courier)) = history.taken else { continue };
             let due = self.due(hand, courier);
-            let lost = self.couriers[courier].lost.iter().any(|&lost| lost > taken);
+            let lost = self.couriers[courier].folder_losses.iter().any(|&lost| lost > taken);
             let g = &mut self.verdict.figures;
-            let Some(end) = letter.end() else {
-                let owed = left.owed.contains(&hand);
+            let Some(end) = history.end() else {
+                let owed = final_state.owed.contains(&hand);
                 match (owed, lost) {
                     (true, _) => g.owed += 1,
                     (false, true) => g.with_folder += 1,
                     (false, false) => {
                         let words = format!("mail {} of courier {courier} has no end", hand.id());
-                        self.breaks(Rule::NoMailLost, left.at, words);
+                        self.breaks(Rule::NoMailLost, final_state.at, words);
                     }
                 }
-                if owed && left.at > due + late {
+                if owed && final_state.at > due + late {
                     let words =
                         format!("mail {} of courier {courier} is owed long after its time", hand.id());
-                    self.breaks(Rule::NoMailLost, left.at, words);
+                    self.breaks(Rule::NoMailLost, final_state.at, words);
                 }
                 continue;
             };
-            match (letter.served, letter.notices.first()) {
+            match (history.relayed_at, history.notices.first()) {
                 (Some(served), _) => {
                     g.relayed += 1;
                     let _ = relays.record(served.saturating_sub(taken) / 1000);
@@ -764,7 +778,7 @@
                 (None, Some((_, true))) => g.dead += 1,
                 (None, _) => g.bounced += 1,
             }
-            if !letter.is_tried {
+            if !history.is_tried {
                 self.count_untried(hand, taken, courier);
             }
             let g = &mut self.verdict.figures;
@@ -776,45 +790,48 @@
                 self.breaks(Rule::NoMailLost, end, words);
             }
         }
-        for (courier, fault) in &left.faults {
-            self.breaks(Rule::CouriersSound, left.at, format!("courier {courier}: {fault}"));
+        for (courier, fault) in &final_state.faults {
+            self.breaks(Rule::CouriersSound, final_state.at, format!("courier {courier}: {fault}"));
         }
         let first = self.couriers.iter().filter_map(|courier| courier.ends.first()).min().copied();
-        // When each courier was back for the first time; those that never ended count as there.
+        // When each courier was ready again after its first end; 0 for couriers that never ended or never came back.
         let mut back: Vec<u64> = self
             .couriers
             .iter()
             .map(|courier| {
                 let ended = courier.ends.first().copied();
-                ended.and_then(|ended| courier.backs.iter().find(|&&back| back > ended).copied()).unwrap_or(0)
+                ended
+                    .and_then(|ended| courier.ready_times.iter().find(|&&back| back > ended).copied())
+                    .unwrap_or(0)
             })
             .collect();
         back.sort_unstable();
         let g = &mut self.verdict.figures;
         if let Some(first) = first {
             let place = (back.len() * 95).div_ceil(100).max(1) - 1;
-            g.fleet_back = back[place].saturating_sub(first) / 1000; // far off: not back at all
+            g.fleet_back = back[place].saturating_sub(first) / 1000;
         }
-        (g.starts, g.ready_last) = (self.ready.len(), self.ready.max());
-        (g.ready_p50, g.ready_p95) = (self.ready.value_at_quantile(0.5), self.ready.value_at_quantile(0.95));
-        let (most_ready, nine_in_ten) = (self.day.rules.most_ready_ms, self.ready.value_at_quantile(0.9));
+        (g.starts, g.ready_last) = (self.ready_ms.len(), self.ready_ms.max());
+        (g.ready_p50, g.ready_p95) =
+            (self.ready_ms.value_at_quantile(0.5), self.ready_ms.value_at_quantile(0.95));
+        let (most_ready, nine_in_ten) = (self.day.rules.most_ready_ms, self.ready_ms.value_at_quantile(0.9));
         (g.relay_p50, g.relay_p99) = (relays.value_at_quantile(0.5), relays.value_at_quantile(0.99));
         if most_ready > 0 && nine_in_ten > most_ready {
             let words = format!("nine in ten starts served after {nine_in_ten} ms, not {most_ready}");
-            self.breaks(Rule::CouriersSound, left.at, words);
+            self.breaks(Rule::CouriersSound, final_state.at, words);
         }
         self.verdict
     }
 }
 
-/// What a cold endpoint bears where it is good for so many calls: beyond them only two deviations of what comes by
-/// chance, and two calls.
+/// The calls that a cold endpoint bears, given its expected capacity: two standard deviations of random arrivals and two
+/// calls beyond it.
 pub fn budget(calls: f64) -> f64 {
     calls + 2.0 * calls.sqrt() + 2.0
 }
 
-/// Adds a moment to those within a span of time; how many there are.
-fn slide(recent: &mut VecDeque<u64>, at: u64, span: u64) -> u64 {
+/// Adds a time to a sliding window and returns the number of times in it.
+fn count_in_window(recent: &mut VecDeque<u64>, at: u64, span: u64) -> u64 {
     while recent.front().is_some_and(|&first| first + span <= at) {
         recent.pop_front();
     }
--- a/crates/rig/src/list.rs
+++ b/crates/rig/src/list.rs
@@ -1,5 +1,5 @@
-//! The list service's stand-in: one truth, and agents that hold it, each with knobs of its own. Notices come to the
-//! agents too, and are answered whatever else is out of order.
+//! Mock list service: one current list and agents that serve it, each with its own injected faults. The agents also
+//! take notices, and answer them even while their list requests fail.
 
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -21,32 +21,32 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-use crate::record::{lock, Hand, Record, Seen};
+use crate::record::{lock, HandIn, Observation, Record};
 
-/// An empty line comes so often where nothing changes.
-const TURN: Duration = Duration::from_secs(2);
+/// Interval of the empty lines on a watch without changes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What is out of order with an agent's answers on the list.
+/// How an agent answers requests for the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mood {
+pub enum Mode {
     #[default]
-    Well,
-    /// 503 to all that ask, and open watches end.
+    Normal,
+    /// Answers 503 to all requests and ends open watches.
     Refuses,
-    /// Takes connections and says nothing; open watches stay open and are silent.
+    /// Accepts connections without answering; open watches stay open and send nothing.
     Silent,
 }
 
-/// An entry as the agents hold it. Addresses differ by courier, and are put in as it is told.
+/// An entry as the agents hold it. Addresses differ by courier and are filled in when the entry is sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     pub name: String,
     pub endpoint: usize,
     pub destination: usize,
     pub drains: bool,
-    /// Dropped: told among changes alone.
+    /// Deleted: sent only as a change, and not in a snapshot.
     pub gone: bool,
-    /// Calls a second.
+    /// Calls per second.
     pub rate: f64,
     pub since_ms: u64,
     /// The version at which it last changed.
@@ -54,13 +54,13 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Held {
+struct Version {
     index: u64,
     entries: Vec<Entry>,
 }
 
 #[derive(Serialize)]
-pub(crate) struct Told<'a> {
+pub(crate) struct ListEntry<'a> {
     pub name: &'a str,
     pub address: String,
     pub zone: &'static str,
@@ -73,29 +73,29 @@
 }
 
 #[derive(Serialize)]
-pub(crate) struct Answer<'a> {
+pub(crate) struct ListAnswer<'a> {
     pub index: u64,
     pub snapshot: bool,
-    pub endpoints: Vec<Told<'a>>,
+    pub endpoints: Vec<ListEntry<'a>>,
 }
 
-/// The addresses at which each courier finds the endpoints, by courier and endpoint, and which courier's relay
-/// connects from an address.
+/// The endpoint addresses for each courier, by courier and endpoint, and the courier whose relay connects from an
+/// address.
 pub struct Addresses {
     pub endpoints: Mutex<Vec<Vec<SocketAddr>>>,
     pub couriers: Arc<HashMap<IpAddr, usize>>,
 }
 
-impl Held {
-    /// What a courier is told that has heard up to `after`; `None`: all of it.
-    fn told(&self, addresses: &Addresses, courier: usize, after: Option<u64>) -> Answer<'_> {
+impl Version {
+    /// The changes since version `after` for a courier, or a snapshot for `None`.
+    fn list_for(&self, addresses: &Addresses, courier: usize, after: Option<u64>) -> ListAnswer<'_> {
         let places = lock(&addresses.endpoints);
-        let news = self.entries.iter().filter(|entry| match after {
+        let listed = self.entries.iter().filter(|entry| match after {
             Some(after) => entry.changed > after,
             None => !entry.gone,
         });
         let told = |entry: &'_ Entry| places[courier][entry.endpoint].to_string();
-        let endpoints = news.map(|entry| Told {
+        let endpoints = listed.map(|entry| ListEntry {
             name: &entry.name,
             address: told(entry),
             zone: "a",
@@ -109,40 +109,40 @@
             weight: entry.rate,
             since_ms: entry.since_ms,
         });
-        Answer { index: self.index, snapshot: after.is_none(), endpoints: endpoints.collect() }
+        ListAnswer { index: self.index, snapshot: after.is_none(), endpoints: endpoints.collect() }
     }
 }
 
 struct Agent {
     index: usize,
-    held: watch::Sender<Held>,
-    mood: watch::Sender<Mood>,
-    knobs: Mutex<Knobs>,
+    held: watch::Sender<Version>,
+    mode: watch::Sender<Mode>,
+    state: Mutex<AgentState>,
     most_asks: usize,
     addresses: Arc<Addresses>,
     record: Arc<Record>,
 }
 
 #[derive(Default)]
-struct Knobs {
+struct AgentState {
     stale: bool,
     indented: bool,
-    /// When it took an ask within the last second, in microseconds.
+    /// Times of the requests accepted within the last second, in microseconds.
     asks: std::collections::VecDeque<u64>,
 }
 
 pub struct List {
-    truth: Mutex<Held>,
+    current: Mutex<Version>,
     agents: Vec<Arc<Agent>>,
     pub at: Vec<SocketAddr>,
     _tasks: JoinSet<()>,
 }
 
 impl List {
-    /// Starts an agent at a port of each address.
+    /// Starts an agent on a free port of each address.
     ///
     /// # Errors
-    /// Where no port can be had.
+    /// If no port can be bound.
     pub async fn start(
         at: &[IpAddr],
         entries: Vec<Entry>,
@@ -150,92 +150,92 @@
         addresses: Arc<Addresses>,
         record: Arc<Record>,
     ) -> io::Result<List> {
-        let truth = Held { index: 1, entries };
+        let current = Version { index: 1, entries };
         let (mut agents, mut places, mut tasks) = (Vec::new(), Vec::new(), JoinSet::new());
         for (index, &at) in at.iter().enumerate() {
             let listener = TcpListener::bind((at, 0)).await?;
             places.push(listener.local_addr()?);
-            let (held, mood) = (watch::Sender::new(truth.clone()), watch::Sender::new(Mood::Well));
-            let (knobs, addresses, record) = (Mutex::default(), addresses.clone(), record.clone());
-            let agent = Arc::new(Agent { index, held, mood, knobs, most_asks, addresses, record });
+            let (held, mode) = (watch::Sender::new(current.clone()), watch::Sender::new(Mode::Normal));
+            let (state, addresses, record) = (Mutex::default(), addresses.clone(), record.clone());
+            let agent = Arc::new(Agent { index, held, mode, state, most_asks, addresses, record });
             tasks.spawn(listen(agent.clone(), listener));
             agents.push(agent);
         }
-        Ok(List { truth: Mutex::new(truth), agents, at: places, _tasks: tasks })
+        Ok(List { current: Mutex::new(current), agents, at: places, _tasks: tasks })
     }
 
-    /// Changes an endpoint's entry, and tells every agent that is not stale.
+    /// Changes an endpoint's entry and publishes the list to every agent that is not stale.
     pub fn change(&self, endpoint: usize, change: impl FnOnce(&mut Entry)) {
-        let mut truth = lock(&self.truth);
-        truth.index += 1;
-        let index = truth.index;
-        // The last of those that have stood at a place is the one that stands there now.
-        if let Some(entry) = truth.entries.iter_mut().rfind(|entry| entry.endpoint == endpoint) {
+        let mut current = lock(&self.current);
+        current.index += 1;
+        let index = current.index;
+        // After replacements several entries have this number; the last one is current.
+        if let Some(entry) = current.entries.iter_mut().rfind(|entry| entry.endpoint == endpoint) {
             change(entry);
             entry.changed = index;
         }
-        self.tell(&truth);
+        self.publish(&current);
     }
 
-    /// Lists a newcomer at the place of an endpoint that was dropped, under a name that has not been used.
+    /// Lists a replacement for a deleted endpoint under a name that has not been used.
     pub fn replace(&self, endpoint: usize, since_ms: u64) {
-        let mut truth = lock(&self.truth);
-        truth.index += 1;
-        let index = truth.index;
-        let before = truth.entries.iter().filter(|entry| entry.endpoint == endpoint).count();
-        if let Some(last) = truth.entries.iter().rfind(|entry| entry.endpoint == endpoint).cloned() {
+        let mut current = lock(&self.current);
+        current.index += 1;
+        let index = current.index;
+        let before = current.entries.iter().filter(|entry| entry.endpoint == endpoint).count();
+        if let Some(last) = current.entries.iter().rfind(|entry| entry.endpoint == endpoint).cloned() {
             let name = format!("e{endpoint}-{before}");
             let new = Entry { name, drains: false, gone: false, since_ms, changed: index, ..last };
-            truth.entries.push(new);
+            current.entries.push(new);
         }
-        self.tell(&truth);
+        self.publish(&current);
     }
 
-    fn tell(&self, truth: &Held) {
+    fn publish(&self, current: &Version) {
         for agent in &self.agents {
-            if !lock(&agent.knobs).stale {
-                agent.held.send_replace(truth.clone());
+            if !lock(&agent.state).stale {
+                agent.held.send_replace(current.clone());
             }
         }
     }
 
-    pub fn set_mood(&self, agent: usize, mood: Mood) {
-        self.agents[agent].mood.send_replace(mood);
+    pub fn set_mode(&self, agent: usize, mode: Mode) {
+        self.agents[agent].mode.send_replace(mode);
     }
 
-    /// A stale agent keeps what it has, and catches up in the end.
+    /// A stale agent keeps its version of the list; it gets the current one when `stale` is cleared.
     pub fn set_stale(&self, agent: usize, stale: bool) {
-        let truth = lock(&self.truth);
-        lock(&self.agents[agent].knobs).stale = stale;
+        let current = lock(&self.current);
+        lock(&self.agents[agent].state).stale = stale;
         if !stale {
-            self.agents[agent].held.send_replace(truth.clone());
+            self.agents[agent].held.send_replace(current.clone());
         }
     }
 
-    /// Lists and the changes on a watch are written over many lines each.
+    /// Writes lists and watch updates as indented JSON over several lines.
     pub fn set_indented(&self, agent: usize, indented: bool) {
-        lock(&self.agents[agent].knobs).indented = indented;
+        lock(&self.agents[agent].state).indented = indented;
     }
 
-    /// What a courier's configuration names as known.
+    /// The list for the `known` key of a courier's configuration.
     pub fn known(&self, addresses: &Addresses, courier: usize) -> serde_json::Value {
-        serde_json::to_value(lock(&self.truth).told(addresses, courier, None)).unwrap_or_default()
+        serde_json::to_value(lock(&self.current).list_for(addresses, courier, None)).unwrap_or_default()
     }
 }
 
 async fn listen(agent: Arc<Agent>, listener: TcpListener) {
-    let mut open = JoinSet::new();
+    let mut connections = JoinSet::new();
     loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, from)) => {
                     if let Some(&courier) = agent.addresses.couriers.get(&from.ip()) {
-                        open.spawn(serve(agent.clone(), stream, courier));
+                        connections.spawn(serve(agent.clone(), stream, courier));
                     }
                 }
                 Err(_) => sleep(Duration::from_millis(10)).await,
             },
-            Some(_) = open.join_next() => {}
+            Some(_) = connections.join_next() => {}
         }
     }
 }
@@ -275,12 +275,12 @@
         if request.uri().path() != "/catalog/members" {
             return plain(404, Vec::new());
         }
-        let mut mood = self.mood.subscribe();
-        let refused = *mood.borrow() != Mood::Well || self.is_overbooked();
-        self.record.add(Seen::Asked { agent: self.index, refused });
-        if *mood.borrow_and_update() == Mood::Silent {
-            // Whoever waits for so long is answered in the end that it came in vain.
-            let _ = mood.wait_for(|mood| *mood != Mood::Silent).await;
+        let mut mode = self.mode.subscribe();
+        let refused = *mode.borrow() != Mode::Normal || self.is_over_limit();
+        self.record.add(Observation::ListRequest { agent: self.index, refused });
+        if *mode.borrow_and_update() == Mode::Silent {
+            // Requests that are still waiting when the mode changes are answered 503.
+            let _ = mode.wait_for(|mode| *mode != Mode::Silent).await;
             return plain(503, Vec::new());
         }
         if refused {
@@ -292,42 +292,42 @@
         });
         let Some(after) = after else {
             let held = self.held.borrow().clone();
-            let told = held.told(&self.addresses, courier, None);
+            let told = held.list_for(&self.addresses, courier, None);
             let text = self.text(&told);
-            self.tells(courier, &told, &held);
+            self.record_sent(courier, &told, &held);
             return plain(200, text);
         };
         let (lines, body) = Channel::new(4);
-        tokio::spawn(self.watch(courier, after, lines, mood));
+        tokio::spawn(self.watch(courier, after, lines, mode));
         Response::new(body.boxed())
     }
 
-    fn text(&self, told: &Answer) -> Vec<u8> {
-        let indented = lock(&self.knobs).indented;
+    fn text(&self, told: &ListAnswer) -> Vec<u8> {
+        let indented = lock(&self.state).indented;
         let text = if indented { serde_json::to_vec_pretty(told) } else { serde_json::to_vec(told) };
         text.unwrap_or_default()
     }
 
-    /// Takes an ask if that is within the bound; one that is refused costs it nothing.
-    fn is_overbooked(&self) -> bool {
+    /// Whether a request exceeds the limit. Accepted requests are counted, refused ones are not.
+    fn is_over_limit(&self) -> bool {
         let now = self.record.now();
-        let mut knobs = lock(&self.knobs);
-        while knobs.asks.front().is_some_and(|&at| at + 1_000_000 < now) {
-            knobs.asks.pop_front();
+        let mut state = lock(&self.state);
+        while state.asks.front().is_some_and(|&at| at + 1_000_000 < now) {
+            state.asks.pop_front();
         }
-        if self.most_asks > 0 && knobs.asks.len() >= self.most_asks {
+        if self.most_asks > 0 && state.asks.len() >= self.most_asks {
             return true;
         }
-        knobs.asks.push_back(now);
+        state.asks.push_back(now);
         false
     }
 
-    /// What a courier has been told counts from now on.
-    fn tells(&self, courier: usize, told: &Answer, held: &Held) {
+    /// Records each endpoint's status that a courier has been sent.
+    fn record_sent(&self, courier: usize, told: &ListAnswer, held: &Version) {
         for entry in &held.entries {
             if told.endpoints.iter().any(|told| told.name == entry.name) {
                 let (endpoint, drains) = (entry.endpoint, entry.drains || entry.gone);
-                self.record.add(Seen::Told { courier, endpoint, drains });
+                self.record.add(Observation::ListSent { courier, endpoint, drains });
             }
         }
     }
@@ -337,36 +337,36 @@
         courier: usize,
         mut after: u64,
         mut lines: Sender<Bytes>,
-        mut mood: watch::Receiver<Mood>,
+        mut mode: watch::Receiver<Mode>,
     ) {
         let mut held = self.held.subscribe();
         loop {
             let now = held.borrow_and_update().clone();
-            if *mood.borrow_and_update() == Mood::Refuses {
+            if *mode.borrow_and_update() == Mode::Refuses {
                 return;
             }
-            if *mood.borrow() == Mood::Silent {
-                let _ = mood.wait_for(|mood| *mood != Mood::Silent).await;
+            if *mode.borrow() == Mode::Silent {
+                let _ = mode.wait_for(|mode| *mode != Mode::Silent).await;
                 return;
             }
             if now.index != after {
-                // One that knows another truth, or none, is told all of it.
+                // A courier without a version, or with a newer one than this agent's, gets a snapshot.
                 let known = Some(after).filter(|&after| after > 0 && after < now.index);
-                let told = now.told(&self.addresses, courier, known);
+                let told = now.list_for(&self.addresses, courier, known);
                 let mut line = self.text(&told);
                 line.push(b'\n');
                 if lines.send_data(line.into()).await.is_err() {
                     return;
                 }
-                self.tells(courier, &told, &now);
+                self.record_sent(courier, &told, &now);
                 after = now.index;
             }
             tokio::select! {
                 changed = held.changed() => if changed.is_err() { return },
-                changed = mood.changed() => if changed.is_err() { return },
-                () = sleep(TURN) => {
-                    // Guards against a watch whose far side is gone and that would be kept for good.
-                    let sent = timeout(TURN * 5, lines.send_data(Bytes::from_static(b"\n"))).await;
+                changed = mode.changed() => if changed.is_err() { return },
+                () = sleep(KEEPALIVE_INTERVAL) => {
+                    // The time-out ends watches whose client is gone; they would otherwise stay open forever.
+                    let sent = timeout(KEEPALIVE_INTERVAL * 5, lines.send_data(Bytes::from_static(b"\n"))).await;
                     if !matches!(sent, Ok(Ok(()))) {
                         return;
                     }
@@ -376,14 +376,14 @@
     }
 }
 
-/// What couriers tell of messages that they gave up, one a line.
+/// Records notices of mails that couriers gave up, one per line.
 pub(crate) fn take_notices(record: &Record, body: &[u8]) -> Reply {
     let lines = body.split(|&b| b == b'\n').filter(|line| !line.trim_ascii().is_empty());
     let notices: Result<Vec<Notice>, _> = lines.map(serde_json::from_slice).collect();
     let Ok(notices) = notices else { return plain(400, Vec::new()) };
     for notice in notices {
-        let Some(hand) = Hand::read(&notice.id) else { return plain(400, Vec::new()) };
-        record.add(Seen::Notice { hand, dead: notice.result == "dead" });
+        let Some(hand) = HandIn::read(&notice.id) else { return plain(400, Vec::new()) };
+        record.add(Observation::Notice { hand, dead: notice.result == "dead" });
     }
     plain(204, Vec::new())
 }
--- a/crates/rig/src/relay.rs
+++ b/crates/rig/src/relay.rs
@@ -1,6 +1,6 @@
-//! A link with a knob: what goes over it passes a relay on loopback, which can cut it, hold it back one way or both,
-//! slow it down, or reset it in the middle of a request or an answer. For datagrams: loss, doubling, lateness, and by
-//! that another order.
+//! Links with fault injection. TCP traffic passes a relay on loopback that can cut the link, block one direction or
+//! both, add delay, or reset the connection in the middle of a request or an answer. Datagrams can be lost, duplicated
+//! and delayed, and are thereby reordered.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -16,116 +16,116 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// Which way something goes.
+/// Direction of a transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Way {
-    /// From whoever connected.
+    /// From the side that opened the connection.
     Request,
     Answer,
 }
 
-/// How a link is out of order.
+/// The fault that is injected into a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Knob {
+pub enum LinkFault {
     #[default]
-    Well,
-    /// New connections are refused, open ones reset.
+    None,
+    /// New connections are refused and open ones are reset.
     Cut,
-    /// Connections open and stay open, and nothing goes this way; when it is over they are reset.
+    /// Connections are accepted and stay open, but nothing passes in this direction; they are reset when the fault ends.
     Held(Way),
-    /// Half-open: nothing goes either way.
+    /// Like `Held`, but in both directions.
     Silent,
-    /// Each piece takes so much longer.
+    /// Each chunk is delayed by this duration.
     Slow(Duration),
-    /// A piece that goes this way is passed on by half with this chance, and the connection reset.
+    /// With this probability, only half of a chunk in this direction is forwarded and the connection is reset.
     Reset(Way, f64),
 }
 
-impl Knob {
+impl LinkFault {
     fn holds(self, way: Way) -> bool {
-        self == Knob::Silent || self == Knob::Held(way)
+        self == LinkFault::Silent || self == LinkFault::Held(way)
     }
 }
 
-/// Bytes that have been passed on, each way.
+/// Bytes forwarded in each direction.
 #[derive(Debug, Default)]
-pub struct Passed {
+pub struct PassedBytes {
     pub requests: AtomicU64,
     pub answers: AtomicU64,
 }
 
-impl Passed {
+impl PassedBytes {
     fn add(&self, way: Way, bytes: usize) {
         let count = if way == Way::Request { &self.requests } else { &self.answers };
         count.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Requests, answers.
+    /// Bytes of requests and of answers.
     pub fn both(&self) -> [u64; 2] {
         [&self.requests, &self.answers].map(|count| count.load(Ordering::Relaxed))
     }
 }
 
-/// Looks at what goes back over a connection, before it is passed on; made anew for each.
-pub type Look = Arc<dyn Fn() -> Looking + Send + Sync>;
-pub type Looking = Box<dyn FnMut(&[u8]) + Send>;
+/// Creates an inspector for each connection; it is given the answer bytes before they are forwarded.
+pub type InspectorFactory = Arc<dyn Fn() -> Inspector + Send + Sync>;
+pub type Inspector = Box<dyn FnMut(&[u8]) + Send>;
 
-/// A relay of TCP connections from its own address to another. It ends when it is dropped.
+/// Forwards TCP connections from its own address to another one. Stops when it is dropped.
 pub struct Relay {
     pub address: SocketAddr,
-    pub passed: Arc<Passed>,
-    knob: watch::Sender<Knob>,
+    pub passed: Arc<PassedBytes>,
+    fault: watch::Sender<LinkFault>,
     _task: JoinSet<()>,
 }
 
 impl Relay {
-    /// Listens at a port of `at`, and connects onwards to `to` from the address `from`, by which the far side
-    /// knows whose link it is.
+    /// Listens on a free port of `at` and connects to `to` from the address `from`, by which the far side identifies
+    /// the link's courier.
     ///
     /// # Errors
-    /// Where no port can be had.
+    /// If no port can be bound.
     pub async fn start(at: IpAddr, from: IpAddr, to: SocketAddr, seed: u64) -> io::Result<Relay> {
-        Relay::with(at, from, to, seed, None).await
+        Relay::start_with_inspector(at, from, to, seed, None).await
     }
 
-    /// The same, with a look at each answer.
+    /// Like `start`, with an inspector for the answers of each connection.
     ///
     /// # Errors
-    /// Where no port can be had.
-    pub async fn with(
+    /// If no port can be bound.
+    pub async fn start_with_inspector(
         at: IpAddr,
         from: IpAddr,
         to: SocketAddr,
         seed: u64,
-        look: Option<Look>,
+        inspect: Option<InspectorFactory>,
     ) -> io::Result<Relay> {
         let listener = TcpListener::bind((at, 0)).await?;
         let address = listener.local_addr()?;
-        let (knob, knob_in) = watch::channel(Knob::Well);
-        let (mut task, passed) = (JoinSet::new(), Arc::new(Passed::default()));
-        let way = (from, to, passed.clone(), look);
-        task.spawn(listen(address, listener, knob_in, way, Rng::with_seed(seed)));
-        Ok(Relay { address, passed, knob, _task: task })
+        let (fault, fault_in) = watch::channel(LinkFault::None);
+        let (mut task, passed) = (JoinSet::new(), Arc::new(PassedBytes::default()));
+        let way = (from, to, passed.clone(), inspect);
+        task.spawn(listen(address, listener, fault_in, way, Rng::with_seed(seed)));
+        Ok(Relay { address, passed, fault, _task: task })
     }
 
-    pub fn set(&self, knob: Knob) {
-        self.knob.send_replace(knob);
+    pub fn set(&self, fault: LinkFault) {
+        self.fault.send_replace(fault);
     }
 }
 
-/// From which address, to where, what counts it, and what looks at it.
-type Onwards = (IpAddr, SocketAddr, Arc<Passed>, Option<Look>);
+/// Source address, target, byte counters, and inspector of the connections of a relay.
+type Route = (IpAddr, SocketAddr, Arc<PassedBytes>, Option<InspectorFactory>);
 
 async fn listen(
     address: SocketAddr,
     listener: TcpListener,
-    mut knob: watch::Receiver<Knob>,
-    way: Onwards,
+    mut fault: watch::Receiver<LinkFault>,
+    way: Route,
     mut chance: Rng,
 ) {
-    let (mut listener, mut open) = (Some(listener), JoinSet::new());
+    let (mut listener, mut connections) = (Some(listener), JoinSet::new());
     loop {
-        let cut = *knob.borrow_and_update() == Knob::Cut;
+        let cut = *fault.borrow_and_update() == LinkFault::Cut;
         if cut {
             listener = None;
         } else if listener.is_none() {
@@ -135,35 +135,35 @@
             match &listener {
                 Some(listener) => listener.accept().await,
                 None if cut => std::future::pending().await,
-                // The port is not free yet.
+                // The port is not free yet; bind again after a pause.
                 None => Err(io::ErrorKind::AddrInUse.into()),
             }
         };
         tokio::select! {
-            changed = knob.changed() => if changed.is_err() { return },
+            changed = fault.changed() => if changed.is_err() { return },
             accepted = accepted => match accepted {
                 Ok((stream, _)) => {
-                    open.spawn(pass_on(stream, knob.clone(), way.clone(), chance.fork()));
+                    connections.spawn(forward(stream, fault.clone(), way.clone(), chance.fork()));
                 }
                 Err(_) => sleep(Duration::from_millis(10)).await,
             },
-            // Those that have ended are forgotten.
-            Some(_) = open.join_next() => {}
+            // Discard tasks that have ended.
+            Some(_) = connections.join_next() => {}
         }
     }
 }
 
-async fn pass_on(
+async fn forward(
     mut near: TcpStream,
-    mut knob: watch::Receiver<Knob>,
-    (from, to, passed, look): Onwards,
+    mut fault: watch::Receiver<LinkFault>,
+    (from, to, passed, inspect): Route,
     chance: Rng,
 ) {
-    let both_ways = async {
-        // Nobody is reached through a link that is silent, and what waited there is reset in the end.
-        while knob.borrow_and_update().holds(Way::Request) {
-            knob.changed().await.map_err(io::Error::other)?;
-            if !knob.borrow().holds(Way::Request) {
+    let forwarding = async {
+        // While requests are blocked, do not connect to the far side; reset waiting connections when the fault ends.
+        while fault.borrow_and_update().holds(Way::Request) {
+            fault.changed().await.map_err(io::Error::other)?;
+            if !fault.borrow().holds(Way::Request) {
                 return Err(io::ErrorKind::ConnectionReset.into());
             }
         }
@@ -176,43 +176,49 @@
         let (far_in, far_out) = far.split();
         let (there, back) = (chance.clone(), Rng::with_seed(chance.clone().u64(..)));
         let both = tokio::try_join!(
-            pump(near_in, far_out, (Way::Request, &passed, None), knob.clone(), there),
-            pump(far_in, near_out, (Way::Answer, &passed, look.map(|look| look())), knob.clone(), back)
+            copy(near_in, far_out, (Way::Request, &passed, None), fault.clone(), there),
+            copy(
+                far_in,
+                near_out,
+                (Way::Answer, &passed, inspect.map(|inspect| inspect())),
+                fault.clone(),
+                back
+            )
         );
         if both.is_err() {
             reset(&far);
         }
         both.map(drop)
     };
-    if both_ways.await.is_err() {
+    if forwarding.await.is_err() {
         reset(&near);
     }
 }
 
-/// A connection that is closed from now on is reset.
+/// Makes the connection be reset when it is closed.
 pub fn reset(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-async fn pump(
+async fn copy(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
-    (way, passed, mut look): (Way, &Passed, Option<Looking>),
-    mut knob: watch::Receiver<Knob>,
+    (way, passed, mut inspect): (Way, &PassedBytes, Option<Inspector>),
+    mut fault: watch::Receiver<LinkFault>,
     mut chance: Rng,
 ) -> io::Result<()> {
-    let broken = || Err(io::ErrorKind::ConnectionReset.into());
+    let reset_error = || Err(io::ErrorKind::ConnectionReset.into());
     let mut buffer = vec![0; 16 << 10];
     let mut held = false;
     loop {
-        let now = *knob.borrow_and_update();
-        if now == Knob::Cut || (held && !now.holds(way)) {
-            return broken();
+        let now = *fault.borrow_and_update();
+        if now == LinkFault::Cut || (held && !now.holds(way)) {
+            return reset_error();
         }
         held = now.holds(way);
         let read = tokio::select! {
             biased;
-            changed = knob.changed() => {
+            changed = fault.changed() => {
                 changed.map_err(io::Error::other)?;
                 continue;
             }
@@ -221,14 +227,14 @@
         if read == 0 {
             return to.shutdown().await;
         }
-        if let Some(look) = &mut look {
-            look(&buffer[..read]);
+        if let Some(inspect) = &mut inspect {
+            inspect(&buffer[..read]);
         }
         match now {
-            Knob::Slow(by) => sleep(by).await,
-            Knob::Reset(broken_way, share) if broken_way == way && chance.f64() < share => {
+            LinkFault::Slow(by) => sleep(by).await,
+            LinkFault::Reset(reset_way, share) if reset_way == way && chance.f64() < share => {
                 to.write_all(&buffer[..read / 2]).await?;
-                return broken();
+                return reset_error();
             }
             _ => {}
         }
@@ -237,25 +243,25 @@
     }
 }
 
-/// What befalls each datagram, as chances.
+/// Faults of each datagram, as probabilities.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Weather {
+pub struct DatagramFaults {
     pub lost: f64,
     pub doubled: f64,
     pub late: f64,
     pub late_by: Duration,
 }
 
-/// How much later each copy of a datagram is passed on; none: it is lost.
-pub fn fates(weather: &Weather, chance: &mut Rng) -> Vec<Duration> {
-    if chance.f64() < weather.lost {
+/// Delay of each forwarded copy of a datagram; empty if it is lost.
+pub fn copy_delays(faults: &DatagramFaults, chance: &mut Rng) -> Vec<Duration> {
+    if chance.f64() < faults.lost {
         return Vec::new();
     }
-    let copies = 1 + usize::from(chance.f64() < weather.doubled);
+    let copies = 1 + usize::from(chance.f64() < faults.doubled);
     let late = |chance: &mut Rng| {
-        let late = chance.f64() < weather.late;
+        let late = chance.f64() < faults.late;
         if late {
-            weather.late_by.mul_f64(chance.f64())
+            faults.late_by.mul_f64(chance.f64())
         } else {
             Duration::ZERO
         }
@@ -263,15 +269,20 @@
     (0..copies).map(|_| late(chance)).collect()
 }
 
-/// A pair of sockets between two couriers: each sends to the one that stands for the other.
+/// Relays datagrams between two couriers: each sends to a socket that represents the other.
 pub struct Datagrams {
     _tasks: JoinSet<()>,
 }
 
 impl Datagrams {
-    /// `ends`: each courier's own address for notes. `sockets`: what stands for the second at the first, and for the
-    /// first at the second.
-    pub fn start(ends: [SocketAddr; 2], sockets: [UdpSocket; 2], weather: Weather, seed: u64) -> Datagrams {
+    /// `ends`: each courier's own address for notes. `sockets`: the socket that represents the second courier to the
+    /// first, and the one that represents the first to the second.
+    pub fn start(
+        ends: [SocketAddr; 2],
+        sockets: [UdpSocket; 2],
+        faults: DatagramFaults,
+        seed: u64,
+    ) -> Datagrams {
         let mut tasks = JoinSet::new();
         let sockets = sockets.map(std::sync::Arc::new);
         for side in 0..2 {
@@ -287,7 +298,7 @@
                             if from != ends[side] {
                                 continue;
                             }
-                            for delay in fates(&weather, &mut chance) {
+                            for delay in copy_delays(&faults, &mut chance) {
                                 let (note, far) = (buffer[..length].to_vec(), far.clone());
                                 let at = Instant::now() + delay;
                                 late.spawn(async move {
--- a/crates/rig/src/schedule.rs
+++ b/crates/rig/src/schedule.rs
@@ -1,11 +1,11 @@
-//! What a day's seed draws: each mail, and each trouble with all it befalls. No clock, no I/O: the same day and the
-//! same seed give the same schedule.
+//! Draws a day's mails and troubles, with the targets of each, from a seed. Uses no clock and no I/O: the same day and
+//! seed give the same schedule.
 
 use fastrand::Rng;
 
 use crate::day::{Day, Sent, Trouble, What};
 
-/// The queue classes of a day, in the order of the settings.
+/// The queue classes of a day, in the order in which the settings list them.
 pub const CLASSES: [Class; 4] = [Class::Again, Class::Tagged, Class::Once, Class::Turns];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,42 +35,42 @@
     pub courier: usize,
     pub client: usize,
     pub class: Class,
-    /// What it is about; 0 where its queue class keeps no order.
+    /// The ordering key; 0 for queue classes that keep no order.
     pub key: u64,
     pub destination: usize,
-    /// Milliseconds.
+    /// Lifetime in milliseconds.
     pub time: u64,
 }
 
-/// A trouble as it was drawn, in microseconds from the start of the day.
+/// A trouble as drawn; times are in microseconds from the start of the day.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Drawn {
+pub struct DrawnTrouble {
     pub what: What,
     pub at: u64,
     pub until: u64,
     pub which: Vec<usize>,
-    /// Its place in the file, for the rest of its figures.
-    pub of: usize,
-    /// Milliseconds after each of the starts that are cut short.
+    /// Its index in the file, to look up its other settings.
+    pub index: usize,
+    /// For each start that is killed, the milliseconds until the kill.
     pub cuts: Vec<u64>,
-    /// A series of signals, each with the milliseconds before it.
+    /// The signals, each with the delay before it in milliseconds.
     pub signals: Vec<(Sent, u64)>,
     pub behind_taken: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Schedule {
-    /// By time.
+    /// Ordered by time.
     pub mails: Vec<Mail>,
-    pub troubles: Vec<Drawn>,
+    pub troubles: Vec<DrawnTrouble>,
 }
 
-/// A start is cut short within so many milliseconds: reading the journal falls into them.
-const START_MS: u64 = 60;
+/// A start is killed within this time; the journal is read during it.
+const MAX_START_CUT_MS: u64 = 60;
 
 impl Schedule {
     pub fn draw(day: &Day, seed: u64) -> Schedule {
-        // Streams of their own, so that another trouble does not change the load.
+        // Separate random streams, so that adding a trouble does not change the load.
         let mut load = Rng::with_seed(seed ^ 0x6d61_696c);
         let mut chance = Rng::with_seed(seed ^ 0x7472_6f75);
         Schedule {
@@ -79,7 +79,7 @@
                 .trouble
                 .iter()
                 .enumerate()
-                .filter_map(|(i, t)| drawn(day, i, t, &mut chance))
+                .filter_map(|(i, t)| draw_trouble(day, i, t, &mut chance))
                 .collect(),
         }
     }
@@ -91,7 +91,7 @@
     let whole: f64 = parts.iter().sum();
     let (mut mails, mut at) = (Vec::new(), 0.0);
     loop {
-        // Arrivals are independent of each other, as clients are.
+        // Arrivals form a Poisson process, because clients are independent of each other.
         at -= (1.0 - chance.f64()).ln() / m.rate;
         if at >= day.seconds {
             return mails;
@@ -103,9 +103,9 @@
         });
         let class = CLASSES[class.unwrap_or(0)];
         let (courier, client) = (chance.usize(..day.couriers), chance.usize(..m.clients));
-        // A key belongs to one client, which hands in its mails one after the other.
+        // Each key belongs to one client, which hands in its mails one after the other.
         let key = 1 + chance.u64(..m.keys) + m.keys * (courier * m.clients + client) as u64;
-        // All mails of a key have one destination, as those about one thing do.
+        // All mails of a key have the same destination, as mails about one item do.
         let drawn = chance.usize(..day.endpoints.destinations);
         let ordered = class == Class::Turns;
         mails.push(Mail {
@@ -120,23 +120,23 @@
     }
 }
 
-fn drawn(day: &Day, of: usize, trouble: &Trouble, chance: &mut Rng) -> Option<Drawn> {
+fn draw_trouble(day: &Day, index: usize, trouble: &Trouble, chance: &mut Rng) -> Option<DrawnTrouble> {
     let what = trouble.what?;
     let [from, to] = trouble.at_s;
     let at = from + (to - from) * chance.f64();
     let mut which = trouble.which.clone();
     if which.is_empty() {
-        let mut all: Vec<usize> = (0..day.many(what)).collect();
+        let mut all: Vec<usize> = (0..day.target_count(what)).collect();
         chance.shuffle(&mut all);
         all.truncate((trouble.part * all.len() as f64).round() as usize);
         which = all;
         which.sort_unstable();
     }
-    let cuts = (0..trouble.times).map(|_| chance.u64(1..=START_MS)).collect();
+    let cuts = (0..trouble.times).map(|_| chance.u64(1..=MAX_START_CUT_MS)).collect();
     let us = |seconds: f64| (seconds * 1e6) as u64;
     let signals = trouble.signals.iter().copied().zip(trouble.gaps_ms.iter().copied()).collect();
     let (until, behind_taken) = (us(at + trouble.for_s), trouble.behind_taken);
-    Some(Drawn { what, at: us(at), until, which, of, cuts, signals, behind_taken })
+    Some(DrawnTrouble { what, at: us(at), until, which, index, cuts, signals, behind_taken })
 }
 
 #[cfg(test)]
@@ -158,18 +158,18 @@
     }
 
     #[test]
-    fn a_further_trouble_leaves_the_load_as_it_was() {
+    fn another_trouble_does_not_change_the_load() {
         let mut other = day();
         other.trouble.pop();
         assert_eq!(Schedule::draw(&day(), 7).mails, Schedule::draw(&other, 7).mails);
     }
 
     #[test]
-    fn the_load_is_what_the_file_says() {
+    fn the_load_matches_the_file() {
         let mut day = day();
         (day.seconds, day.mails.rate) = (100.0, 200.0);
         let mails = Schedule::draw(&day, 3).mails;
-        // Twenty thousand are expected, with a deviation of 141.
+        // 20,000 mails are expected, with a standard deviation of 141.
         assert!((19_300..20_700).contains(&mails.len()), "{}", mails.len());
         let once = mails.iter().filter(|mail| mail.class == Class::Once).count() as f64 / mails.len() as f64;
         assert!((0.18..0.22).contains(&once), "{once}");
--- a/crates/rig/tests/command.rs
+++ b/crates/rig/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command's answers to what is wrong.
+//! Error messages of the command.
 
 use std::fs;
 use std::process::Command;
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_file_with_three_faults_gives_one_message_that_names_them_all() {
+fn one_message_names_all_faults_of_a_file() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("day.toml");
     fs::write(&file, "couriers = 0\n[mails]\nrate = \"much\"\n[[trouble]]\nwhat = \"explode\"\n").unwrap();
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_fleet_that_a_day_cannot_have_is_refused() {
+fn couriers_beyond_the_limits_of_a_day_are_rejected() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("day.toml");
     fs::write(&file, "[notes]\ntold = true\n[[trouble]]\nwhat = \"kill\"\nwhich = [3]\n").unwrap();
@@ -37,14 +37,14 @@
 }
 
 #[test]
-fn what_cannot_be_meant_is_refused_in_a_sentence() {
+fn invalid_arguments_are_rejected_with_a_message() {
     let rows: [(&[&str], &str); 6] = [
         (&["dance"], "no command dance"),
-        (&["day"], "name the day's file"),
+        (&["day"], "missing argument: the day's file"),
         (&["day", "nowhere.toml"], "nowhere.toml cannot be read"),
         (&["day", "x.toml", "--seed", "much"], "seed"),
-        (&["day", "x.toml", "y.toml"], "what is y.toml?"),
-        (&["first", "x"], "what is x?"),
+        (&["day", "x.toml", "y.toml"], "unexpected argument y.toml;"),
+        (&["first", "x"], "unexpected argument x;"),
     ];
     for (arguments, words) in rows {
         let said = fails(arguments);
