--- a/crates/lab/src/charts.rs
+++ b/crates/lab/src/charts.rs
@@ -10,7 +10,7 @@
 use plotters::coord::Shift;
 use plotters::prelude::*;
 
-use crate::load::Refused;
+use crate::load::CommandError;
 
 const SIZE: (u32, u32) = (960, 360);
 const COLOURS: [RGBColor; 8] = [
@@ -55,10 +55,10 @@
     }
 }
 
-type Failed = Box<dyn std::error::Error>;
+type ChartError = Box<dyn std::error::Error>;
 
 /// The library draws letters only of a font that it was given.
-fn font() {
+fn register_font() {
     static ONCE: Once = Once::new();
     ONCE.call_once(|| {
         let face = epaint_default_fonts::UBUNTU_LIGHT;
@@ -67,23 +67,27 @@
     });
 }
 
-pub fn svg(chart: Chart, ended: &Ended) -> Result<String, Refused> {
-    font();
+pub fn svg(chart: Chart, ended: &Ended) -> Result<String, CommandError> {
+    register_font();
     let mut text = String::new();
     {
         let area = SVGBackend::with_string(&mut text, SIZE).into_drawing_area();
-        draw(chart, ended, &area).map_err(|e| Refused::one(format!("a chart: {e}")))?;
+        draw(chart, ended, &area).map_err(|e| CommandError::new(format!("a chart: {e}")))?;
     }
     Ok(text)
 }
 
-pub fn png(chart: Chart, ended: &Ended, path: &Path) -> Result<(), Refused> {
-    font();
+pub fn png(chart: Chart, ended: &Ended, path: &Path) -> Result<(), CommandError> {
+    register_font();
     let area = BitMapBackend::new(path, SIZE).into_drawing_area();
-    draw(chart, ended, &area).map_err(|e| Refused::one(format!("{}: {e}", path.display())))
+    draw(chart, ended, &area).map_err(|e| CommandError::new(format!("{}: {e}", path.display())))
 }
 
-fn draw<B: DrawingBackend>(chart: Chart, ended: &Ended, area: &DrawingArea<B, Shift>) -> Result<(), Failed>
+fn draw<B: DrawingBackend>(
+    chart: Chart,
+    ended: &Ended,
+    area: &DrawingArea<B, Shift>,
+) -> Result<(), ChartError>
 where
     B::ErrorType: 'static,
 {
@@ -99,12 +103,12 @@
     Ok(())
 }
 
-fn length(ended: &Ended) -> f64 {
+fn day_seconds(ended: &Ended) -> f64 {
     ended.day.length as f64 / 10_000.0
 }
 
 /// Times in which a trouble was under way, in seconds, with its name.
-fn troubles(ended: &Ended) -> Vec<(f64, f64, String)> {
+fn trouble_spans(ended: &Ended) -> Vec<(f64, f64, String)> {
     let name = |what: What| format!("{what:?}").to_lowercase();
     let seconds = |t: u64| t as f64 / 10_000.0;
     ended.day.troubles.iter().map(|t| (seconds(t.from), seconds(t.until), name(t.what))).collect()
@@ -116,12 +120,12 @@
     points: Vec<(f64, f64)>,
 }
 
-fn over_time<B: DrawingBackend>(
+fn time_chart<B: DrawingBackend>(
     ended: &Ended,
     area: &DrawingArea<B, Shift>,
     (title, unit): (&str, &str),
     lines: &[Line],
-) -> Result<(), Failed>
+) -> Result<(), ChartError>
 where
     B::ErrorType: 'static,
 {
@@ -131,10 +135,10 @@
         .margin(10)
         .x_label_area_size(32)
         .y_label_area_size(50)
-        .build_cartesian_2d(0.0..length(ended), 0.0..top)?;
-    let shaded = troubles(ended);
+        .build_cartesian_2d(0.0..day_seconds(ended), 0.0..top)?;
+    let shaded = trouble_spans(ended);
     chart.draw_series(shaded.iter().map(|(from, until, _)| {
-        Rectangle::new([(*from, 0.0), (until.min(length(ended)), top)], SHADE.mix(0.6).filled())
+        Rectangle::new([(*from, 0.0), (until.min(day_seconds(ended)), top)], SHADE.mix(0.6).filled())
     }))?;
     chart.configure_mesh().x_desc("seconds").y_desc(unit).label_style(("sans-serif", 13)).draw()?;
     chart.draw_series(shaded.iter().enumerate().map(|(i, (from, _, name))| {
@@ -158,7 +162,7 @@
     Ok(())
 }
 
-fn importance<B: DrawingBackend>(ended: &Ended, area: &DrawingArea<B, Shift>) -> Result<(), Failed>
+fn importance<B: DrawingBackend>(ended: &Ended, area: &DrawingArea<B, Shift>) -> Result<(), ChartError>
 where
     B::ErrorType: 'static,
 {
@@ -172,46 +176,48 @@
         points: seconds.iter().enumerate().map(|(i, bin)| (i as f64 + 0.5, of(bin))).collect(),
     };
     let lines = [line("asked for", &|bin| bin.0), line("delivered", &|bin| bin.1)];
-    over_time(ended, area, (Chart::Importance.title(), "importance a second"), &lines)
+    time_chart(ended, area, (Chart::Importance.title(), "importance a second"), &lines)
 }
 
-fn sampled(ended: &Ended, name: &str, of: impl Fn(&Sample) -> f64) -> Line {
+fn sampled_line(ended: &Ended, name: &str, of: impl Fn(&Sample) -> f64) -> Line {
     let points = ended.samples.iter().map(|s| (s.at as f64 / 10_000.0, of(s))).collect();
     Line { name: name.to_string(), points }
 }
 
-fn holds<B: DrawingBackend>(ended: &Ended, area: &DrawingArea<B, Shift>) -> Result<(), Failed>
+fn holds<B: DrawingBackend>(ended: &Ended, area: &DrawingArea<B, Shift>) -> Result<(), ChartError>
 where
     B::ErrorType: 'static,
 {
     let lines = [
-        sampled(ended, "mails in hand", |s| s.open as f64),
-        sampled(ended, "calls out", |s| s.out as f64),
-        sampled(ended, "couriers alive", |s| s.alive as f64),
+        sampled_line(ended, "mails in hand", |s| s.open as f64),
+        sampled_line(ended, "calls out", |s| s.out as f64),
+        sampled_line(ended, "couriers alive", |s| s.alive as f64),
     ];
-    over_time(ended, area, (Chart::Holds.title(), "count"), &lines)
+    time_chart(ended, area, (Chart::Holds.title(), "count"), &lines)
 }
 
-fn caps<B: DrawingBackend>(ended: &Ended, area: &DrawingArea<B, Shift>) -> Result<(), Failed>
+fn caps<B: DrawingBackend>(ended: &Ended, area: &DrawingArea<B, Shift>) -> Result<(), ChartError>
 where
     B::ErrorType: 'static,
 {
-    let most = ended.day.partners.len().min(2);
+    let shown = ended.day.partners.len().min(2);
     let mut lines = Vec::new();
-    for dest in 0..most {
+    for dest in 0..shown {
         let mean = ended.day.mean_service(dest) / 10_000.0;
         let of = |s: &Sample, get: &dyn Fn(&meadowhold_emulator::series::Dest) -> f64| {
             s.dests.get(dest).map_or(0.0, get)
         };
-        lines.push(sampled(ended, &format!("partner {dest}: out"), |s| of(s, &|d| d.out as f64)));
-        lines.push(sampled(ended, &format!("partner {dest}: caps"), |s| of(s, &|d| d.cap as f64)));
-        lines.push(sampled(ended, &format!("partner {dest}: can serve"), |s| of(s, &|d| d.capacity * mean)));
-        lines.push(sampled(ended, &format!("partner {dest}: parked"), |s| of(s, &|d| d.parked as f64)));
+        lines.push(sampled_line(ended, &format!("partner {dest}: out"), |s| of(s, &|d| d.out as f64)));
+        lines.push(sampled_line(ended, &format!("partner {dest}: caps"), |s| of(s, &|d| d.cap as f64)));
+        lines.push(sampled_line(ended, &format!("partner {dest}: can serve"), |s| {
+            of(s, &|d| d.capacity * mean)
+        }));
+        lines.push(sampled_line(ended, &format!("partner {dest}: parked"), |s| of(s, &|d| d.parked as f64)));
     }
-    over_time(ended, area, (Chart::Caps.title(), "calls, mails"), &lines)
+    time_chart(ended, area, (Chart::Caps.title(), "calls, mails"), &lines)
 }
 
-fn standings<B: DrawingBackend>(ended: &Ended, area: &DrawingArea<B, Shift>) -> Result<(), Failed>
+fn standings<B: DrawingBackend>(ended: &Ended, area: &DrawingArea<B, Shift>) -> Result<(), ChartError>
 where
     B::ErrorType: 'static,
 {
@@ -234,20 +240,20 @@
         .margin(10)
         .x_label_area_size(32)
         .y_label_area_size(50)
-        .build_cartesian_2d(0.0..length(ended), 0.0..top * 1.05)?;
+        .build_cartesian_2d(0.0..day_seconds(ended), 0.0..top * 1.05)?;
     chart.configure_mesh().x_desc("seconds").y_desc("endpoints x couriers").draw()?;
     // From the whole down, so that each band is what stands out above the next.
     for band in (0..4).rev() {
-        let upto = |sum: &[f64; 4]| sum[..=band].iter().sum::<f64>();
-        let points: Vec<(f64, f64)> = sums.iter().map(|(at, sum)| (*at, upto(sum))).collect();
+        let stacked = |sum: &[f64; 4]| sum[..=band].iter().sum::<f64>();
+        let points: Vec<(f64, f64)> = sums.iter().map(|(at, sum)| (*at, stacked(sum))).collect();
         let colour = colours[band];
         chart
             .draw_series(AreaSeries::new(points, 0.0, colour.filled()))?
             .label(names[band])
             .legend(move |(x, y)| Rectangle::new([(x, y - 5), (x + 12, y + 5)], colour.filled()));
     }
-    for (from, until, _) in troubles(ended) {
-        for at in [from, until.min(length(ended))] {
+    for (from, until, _) in trouble_spans(ended) {
+        for at in [from, until.min(day_seconds(ended))] {
             let edge = [(at, 0.0), (at, top * 1.05)];
             chart.draw_series(LineSeries::new(edge, BLACK.mix(0.6)))?;
         }
@@ -256,7 +262,7 @@
     Ok(())
 }
 
-fn latency<B: DrawingBackend>(ended: &Ended, area: &DrawingArea<B, Shift>) -> Result<(), Failed>
+fn latency<B: DrawingBackend>(ended: &Ended, area: &DrawingArea<B, Shift>) -> Result<(), ChartError>
 where
     B::ErrorType: 'static,
 {
--- a/crates/lab/src/command.rs
+++ b/crates/lab/src/command.rs
@@ -10,14 +10,14 @@
 use meadowhold_emulator::{figures, history, run};
 
 use crate::charts::{self, Chart};
-use crate::hunt::{self, Found, Hunt, Shows};
-use crate::load::{self, Named, Refused};
-use crate::runs::{self, Job, Kept, Line};
+use crate::hunt::{self, Finding, Hunt, Symptom};
+use crate::load::{self, CommandError, NamedScenario};
+use crate::runs::{self, Job, ResultsFile, RunResult};
 use crate::{compare, deciders, report, speed, tables};
 
 /// What a command found.
 pub enum Verdict {
-    Fine,
+    Passed,
     RulesBroken,
 }
 
@@ -32,7 +32,7 @@
     #[arg(long, global = true, default_value_t = 0)]
     threads: usize,
     #[command(subcommand)]
-    job: Work,
+    job: Action,
 }
 
 const EXAMPLES: &str = "Examples:
@@ -53,7 +53,7 @@
     #[arg(long = "set", value_name = "KEY=VALUE")]
     sets: Vec<String>,
     /// Seeds: 7, 1..20 (both counted) or 3,9,11. Where none are named: the file's own, else 1..4.
-    #[arg(long, value_parser = load::seeds)]
+    #[arg(long, value_parser = load::parse_seeds)]
     seeds: Option<std::vec::Vec<u64>>,
     /// Deciders, with commas between; `meadowhold-lab list` names them.
     #[arg(long, value_delimiter = ',', default_value = deciders::CONTROL)]
@@ -74,10 +74,10 @@
 }
 
 impl OneDay {
-    fn load(&self) -> Result<(Named, u64, Box<Maker>), Refused> {
+    fn load(&self) -> Result<(NamedScenario, u64, Box<Maker>), CommandError> {
         let named = load::load(&self.scenario, &self.sets)?;
         let seed = self.seed.or(named.scenario.seed).unwrap_or(1);
-        Ok((named, seed, deciders::maker(&self.decider).map_err(Refused::one)?))
+        Ok((named, seed, deciders::maker(&self.decider).map_err(CommandError::new)?))
     }
 }
 
@@ -88,7 +88,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
-enum Picture {
+enum PlotFormat {
     Svg,
     Png,
     Html,
@@ -96,7 +96,7 @@
 }
 
 #[derive(Subcommand)]
-enum Work {
+enum Action {
     /// Runs days and says what they were worth.
     Run {
         #[command(flatten)]
@@ -127,7 +127,7 @@
         scenario: Vec<PathBuf>,
         #[arg(long = "set", value_name = "KEY=VALUE")]
         sets: Vec<String>,
-        #[arg(long, value_parser = load::seeds, default_value = "1..20")]
+        #[arg(long, value_parser = load::parse_seeds, default_value = "1..20")]
         seeds: std::vec::Vec<u64>,
     },
     /// Looks for the worst days near those of a library: broken rules first, then what is lost against the oracle.
@@ -178,7 +178,7 @@
         #[arg(long, default_value = "plots")]
         out: PathBuf,
         #[arg(long, value_enum, default_value = "html")]
-        format: Picture,
+        format: PlotFormat,
     },
     /// Reads scenarios and says what is wrong with them, or that nothing is.
     Check {
@@ -201,63 +201,65 @@
 }
 
 impl Command {
-    pub fn run(self) -> Result<Verdict, Refused> {
-        runs::threads(self.threads)?;
+    pub fn run(self) -> Result<Verdict, CommandError> {
+        runs::set_threads(self.threads)?;
         match self.job {
-            Work::Run { days, format, out } => run_days(&days, format, out.as_deref()),
-            Work::Sweep { days, vary, out } => sweep(&days, &vary, &out),
-            Work::Compare { a, b, scenario, sets, seeds } => compared(&a, &b, &scenario, &sets, &seeds),
-            Work::Hunt { library, decider, seed, runs, seconds, rules, keep, shrink_runs } => {
-                let library = named(&load::library(&library)?, &[])?;
+            Action::Run { days, format, out } => run_days(&days, format, out.as_deref()),
+            Action::Sweep { days, vary, out } => sweep(&days, &vary, &out),
+            Action::Compare { a, b, scenario, sets, seeds } => {
+                compare_sides(&a, &b, &scenario, &sets, &seeds)
+            }
+            Action::Hunt { library, decider, seed, runs, seconds, rules, keep, shrink_runs } => {
+                let library = load_all(&load::scenario_files(&library)?, &[])?;
                 let hunt =
                     Hunt { library: &library, decider: &decider, seed, runs, seconds, rules_only: rules };
                 hunt_days(&hunt, keep.as_deref(), shrink_runs)
             }
-            Work::Shrink { day, runs, out } => shrink(&day, runs, out.as_deref()),
-            Work::Replay { day, mail } => replay(&day, mail),
-            Work::Plot { day, out, format } => plot(&day, &out, format),
-            Work::Check { scenarios, sets } => {
-                let all = named(&scenarios, &sets)?;
-                say(&format!("{} scenarios can be run\n", all.len()))?;
-                Ok(Verdict::Fine)
+            Action::Shrink { day, runs, out } => shrink(&day, runs, out.as_deref()),
+            Action::Replay { day, mail } => replay(&day, mail),
+            Action::Plot { day, out, format } => plot(&day, &out, format),
+            Action::Check { scenarios, sets } => {
+                let all = load_all(&scenarios, &sets)?;
+                print(&format!("{} scenarios can be run\n", all.len()))?;
+                Ok(Verdict::Passed)
             }
-            Work::Speed { size } => measure(&size),
-            Work::List { library } => list(&library),
+            Action::Speed { size } => measure(&size),
+            Action::List { library } => list(&library),
         }
     }
 }
 
 /// Prints; a reader that has gone ends the command without a word more.
-fn say(text: &str) -> Result<(), Refused> {
-    let told = std::io::stdout().write_all(text.as_bytes());
-    match told {
+fn print(text: &str) -> Result<(), CommandError> {
+    let written = std::io::stdout().write_all(text.as_bytes());
+    match written {
         Err(e) if e.kind() == std::io::ErrorKind::BrokenPipe => std::process::exit(0),
-        told => told.map_err(|e| Refused::one(format!("standard output: {e}"))),
+        written => written.map_err(|e| CommandError::new(format!("standard output: {e}"))),
     }
 }
 
 /// Loads several files, and tells the faults of all of them at once.
-fn named(paths: &[PathBuf], sets: &[String]) -> Result<Vec<Named>, Refused> {
+fn load_all(paths: &[PathBuf], sets: &[String]) -> Result<Vec<NamedScenario>, CommandError> {
     let (mut all, mut faults) = (Vec::new(), Vec::new());
     for path in paths {
         match load::load(path, sets) {
             Ok(named) => all.push(named),
-            Err(refused) => faults.extend(refused.0),
+            Err(error) => faults.extend(error.0),
         }
     }
     if faults.is_empty() {
         Ok(all)
     } else {
-        Err(Refused(faults))
+        Err(CommandError(faults))
     }
 }
 
-fn jobs(days: &Days) -> Result<Vec<Job>, Refused> {
+fn jobs(days: &Days) -> Result<Vec<Job>, CommandError> {
     if let Some(unknown) = days.decider.iter().find_map(|name| deciders::maker(name).err()) {
-        return Err(Refused::one(unknown));
+        return Err(CommandError::new(unknown));
     }
     let mut jobs = Vec::new();
-    for named in named(&days.scenarios, &days.sets)? {
+    for named in load_all(&days.scenarios, &days.sets)? {
         let own = named.scenario.seed.map(|seed| vec![seed]);
         let seeds = days.seeds.clone().or(own).unwrap_or_else(|| (1..=4).collect());
         for decider in &days.decider {
@@ -273,28 +275,28 @@
     Ok(jobs)
 }
 
-fn verdict(lines: &[Line]) -> Verdict {
+fn verdict(lines: &[RunResult]) -> Verdict {
     // Baselines are there for comparison: what they break is told, and is no fault of the project's.
-    let ours = |line: &&Line| line.decider == deciders::CONTROL && line.figures.rules_broken > 0;
+    let ours = |line: &&RunResult| line.decider == deciders::CONTROL && line.figures.rules_broken > 0;
     if lines.iter().any(|line| ours(&line)) {
         Verdict::RulesBroken
     } else {
-        Verdict::Fine
+        Verdict::Passed
     }
 }
 
-fn run_days(days: &Days, format: Format, out: Option<&Path>) -> Result<Verdict, Refused> {
-    let kept = out.map(Kept::open).transpose()?;
-    let lines = runs::run(&jobs(days)?, kept.as_ref())?;
+fn run_days(days: &Days, format: Format, out: Option<&Path>) -> Result<Verdict, CommandError> {
+    let results_file = out.map(ResultsFile::open).transpose()?;
+    let lines = runs::run(&jobs(days)?, results_file.as_ref())?;
     match format {
         Format::Text => {
-            say(&tables::summary(&lines))?;
-            say(&tables::broken(&lines))?;
+            print(&tables::summary(&lines))?;
+            print(&tables::broken_rules(&lines))?;
         }
         Format::Json => {
             for line in &lines {
-                let text = serde_json::to_string(line).map_err(|e| Refused::one(e.to_string()))?;
-                say(&(text + "\n"))?;
+                let text = serde_json::to_string(line).map_err(|e| CommandError::new(e.to_string()))?;
+                print(&(text + "\n"))?;
             }
         }
     }
@@ -302,14 +304,14 @@
 }
 
 /// All combinations of one value of each key.
-fn grid(vary: &[String]) -> Result<Vec<Vec<String>>, Refused> {
+fn grid(vary: &[String]) -> Result<Vec<Vec<String>>, CommandError> {
     let mut grid = vec![Vec::new()];
     for one in vary {
-        let told = || Refused::one(format!("--vary {one}: say KEY=V1,V2,..."));
-        let (key, values) = one.split_once('=').ok_or_else(told)?;
+        let usage_error = || CommandError::new(format!("--vary {one}: say KEY=V1,V2,..."));
+        let (key, values) = one.split_once('=').ok_or_else(usage_error)?;
         let values: Vec<&str> = split_outside_brackets(values);
         if values.iter().any(|value| value.trim().is_empty()) {
-            return Err(told());
+            return Err(usage_error());
         }
         grid = grid
             .into_iter()
@@ -343,7 +345,7 @@
     parts
 }
 
-fn sweep(days: &Days, vary: &[String], out: &Path) -> Result<Verdict, Refused> {
+fn sweep(days: &Days, vary: &[String], out: &Path) -> Result<Verdict, CommandError> {
     let mut all = Vec::new();
     for sets in grid(vary)? {
         let sets = [days.sets.clone(), sets].concat();
@@ -355,33 +357,33 @@
         };
         all.extend(jobs(&days)?);
     }
-    let kept = Kept::open(out)?;
-    let ran = runs::run(&all, Some(&kept))?;
+    let results_file = ResultsFile::open(out)?;
+    let ran = runs::run(&all, Some(&results_file))?;
     // What an earlier sitting finished is part of the answer too.
     let wanted: Vec<String> = all.iter().map(|job| runs::digest(&job.scenario)).collect();
-    let build = deciders::build();
-    let lines: Vec<Line> = runs::read(out)?
+    let build = deciders::build_id();
+    let lines: Vec<RunResult> = runs::read_results(out)?
         .into_iter()
         .filter(|line| line.build == build && wanted.contains(&line.digest))
         .collect();
-    say(&tables::summary(&lines))?;
-    say(&format!("{} of {} days run now, all in {}\n", ran.len(), all.len(), out.display()))?;
+    print(&tables::summary(&lines))?;
+    print(&format!("{} of {} days run now, all in {}\n", ran.len(), all.len(), out.display()))?;
     Ok(verdict(&lines))
 }
 
-fn compared(
+fn compare_sides(
     a: &str,
     b: &str,
     scenarios: &[PathBuf],
     sets: &[String],
     seeds: &[u64],
-) -> Result<Verdict, Refused> {
-    let side = |name: &str| -> Result<Vec<Line>, Refused> {
+) -> Result<Verdict, CommandError> {
+    let side = |name: &str| -> Result<Vec<RunResult>, CommandError> {
         if deciders::maker(name).is_err() {
-            return runs::read(Path::new(name));
+            return runs::read_results(Path::new(name));
         }
         if scenarios.is_empty() {
-            return Err(Refused::one(format!("{name} is a decider: name the days with --scenario")));
+            return Err(CommandError::new(format!("{name} is a decider: name the days with --scenario")));
         }
         let days = Days {
             scenarios: scenarios.to_vec(),
@@ -392,15 +394,15 @@
         runs::run(&jobs(&days)?, None)
     };
     let (left, right) = (side(a)?, side(b)?);
-    let groups = compare::by_scenario(&left, &right);
+    let groups = compare::pairs_by_scenario(&left, &right);
     if groups.is_empty() {
-        return Err(Refused::one(format!("{a} and {b} have no day in common")));
+        return Err(CommandError::new(format!("{a} and {b} have no day in common")));
     }
     let head = ["scenario", "pairs", "A", "B", "B - A", "95 in 100 within", "verdict"];
     let mut rows = vec![head.map(String::from).to_vec()];
     let mut means = Vec::new();
     let mut row = |name: &str, pairs: &[(f64, f64)]| {
-        let Some(d) = compare::paired(pairs) else { return };
+        let Some(d) = compare::paired_difference(pairs) else { return };
         rows.push(vec![
             name.to_string(),
             d.pairs.to_string(),
@@ -418,37 +420,44 @@
     if groups.len() > 1 {
         row("all", &means);
     }
-    say(&format!("A: {a}   B: {b}\n{}", tables::table(&rows)))?;
-    Ok(Verdict::Fine)
+    print(&format!("A: {a}   B: {b}\n{}", tables::table(&rows)))?;
+    Ok(Verdict::Passed)
 }
 
-fn hunt_days(hunt: &Hunt, keep: Option<&Path>, shrink_runs: usize) -> Result<Verdict, Refused> {
+fn hunt_days(hunt: &Hunt, keep: Option<&Path>, shrink_runs: usize) -> Result<Verdict, CommandError> {
     let (broken, worst) = hunt::hunt(hunt, |done, broken, worst| {
-        let most = worst.first().map_or(String::new(), |w| format!(", worst: {}", w.words));
+        let most = worst.first().map_or(String::new(), |w| format!(", worst: {}", w.summary));
         eprintln!("{done} days tried, {} ways to break a rule{most}", broken.len());
     })?;
     for found in broken.iter().chain(&worst) {
         let kinds: Vec<String> =
             found.scenario.trouble.iter().map(|t| format!("{:?}", t.what).to_lowercase()).collect();
-        say(&format!("near {} seed {} ({}): {}\n", found.from, found.seed, kinds.join("+"), found.words))?;
+        print(&format!(
+            "near {} seed {} ({}): {}\n",
+            found.origin,
+            found.seed,
+            kinds.join("+"),
+            found.summary
+        ))?;
     }
     if let Some(folder) = keep {
-        std::fs::create_dir_all(folder).map_err(|e| Refused::one(format!("{}: {e}", folder.display())))?;
+        std::fs::create_dir_all(folder)
+            .map_err(|e| CommandError::new(format!("{}: {e}", folder.display())))?;
         for (i, found) in broken.iter().chain(worst.iter().take(3)).enumerate() {
             let (small, runs) = hunt::shrink(found, hunt.decider, shrink_runs);
-            let kind = match found.shows {
-                Shows::Breaks(rule) => format!("{rule:?}").to_lowercase(),
-                Shows::Loses(_) => "loss".to_string(),
+            let kind = match found.symptom {
+                Symptom::Breaks(rule) => format!("{rule:?}").to_lowercase(),
+                Symptom::Loses(_) => "loss".to_string(),
             };
             let path = folder.join(format!("{kind}-{i}.toml"));
-            write(&path, &hunt::as_file(&small)?)?;
-            say(&format!("{}: cut down in {runs} runs, {}\n", path.display(), small_words(&small)))?;
+            write(&path, &hunt::to_toml(&small)?)?;
+            print(&format!("{}: cut down in {runs} runs, {}\n", path.display(), size_summary(&small)))?;
         }
     }
-    Ok(if broken.is_empty() { Verdict::Fine } else { Verdict::RulesBroken })
+    Ok(if broken.is_empty() { Verdict::Passed } else { Verdict::RulesBroken })
 }
 
-fn small_words(found: &Found) -> String {
+fn size_summary(found: &Finding) -> String {
     let s = &found.scenario;
     format!(
         "{} troubles, {} couriers, {} partners, {} s",
@@ -459,100 +468,104 @@
     )
 }
 
-fn write(path: &Path, text: &str) -> Result<(), Refused> {
-    std::fs::write(path, text).map_err(|e| Refused::one(format!("{}: {e}", path.display())))
+fn write(path: &Path, text: &str) -> Result<(), CommandError> {
+    std::fs::write(path, text).map_err(|e| CommandError::new(format!("{}: {e}", path.display())))
 }
 
-fn shrink(day: &OneDay, runs: usize, out: Option<&Path>) -> Result<Verdict, Refused> {
+fn shrink(day: &OneDay, runs: usize, out: Option<&Path>) -> Result<Verdict, CommandError> {
     let (named, seed, maker) = day.load()?;
     let own = figures(&named.scenario, seed, &*maker);
-    let (shows, words) = match own.broken.first() {
-        Some(b) => (Shows::Breaks(b.rule), format!("{:?}: {}", b.rule, b.words)),
+    let (symptom, summary) = match own.broken.first() {
+        Some(b) => (Symptom::Breaks(b.rule), format!("{:?}: {}", b.rule, b.words)),
         None => {
-            let oracle = deciders::maker(deciders::ORACLE).map_err(Refused::one)?;
+            let oracle = deciders::maker(deciders::ORACLE).map_err(CommandError::new)?;
             let loss = figures(&named.scenario, seed, &*oracle).g - own.g;
             if loss < 0.02 {
                 let words = format!(
                     "seed {seed} breaks no rule and loses {loss:.3}: there is nothing to cut down to"
                 );
-                return Err(Refused::one(words));
+                return Err(CommandError::new(words));
             }
-            (Shows::Loses(loss), format!("loses {loss:.3} against who sees all"))
+            (Symptom::Loses(loss), format!("loses {loss:.3} against who sees all"))
         }
     };
-    let found = Found { from: named.name.clone(), scenario: named.scenario.clone(), seed, shows, words };
+    let found =
+        Finding { origin: named.name.clone(), scenario: named.scenario.clone(), seed, symptom, summary };
     let (small, runs) = hunt::shrink(&found, &day.decider, runs);
-    let text = hunt::as_file(&small)?;
-    eprintln!("{}; cut down in {runs} runs to {}, seed {}", found.words, small_words(&small), small.seed);
+    let text = hunt::to_toml(&small)?;
+    eprintln!("{}; cut down in {runs} runs to {}, seed {}", found.summary, size_summary(&small), small.seed);
     match out {
         Some(path) => write(path, &text)?,
-        None => say(&text)?,
+        None => print(&text)?,
     }
-    Ok(Verdict::Fine)
+    Ok(Verdict::Passed)
 }
 
-fn replay(day: &OneDay, mail: Option<u32>) -> Result<Verdict, Refused> {
+fn replay(day: &OneDay, mail: Option<u32>) -> Result<Verdict, CommandError> {
     let (named, seed, maker) = day.load()?;
     let found = figures(&named.scenario, seed, &*maker);
-    let told: Vec<u32> = match mail {
+    let mails: Vec<u32> = match mail {
         Some(mail) if u64::from(mail) >= found.mails => {
-            return Err(Refused::one(format!("--mail {mail}: the day has {} mails, from 0", found.mails)));
+            return Err(CommandError::new(format!(
+                "--mail {mail}: the day has {} mails, from 0",
+                found.mails
+            )));
         }
         Some(mail) => vec![mail],
         None => found.broken.iter().take(3).map(|b| b.mail).collect(),
     };
-    let text = serde_json::to_string_pretty(&found).map_err(|e| Refused::one(e.to_string()))?;
-    say(&(text + "\n"))?;
-    for mail in told {
-        say(&format!("\nmail {mail}\n"))?;
+    let text = serde_json::to_string_pretty(&found).map_err(|e| CommandError::new(e.to_string()))?;
+    print(&(text + "\n"))?;
+    for mail in mails {
+        print(&format!("\nmail {mail}\n"))?;
         for line in history(&named.scenario, seed, &*maker, mail) {
-            say(&format!("{line}\n"))?;
+            print(&format!("{line}\n"))?;
         }
     }
-    Ok(if found.rules_broken > 0 { Verdict::RulesBroken } else { Verdict::Fine })
+    Ok(if found.rules_broken > 0 { Verdict::RulesBroken } else { Verdict::Passed })
 }
 
-fn plot(day: &OneDay, out: &Path, format: Picture) -> Result<Verdict, Refused> {
+fn plot(day: &OneDay, out: &Path, format: PlotFormat) -> Result<Verdict, CommandError> {
     let (named, seed, maker) = day.load()?;
     let decider = &day.decider;
-    std::fs::create_dir_all(out).map_err(|e| Refused::one(format!("{}: {e}", out.display())))?;
+    std::fs::create_dir_all(out).map_err(|e| CommandError::new(format!("{}: {e}", out.display())))?;
     // Some two hundred samples, whatever the day's length.
     let every = ((named.scenario.seconds.low() * 50.0) as u64).max(10);
     let ended = run(&named.scenario, seed, &*maker, Options { sample_every: every, ..Options::default() });
     let stem = format!("{}-{decider}-{seed}", named.name);
     let mut files = Vec::new();
     for (chart, name) in Chart::ALL {
-        if matches!(format, Picture::Svg | Picture::All) {
+        if matches!(format, PlotFormat::Svg | PlotFormat::All) {
             let path = out.join(format!("{stem}-{name}.svg"));
             write(&path, &charts::svg(chart, &ended)?)?;
             files.push(path);
         }
-        if matches!(format, Picture::Png | Picture::All) {
+        if matches!(format, PlotFormat::Png | PlotFormat::All) {
             let path = out.join(format!("{stem}-{name}.png"));
             charts::png(chart, &ended, &path)?;
             files.push(path);
         }
     }
-    if matches!(format, Picture::Html | Picture::All) {
+    if matches!(format, PlotFormat::Html | PlotFormat::All) {
         let path = out.join(format!("{stem}.html"));
         write(&path, &report::page(&named, decider, &*maker, &ended)?)?;
         files.push(path);
     }
     for path in files {
-        say(&format!("{}\n", path.display()))?;
+        print(&format!("{}\n", path.display()))?;
     }
     let broken = Figures::of(&ended).rules_broken;
-    Ok(if broken > 0 { Verdict::RulesBroken } else { Verdict::Fine })
+    Ok(if broken > 0 { Verdict::RulesBroken } else { Verdict::Passed })
 }
 
-fn measure(size: &str) -> Result<Verdict, Refused> {
+fn measure(size: &str) -> Result<Verdict, CommandError> {
     let head = ["size", "mails", "mails/s", "events/s", "turns", "deciding", "peak MiB", "G", "took s"];
     let mut rows = vec![head.map(String::from).to_vec()];
     for (name, couriers, partners, rate, seconds) in speed::SIZES {
         if !name.contains(size) {
             continue;
         }
-        let found = speed::measure(&speed::scenario(couriers, partners, rate, seconds), 1);
+        let found = speed::measure(&speed::scenario_of_size(couriers, partners, rate, seconds), 1);
         let (f, took) = (&found.figures, found.took.as_secs_f64());
         rows.push(vec![
             format!("{name} ({} x {})", f.couriers, f.endpoints),
@@ -560,34 +573,34 @@
             format!("{:.0}", f.mails as f64 / took),
             format!("{:.0}", f.events as f64 / took),
             f.turns.to_string(),
-            format!("{:.0}%", 100.0 * found.deciding.as_secs_f64() / took),
+            format!("{:.0}%", 100.0 * found.decider_time.as_secs_f64() / took),
             found.peak_mib.map_or("not told".into(), |mib| mib.to_string()),
             format!("{:.3}", f.g),
             format!("{took:.1}"),
         ]);
     }
     if rows.len() == 1 {
-        return Err(Refused::one(format!(
+        return Err(CommandError::new(format!(
             "--size {size}: no such size; there are 3x30, 200x1000, 1000x10000, 2000x20000"
         )));
     }
-    say(&tables::table(&rows))?;
-    Ok(Verdict::Fine)
+    print(&tables::table(&rows))?;
+    Ok(Verdict::Passed)
 }
 
-fn list(library: &Path) -> Result<Verdict, Refused> {
+fn list(library: &Path) -> Result<Verdict, CommandError> {
     let mut rows = Vec::new();
-    for path in load::library(library)? {
+    for path in load::scenario_files(library)? {
         let named = load::load(&path, &[])?;
         rows.push(vec![named.name, format!(" {}", named.scenario.about)]);
     }
     let width = rows.iter().map(|row| row[0].len()).max().unwrap_or(0);
     let lines = rows.iter().map(|row| format!("{:<width$} {}\n", row[0], row[1]));
-    say(&format!("Scenarios in {}:\n{}", library.display(), lines.collect::<String>()))?;
+    print(&format!("Scenarios in {}:\n{}", library.display(), lines.collect::<String>()))?;
     let deciders = deciders::all();
     let lines = deciders.iter().map(|(name, words)| format!("{name:<width$}  {words}\n"));
-    say(&format!("\nDeciders:\n{}", lines.collect::<String>()))?;
-    Ok(Verdict::Fine)
+    print(&format!("\nDeciders:\n{}", lines.collect::<String>()))?;
+    Ok(Verdict::Passed)
 }
 
 #[cfg(test)]
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -5,7 +5,7 @@
 
 use meadowhold_emulator::chance::{Purpose, Stream};
 
-use crate::runs::Line;
+use crate::runs::RunResult;
 
 /// Resamplings of the pairs.
 const RESAMPLINGS: usize = 4_000;
@@ -33,7 +33,7 @@
 }
 
 /// The mean difference of pairs, with its interval.
-pub fn paired(pairs: &[(f64, f64)]) -> Option<Difference> {
+pub fn paired_difference(pairs: &[(f64, f64)]) -> Option<Difference> {
     if pairs.is_empty() {
         return None;
     }
@@ -62,12 +62,12 @@
 }
 
 /// Pairs of G by scenario, by name: same scenario, same sets, same seed on both sides.
-pub fn by_scenario(a: &[Line], b: &[Line]) -> Vec<(String, Vec<(f64, f64)>)> {
-    let mark = |line: &Line| (line.scenario.clone(), line.sets.clone(), line.seed);
-    let other: HashMap<_, f64> = b.iter().map(|line| (mark(line), line.figures.g)).collect();
+pub fn pairs_by_scenario(a: &[RunResult], b: &[RunResult]) -> Vec<(String, Vec<(f64, f64)>)> {
+    let pair_key = |line: &RunResult| (line.scenario.clone(), line.sets.clone(), line.seed);
+    let other_side: HashMap<_, f64> = b.iter().map(|line| (pair_key(line), line.figures.g)).collect();
     let mut found: Vec<(String, Vec<(f64, f64)>)> = Vec::new();
     for line in a {
-        let Some(&g) = other.get(&mark(line)) else { continue };
+        let Some(&g) = other_side.get(&pair_key(line)) else { continue };
         let name = if line.sets.is_empty() {
             line.scenario.clone()
         } else {
@@ -94,10 +94,10 @@
         let cases = [(0.0, "no difference"), (0.04, "B is better"), (-0.04, "A is better")];
         for (shift, verdict) in cases {
             let pairs: Vec<(f64, f64)> = (0..60).map(|_| (0.9 + noise(), 0.9 + shift + noise())).collect();
-            let found = paired(&pairs).unwrap();
+            let found = paired_difference(&pairs).unwrap();
             assert_eq!(found.verdict(), verdict, "{found:?}");
             assert!(found.low <= found.mean && found.mean <= found.high);
         }
-        assert_eq!(paired(&[]), None);
+        assert_eq!(paired_difference(&[]), None);
     }
 }
--- a/crates/lab/src/deciders.rs
+++ b/crates/lab/src/deciders.rs
@@ -16,14 +16,14 @@
         (ORACLE, "sees the true state of all: the ceiling"),
     ];
     all.extend(Style::ALL.iter().map(|(name, style)| {
-        let words = match style {
+        let description = match style {
             Style::OneTry => "each mail once, to an endpoint at random",
             Style::SharedPool => "one pool of slots, in order of arrival",
             Style::FixedCap => "a quarter of the slots for each destination",
             Style::Gradient => "a limit for each destination by latency and failure",
             Style::Ejection => "endpoints out after five failures, a fifth of retries",
         };
-        (*name, words)
+        (*name, description)
     }));
     all
 }
@@ -48,7 +48,7 @@
 }
 
 /// Which text decides: the version, and a fingerprint of the module's files as they were built.
-pub fn build() -> String {
+pub fn build_id() -> String {
     let text = concat!(include_str!("../../../src/control.rs"), include_str!("../../../src/state.rs"));
     format!("{}+{:08x}", env!("CARGO_PKG_VERSION"), xxh3_64(text.as_bytes()) as u32)
 }
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -12,34 +12,34 @@
 use rayon::prelude::*;
 
 use crate::deciders;
-use crate::load::{Named, Refused};
+use crate::load::{CommandError, NamedScenario};
 
 /// Candidates that are tried together; the same whatever the number of threads.
 const BATCH: usize = 48;
 /// Days kept of those that lose most.
-const WORST: usize = 12;
+const MAX_WORST: usize = 12;
 /// Part of the loss that a cut day must still show.
-const KEPT_LOSS: f64 = 0.75;
+const MIN_LOSS_SHARE: f64 = 0.75;
 
 /// What a found day shows.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Shows {
+pub enum Symptom {
     Breaks(Rule),
     /// G lost against who sees all.
     Loses(f64),
 }
 
 #[derive(Clone, Debug)]
-pub struct Found {
-    pub from: String,
+pub struct Finding {
+    pub origin: String,
     pub scenario: Scenario,
     pub seed: u64,
-    pub shows: Shows,
-    pub words: String,
+    pub symptom: Symptom,
+    pub summary: String,
 }
 
 pub struct Hunt<'a> {
-    pub library: &'a [Named],
+    pub library: &'a [NamedScenario],
     pub decider: &'a str,
     pub seed: u64,
     pub runs: usize,
@@ -92,12 +92,12 @@
 }
 
 /// A day near one of the library, or near one that was found to be bad.
-fn candidate(hunt: &Hunt, worst: &[Found], number: u64) -> Found {
+fn candidate(hunt: &Hunt, worst: &[Finding], number: u64) -> Finding {
     let d = &mut Stream::new(hunt.seed, Purpose::Trouble, number);
     let seed = d.number() >> 32;
-    let (from, mut scenario) = if !worst.is_empty() && d.chance(0.4) {
+    let (origin, mut scenario) = if !worst.is_empty() && d.chance(0.4) {
         let near = &worst[d.below(worst.len())];
-        (near.from.clone(), near.scenario.clone())
+        (near.origin.clone(), near.scenario.clone())
     } else {
         let named = &hunt.library[d.below(hunt.library.len())];
         (named.name.clone(), named.scenario.clone())
@@ -107,8 +107,8 @@
         scenario.trouble.push(random_trouble(d, seconds));
     }
     if scenario.trouble.len() > 3 {
-        let out = d.below(scenario.trouble.len());
-        scenario.trouble.remove(out);
+        let removed = d.below(scenario.trouble.len());
+        scenario.trouble.remove(removed);
     }
     if d.chance(0.4) {
         scenario.mails.load = Figure::One((d.between(0.4, 1.25) * 100.0).round() / 100.0);
@@ -117,83 +117,91 @@
         scenario.courier.journal = !scenario.courier.journal;
     }
     scenario.trouble.iter_mut().enumerate().for_each(|(i, t)| t.mark = t.mark.or(Some(i as u64)));
-    Found { from, scenario, seed, shows: Shows::Loses(0.0), words: String::new() }
+    Finding { origin, scenario, seed, symptom: Symptom::Loses(0.0), summary: String::new() }
 }
 
-fn judged(found: Found, decider: &str, rules_only: bool) -> Result<Option<Found>, Refused> {
+fn evaluate(found: Finding, decider: &str, rules_only: bool) -> Result<Option<Finding>, CommandError> {
     if !check::faults(&found.scenario).is_empty() {
         return Ok(None);
     }
-    let maker = deciders::maker(decider).map_err(Refused::one)?;
+    let maker = deciders::maker(decider).map_err(CommandError::new)?;
     let own = figures(&found.scenario, found.seed, &*maker);
     if let Some(broken) = own.broken.first() {
-        let words = format!("{:?} at {:.1} s: {}", broken.rule, broken.at as f64 / 10_000.0, broken.words);
-        return Ok(Some(Found { shows: Shows::Breaks(broken.rule), words, ..found }));
+        let summary = format!("{:?} at {:.1} s: {}", broken.rule, broken.at as f64 / 10_000.0, broken.words);
+        return Ok(Some(Finding { symptom: Symptom::Breaks(broken.rule), summary, ..found }));
     }
     if rules_only {
         return Ok(None);
     }
-    let loss = loss(&found.scenario, found.seed, &own)?;
-    let words = format!("G {:.3}, {loss:.3} under who sees all", own.g);
-    Ok(Some(Found { shows: Shows::Loses(loss), words, ..found }))
+    let loss = loss_against_oracle(&found.scenario, found.seed, &own)?;
+    let summary = format!("G {:.3}, {loss:.3} under who sees all", own.g);
+    Ok(Some(Finding { symptom: Symptom::Loses(loss), summary, ..found }))
 }
 
-fn loss(scenario: &Scenario, seed: u64, own: &Figures) -> Result<f64, Refused> {
-    let oracle = deciders::maker(deciders::ORACLE).map_err(Refused::one)?;
+fn loss_against_oracle(scenario: &Scenario, seed: u64, own: &Figures) -> Result<f64, CommandError> {
+    let oracle = deciders::maker(deciders::ORACLE).map_err(CommandError::new)?;
     Ok(figures(scenario, seed, &*oracle).g - own.g)
 }
 
 /// Same seed and number of runs, same days, whatever the threads; a limit in seconds ends it between two batches.
 pub fn hunt(
     hunt: &Hunt,
-    mut told: impl FnMut(usize, &[Found], &[Found]),
-) -> Result<(Vec<Found>, Vec<Found>), Refused> {
-    let until = Instant::now() + Duration::from_secs(hunt.seconds);
-    let (mut broken, mut worst): (Vec<Found>, Vec<Found>) = (Vec::new(), Vec::new());
+    mut on_progress: impl FnMut(usize, &[Finding], &[Finding]),
+) -> Result<(Vec<Finding>, Vec<Finding>), CommandError> {
+    let deadline = Instant::now() + Duration::from_secs(hunt.seconds);
+    let (mut broken, mut worst): (Vec<Finding>, Vec<Finding>) = (Vec::new(), Vec::new());
     let mut done = 0;
-    while done < hunt.runs && Instant::now() < until {
+    while done < hunt.runs && Instant::now() < deadline {
         let count = BATCH.min(hunt.runs - done);
-        let tried: Result<Vec<Option<Found>>, Refused> = (0..count)
+        let tried: Result<Vec<Option<Finding>>, CommandError> = (0..count)
             .into_par_iter()
-            .map(|i| judged(candidate(hunt, &worst, (done + i) as u64), hunt.decider, hunt.rules_only))
+            .map(|i| evaluate(candidate(hunt, &worst, (done + i) as u64), hunt.decider, hunt.rules_only))
             .collect();
         for found in tried?.into_iter().flatten() {
-            match found.shows {
-                Shows::Breaks(_) => {
+            match found.symptom {
+                Symptom::Breaks(_) => {
                     // One day for each rule and make-up is enough to go on with.
-                    let same = |f: &Found| f.shows == found.shows && kinds(f) == kinds(&found);
+                    let same =
+                        |f: &Finding| f.symptom == found.symptom && trouble_kinds(f) == trouble_kinds(&found);
                     if !broken.iter().any(same) {
                         broken.push(found);
                     }
                 }
-                Shows::Loses(_) => {
+                Symptom::Loses(_) => {
                     worst.push(found);
-                    worst.sort_by(|a, b| lost(b).total_cmp(&lost(a)));
-                    worst.truncate(WORST);
+                    worst.sort_by(|a, b| loss_of(b).total_cmp(&loss_of(a)));
+                    worst.truncate(MAX_WORST);
                 }
             }
         }
         done += count;
-        told(done, &broken, &worst);
+        on_progress(done, &broken, &worst);
     }
     Ok((broken, worst))
 }
 
-fn kinds(found: &Found) -> Vec<String> {
-    let mut kinds: Vec<String> = found.scenario.trouble.iter().map(|t| format!("{:?}", t.what)).collect();
-    kinds.sort();
-    kinds
+fn trouble_kinds(found: &Finding) -> Vec<String> {
+    let mut trouble_kinds: Vec<String> =
+        found.scenario.trouble.iter().map(|t| format!("{:?}", t.what)).collect();
+    trouble_kinds.sort();
+    trouble_kinds
 }
 
-fn lost(found: &Found) -> f64 {
-    match found.shows {
-        Shows::Loses(loss) => loss,
-        Shows::Breaks(_) => 0.0,
+fn loss_of(found: &Finding) -> f64 {
+    match found.symptom {
+        Symptom::Loses(loss) => loss,
+        Symptom::Breaks(_) => 0.0,
     }
 }
 
 /// Whether a day still shows what it was found for; the seed that does, of the one given and a few more.
-fn still(scenario: &Scenario, seed: u64, shows: Shows, decider: &str, runs: &mut usize) -> Option<u64> {
+fn reproducing_seed(
+    scenario: &Scenario,
+    seed: u64,
+    symptom: Symptom,
+    decider: &str,
+    runs: &mut usize,
+) -> Option<u64> {
     if !check::faults(scenario).is_empty() {
         return None;
     }
@@ -202,22 +210,24 @@
     let fails = |&&seed: &&u64| {
         let Ok(maker) = deciders::maker(decider) else { return false };
         let own = figures(scenario, seed, &*maker);
-        match shows {
-            Shows::Breaks(rule) => own.broken.iter().any(|b| b.rule == rule),
-            Shows::Loses(whole) => loss(scenario, seed, &own).is_ok_and(|l| l >= KEPT_LOSS * whole),
+        match symptom {
+            Symptom::Breaks(rule) => own.broken.iter().any(|b| b.rule == rule),
+            Symptom::Loses(whole) => {
+                loss_against_oracle(scenario, seed, &own).is_ok_and(|l| l >= MIN_LOSS_SHARE * whole)
+            }
         }
     };
     seeds.par_iter().find_first(fails).copied()
 }
 
 /// Smaller days than this one, the boldest cuts first.
-fn cuts(s: &Scenario) -> Vec<Scenario> {
-    let mut cuts = Vec::new();
+fn reductions(s: &Scenario) -> Vec<Scenario> {
+    let mut reduced = Vec::new();
     let mut cut = |change: &dyn Fn(&mut Scenario)| {
         let mut smaller = s.clone();
         change(&mut smaller);
         if smaller != *s {
-            cuts.push(smaller);
+            reduced.push(smaller);
         }
     };
     for i in 0..s.trouble.len() {
@@ -247,22 +257,22 @@
         cut(&|s| s.trouble[i].for_s = Figure::One((s.trouble[i].for_s.low() * 50.0).round() / 100.0));
         cut(&|s| s.trouble[i].by = By::Any);
     }
-    cuts
+    reduced
 }
 
 /// Cuts a found day down as long as it shows the same; how many runs that took.
 /// At most so many runs are spent on it.
-pub fn shrink(found: &Found, decider: &str, most: usize) -> (Found, usize) {
+pub fn shrink(found: &Finding, decider: &str, max_runs: usize) -> (Finding, usize) {
     let (mut best, mut runs) = (found.clone(), 0);
     best.scenario.trouble.iter_mut().enumerate().for_each(|(i, t)| t.mark = t.mark.or(Some(i as u64)));
-    'again: while runs < most {
-        for smaller in cuts(&best.scenario) {
-            if runs >= most {
-                break 'again;
+    'reduce: while runs < max_runs {
+        for smaller in reductions(&best.scenario) {
+            if runs >= max_runs {
+                break 'reduce;
             }
-            if let Some(seed) = still(&smaller, best.seed, found.shows, decider, &mut runs) {
+            if let Some(seed) = reproducing_seed(&smaller, best.seed, found.symptom, decider, &mut runs) {
                 (best.scenario, best.seed) = (smaller, seed);
-                continue 'again;
+                continue 'reduce;
             }
         }
         break;
@@ -271,10 +281,10 @@
 }
 
 /// A found day as a scenario file of its own.
-pub fn as_file(found: &Found) -> Result<String, Refused> {
+pub fn to_toml(found: &Finding) -> Result<String, CommandError> {
     let mut scenario = found.scenario.clone();
-    scenario.about = found.words.clone();
+    scenario.about = found.summary.clone();
     scenario.seed = Some(found.seed);
-    let text = toml::to_string(&scenario).map_err(|e| Refused::one(format!("a found day: {e}")))?;
-    Ok(format!("# Found near {}.\n{text}", found.from))
+    let text = toml::to_string(&scenario).map_err(|e| CommandError::new(format!("a found day: {e}")))?;
+    Ok(format!("# Found near {}.\n{text}", found.origin))
 }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -9,100 +9,101 @@
 use toml::{Table, Value};
 
 /// Files that include files, so many deep at most: guards against one that includes itself.
-const DEEPEST: usize = 8;
+const MAX_INCLUDE_DEPTH: usize = 8;
 
 /// What a person is told of input that can't be used; nothing else is printed of it.
 #[derive(Debug)]
-pub struct Refused(pub Vec<String>);
+pub struct CommandError(pub Vec<String>);
 
-impl fmt::Display for Refused {
+impl fmt::Display for CommandError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(&self.0.join("\n"))
     }
 }
 
-impl Refused {
-    pub fn one(words: impl Into<String>) -> Refused {
-        Refused(vec![words.into()])
+impl CommandError {
+    pub fn new(message: impl Into<String>) -> CommandError {
+        CommandError(vec![message.into()])
     }
 }
 
 /// A scenario with its name: that of its file, without folder and ending.
 #[derive(Clone, Debug)]
-pub struct Named {
+pub struct NamedScenario {
     pub name: String,
     pub scenario: Scenario,
 }
 
 /// Reads a file, what it includes, and sets values over it (`mails.load=0.8`, `trouble.0.part=[0.1,0.3]`).
-pub fn load(path: &Path, sets: &[String]) -> Result<Named, Refused> {
-    let merged = merged(path, 0)?;
-    let mut scenario = Scenario::deserialize(Value::Table(merged)).map_err(|e| at_file(path, &e))?;
+pub fn load(path: &Path, sets: &[String]) -> Result<NamedScenario, CommandError> {
+    let merged = load_merged(path, 0)?;
+    let mut scenario = Scenario::deserialize(Value::Table(merged)).map_err(|e| file_error(path, &e))?;
     if !sets.is_empty() {
-        scenario = with_sets(&scenario, sets)?;
+        scenario = with_overrides(&scenario, sets)?;
     }
     let faults = check::faults(&scenario);
     if !faults.is_empty() {
-        return Err(Refused(faults.iter().map(|fault| placed(path, sets, fault)).collect()));
+        return Err(CommandError(faults.iter().map(|fault| fault_message(path, sets, fault)).collect()));
     }
     let name = path.file_stem().map_or("day".into(), |stem| stem.to_string_lossy().into_owned());
-    Ok(Named { name, scenario })
+    Ok(NamedScenario { name, scenario })
 }
 
-fn at_file(path: &Path, words: &dyn fmt::Display) -> Refused {
-    Refused::one(format!("{}: {}", path.display(), words.to_string().trim_end()))
+fn file_error(path: &Path, message: &dyn fmt::Display) -> CommandError {
+    CommandError::new(format!("{}: {}", path.display(), message.to_string().trim_end()))
 }
 
-fn merged(path: &Path, depth: usize) -> Result<Table, Refused> {
-    if depth > DEEPEST {
-        let words = format!("files include each other more than {DEEPEST} deep; take the circle out");
-        return Err(at_file(path, &words));
+fn load_merged(path: &Path, depth: usize) -> Result<Table, CommandError> {
+    if depth > MAX_INCLUDE_DEPTH {
+        let message =
+            format!("files include each other more than {MAX_INCLUDE_DEPTH} deep; take the circle out");
+        return Err(file_error(path, &message));
     }
-    let text = std::fs::read_to_string(path).map_err(|e| at_file(path, &e))?;
+    let text = std::fs::read_to_string(path).map_err(|e| file_error(path, &e))?;
     // Each file is read by itself first, so that what it says wrong is told with its line.
-    toml::from_str::<Scenario>(&text).map_err(|e| at_file(path, &e))?;
-    let own: Table = toml::from_str(&text).map_err(|e| at_file(path, &e))?;
+    toml::from_str::<Scenario>(&text).map_err(|e| file_error(path, &e))?;
+    let own: Table = toml::from_str(&text).map_err(|e| file_error(path, &e))?;
     let includes = own.get("include").and_then(Value::as_array).cloned().unwrap_or_default();
-    let mut whole = Table::new();
+    let mut merged = Table::new();
     for include in includes.iter().filter_map(Value::as_str) {
-        let beside = path.parent().unwrap_or(Path::new(".")).join(include);
-        lay_over(&mut whole, merged(&beside, depth + 1)?);
+        let included = path.parent().unwrap_or(Path::new(".")).join(include);
+        merge_tables(&mut merged, load_merged(&included, depth + 1)?);
     }
-    lay_over(&mut whole, own);
-    whole.remove("include");
-    Ok(whole)
+    merge_tables(&mut merged, own);
+    merged.remove("include");
+    Ok(merged)
 }
 
 /// Tables are merged key by key; lists and values take the place of what was there.
-fn lay_over(under: &mut Table, over: Table) {
-    for (key, value) in over {
-        match (under.get_mut(&key), value) {
-            (Some(Value::Table(below)), Value::Table(above)) => lay_over(below, above),
+fn merge_tables(base: &mut Table, overrides: Table) {
+    for (key, value) in overrides {
+        match (base.get_mut(&key), value) {
+            (Some(Value::Table(base)), Value::Table(overrides)) => merge_tables(base, overrides),
             (_, value) => {
-                under.insert(key, value);
+                base.insert(key, value);
             }
         }
     }
 }
 
 /// A scenario with values set by path.
-pub fn with_sets(scenario: &Scenario, sets: &[String]) -> Result<Scenario, Refused> {
+pub fn with_overrides(scenario: &Scenario, sets: &[String]) -> Result<Scenario, CommandError> {
     // Written out whole first, so that what no file names can be set too.
-    let mut whole = Value::try_from(scenario).map_err(|e| Refused::one(format!("--set: {e}")))?;
+    let mut merged = Value::try_from(scenario).map_err(|e| CommandError::new(format!("--set: {e}")))?;
     for set in sets {
-        let told = |words: String| Refused::one(format!("--set {set}: {words}"));
-        let (path, text) = set.split_once('=').ok_or_else(|| told("say KEY=VALUE".into()))?;
+        let error = |message: String| CommandError::new(format!("--set {set}: {message}"));
+        let (path, text) = set.split_once('=').ok_or_else(|| error("say KEY=VALUE".into()))?;
         let table = format!("value = {text}");
         let value = toml::from_str::<Table>(&table).ok().and_then(|mut t| t.remove("value"));
         // A bare word is a text.
         let value = value.unwrap_or_else(|| Value::String(text.trim().to_string()));
-        place(&mut whole, path.trim(), value).map_err(told)?;
+        set_value(&mut merged, path.trim(), value).map_err(error)?;
     }
-    Scenario::deserialize(whole).map_err(|e| Refused::one(format!("--set {}: {e}", sets.join(" "))))
+    Scenario::deserialize(merged).map_err(|e| CommandError::new(format!("--set {}: {e}", sets.join(" "))))
 }
 
-fn place(whole: &mut Value, path: &str, value: Value) -> Result<(), String> {
-    let mut at = whole;
+fn set_value(merged: &mut Value, path: &str, value: Value) -> Result<(), String> {
+    let mut at = merged;
     let mut value = Some(value);
     let parts: Vec<&str> = path.split('.').collect();
     for (depth, part) in parts.iter().enumerate() {
@@ -134,7 +135,7 @@
 }
 
 /// A fault with file and line, where the file names the key; else with the key alone.
-fn placed(path: &Path, sets: &[String], fault: &Fault) -> String {
+fn fault_message(path: &Path, sets: &[String], fault: &Fault) -> String {
     if let Some(set) = sets.iter().find(|set| set.split('=').next().map(str::trim) == Some(&fault.path)) {
         return format!("--set {set}: {}; {}", fault.found, fault.remedy);
     }
@@ -151,19 +152,19 @@
     let mut item = document.as_item();
     let mut span = None;
     for part in path.split('.') {
-        let below = match part.parse::<usize>() {
+        let child = match part.parse::<usize>() {
             Ok(index) => item.get(index),
             Err(_) => item.get(part),
         };
-        let Some(below) = below else { break };
-        span = below.span().or(span);
-        item = below;
+        let Some(child) = child else { break };
+        span = child.span().or(span);
+        item = child;
     }
     span.map(|span| text[..span.start].matches('\n').count() + 1)
 }
 
 /// `7`, `1..20` (both ends counted) or `3,9,11`.
-pub fn seeds(text: &str) -> Result<Vec<u64>, String> {
+pub fn parse_seeds(text: &str) -> Result<Vec<u64>, String> {
     let number = |part: &str| part.trim().parse::<u64>().map_err(|_| format!("{part:?} is no seed"));
     if let Some((from, to)) = text.split_once("..") {
         let (from, to) = (number(from)?, number(to.trim_start_matches('='))?);
@@ -176,15 +177,15 @@
 }
 
 /// All scenario files of a folder that can be run by themselves, by name.
-pub fn library(folder: &Path) -> Result<Vec<PathBuf>, Refused> {
-    let entries = std::fs::read_dir(folder).map_err(|e| at_file(folder, &e))?;
+pub fn scenario_files(folder: &Path) -> Result<Vec<PathBuf>, CommandError> {
+    let entries = std::fs::read_dir(folder).map_err(|e| file_error(folder, &e))?;
     let mut files: Vec<PathBuf> = entries
         .filter_map(|entry| entry.ok().map(|entry| entry.path()))
-        .filter(|path| path.extension().is_some_and(|ending| ending == "toml"))
+        .filter(|path| path.extension().is_some_and(|extension| extension == "toml"))
         .collect();
     files.sort();
     if files.is_empty() {
-        return Err(at_file(folder, &"no scenario here: a scenario is a file that ends in .toml"));
+        return Err(file_error(folder, &"no scenario here: a scenario is a file that ends in .toml"));
     }
     Ok(files)
 }
@@ -212,10 +213,10 @@
             ("include = [\"none.toml\"]\n", "none.toml"),
             ("include = [\"a.toml\"]\n", "include each other"),
         ];
-        for (text, words) in cases {
+        for (text, expected) in cases {
             let folder = folder(&[("a.toml", text)]);
-            let refused = load(&folder.path().join("a.toml"), &[]).unwrap_err().to_string();
-            assert!(refused.contains(words) && refused.contains(".toml"), "{text}: {refused}");
+            let message = load(&folder.path().join("a.toml"), &[]).unwrap_err().to_string();
+            assert!(message.contains(expected) && message.contains(".toml"), "{text}: {message}");
         }
     }
 
@@ -237,9 +238,9 @@
 
     #[test]
     fn seeds_are_one_some_or_a_range() {
-        assert_eq!(seeds("7").unwrap(), [7]);
-        assert_eq!(seeds("1..3").unwrap(), [1, 2, 3]);
-        assert_eq!(seeds("4, 2").unwrap(), [4, 2]);
-        assert!(seeds("3..1").is_err() && seeds("x").is_err());
+        assert_eq!(parse_seeds("7").unwrap(), [7]);
+        assert_eq!(parse_seeds("1..3").unwrap(), [1, 2, 3]);
+        assert_eq!(parse_seeds("4, 2").unwrap(), [4, 2]);
+        assert!(parse_seeds("3..1").is_err() && parse_seeds("x").is_err());
     }
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -19,10 +19,10 @@
 fn main() -> ExitCode {
     let command = command::Command::parse();
     match command.run() {
-        Ok(command::Verdict::Fine) => ExitCode::SUCCESS,
+        Ok(command::Verdict::Passed) => ExitCode::SUCCESS,
         Ok(command::Verdict::RulesBroken) => ExitCode::from(1),
-        Err(refused) => {
-            eprintln!("{refused}");
+        Err(error) => {
+            eprintln!("{error}");
             ExitCode::from(2)
         }
     }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -8,36 +8,41 @@
 use meadowhold_emulator::world::Ended;
 
 use crate::charts::{svg, Chart};
-use crate::load::{Named, Refused};
+use crate::load::{CommandError, NamedScenario};
 
 /// Mails whose history is told where no rule was broken: those that lost most.
-const TOLD: usize = 3;
+const MAX_HISTORIES: usize = 3;
 
 fn escaped(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
 /// The mails that a reader will ask about: of broken rules, else those that lost most importance.
-fn telling(ended: &Ended) -> Vec<u32> {
-    let mut told: Vec<u32> = ended.judge.broken.iter().map(|b| b.mail).collect();
-    told.dedup();
-    if told.is_empty() {
+fn mails_to_show(ended: &Ended) -> Vec<u32> {
+    let mut shown: Vec<u32> = ended.judge.broken.iter().map(|b| b.mail).collect();
+    shown.dedup();
+    if shown.is_empty() {
         let day = &ended.day;
         let lost = |m: u32| {
             let mail = &ended.mails[m as usize];
-            let asked = day.classes[usize::from(mail.class)].settings.importance;
-            asked - mail.relayed_at.map_or(0.0, |at| worth(day, mail, at))
+            let importance = day.classes[usize::from(mail.class)].settings.importance;
+            importance - mail.relayed_at.map_or(0.0, |at| worth(day, mail, at))
         };
         let all = (0..ended.mails.len() as u32).map(|m| (lost(m), m));
         let mut all: Vec<(f64, u32)> = all.filter(|(lost, _)| *lost > 0.0).collect();
         all.sort_by(|a, b| b.0.total_cmp(&a.0));
-        told = all.into_iter().map(|(_, m)| m).collect();
+        shown = all.into_iter().map(|(_, m)| m).collect();
     }
-    told.truncate(TOLD);
-    told
+    shown.truncate(MAX_HISTORIES);
+    shown
 }
 
-pub fn page(named: &Named, decider: &str, maker: &Maker, ended: &Ended) -> Result<String, Refused> {
+pub fn page(
+    named: &NamedScenario,
+    decider: &str,
+    maker: &Maker,
+    ended: &Ended,
+) -> Result<String, CommandError> {
     let f = Figures::of(ended);
     let mut page = String::new();
     let title = format!("{} · {decider} · seed {}", named.name, f.seed);
@@ -45,13 +50,13 @@
         table{border-collapse:collapse}td,th{border:1px solid #ccc;padding:.25em .6em;text-align:right}\
         td:first-child,th:first-child{text-align:left}pre{background:#f6f6f6;padding:.8em;overflow:auto}\
         .broken{color:#b00020}svg{max-width:100%;height:auto}";
-    let mut put = |text: String| page.push_str(&text);
-    put(format!(
+    let mut push = |text: String| page.push_str(&text);
+    push(format!(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{}</title><style>{style}</style>",
         escaped(&title)
     ));
-    put(format!("<h1>{}</h1><p>{}</p>", escaped(&title), escaped(&named.scenario.about)));
-    put(format!(
+    push(format!("<h1>{}</h1><p>{}</p>", escaped(&title), escaped(&named.scenario.about)));
+    push(format!(
         "<p>Simulated time and simulated partners, {} couriers, {} endpoints, {} mails. G {:.3}: whole {:.3}, worst \
          ten seconds {:.3} from {:.1} s on, worst queue class {:.3}. Waste {:.3}, handshakes {:.3}, refusals {:.3}, \
          connects {:.3} a mail. Trace {}.</p>",
@@ -69,11 +74,13 @@
         f.connects,
         f.trace
     ));
-    put("<table><tr><th>queue class</th><th>mails</th><th>relayed</th><th>service</th><th>p50 ms</th>\
+    push(
+        "<table><tr><th>queue class</th><th>mails</th><th>relayed</th><th>service</th><th>p50 ms</th>\
          <th>p90</th><th>p99</th><th>max</th></tr>"
-        .into());
+            .into(),
+    );
     for c in &f.classes {
-        put(format!(
+        push(format!(
             "<tr><td>{}</td><td>{}</td><td>{}</td><td>{:.3}</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td></tr>",
             escaped(&c.name),
             c.mails,
@@ -85,28 +92,28 @@
             c.max_ms
         ));
     }
-    put("</table>".into());
+    push("</table>".into());
     if f.rules_broken > 0 {
-        put(format!("<h2 class=\"broken\">{} times a rule was broken</h2><ul>", f.rules_broken));
+        push(format!("<h2 class=\"broken\">{} times a rule was broken</h2><ul>", f.rules_broken));
         for b in &f.broken {
             let at = b.at as f64 / 10_000.0;
             let words = escaped(&b.words);
-            put(format!(
+            push(format!(
                 "<li>{:?} at {at:.2} s, mail {}, courier {}: {words}</li>",
                 b.rule, b.mail, b.courier
             ));
         }
-        put("</ul>".into());
+        push("</ul>".into());
     }
     for (chart, _) in Chart::ALL {
-        put(svg(chart, ended)?);
+        push(svg(chart, ended)?);
     }
-    for mail in telling(ended) {
-        put(format!("<h2>Mail {mail}</h2><pre>"));
+    for mail in mails_to_show(ended) {
+        push(format!("<h2>Mail {mail}</h2><pre>"));
         for line in history(&named.scenario, f.seed, maker, mail) {
-            put(escaped(&line) + "\n");
+            push(escaped(&line) + "\n");
         }
-        put("</pre>".into());
+        push("</pre>".into());
     }
     let _ = write!(page, "</html>");
     Ok(page)
--- a/crates/lab/src/runs.rs
+++ b/crates/lab/src/runs.rs
@@ -16,7 +16,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::deciders;
-use crate::load::Refused;
+use crate::load::CommandError;
 
 /// A day to be run.
 #[derive(Clone, Debug)]
@@ -30,7 +30,7 @@
 
 /// A line of results.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct RunResult {
     pub scenario: String,
     /// Fingerprint of the scenario with all its values.
     pub digest: String,
@@ -41,14 +41,14 @@
     pub figures: Figures,
 }
 
-impl Line {
+impl RunResult {
     /// What makes two lines the same run.
-    fn mark(&self) -> String {
-        mark(&self.digest, &self.decider, &self.build, self.seed)
+    fn key(&self) -> String {
+        run_key(&self.digest, &self.decider, &self.build, self.seed)
     }
 }
 
-fn mark(digest: &str, decider: &str, build: &str, seed: u64) -> String {
+fn run_key(digest: &str, decider: &str, build: &str, seed: u64) -> String {
     format!("{digest} {decider} {build} {seed}")
 }
 
@@ -58,85 +58,92 @@
 }
 
 /// Sets the number of threads for all that follows; 0: one for each core.
-pub fn threads(count: usize) -> Result<(), Refused> {
+pub fn set_threads(count: usize) -> Result<(), CommandError> {
     let built = rayon::ThreadPoolBuilder::new().num_threads(count).build_global();
-    built.map_err(|e| Refused::one(format!("--threads {count}: {e}")))
+    built.map_err(|e| CommandError::new(format!("--threads {count}: {e}")))
 }
 
 /// Lines of a file of results; a last line that was cut off is passed over.
-pub fn read(path: &Path) -> Result<Vec<Line>, Refused> {
-    let told = |words: String| Refused::one(format!("{}: {words}", path.display()));
-    let file = File::open(path).map_err(|e| told(e.to_string()))?;
+pub fn read_results(path: &Path) -> Result<Vec<RunResult>, CommandError> {
+    let error = |message: String| CommandError::new(format!("{}: {message}", path.display()));
+    let file = File::open(path).map_err(|e| error(e.to_string()))?;
     let mut lines = Vec::new();
     let mut all = BufReader::new(file).lines().enumerate().peekable();
     while let Some((at, text)) = all.next() {
-        let text = text.map_err(|e| told(e.to_string()))?;
+        let text = text.map_err(|e| error(e.to_string()))?;
         match serde_json::from_str(&text) {
             Ok(line) => lines.push(line),
             Err(_) if all.peek().is_none() => {}
-            Err(e) => return Err(told(format!("line {} is no result: {e}", at + 1))),
+            Err(e) => return Err(error(format!("line {} is no result: {e}", at + 1))),
         }
     }
     Ok(lines)
 }
 
 /// A file of results that lines are added to.
-pub struct Kept {
+pub struct ResultsFile {
     file: Mutex<File>,
-    done: HashSet<String>,
+    completed: HashSet<String>,
 }
 
-impl Kept {
+impl ResultsFile {
     /// Opens a file to go on with it; what it holds is not run again.
-    pub fn open(path: &Path) -> Result<Kept, Refused> {
-        let told = |e: std::io::Error| Refused::one(format!("{}: {e}", path.display()));
-        let done = if path.is_file() { read(path)?.iter().map(Line::mark).collect() } else { HashSet::new() };
+    pub fn open(path: &Path) -> Result<ResultsFile, CommandError> {
+        let error = |e: std::io::Error| CommandError::new(format!("{}: {e}", path.display()));
+        let completed = if path.is_file() {
+            read_results(path)?.iter().map(RunResult::key).collect()
+        } else {
+            HashSet::new()
+        };
         let mut file = OpenOptions::new()
             .create(true)
             .truncate(false)
             .read(true)
             .write(true)
             .open(path)
-            .map_err(told)?;
+            .map_err(error)?;
         // Guards against a line that was cut off: the next would be written on to its end. A pipe has no end.
-        if file.metadata().map_err(told)?.is_file() {
+        if file.metadata().map_err(error)?.is_file() {
             let mut text = Vec::new();
-            file.read_to_end(&mut text).map_err(told)?;
-            let whole = text.iter().rposition(|&b| b == b'\n').map_or(0, |at| at + 1);
-            file.set_len(whole as u64).map_err(told)?;
-            file.seek(SeekFrom::End(0)).map_err(told)?;
+            file.read_to_end(&mut text).map_err(error)?;
+            let end_of_last_line = text.iter().rposition(|&b| b == b'\n').map_or(0, |at| at + 1);
+            file.set_len(end_of_last_line as u64).map_err(error)?;
+            file.seek(SeekFrom::End(0)).map_err(error)?;
         }
-        Ok(Kept { file: Mutex::new(file), done })
+        Ok(ResultsFile { file: Mutex::new(file), completed })
     }
 
-    fn has(&self, job: &Job, build: &str) -> bool {
-        self.done.contains(&mark(&digest(&job.scenario), &job.decider, build, job.seed))
+    fn contains(&self, job: &Job, build: &str) -> bool {
+        self.completed.contains(&run_key(&digest(&job.scenario), &job.decider, build, job.seed))
     }
 
-    fn keep(&self, line: &Line) -> Result<(), Refused> {
-        let mut text = serde_json::to_vec(line).map_err(|e| Refused::one(format!("a result: {e}")))?;
+    fn append(&self, line: &RunResult) -> Result<(), CommandError> {
+        let mut text = serde_json::to_vec(line).map_err(|e| CommandError::new(format!("a result: {e}")))?;
         text.push(b'\n');
         let mut file = self.file.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         file.write_all(&text).map_err(|e| {
-            Refused::one(format!("a result can't be written ({e}); what was written before is whole"))
+            CommandError::new(format!("a result can't be written ({e}); what was written before is whole"))
         })
     }
 }
 
-/// Runs all jobs, those aside that `kept` holds already; results come in the order of the jobs.
-pub fn run(jobs: &[Job], kept: Option<&Kept>) -> Result<Vec<Line>, Refused> {
-    let build = deciders::build();
-    let left: Vec<&Job> = jobs.iter().filter(|job| kept.is_none_or(|kept| !kept.has(job, &build))).collect();
-    let bar = ProgressBar::new(left.len() as u64);
+/// Runs all jobs, those aside that `results_file` holds already; results come in the order of the jobs.
+pub fn run(jobs: &[Job], results_file: Option<&ResultsFile>) -> Result<Vec<RunResult>, CommandError> {
+    let build = deciders::build_id();
+    let pending: Vec<&Job> = jobs
+        .iter()
+        .filter(|job| results_file.is_none_or(|results_file| !results_file.contains(job, &build)))
+        .collect();
+    let bar = ProgressBar::new(pending.len() as u64);
     if let Ok(style) = ProgressStyle::with_template("{bar:30} {pos}/{len} days, {eta} left") {
         bar.set_style(style);
     }
-    let lines = left
+    let lines = pending
         .par_iter()
         .map(|job| {
-            let maker = deciders::maker(&job.decider).map_err(Refused::one)?;
+            let maker = deciders::maker(&job.decider).map_err(CommandError::new)?;
             let figures = figures(&job.scenario, job.seed, &*maker);
-            let line = Line {
+            let line = RunResult {
                 scenario: job.name.clone(),
                 digest: digest(&job.scenario),
                 sets: job.sets.clone(),
@@ -145,8 +152,8 @@
                 seed: job.seed,
                 figures,
             };
-            if let Some(kept) = kept {
-                kept.keep(&line)?;
+            if let Some(results_file) = results_file {
+                results_file.append(&line)?;
             }
             bar.inc(1);
             Ok(line)
--- a/crates/lab/src/speed.rs
+++ b/crates/lab/src/speed.rs
@@ -18,11 +18,11 @@
     ("2000x20000", 2_000.0, 8_000.0, 40_000.0, 3.0),
 ];
 
-pub struct Speed {
+pub struct Measurement {
     pub figures: Figures,
     pub took: Duration,
     /// Time that the deciders spent of it.
-    pub deciding: Duration,
+    pub decider_time: Duration,
     /// Most memory that the process has held so far, in MiB; nothing where the system does not tell.
     pub peak_mib: Option<u64>,
 }
@@ -30,11 +30,11 @@
 /// Counts the time that its decider takes; a look at the clock costs some 25 ns twice a turn.
 struct Timed {
     inner: Box<dyn Decider>,
-    /// Nanoseconds; added to `SPENT` at the end.
-    spent: u64,
+    /// Nanoseconds; added to `SPENT_NS` at the end.
+    spent_ns: u64,
 }
 
-static SPENT: AtomicU64 = AtomicU64::new(0);
+static SPENT_NS: AtomicU64 = AtomicU64::new(0);
 
 impl Decider for Timed {
     fn round(
@@ -44,9 +44,9 @@
         out: &mut Vec<Action>,
         sight: &dyn Sight,
     ) -> Option<Time> {
-        let begun = Instant::now();
+        let started = Instant::now();
         let next = self.inner.round(now, inputs, out, sight);
-        self.spent += begun.elapsed().as_nanos() as u64;
+        self.spent_ns += started.elapsed().as_nanos() as u64;
         next
     }
 
@@ -57,35 +57,35 @@
 
 impl Drop for Timed {
     fn drop(&mut self) {
-        SPENT.fetch_add(self.spent, Ordering::Relaxed);
+        SPENT_NS.fetch_add(self.spent_ns, Ordering::Relaxed);
     }
 }
 
-pub fn scenario(couriers: f64, partners: f64, rate: f64, seconds: f64) -> Scenario {
-    let one = Figure::One;
+pub fn scenario_of_size(couriers: f64, partners: f64, rate: f64, seconds: f64) -> Scenario {
+    let fixed = Figure::One;
     let mut s = Scenario {
-        couriers: one(couriers),
-        partners: one(partners),
-        seconds: one(seconds),
+        couriers: fixed(couriers),
+        partners: fixed(partners),
+        seconds: fixed(seconds),
         ..Scenario::default()
     };
-    (s.mails.full_rate, s.mails.load) = (one(rate), one(0.6));
+    (s.mails.full_rate, s.mails.load) = (fixed(rate), fixed(0.6));
     s
 }
 
-pub fn measure(scenario: &Scenario, seed: u64) -> Speed {
-    SPENT.store(0, Ordering::Relaxed);
-    let begun = Instant::now();
+pub fn measure(scenario: &Scenario, seed: u64) -> Measurement {
+    SPENT_NS.store(0, Ordering::Relaxed);
+    let started = Instant::now();
     let maker = |courier: usize, set| -> Box<dyn Decider> {
-        Box::new(Timed { inner: control(courier, set), spent: 0 })
+        Box::new(Timed { inner: control(courier, set), spent_ns: 0 })
     };
     let ended = run(scenario, seed, &maker, Options::default());
-    let took = begun.elapsed();
+    let took = started.elapsed();
     let figures = Figures::of(&ended);
-    Speed {
+    Measurement {
         figures,
         took,
-        deciding: Duration::from_nanos(SPENT.load(Ordering::Relaxed)),
+        decider_time: Duration::from_nanos(SPENT_NS.load(Ordering::Relaxed)),
         peak_mib: peak_mib(),
     }
 }
--- a/crates/lab/src/tables.rs
+++ b/crates/lab/src/tables.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::runs::Line;
+use crate::runs::RunResult;
 
 /// Columns lined up, the first to the left and the others to the right.
 pub fn table(rows: &[Vec<String>]) -> String {
@@ -26,8 +26,8 @@
 }
 
 /// One row for each scenario, set of values and decider: means over the seeds, the worst G, rules broken.
-pub fn summary(lines: &[Line]) -> String {
-    let mut groups: BTreeMap<(String, String, String), Vec<&Line>> = BTreeMap::new();
+pub fn summary(lines: &[RunResult]) -> String {
+    let mut groups: BTreeMap<(String, String, String), Vec<&RunResult>> = BTreeMap::new();
     for line in lines {
         let group = (line.scenario.clone(), line.sets.join(" "), line.decider.clone());
         groups.entry(group).or_default().push(line);
@@ -48,8 +48,8 @@
     ];
     let mut rows = vec![head.map(String::from).to_vec()];
     for ((scenario, sets, decider), lines) in groups {
-        let of = |get: &dyn Fn(&Line) -> f64| lines.iter().map(|line| get(line)).collect::<Vec<f64>>();
-        let figure = |get: &dyn Fn(&Line) -> f64| format!("{:.3}", mean(&of(get)));
+        let of = |get: &dyn Fn(&RunResult) -> f64| lines.iter().map(|line| get(line)).collect::<Vec<f64>>();
+        let figure = |get: &dyn Fn(&RunResult) -> f64| format!("{:.3}", mean(&of(get)));
         let broken = lines.iter().filter(|line| line.figures.rules_broken > 0).count();
         let name = if sets.is_empty() { scenario } else { format!("{scenario} {sets}") };
         rows.push(vec![
@@ -71,7 +71,7 @@
 }
 
 /// The first broken rules of each run, a line each.
-pub fn broken(lines: &[Line]) -> String {
+pub fn broken_rules(lines: &[RunResult]) -> String {
     let mut text = String::new();
     for line in lines {
         for b in line.figures.broken.iter().take(2) {
