--- a/crates/lab/src/charts.rs
+++ b/crates/lab/src/charts.rs
@@ -23,7 +23,7 @@
     RGBColor(90, 90, 90),
     RGBColor(0, 150, 160),
 ];
-const SHADE: RGBColor = RGBColor(250, 220, 200);
+const TROUBLE_SHADE: RGBColor = RGBColor(250, 220, 200);
 
 /// What a chart shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -138,7 +138,7 @@
         .build_cartesian_2d(0.0..day_seconds(ended), 0.0..top)?;
     let shaded = trouble_spans(ended);
     chart.draw_series(shaded.iter().map(|(from, until, _)| {
-        Rectangle::new([(*from, 0.0), (until.min(day_seconds(ended)), top)], SHADE.mix(0.6).filled())
+        Rectangle::new([(*from, 0.0), (until.min(day_seconds(ended)), top)], TROUBLE_SHADE.mix(0.6).filled())
     }))?;
     chart.configure_mesh().x_desc("seconds").y_desc(unit).label_style(("sans-serif", 13)).draw()?;
     chart.draw_series(shaded.iter().enumerate().map(|(i, (from, _, name))| {
@@ -202,17 +202,20 @@
 {
     let shown = ended.day.partners.len().min(2);
     let mut lines = Vec::new();
-    for dest in 0..shown {
-        let mean = ended.day.mean_service(dest) / 10_000.0;
+    for destination in 0..shown {
+        let mean = ended.day.mean_service(destination) / 10_000.0;
         let of = |s: &Sample, get: &dyn Fn(&meadowhold_emulator::series::Dest) -> f64| {
-            s.dests.get(dest).map_or(0.0, get)
+            s.dests.get(destination).map_or(0.0, get)
         };
-        lines.push(sampled_line(ended, &format!("partner {dest}: out"), |s| of(s, &|d| d.out as f64)));
-        lines.push(sampled_line(ended, &format!("partner {dest}: caps"), |s| of(s, &|d| d.cap as f64)));
-        lines.push(sampled_line(ended, &format!("partner {dest}: can serve"), |s| {
+        lines.push(sampled_line(ended, &format!("partner {destination}: out"), |s| of(s, &|d| d.out as f64)));
+        lines
+            .push(sampled_line(ended, &format!("partner {destination}: caps"), |s| of(s, &|d| d.cap as f64)));
+        lines.push(sampled_line(ended, &format!("partner {destination}: can serve"), |s| {
             of(s, &|d| d.capacity * mean)
         }));
-        lines.push(sampled_line(ended, &format!("partner {dest}: parked"), |s| of(s, &|d| d.parked as f64)));
+        lines.push(sampled_line(ended, &format!("partner {destination}: parked"), |s| {
+            of(s, &|d| d.parked as f64)
+        }));
     }
     time_chart(ended, area, (Chart::Caps.title(), "calls, mails"), &lines)
 }
@@ -228,8 +231,8 @@
         .iter()
         .map(|s| {
             let mut sum = [0.0; 4];
-            for dest in &s.dests {
-                sum.iter_mut().zip(dest.standings).for_each(|(sum, part)| *sum += part as f64);
+            for destination in &s.dests {
+                sum.iter_mut().zip(destination.standings).for_each(|(sum, part)| *sum += part as f64);
             }
             (s.at as f64 / 10_000.0, sum)
         })
--- a/crates/lab/src/command.rs
+++ b/crates/lab/src/command.rs
@@ -260,8 +260,8 @@
     }
     let mut jobs = Vec::new();
     for named in load_all(&days.scenarios, &days.sets)? {
-        let own = named.scenario.seed.map(|seed| vec![seed]);
-        let seeds = days.seeds.clone().or(own).unwrap_or_else(|| (1..=4).collect());
+        let scenario_seeds = named.scenario.seed.map(|seed| vec![seed]);
+        let seeds = days.seeds.clone().or(scenario_seeds).unwrap_or_else(|| (1..=4).collect());
         for decider in &days.decider {
             jobs.extend(seeds.iter().map(|&seed| Job {
                 name: named.name.clone(),
@@ -277,8 +277,9 @@
 
 fn verdict(lines: &[RunResult]) -> Verdict {
     // Baselines are there for comparison: what they break is told, and is no fault of the project's.
-    let ours = |line: &&RunResult| line.decider == deciders::CONTROL && line.figures.rules_broken > 0;
-    if lines.iter().any(|line| ours(&line)) {
+    let control_broke_a_rule =
+        |line: &&RunResult| line.decider == deciders::CONTROL && line.figures.rules_broken > 0;
+    if lines.iter().any(|line| control_broke_a_rule(&line)) {
         Verdict::RulesBroken
     } else {
         Verdict::Passed
@@ -306,9 +307,9 @@
 /// All combinations of one value of each key.
 fn grid(vary: &[String]) -> Result<Vec<Vec<String>>, CommandError> {
     let mut grid = vec![Vec::new()];
-    for one in vary {
-        let usage_error = || CommandError::new(format!("--vary {one}: say KEY=V1,V2,..."));
-        let (key, values) = one.split_once('=').ok_or_else(usage_error)?;
+    for entry in vary {
+        let usage_error = || CommandError::new(format!("--vary {entry}: say KEY=V1,V2,..."));
+        let (key, values) = entry.split_once('=').ok_or_else(usage_error)?;
         let values: Vec<&str> = split_outside_brackets(values);
         if values.iter().any(|value| value.trim().is_empty()) {
             return Err(usage_error());
@@ -329,19 +330,19 @@
 
 /// Commas within brackets belong to a range.
 fn split_outside_brackets(text: &str) -> Vec<&str> {
-    let (mut depth, mut from, mut parts) = (0, 0, Vec::new());
+    let (mut depth, mut start, mut parts) = (0, 0, Vec::new());
     for (at, letter) in text.char_indices() {
         match letter {
             '[' => depth += 1,
             ']' => depth -= 1,
             ',' if depth == 0 => {
-                parts.push(&text[from..at]);
-                from = at + 1;
+                parts.push(&text[start..at]);
+                start = at + 1;
             }
             _ => {}
         }
     }
-    parts.push(&text[from..]);
+    parts.push(&text[start..]);
     parts
 }
 
@@ -358,16 +359,16 @@
         all.extend(jobs(&days)?);
     }
     let results_file = ResultsFile::open(out)?;
-    let ran = runs::run(&all, Some(&results_file))?;
+    let new_results = runs::run(&all, Some(&results_file))?;
     // What an earlier sitting finished is part of the answer too.
-    let wanted: Vec<String> = all.iter().map(|job| runs::digest(&job.scenario)).collect();
+    let digests: Vec<String> = all.iter().map(|job| runs::digest(&job.scenario)).collect();
     let build = deciders::build_id();
     let lines: Vec<RunResult> = runs::read_results(out)?
         .into_iter()
-        .filter(|line| line.build == build && wanted.contains(&line.digest))
+        .filter(|line| line.build == build && digests.contains(&line.digest))
         .collect();
     print(&tables::summary(&lines))?;
-    print(&format!("{} of {} days run now, all in {}\n", ran.len(), all.len(), out.display()))?;
+    print(&format!("{} of {} days run now, all in {}\n", new_results.len(), all.len(), out.display()))?;
     Ok(verdict(&lines))
 }
 
@@ -398,9 +399,9 @@
     if groups.is_empty() {
         return Err(CommandError::new(format!("{a} and {b} have no day in common")));
     }
-    let head = ["scenario", "pairs", "A", "B", "B - A", "95 in 100 within", "verdict"];
-    let mut rows = vec![head.map(String::from).to_vec()];
-    let mut means = Vec::new();
+    let header = ["scenario", "pairs", "A", "B", "B - A", "95 in 100 within", "verdict"];
+    let mut rows = vec![header.map(String::from).to_vec()];
+    let mut all_pairs = Vec::new();
     let mut row = |name: &str, pairs: &[(f64, f64)]| {
         let Some(d) = compare::paired_difference(pairs) else { return };
         rows.push(vec![
@@ -415,10 +416,10 @@
     };
     for (name, pairs) in &groups {
         row(name, pairs);
-        means.extend(pairs.iter().copied());
+        all_pairs.extend(pairs.iter().copied());
     }
     if groups.len() > 1 {
-        row("all", &means);
+        row("all", &all_pairs);
     }
     print(&format!("A: {a}   B: {b}\n{}", tables::table(&rows)))?;
     Ok(Verdict::Passed)
@@ -426,8 +427,8 @@
 
 fn hunt_days(hunt: &Hunt, keep: Option<&Path>, shrink_runs: usize) -> Result<Verdict, CommandError> {
     let (broken, worst) = hunt::hunt(hunt, |done, broken, worst| {
-        let most = worst.first().map_or(String::new(), |w| format!(", worst: {}", w.summary));
-        eprintln!("{done} days tried, {} ways to break a rule{most}", broken.len());
+        let worst_found = worst.first().map_or(String::new(), |w| format!(", worst: {}", w.summary));
+        eprintln!("{done} days tried, {} ways to break a rule{worst_found}", broken.len());
     })?;
     for found in broken.iter().chain(&worst) {
         let kinds: Vec<String> =
@@ -481,10 +482,10 @@
             let oracle = deciders::maker(deciders::ORACLE).map_err(CommandError::new)?;
             let loss = figures(&named.scenario, seed, &*oracle).g - own.g;
             if loss < 0.02 {
-                let words = format!(
+                let message = format!(
                     "seed {seed} breaks no rule and loses {loss:.3}: there is nothing to cut down to"
                 );
-                return Err(CommandError::new(words));
+                return Err(CommandError::new(message));
             }
             (Symptom::Loses(loss), format!("loses {loss:.3} against who sees all"))
         }
@@ -530,8 +531,8 @@
     let decider = &day.decider;
     std::fs::create_dir_all(out).map_err(|e| CommandError::new(format!("{}: {e}", out.display())))?;
     // Some two hundred samples, whatever the day's length.
-    let every = ((named.scenario.seconds.low() * 50.0) as u64).max(10);
-    let ended = run(&named.scenario, seed, &*maker, Options { sample_every: every, ..Options::default() });
+    let sample_every = ((named.scenario.seconds.low() * 50.0) as u64).max(10);
+    let ended = run(&named.scenario, seed, &*maker, Options { sample_every, ..Options::default() });
     let stem = format!("{}-{decider}-{seed}", named.name);
     let mut files = Vec::new();
     for (chart, name) in Chart::ALL {
@@ -559,8 +560,8 @@
 }
 
 fn measure(size: &str) -> Result<Verdict, CommandError> {
-    let head = ["size", "mails", "mails/s", "events/s", "turns", "deciding", "peak MiB", "G", "took s"];
-    let mut rows = vec![head.map(String::from).to_vec()];
+    let header = ["size", "mails", "mails/s", "events/s", "turns", "deciding", "peak MiB", "G", "took s"];
+    let mut rows = vec![header.map(String::from).to_vec()];
     for (name, couriers, partners, rate, seconds) in speed::SIZES {
         if !name.contains(size) {
             continue;
@@ -598,7 +599,7 @@
     let lines = rows.iter().map(|row| format!("{:<width$} {}\n", row[0], row[1]));
     print(&format!("Scenarios in {}:\n{}", library.display(), lines.collect::<String>()))?;
     let deciders = deciders::all();
-    let lines = deciders.iter().map(|(name, words)| format!("{name:<width$}  {words}\n"));
+    let lines = deciders.iter().map(|(name, description)| format!("{name:<width$}  {description}\n"));
     print(&format!("\nDeciders:\n{}", lines.collect::<String>()))?;
     Ok(Verdict::Passed)
 }
@@ -608,15 +609,15 @@
     use super::*;
 
     #[test]
-    fn a_grid_has_every_combination_and_ranges_keep_their_commas() {
+    fn grid_has_every_combination_and_splits_outside_brackets_only() {
         let found = grid(&["a=1,2".into(), "b=[1,2],3".into()]).unwrap();
-        let want = [["a=1", "b=[1,2]"], ["a=1", "b=3"], ["a=2", "b=[1,2]"], ["a=2", "b=3"]];
-        assert_eq!(found, want);
+        let expected = [["a=1", "b=[1,2]"], ["a=1", "b=3"], ["a=2", "b=[1,2]"], ["a=2", "b=3"]];
+        assert_eq!(found, expected);
         assert!(grid(&["a".into()]).is_err() && grid(&["a=1,".into()]).is_err());
     }
 
     #[test]
-    fn the_command_line_is_sound() {
+    fn command_line_definition_is_valid() {
         use clap::CommandFactory;
         Command::command().debug_assert();
     }
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -42,22 +42,22 @@
     let mut stream = Stream::new(SEED, Purpose::Figures, 0);
     let mut means: Vec<f64> = (0..RESAMPLINGS)
         .map(|_| {
-            let draw = |_| {
+            let sample_difference = |_| {
                 let (a, b) = pairs[stream.below(pairs.len())];
                 b - a
             };
-            (0..pairs.len()).map(draw).sum::<f64>() / count
+            (0..pairs.len()).map(sample_difference).sum::<f64>() / count
         })
         .collect();
     means.sort_by(f64::total_cmp);
-    let at = |share: f64| means[((RESAMPLINGS - 1) as f64 * share).round() as usize];
+    let quantile = |share: f64| means[((RESAMPLINGS - 1) as f64 * share).round() as usize];
     Some(Difference {
         pairs: pairs.len(),
         a: mean(&|p| p.0),
         b: mean(&|p| p.1),
         mean: mean(&|p| p.1 - p.0),
-        low: at(0.025),
-        high: at(0.975),
+        low: quantile(0.025),
+        high: quantile(0.975),
     })
 }
 
@@ -65,7 +65,7 @@
 pub fn pairs_by_scenario(a: &[RunResult], b: &[RunResult]) -> Vec<(String, Vec<(f64, f64)>)> {
     let pair_key = |line: &RunResult| (line.scenario.clone(), line.sets.clone(), line.seed);
     let other_side: HashMap<_, f64> = b.iter().map(|line| (pair_key(line), line.figures.g)).collect();
-    let mut found: Vec<(String, Vec<(f64, f64)>)> = Vec::new();
+    let mut groups: Vec<(String, Vec<(f64, f64)>)> = Vec::new();
     for line in a {
         let Some(&g) = other_side.get(&pair_key(line)) else { continue };
         let name = if line.sets.is_empty() {
@@ -73,14 +73,14 @@
         } else {
             format!("{} {}", line.scenario, line.sets.join(" "))
         };
-        let at = found.iter().position(|(known, _)| *known == name).unwrap_or_else(|| {
-            found.push((name, Vec::new()));
-            found.len() - 1
+        let index = groups.iter().position(|(known, _)| *known == name).unwrap_or_else(|| {
+            groups.push((name, Vec::new()));
+            groups.len() - 1
         });
-        found[at].1.push((line.figures.g, g));
+        groups[index].1.push((line.figures.g, g));
     }
-    found.sort_by(|a, b| a.0.cmp(&b.0));
-    found
+    groups.sort_by(|a, b| a.0.cmp(&b.0));
+    groups
 }
 
 #[cfg(test)]
@@ -88,7 +88,7 @@
     use super::*;
 
     #[test]
-    fn a_difference_is_told_only_where_there_is_one() {
+    fn verdict_names_a_side_only_for_a_significant_difference() {
         let mut stream = Stream::new(3, Purpose::Figures, 1);
         let mut noise = || stream.between(-0.05, 0.05);
         let cases = [(0.0, "no difference"), (0.04, "B is better"), (-0.04, "A is better")];
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -48,7 +48,7 @@
 }
 
 /// Sizes that a trouble of each kind may have.
-const SIZES: [(What, f64, f64); 27] = [
+const TROUBLE_SIZES: [(What, f64, f64); 27] = [
     (What::Crash, 1.0, 1.0),
     (What::Hang, 1.0, 1.0),
     (What::Slow, 3.0, 25.0),
@@ -78,42 +78,42 @@
     (What::ClockStep, 100.0, 5_000.0),
 ];
 
-fn random_trouble(d: &mut Stream, seconds: f64) -> Trouble {
-    let (what, low, high) = SIZES[d.below(SIZES.len())];
-    let at = d.between(0.0, seconds * 0.8);
-    let lasts = d.between(0.3, (seconds * 0.5).max(0.5));
-    let part = d.between(0.05, 0.6);
-    let size = d.between(low, high);
+fn random_trouble(random: &mut Stream, seconds: f64) -> Trouble {
+    let (what, low, high) = TROUBLE_SIZES[random.below(TROUBLE_SIZES.len())];
+    let at = random.between(0.0, seconds * 0.8);
+    let duration = random.between(0.3, (seconds * 0.5).max(0.5));
+    let part = random.between(0.05, 0.6);
+    let size = random.between(low, high);
     let round = |value: f64| Figure::One((value * 100.0).round() / 100.0);
-    let mut trouble = Trouble::new(what, round(at), round(lasts), round(part), round(size.max(0.01)));
-    trouble.by = [By::Any, By::Hall, By::Kind][d.below(3)];
-    trouble.whole = Figure::One(if d.chance(0.7) { 1.0 } else { 0.3 });
+    let mut trouble = Trouble::new(what, round(at), round(duration), round(part), round(size.max(0.01)));
+    trouble.by = [By::Any, By::Hall, By::Kind][random.below(3)];
+    trouble.whole = Figure::One(if random.chance(0.7) { 1.0 } else { 0.3 });
     trouble
 }
 
 /// A day near one of the library, or near one that was found to be bad.
 fn candidate(hunt: &Hunt, worst: &[Finding], number: u64) -> Finding {
-    let d = &mut Stream::new(hunt.seed, Purpose::Trouble, number);
-    let seed = d.number() >> 32;
-    let (origin, mut scenario) = if !worst.is_empty() && d.chance(0.4) {
-        let near = &worst[d.below(worst.len())];
-        (near.origin.clone(), near.scenario.clone())
+    let random = &mut Stream::new(hunt.seed, Purpose::Trouble, number);
+    let seed = random.number() >> 32;
+    let (origin, mut scenario) = if !worst.is_empty() && random.chance(0.4) {
+        let parent = &worst[random.below(worst.len())];
+        (parent.origin.clone(), parent.scenario.clone())
     } else {
-        let named = &hunt.library[d.below(hunt.library.len())];
+        let named = &hunt.library[random.below(hunt.library.len())];
         (named.name.clone(), named.scenario.clone())
     };
     let seconds = scenario.seconds.low();
-    for _ in 0..d.below(3) {
-        scenario.trouble.push(random_trouble(d, seconds));
+    for _ in 0..random.below(3) {
+        scenario.trouble.push(random_trouble(random, seconds));
     }
     if scenario.trouble.len() > 3 {
-        let removed = d.below(scenario.trouble.len());
+        let removed = random.below(scenario.trouble.len());
         scenario.trouble.remove(removed);
     }
-    if d.chance(0.4) {
-        scenario.mails.load = Figure::One((d.between(0.4, 1.25) * 100.0).round() / 100.0);
+    if random.chance(0.4) {
+        scenario.mails.load = Figure::One((random.between(0.4, 1.25) * 100.0).round() / 100.0);
     }
-    if d.chance(0.2) {
+    if random.chance(0.2) {
         scenario.courier.journal = !scenario.courier.journal;
     }
     scenario.trouble.iter_mut().enumerate().for_each(|(i, t)| t.mark = t.mark.or(Some(i as u64)));
@@ -125,22 +125,22 @@
         return Ok(None);
     }
     let maker = deciders::maker(decider).map_err(CommandError::new)?;
-    let own = figures(&found.scenario, found.seed, &*maker);
-    if let Some(broken) = own.broken.first() {
+    let own_figures = figures(&found.scenario, found.seed, &*maker);
+    if let Some(broken) = own_figures.broken.first() {
         let summary = format!("{:?} at {:.1} s: {}", broken.rule, broken.at as f64 / 10_000.0, broken.words);
         return Ok(Some(Finding { symptom: Symptom::Breaks(broken.rule), summary, ..found }));
     }
     if rules_only {
         return Ok(None);
     }
-    let loss = loss_against_oracle(&found.scenario, found.seed, &own)?;
-    let summary = format!("G {:.3}, {loss:.3} under who sees all", own.g);
+    let loss = loss_against_oracle(&found.scenario, found.seed, &own_figures)?;
+    let summary = format!("G {:.3}, {loss:.3} under who sees all", own_figures.g);
     Ok(Some(Finding { symptom: Symptom::Loses(loss), summary, ..found }))
 }
 
-fn loss_against_oracle(scenario: &Scenario, seed: u64, own: &Figures) -> Result<f64, CommandError> {
+fn loss_against_oracle(scenario: &Scenario, seed: u64, own_figures: &Figures) -> Result<f64, CommandError> {
     let oracle = deciders::maker(deciders::ORACLE).map_err(CommandError::new)?;
-    Ok(figures(scenario, seed, &*oracle).g - own.g)
+    Ok(figures(scenario, seed, &*oracle).g - own_figures.g)
 }
 
 /// Same seed and number of runs, same days, whatever the threads; a limit in seconds ends it between two batches.
@@ -153,11 +153,11 @@
     let mut done = 0;
     while done < hunt.runs && Instant::now() < deadline {
         let count = BATCH.min(hunt.runs - done);
-        let tried: Result<Vec<Option<Finding>>, CommandError> = (0..count)
+        let evaluated: Result<Vec<Option<Finding>>, CommandError> = (0..count)
             .into_par_iter()
             .map(|i| evaluate(candidate(hunt, &worst, (done + i) as u64), hunt.decider, hunt.rules_only))
             .collect();
-        for found in tried?.into_iter().flatten() {
+        for found in evaluated?.into_iter().flatten() {
             match found.symptom {
                 Symptom::Breaks(_) => {
                     // One day for each rule and make-up is enough to go on with.
@@ -181,10 +181,9 @@
 }
 
 fn trouble_kinds(found: &Finding) -> Vec<String> {
-    let mut trouble_kinds: Vec<String> =
-        found.scenario.trouble.iter().map(|t| format!("{:?}", t.what)).collect();
-    trouble_kinds.sort();
-    trouble_kinds
+    let mut kinds: Vec<String> = found.scenario.trouble.iter().map(|t| format!("{:?}", t.what)).collect();
+    kinds.sort();
+    kinds
 }
 
 fn loss_of(found: &Finding) -> f64 {
@@ -207,17 +206,16 @@
     }
     let seeds: Vec<u64> = std::iter::once(seed).chain(1..=7).collect();
     *runs += seeds.len();
-    let fails = |&&seed: &&u64| {
+    let reproduces = |&&seed: &&u64| {
         let Ok(maker) = deciders::maker(decider) else { return false };
-        let own = figures(scenario, seed, &*maker);
+        let own_figures = figures(scenario, seed, &*maker);
         match symptom {
-            Symptom::Breaks(rule) => own.broken.iter().any(|b| b.rule == rule),
-            Symptom::Loses(whole) => {
-                loss_against_oracle(scenario, seed, &own).is_ok_and(|l| l >= MIN_LOSS_SHARE * whole)
-            }
+            Symptom::Breaks(rule) => own_figures.broken.iter().any(|b| b.rule == rule),
+            Symptom::Loses(full_loss) => loss_against_oracle(scenario, seed, &own_figures)
+                .is_ok_and(|l| l >= MIN_LOSS_SHARE * full_loss),
         }
     };
-    seeds.par_iter().find_first(fails).copied()
+    seeds.par_iter().find_first(reproduces).copied()
 }
 
 /// Smaller days than this one, the boldest cuts first.
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -92,12 +92,12 @@
     let mut merged = Value::try_from(scenario).map_err(|e| CommandError::new(format!("--set: {e}")))?;
     for set in sets {
         let error = |message: String| CommandError::new(format!("--set {set}: {message}"));
-        let (path, text) = set.split_once('=').ok_or_else(|| error("say KEY=VALUE".into()))?;
+        let (key, text) = set.split_once('=').ok_or_else(|| error("say KEY=VALUE".into()))?;
         let table = format!("value = {text}");
         let value = toml::from_str::<Table>(&table).ok().and_then(|mut t| t.remove("value"));
         // A bare word is a text.
         let value = value.unwrap_or_else(|| Value::String(text.trim().to_string()));
-        set_value(&mut merged, path.trim(), value).map_err(error)?;
+        set_value(&mut merged, key.trim(), value).map_err(error)?;
     }
     Scenario::deserialize(merged).map_err(|e| CommandError::new(format!("--set {}: {e}", sets.join(" "))))
 }
@@ -203,7 +203,7 @@
     }
 
     #[test]
-    fn what_cannot_be_used_is_refused_with_file_and_line() {
+    fn invalid_scenarios_are_reported_with_file_and_line() {
         let cases = [
             ("seconds = 10\npartnerz = 3\n", "2"),
             ("seconds = 10\n[mails]\nload = 0.5\nfull_rate = -3\n", ":4: mails.full_rate"),
@@ -221,7 +221,7 @@
     }
 
     #[test]
-    fn files_lie_over_what_they_include_and_sets_over_both() {
+    fn files_override_their_includes_and_sets_override_both() {
         let folder = folder(&[
             ("base.toml", "seconds = 9\n[mails]\nload = 0.3\nswing = 0.1\n"),
             ("a.toml", "include = [\"base.toml\"]\n[mails]\nload = 0.5\n"),
@@ -237,7 +237,7 @@
     }
 
     #[test]
-    fn seeds_are_one_some_or_a_range() {
+    fn seeds_parse_as_single_list_or_range() {
         assert_eq!(parse_seeds("7").unwrap(), [7]);
         assert_eq!(parse_seeds("1..3").unwrap(), [1, 2, 3]);
         assert_eq!(parse_seeds("4, 2").unwrap(), [4, 2]);
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -13,7 +13,7 @@
 /// Mails whose history is told where no rule was broken: those that lost most.
 const MAX_HISTORIES: usize = 3;
 
-fn escaped(text: &str) -> String {
+fn escape_html(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
@@ -23,12 +23,12 @@
     shown.dedup();
     if shown.is_empty() {
         let day = &ended.day;
-        let lost = |m: u32| {
+        let importance_lost = |m: u32| {
             let mail = &ended.mails[m as usize];
             let importance = day.classes[usize::from(mail.class)].settings.importance;
             importance - mail.relayed_at.map_or(0.0, |at| worth(day, mail, at))
         };
-        let all = (0..ended.mails.len() as u32).map(|m| (lost(m), m));
+        let all = (0..ended.mails.len() as u32).map(|m| (importance_lost(m), m));
         let mut all: Vec<(f64, u32)> = all.filter(|(lost, _)| *lost > 0.0).collect();
         all.sort_by(|a, b| b.0.total_cmp(&a.0));
         shown = all.into_iter().map(|(_, m)| m).collect();
@@ -53,9 +53,9 @@
     let mut push = |text: String| page.push_str(&text);
     push(format!(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{}</title><style>{style}</style>",
-        escaped(&title)
+        escape_html(&title)
     ));
-    push(format!("<h1>{}</h1><p>{}</p>", escaped(&title), escaped(&named.scenario.about)));
+    push(format!("<h1>{}</h1><p>{}</p>", escape_html(&title), escape_html(&named.scenario.about)));
     push(format!(
         "<p>Simulated time and simulated partners, {} couriers, {} endpoints, {} mails. G {:.3}: whole {:.3}, worst \
          ten seconds {:.3} from {:.1} s on, worst queue class {:.3}. Waste {:.3}, handshakes {:.3}, refusals {:.3}, \
@@ -82,7 +82,7 @@
     for c in &f.classes {
         push(format!(
             "<tr><td>{}</td><td>{}</td><td>{}</td><td>{:.3}</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td></tr>",
-            escaped(&c.name),
+            escape_html(&c.name),
             c.mails,
             c.relayed,
             c.service,
@@ -97,7 +97,7 @@
         push(format!("<h2 class=\"broken\">{} times a rule was broken</h2><ul>", f.rules_broken));
         for b in &f.broken {
             let at = b.at as f64 / 10_000.0;
-            let words = escaped(&b.words);
+            let words = escape_html(&b.words);
             push(format!(
                 "<li>{:?} at {at:.2} s, mail {}, courier {}: {words}</li>",
                 b.rule, b.mail, b.courier
@@ -111,7 +111,7 @@
     for mail in mails_to_show(ended) {
         push(format!("<h2>Mail {mail}</h2><pre>"));
         for line in history(&named.scenario, f.seed, maker, mail) {
-            push(escaped(&line) + "\n");
+            push(escape_html(&line) + "\n");
         }
         push("</pre>".into());
     }
--- a/crates/lab/src/tables.rs
+++ b/crates/lab/src/tables.rs
@@ -32,7 +32,7 @@
         let group = (line.scenario.clone(), line.sets.join(" "), line.decider.clone());
         groups.entry(group).or_default().push(line);
     }
-    let head = [
+    let header = [
         "scenario",
         "decider",
         "days",
@@ -46,7 +46,7 @@
         "connects",
         "rules broken",
     ];
-    let mut rows = vec![head.map(String::from).to_vec()];
+    let mut rows = vec![header.map(String::from).to_vec()];
     for ((scenario, sets, decider), lines) in groups {
         let of = |get: &dyn Fn(&RunResult) -> f64| lines.iter().map(|line| get(line)).collect::<Vec<f64>>();
         let figure = |get: &dyn Fn(&RunResult) -> f64| format!("{:.3}", mean(&of(get)));
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -3,8 +3,8 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-fn lab(words: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_meadowhold-lab")).args(words).output().unwrap()
+fn lab(args: &[&str]) -> Output {
+    Command::new(env!("CARGO_BIN_EXE_meadowhold-lab")).args(args).output().unwrap()
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -23,21 +23,21 @@
 fn results_do_not_depend_on_the_number_of_threads() {
     let days = ["quiet.toml", "dark-hall.toml", "roll.toml"].map(scenario);
     let run = |threads: &str| {
-        let mut words = vec!["--threads", threads, "run", "--seeds", "1..3", "--format", "json"];
-        words.extend(["--set", "seconds=8", "--set", "partners=6"]);
-        words.extend(days.iter().map(String::as_str));
-        let output = lab(&words);
+        let mut args = vec!["--threads", threads, "run", "--seeds", "1..3", "--format", "json"];
+        args.extend(["--set", "seconds=8", "--set", "partners=6"]);
+        args.extend(days.iter().map(String::as_str));
+        let output = lab(&args);
         assert_eq!(output.status.code(), Some(0), "{}", text(&output.stderr));
         text(&output.stdout)
     };
-    let alone = run("1");
-    assert_eq!(alone.lines().count(), 9);
-    assert!(alone == run("2") && alone == run("4"));
+    let single_threaded = run("1");
+    assert_eq!(single_threaded.lines().count(), 9);
+    assert!(single_threaded == run("2") && single_threaded == run("4"));
 }
 
 /// A minute of small seeded days with the judge on.
 #[test]
-fn the_module_keeps_the_rules_on_every_day_of_the_library() {
+fn control_breaks_no_rule_on_the_small_scenarios_of_the_library() {
     let files: Vec<PathBuf> =
         std::fs::read_dir(scenarios()).unwrap().map(|entry| entry.unwrap().path()).collect();
     let small = |path: &&PathBuf| {
@@ -46,15 +46,15 @@
     };
     let small: Vec<String> = files.iter().filter(small).map(|path| path.display().to_string()).collect();
     assert!(small.len() >= 12);
-    let mut words = vec!["run", "--seeds", "1..2", "--set", "mails.full_rate=70", "--set", "partners=9"];
-    words.extend(small.iter().map(String::as_str));
-    let output = lab(&words);
+    let mut args = vec!["run", "--seeds", "1..2", "--set", "mails.full_rate=70", "--set", "partners=9"];
+    args.extend(small.iter().map(String::as_str));
+    let output = lab(&args);
     assert_eq!(output.status.code(), Some(0), "{}{}", text(&output.stdout), text(&output.stderr));
 }
 
 /// Each broke a rule once: a supplier order took effect twice, its repeat decided on as its window ended.
 #[test]
-fn days_that_once_broke_a_rule_break_none() {
+fn days_that_used_to_break_a_rule_break_none() {
     for (day, seed) in [("roll.toml", "4"), ("in-turn.toml", "5")] {
         let output = lab(&["run", &scenario(day), "--seeds", seed]);
         assert_eq!(output.status.code(), Some(0), "{}", text(&output.stdout));
@@ -62,56 +62,56 @@
 }
 
 #[test]
-fn an_interrupted_sweep_goes_on_where_it_was() {
+fn interrupted_sweep_resumes_without_rerunning_finished_days() {
     let folder = tempfile::tempdir().unwrap();
     let out = folder.path().join("sweep.jsonl").display().to_string();
     let day = scenario("hang.toml");
-    let mut words = vec!["sweep", &day, "--vary", "mails.load=0.4,0.6", "--seeds", "1..3", "--out", &out];
-    words.extend(["--set", "seconds=14", "--set", "partners=5"]);
-    assert_eq!(lab(&words).status.code(), Some(0));
-    let whole = std::fs::read_to_string(&out).unwrap();
-    assert_eq!(whole.lines().count(), 6);
+    let mut args = vec!["sweep", &day, "--vary", "mails.load=0.4,0.6", "--seeds", "1..3", "--out", &out];
+    args.extend(["--set", "seconds=14", "--set", "partners=5"]);
+    assert_eq!(lab(&args).status.code(), Some(0));
+    let uninterrupted = std::fs::read_to_string(&out).unwrap();
+    assert_eq!(uninterrupted.lines().count(), 6);
     // Two lines were finished when it was cut off in the middle of the third.
-    let ends: Vec<usize> = whole.match_indices('\n').map(|(at, _)| at).collect();
-    std::fs::write(&out, &whole[..ends[1] + 40]).unwrap();
-    let output = lab(&words);
+    let line_ends: Vec<usize> = uninterrupted.match_indices('\n').map(|(at, _)| at).collect();
+    std::fs::write(&out, &uninterrupted[..line_ends[1] + 40]).unwrap();
+    let output = lab(&args);
     assert!(text(&output.stdout).contains("4 of 6 days run now"), "{}", text(&output.stdout));
-    let again = std::fs::read_to_string(&out).unwrap();
-    assert!(again.starts_with(&whole[..=ends[1]]));
+    let resumed = std::fs::read_to_string(&out).unwrap();
+    assert!(resumed.starts_with(&uninterrupted[..=line_ends[1]]));
     let sorted = |text: &str| {
         let mut lines: Vec<String> = text.lines().map(String::from).collect();
         lines.sort();
         lines
     };
-    assert_eq!(sorted(&whole), sorted(&again));
+    assert_eq!(sorted(&uninterrupted), sorted(&resumed));
 }
 
 #[test]
-fn what_cannot_be_used_ends_with_words_and_two() {
+fn invalid_input_exits_with_a_message_and_code_2() {
     let folder = tempfile::tempdir().unwrap();
-    let wrong = folder.path().join("wrong.toml");
-    std::fs::write(&wrong, "seconds = 10\n[courier]\nleast_slots = 0\n[mails]\nfull_rate = 1e9\n").unwrap();
-    let wrong = wrong.display().to_string();
+    let invalid = folder.path().join("wrong.toml");
+    std::fs::write(&invalid, "seconds = 10\n[courier]\nleast_slots = 0\n[mails]\nfull_rate = 1e9\n").unwrap();
+    let invalid = invalid.display().to_string();
     let quiet = scenario("quiet.toml");
     let cases: [(&[&str], &str); 7] = [
-        (&["run", &wrong], "wrong.toml:3: courier.least_slots: 0 is out of bounds"),
-        (&["check", &wrong], "wrong.toml:5: mails.full_rate"),
+        (&["run", &invalid], "wrong.toml:3: courier.least_slots: 0 is out of bounds"),
+        (&["check", &invalid], "wrong.toml:5: mails.full_rate"),
         (&["run", "nowhere.toml"], "nowhere.toml"),
         (&["run", &quiet, "--decider", "best"], "no decider \"best\""),
         (&["run", &quiet, "--seeds", "1", "--out", "/dev/full"], "can't be written"),
         (&["compare", "control", "oracle"], "--scenario"),
         (&["replay", &quiet, "--mail", "99999999"], "--mail"),
     ];
-    for (words, told) in cases {
-        let output = lab(words);
-        assert_eq!(output.status.code(), Some(2), "{words:?}");
+    for (args, expected) in cases {
+        let output = lab(args);
+        assert_eq!(output.status.code(), Some(2), "{args:?}");
         let stderr = text(&output.stderr);
-        assert!(stderr.contains(told) && !stderr.contains("panicked"), "{words:?}: {stderr}");
+        assert!(stderr.contains(expected) && !stderr.contains("panicked"), "{args:?}: {stderr}");
     }
 }
 
 #[test]
-fn a_hunt_finds_what_a_baseline_breaks_and_cuts_it_down() {
+fn hunt_finds_and_shrinks_rule_violations_of_a_baseline() {
     let folder = tempfile::tempdir().unwrap();
     let library = folder.path().join("library");
     std::fs::create_dir(&library).unwrap();
@@ -120,9 +120,9 @@
     let keep = |name: &str| folder.path().join(name).display().to_string();
     let library = library.display().to_string();
     let hunt = |threads: &str, kept: &str| {
-        let words = ["--threads", threads, "hunt", "--library", &library, "--decider", "ejection", "--rules"];
+        let args = ["--threads", threads, "hunt", "--library", &library, "--decider", "ejection", "--rules"];
         let output =
-            lab(&[&words[..], &["--runs", "24", "--seconds", "600", "--shrink-runs", "40", "--keep", kept]]
+            lab(&[&args[..], &["--runs", "24", "--seconds", "600", "--shrink-runs", "40", "--keep", kept]]
                 .concat());
         assert_eq!(output.status.code(), Some(1), "{}", text(&output.stderr));
         text(&output.stdout)
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_day_is_drawn_and_its_page_needs_nothing_else() {
+fn plot_writes_all_charts_and_a_self_contained_page() {
     let folder = tempfile::tempdir().unwrap();
     let out = folder.path().display().to_string();
     let day = scenario("dark-hall.toml");
