--- a/crates/lab/src/charts.rs
+++ b/crates/lab/src/charts.rs
@@ -72,7 +72,7 @@
     let mut text = String::new();
     {
         let area = SVGBackend::with_string(&mut text, SIZE).into_drawing_area();
-        draw(chart, ended, &area).map_err(|e| CommandError::new(format!("a chart: {e}")))?;
+        draw(chart, ended, &area).map_err(|e| CommandError::new(format!("cannot draw a chart: {e}")))?;
     }
     Ok(text)
 }
--- a/crates/lab/src/deciders.rs
+++ b/crates/lab/src/deciders.rs
@@ -40,7 +40,7 @@
     let style = Style::ALL.iter().find(|(style, _)| *style == name).map(|(_, style)| *style);
     let style = style.ok_or_else(|| {
         let names: Vec<&str> = all().iter().map(|(name, _)| *name).collect();
-        format!("no decider {name:?}; there are {}", names.join(", "))
+        format!("unknown decider {name:?}; known deciders are {}", names.join(", "))
     })?;
     Ok(Box::new(move |_: usize, set: Settings| -> Box<dyn Decider> {
         Box::new(Plain::new(set, style, Wrong::Nothing))
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -283,6 +283,7 @@
     let mut scenario = found.scenario.clone();
     scenario.about = found.summary.clone();
     scenario.seed = Some(found.seed);
-    let text = toml::to_string(&scenario).map_err(|e| CommandError::new(format!("a found day: {e}")))?;
+    let text = toml::to_string(&scenario)
+        .map_err(|e| CommandError::new(format!("cannot write a found scenario as TOML: {e}")))?;
     Ok(format!("# Found near {}.\n{text}", found.origin))
 }
--- a/crates/lab/src/runs.rs
+++ b/crates/lab/src/runs.rs
@@ -74,7 +74,7 @@
         match serde_json::from_str(&text) {
             Ok(line) => lines.push(line),
             Err(_) if all.peek().is_none() => {}
-            Err(e) => return Err(error(format!("line {} is no result: {e}", at + 1))),
+            Err(e) => return Err(error(format!("line {} is not a result: {e}", at + 1))),
         }
     }
     Ok(lines)
@@ -118,11 +118,14 @@
     }
 
     fn append(&self, line: &RunResult) -> Result<(), CommandError> {
-        let mut text = serde_json::to_vec(line).map_err(|e| CommandError::new(format!("a result: {e}")))?;
+        let mut text = serde_json::to_vec(line)
+            .map_err(|e| CommandError::new(format!("cannot serialize a result: {e}")))?;
         text.push(b'\n');
         let mut file = self.file.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         file.write_all(&text).map_err(|e| {
-            CommandError::new(format!("a result can't be written ({e}); what was written before is whole"))
+            CommandError::new(format!(
+                "cannot write a result ({e}); earlier results in the file are complete"
+            ))
         })
     }
 }
