--- a/crates/lab/src/charts.rs
+++ b/crates/lab/src/charts.rs
@@ -1,4 +1,4 @@
-//! Charts of one day, as SVG or PNG. Each is drawn by one function for whichever of the two is asked for.
+//! Charts of one day. Each is drawn by one function that is generic over the backend: SVG or PNG.
 
 use std::path::Path;
 use std::sync::Once;
@@ -25,7 +25,6 @@
 ];
 const TROUBLE_SHADE: RGBColor = RGBColor(250, 220, 200);
 
-/// What a chart shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Chart {
     Importance,
@@ -57,12 +56,12 @@
 
 type ChartError = Box<dyn std::error::Error>;
 
-/// The library draws letters only of a font that it was given.
+/// Registers the embedded font: the `ab_glyph` feature of plotters draws text in registered fonts only.
 fn register_font() {
     static ONCE: Once = Once::new();
     ONCE.call_once(|| {
         let face = epaint_default_fonts::UBUNTU_LIGHT;
-        // A font that is refused leaves charts without letters, which is no reason to end.
+        // Charts without labels are better than none, so an error is ignored.
         let _ = plotters::style::register_font("sans-serif", FontStyle::Normal, face);
     });
 }
@@ -107,14 +106,14 @@
     ended.day.length as f64 / 10_000.0
 }
 
-/// Times in which a trouble was under way, in seconds, with its name.
+/// Returns start and end in seconds, and the name, of each trouble.
 fn trouble_spans(ended: &Ended) -> Vec<(f64, f64, String)> {
     let name = |what: What| format!("{what:?}").to_lowercase();
     let seconds = |t: u64| t as f64 / 10_000.0;
     ended.day.troubles.iter().map(|t| (seconds(t.from), seconds(t.until), name(t.what))).collect()
 }
 
-/// One line of a chart over time.
+/// One line of a time chart, as points of seconds and value.
 struct Line {
     name: String,
     points: Vec<(f64, f64)>,
@@ -245,7 +244,8 @@
         .y_label_area_size(50)
         .build_cartesian_2d(0.0..day_seconds(ended), 0.0..top * 1.05)?;
     chart.configure_mesh().x_desc("seconds").y_desc("endpoints x couriers").draw()?;
-    // From the whole down, so that each band is what stands out above the next.
+    // Draws the bands from the largest sum to the smallest, so that each covers all but the top part of the one
+    // before.
     for band in (0..4).rev() {
         let stacked = |sum: &[f64; 4]| sum[..=band].iter().sum::<f64>();
         let points: Vec<(f64, f64)> = sums.iter().map(|(at, sum)| (*at, stacked(sum))).collect();
@@ -293,7 +293,7 @@
             .draw_series(LineSeries::new(points, colour.stroke_width(2)))?
             .label(class.name.clone())
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 14, y)], colour.stroke_width(2)));
-        // The target delay, where its curve should have come to the top.
+        // A vertical line at the target delay of the class, by which its curve should have reached the top.
         let target = (class.settings.target_delay as f64 / 10.0).max(10.0);
         chart.draw_series(LineSeries::new([(target, 0.0), (target, 1.0)], colour.mix(0.4)))?;
     }
--- a/crates/lab/src/command.rs
+++ b/crates/lab/src/command.rs
@@ -1,4 +1,5 @@
-//! The command line: what is asked for, and what is done about it.
+//! The command line: its definition, and one function for each subcommand. Doc comments on the types that clap
+//! derives from are the help text.
 
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -15,7 +16,7 @@
 use crate::runs::{self, Job, ResultsFile, RunResult};
 use crate::{compare, deciders, report, speed, tables};
 
-/// What a command found.
+/// The result of a command that ran to its end; it decides the exit code.
 pub enum Verdict {
     Passed,
     RulesBroken,
@@ -229,7 +230,7 @@
     }
 }
 
-/// Prints; a reader that has gone ends the command without a word more.
+/// Writes to standard output; exits silently with code 0 if the reader has closed the pipe.
 fn print(text: &str) -> Result<(), CommandError> {
     let written = std::io::stdout().write_all(text.as_bytes());
     match written {
@@ -238,7 +239,7 @@
     }
 }
 
-/// Loads several files, and tells the faults of all of them at once.
+/// Loads several scenario files; the error holds the faults of all of them.
 fn load_all(paths: &[PathBuf], sets: &[String]) -> Result<Vec<NamedScenario>, CommandError> {
     let (mut all, mut faults) = (Vec::new(), Vec::new());
     for path in paths {
@@ -276,7 +277,7 @@
 }
 
 fn verdict(lines: &[RunResult]) -> Verdict {
-    // Baselines are there for comparison: what they break is told, and is no fault of the project's.
+    // Baselines serve as a comparison: rules that they break are printed, but do not change the exit code.
     let control_broke_a_rule =
         |line: &&RunResult| line.decider == deciders::CONTROL && line.figures.rules_broken > 0;
     if lines.iter().any(|line| control_broke_a_rule(&line)) {
@@ -304,7 +305,7 @@
     Ok(verdict(&lines))
 }
 
-/// All combinations of one value of each key.
+/// Returns every combination of one value for each varied key, as lists of `KEY=VALUE`.
 fn grid(vary: &[String]) -> Result<Vec<Vec<String>>, CommandError> {
     let mut grid = vec![Vec::new()];
     for entry in vary {
@@ -328,7 +329,7 @@
     Ok(grid)
 }
 
-/// Commas within brackets belong to a range.
+/// Splits at commas outside brackets, since `[low,high]` is a single value: a range.
 fn split_outside_brackets(text: &str) -> Vec<&str> {
     let (mut depth, mut start, mut parts) = (0, 0, Vec::new());
     for (at, letter) in text.char_indices() {
@@ -360,7 +361,7 @@
     }
     let results_file = ResultsFile::open(out)?;
     let new_results = runs::run(&all, Some(&results_file))?;
-    // What an earlier sitting finished is part of the answer too.
+    // The summary also covers results that an earlier, interrupted sweep wrote to the file.
     let digests: Vec<String> = all.iter().map(|job| runs::digest(&job.scenario)).collect();
     let build = deciders::build_id();
     let lines: Vec<RunResult> = runs::read_results(out)?
@@ -534,7 +535,8 @@
     let (named, seed, maker) = day.load()?;
     let decider = &day.decider;
     std::fs::create_dir_all(out).map_err(|e| CommandError::new(format!("{}: {e}", out.display())))?;
-    // Some two hundred samples, whatever the day's length.
+    // About 200 samples regardless of the length of the day: time is in units of 0.1 ms, and samples are at least
+    // 10 units (1 ms) apart.
     let sample_every = ((named.scenario.seconds.low() * 50.0) as u64).max(10);
     let ended = run(&named.scenario, seed, &*maker, Options { sample_every, ..Options::default() });
     let stem = format!("{}-{decider}-{seed}", named.name);
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -1,5 +1,4 @@
-//! Compares two sides on the same days: the differences of pairs, with a bootstrap interval, and a plain word where
-//! there is none.
+//! Compares two sets of results on the same days: the mean paired difference with its bootstrap confidence interval.
 
 use std::collections::HashMap;
 
@@ -7,7 +6,7 @@
 
 use crate::runs::RunResult;
 
-/// Resamplings of the pairs.
+/// Number of bootstrap samples.
 const RESAMPLINGS: usize = 4_000;
 const SEED: u64 = 1;
 
@@ -16,7 +15,7 @@
     pub pairs: usize,
     pub a: f64,
     pub b: f64,
-    /// B less A, and the interval that holds it with 95 in 100.
+    /// Mean of B minus A; `low` and `high` bound its 95% confidence interval.
     pub mean: f64,
     pub low: f64,
     pub high: f64,
@@ -32,7 +31,7 @@
     }
 }
 
-/// The mean difference of pairs, with its interval.
+/// Returns the mean difference of the pairs with its bootstrap interval; `None` without pairs.
 pub fn paired_difference(pairs: &[(f64, f64)]) -> Option<Difference> {
     if pairs.is_empty() {
         return None;
@@ -61,7 +60,8 @@
     })
 }
 
-/// Pairs of G by scenario, by name: same scenario, same sets, same seed on both sides.
+/// Pairs the G of runs with the same scenario, values set and seed on both sides. Grouped by scenario and values set,
+/// and sorted by name.
 pub fn pairs_by_scenario(a: &[RunResult], b: &[RunResult]) -> Vec<(String, Vec<(f64, f64)>)> {
     let pair_key = |line: &RunResult| (line.scenario.clone(), line.sets.clone(), line.seed);
     let other_side: HashMap<_, f64> = b.iter().map(|line| (pair_key(line), line.figures.g)).collect();
--- a/crates/lab/src/deciders.rs
+++ b/crates/lab/src/deciders.rs
@@ -1,4 +1,4 @@
-//! The deciders by name.
+//! Deciders by name: the control module, the oracle and the baselines.
 
 use meadowhold::interface::Settings;
 use meadowhold_emulator::baselines::{Plain, Style, Wrong};
@@ -9,7 +9,7 @@
 pub const CONTROL: &str = "control";
 pub const ORACLE: &str = "oracle";
 
-/// Names and what they stand for.
+/// Returns all deciders, as names and descriptions.
 pub fn all() -> Vec<(&'static str, &'static str)> {
     let mut all = vec![
         (CONTROL, "the module that the courier runs"),
@@ -47,7 +47,8 @@
     }))
 }
 
-/// Which text decides: the version, and a fingerprint of the module's files as they were built.
+/// Identifies the build of the control module: the package version and a hash of `control.rs` and `state.rs` as
+/// compiled. It is part of the key of a run.
 pub fn build_id() -> String {
     let text = concat!(include_str!("../../../src/control.rs"), include_str!("../../../src/state.rs"));
     format!("{}+{:08x}", env!("CARGO_PKG_VERSION"), xxh3_64(text.as_bytes()) as u32)
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -1,5 +1,5 @@
-//! Looks for the worst day: one on which a rule breaks, or on which most is lost against who sees all. What is found can
-//! be cut down to the fewest troubles, the smallest fleet and the shortest time that still fail.
+//! Searches for the worst days: those that break a rule, or that lose most against the oracle. A found day can be
+//! shrunk to the fewest troubles, smallest fleet and shortest time that still show the same symptom.
 
 use std::time::{Duration, Instant};
 
@@ -14,18 +14,19 @@
 use crate::deciders;
 use crate::load::{CommandError, NamedScenario};
 
-/// Candidates that are tried together; the same whatever the number of threads.
+/// Candidates evaluated in parallel before the worst days are updated. Independent of the number of threads, so that
+/// the same seed gives the same candidates on any machine.
 const BATCH: usize = 48;
-/// Days kept of those that lose most.
+/// Number of days kept of those that lose most.
 const MAX_WORST: usize = 12;
-/// Part of the loss that a cut day must still show.
+/// Share of the original loss that a reduced day must still show.
 const MIN_LOSS_SHARE: f64 = 0.75;
 
-/// What a found day shows.
+/// Why a found day counts as bad.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Symptom {
     Breaks(Rule),
-    /// G lost against who sees all.
+    /// G of the oracle minus G of the decider.
     Loses(f64),
 }
 
@@ -47,7 +48,7 @@
     pub rules_only: bool,
 }
 
-/// Sizes that a trouble of each kind may have.
+/// Lowest and highest size of a random trouble, by its kind.
 const TROUBLE_SIZES: [(What, f64, f64); 27] = [
     (What::Crash, 1.0, 1.0),
     (What::Hang, 1.0, 1.0),
@@ -91,7 +92,7 @@
     trouble
 }
 
-/// A day near one of the library, or near one that was found to be bad.
+/// Derives a candidate by random changes to a scenario of the library or to one of the worst days found so far.
 fn candidate(hunt: &Hunt, worst: &[Finding], number: u64) -> Finding {
     let random = &mut Stream::new(hunt.seed, Purpose::Trouble, number);
     let seed = random.number() >> 32;
@@ -143,7 +144,8 @@
     Ok(figures(scenario, seed, &*oracle).g - own_figures.g)
 }
 
-/// Same seed and number of runs, same days, whatever the threads; a limit in seconds ends it between two batches.
+/// Returns the days that break a rule, and those that lose most. The same seed and number of runs give the same days
+/// for any number of threads; the time limit is checked between batches only.
 pub fn hunt(
     hunt: &Hunt,
     mut on_progress: impl FnMut(usize, &[Finding], &[Finding]),
@@ -160,7 +162,7 @@
         for found in evaluated?.into_iter().flatten() {
             match found.symptom {
                 Symptom::Breaks(_) => {
-                    // One day for each rule and make-up is enough to go on with.
+                    // Keeps one day for each combination of broken rule and kinds of trouble.
                     let same =
                         |f: &Finding| f.symptom == found.symptom && trouble_kinds(f) == trouble_kinds(&found);
                     if !broken.iter().any(same) {
@@ -193,7 +195,7 @@
     }
 }
 
-/// Whether a day still shows what it was found for; the seed that does, of the one given and a few more.
+/// Returns the first seed, of the given one and 1 to 7, with which the scenario still shows the symptom.
 fn reproducing_seed(
     scenario: &Scenario,
     seed: u64,
@@ -218,7 +220,7 @@
     seeds.par_iter().find_first(reproduces).copied()
 }
 
-/// Smaller days than this one, the boldest cuts first.
+/// Returns smaller variants of a scenario, the largest reductions first.
 fn reductions(s: &Scenario) -> Vec<Scenario> {
     let mut reduced = Vec::new();
     let mut cut = |change: &dyn Fn(&mut Scenario)| {
@@ -258,8 +260,8 @@
     reduced
 }
 
-/// Cuts a found day down as long as it shows the same; how many runs that took.
-/// At most so many runs are spent on it.
+/// Reduces a found day step by step while it shows the same symptom. Returns it with the number of runs used; no
+/// further reduction is tried once `max_runs` is reached.
 pub fn shrink(found: &Finding, decider: &str, max_runs: usize) -> (Finding, usize) {
     let (mut best, mut runs) = (found.clone(), 0);
     best.scenario.trouble.iter_mut().enumerate().for_each(|(i, t)| t.mark = t.mark.or(Some(i as u64)));
@@ -278,7 +280,7 @@
     (best, runs)
 }
 
-/// A found day as a scenario file of its own.
+/// Formats a found day as a scenario file, with its seed.
 pub fn to_toml(found: &Finding) -> Result<String, CommandError> {
     let mut scenario = found.scenario.clone();
     scenario.about = found.summary.clone();
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,4 +1,4 @@
-//! Reads scenarios: files that include others, values set on the command line over them, and faults with their place.
+//! Loads scenarios: resolves includes, applies values set on the command line, and reports faults with file and line.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -8,10 +8,10 @@
 use serde::Deserialize;
 use toml::{Table, Value};
 
-/// Files that include files, so many deep at most: guards against one that includes itself.
+/// Maximum depth of nested includes; it stops a file that includes itself.
 const MAX_INCLUDE_DEPTH: usize = 8;
 
-/// What a person is told of input that can't be used; nothing else is printed of it.
+/// An error that ends a command, as one or more messages for the user, each printed on a line of its own.
 #[derive(Debug)]
 pub struct CommandError(pub Vec<String>);
 
@@ -27,14 +27,15 @@
     }
 }
 
-/// A scenario with its name: that of its file, without folder and ending.
+/// A scenario with its name: the file name without folder and extension.
 #[derive(Clone, Debug)]
 pub struct NamedScenario {
     pub name: String,
     pub scenario: Scenario,
 }
 
-/// Reads a file, what it includes, and sets values over it (`mails.load=0.8`, `trouble.0.part=[0.1,0.3]`).
+/// Loads a scenario file with its includes, applies the values of `sets` (`mails.load=0.8`,
+/// `trouble.0.part=[0.1,0.3]`) and checks the result.
 pub fn load(path: &Path, sets: &[String]) -> Result<NamedScenario, CommandError> {
     let merged = load_merged(path, 0)?;
     let mut scenario = Scenario::deserialize(Value::Table(merged)).map_err(|e| file_error(path, &e))?;
@@ -60,7 +61,7 @@
         return Err(file_error(path, &message));
     }
     let text = std::fs::read_to_string(path).map_err(|e| file_error(path, &e))?;
-    // Each file is read by itself first, so that what it says wrong is told with its line.
+    // Each file is first parsed on its own: errors of the merged table would have no line number.
     toml::from_str::<Scenario>(&text).map_err(|e| file_error(path, &e))?;
     let own: Table = toml::from_str(&text).map_err(|e| file_error(path, &e))?;
     let includes = own.get("include").and_then(Value::as_array).cloned().unwrap_or_default();
@@ -74,7 +75,7 @@
     Ok(merged)
 }
 
-/// Tables are merged key by key; lists and values take the place of what was there.
+/// Merges tables key by key, recursively; lists and single values are replaced.
 fn merge_tables(base: &mut Table, overrides: Table) {
     for (key, value) in overrides {
         match (base.get_mut(&key), value) {
@@ -86,16 +87,16 @@
     }
 }
 
-/// A scenario with values set by path.
+/// Returns the scenario with the given `KEY=VALUE` pairs applied; a key is a path with dots.
 pub fn with_overrides(scenario: &Scenario, sets: &[String]) -> Result<Scenario, CommandError> {
-    // Written out whole first, so that what no file names can be set too.
+    // Serializes the whole scenario, so that keys which no file mentions can also be set.
     let mut merged = Value::try_from(scenario).map_err(|e| CommandError::new(format!("--set: {e}")))?;
     for set in sets {
         let error = |message: String| CommandError::new(format!("--set {set}: {message}"));
         let (key, text) = set.split_once('=').ok_or_else(|| error("expected KEY=VALUE".into()))?;
         let table = format!("value = {text}");
         let value = toml::from_str::<Table>(&table).ok().and_then(|mut t| t.remove("value"));
-        // A bare word is a text.
+        // A value that is not valid TOML, such as a bare word, is taken as a string.
         let value = value.unwrap_or_else(|| Value::String(text.trim().to_string()));
         set_value(&mut merged, key.trim(), value).map_err(error)?;
     }
@@ -139,7 +140,7 @@
     Ok(())
 }
 
-/// A fault with file and line, where the file names the key; else with the key alone.
+/// Formats a fault with the `--set` that caused it, or else with the file, and the line if the file has the key.
 fn fault_message(path: &Path, sets: &[String], fault: &Fault) -> String {
     if let Some(set) = sets.iter().find(|set| set.split('=').next().map(str::trim) == Some(&fault.path)) {
         return format!("--set {set}: {}; {}", fault.found, fault.remedy);
@@ -151,7 +152,7 @@
     }
 }
 
-/// The line on which a key stands, or the part of its path that the file names.
+/// Returns the line of a key, or of the longest part of its path that the file has.
 fn line_of(text: &str, path: &str) -> Option<usize> {
     let document = toml_edit::Document::parse(text).ok()?;
     let mut item = document.as_item();
@@ -168,7 +169,7 @@
     span.map(|span| text[..span.start].matches('\n').count() + 1)
 }
 
-/// `7`, `1..20` (both ends counted) or `3,9,11`.
+/// Parses seeds: `7`, `1..20` (inclusive) or `3,9,11`.
 pub fn parse_seeds(text: &str) -> Result<Vec<u64>, String> {
     let number = |part: &str| {
         part.trim().parse::<u64>().map_err(|_| format!("{part:?} is not a seed: expected a whole number"))
@@ -183,7 +184,7 @@
     text.split(',').map(number).collect()
 }
 
-/// All scenario files of a folder that can be run by themselves, by name.
+/// Returns the scenario files (`.toml`) of a folder, without subfolders, sorted by name.
 pub fn scenario_files(folder: &Path) -> Result<Vec<PathBuf>, CommandError> {
     let entries = std::fs::read_dir(folder).map_err(|e| file_error(folder, &e))?;
     let mut files: Vec<PathBuf> = entries
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,5 @@
-//! `meadowhold-lab`: runs, sweeps, compares, hunts and plots days of the emulator. Everything here is simulated.
+//! `meadowhold-lab`: runs, sweeps, compares, searches and plots simulated days of the emulator. It opens no network
+//! connection.
 #![forbid(unsafe_code)]
 
 mod charts;
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,4 +1,4 @@
-//! One page of HTML a run, with nothing to fetch: figures, charts, and the history of mails that tell most.
+//! Renders a run as one self-contained HTML page: figures, charts, and the histories of selected mails.
 
 use std::fmt::Write;
 
@@ -10,14 +10,14 @@
 use crate::charts::{svg, Chart};
 use crate::load::{CommandError, NamedScenario};
 
-/// Mails whose history is told where no rule was broken: those that lost most.
+/// Maximum number of mails whose history is shown.
 const MAX_HISTORIES: usize = 3;
 
 fn escape_html(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-/// The mails that a reader will ask about: of broken rules, else those that lost most importance.
+/// Selects the mails whose history is shown: those of broken rules, or else those that lost most importance.
 fn mails_to_show(ended: &Ended) -> Vec<u32> {
     let mut shown: Vec<u32> = ended.judge.broken.iter().map(|b| b.mail).collect();
     shown.dedup();
--- a/crates/lab/src/runs.rs
+++ b/crates/lab/src/runs.rs
@@ -1,5 +1,5 @@
-//! Runs days over all cores and keeps each result as a line of JSON as soon as it is there, so that an interrupted run
-//! loses nothing that it finished.
+//! Runs days in parallel and appends each result to a file as a line of JSON as soon as it is available, so that an
+//! interrupted run keeps all finished results.
 
 use std::collections::HashSet;
 use std::fs::{File, OpenOptions};
@@ -18,7 +18,7 @@
 use crate::deciders;
 use crate::load::CommandError;
 
-/// A day to be run.
+/// One day to run: a scenario with a seed and a decider.
 #[derive(Clone, Debug)]
 pub struct Job {
     pub name: String,
@@ -28,11 +28,11 @@
     pub seed: u64,
 }
 
-/// A line of results.
+/// The result of one run; one line of a results file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunResult {
     pub scenario: String,
-    /// Fingerprint of the scenario with all its values.
+    /// Hash of the scenario with all its values, see [`digest`].
     pub digest: String,
     pub sets: Vec<String>,
     pub decider: String,
@@ -42,7 +42,7 @@
 }
 
 impl RunResult {
-    /// What makes two lines the same run.
+    /// Identifies the run: two results with the same key are of the same run.
     fn key(&self) -> String {
         run_key(&self.digest, &self.decider, &self.build, self.seed)
     }
@@ -57,13 +57,13 @@
     format!("{:016x}", xxh3_64(text.as_bytes()))
 }
 
-/// Sets the number of threads for all that follows; 0: one for each core.
+/// Sets the size of the global thread pool; 0 means one thread for each core.
 pub fn set_threads(count: usize) -> Result<(), CommandError> {
     let built = rayon::ThreadPoolBuilder::new().num_threads(count).build_global();
     built.map_err(|e| CommandError::new(format!("--threads {count}: {e}")))
 }
 
-/// Lines of a file of results; a last line that was cut off is passed over.
+/// Reads a results file. An incomplete last line, left by an interrupted run, is ignored.
 pub fn read_results(path: &Path) -> Result<Vec<RunResult>, CommandError> {
     let error = |message: String| CommandError::new(format!("{}: {message}", path.display()));
     let file = File::open(path).map_err(|e| error(e.to_string()))?;
@@ -80,14 +80,14 @@
     Ok(lines)
 }
 
-/// A file of results that lines are added to.
+/// A results file that is open for appending, with the keys of the runs that it holds.
 pub struct ResultsFile {
     file: Mutex<File>,
     completed: HashSet<String>,
 }
 
 impl ResultsFile {
-    /// Opens a file to go on with it; what it holds is not run again.
+    /// Opens or creates a results file. Runs that it already holds are not repeated.
     pub fn open(path: &Path) -> Result<ResultsFile, CommandError> {
         let error = |e: std::io::Error| CommandError::new(format!("{}: {e}", path.display()));
         let completed = if path.is_file() {
@@ -102,7 +102,8 @@
             .write(true)
             .open(path)
             .map_err(error)?;
-        // Guards against a line that was cut off: the next would be written on to its end. A pipe has no end.
+        // Removes an incomplete last line, to which the next result would otherwise be appended. Pipes and devices
+        // cannot be truncated.
         if file.metadata().map_err(error)?.is_file() {
             let mut text = Vec::new();
             file.read_to_end(&mut text).map_err(error)?;
@@ -130,7 +131,7 @@
     }
 }
 
-/// Runs all jobs, those aside that `results_file` holds already; results come in the order of the jobs.
+/// Runs all jobs except those that `results_file` already holds. Returns the new results in the order of the jobs.
 pub fn run(jobs: &[Job], results_file: Option<&ResultsFile>) -> Result<Vec<RunResult>, CommandError> {
     let build = deciders::build_id();
     let pending: Vec<&Job> = jobs
--- a/crates/lab/src/speed.rs
+++ b/crates/lab/src/speed.rs
@@ -1,4 +1,4 @@
-//! How fast days are simulated, by size, with the deciders' own share of the time and the memory that it took.
+//! Measures how fast days of several sizes are simulated, the share of the time spent in deciders, and peak memory.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
@@ -10,7 +10,7 @@
 use meadowhold_emulator::scenario::{Figure, Scenario};
 use meadowhold_emulator::world::Options;
 
-/// A size: couriers, partners (about two and a half endpoints each), mails a second at full load, seconds.
+/// Name, couriers, destinations (about 2.5 endpoints each), mails per second at full load, and seconds.
 pub const SIZES: [(&str, f64, f64, f64, f64); 4] = [
     ("3x30", 3.0, 12.0, 100.0, 300.0),
     ("200x1000", 200.0, 400.0, 4_000.0, 20.0),
@@ -21,16 +21,16 @@
 pub struct Measurement {
     pub figures: Figures,
     pub took: Duration,
-    /// Time that the deciders spent of it.
+    /// The part of `took` that was spent in deciders.
     pub decider_time: Duration,
-    /// Most memory that the process has held so far, in MiB; nothing where the system does not tell.
+    /// Peak resident memory of the process so far, in MiB; `None` where the system does not report it.
     pub peak_mib: Option<u64>,
 }
 
-/// Counts the time that its decider takes; a look at the clock costs some 25 ns twice a turn.
+/// Measures the time spent in the wrapped decider. The two clock readings per turn cost about 25 ns each.
 struct Timed {
     inner: Box<dyn Decider>,
-    /// Nanoseconds; added to `SPENT_NS` at the end.
+    /// Added to `SPENT_NS` on drop.
     spent_ns: u64,
 }
 
@@ -90,7 +90,7 @@
     }
 }
 
-/// The process's high-water mark, as Linux tells it (proc(5), `VmHWM`).
+/// Reads the peak resident set size of the process on Linux (`VmHWM` in proc(5)).
 fn peak_mib() -> Option<u64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
     let line = status.lines().find(|line| line.starts_with("VmHWM:"))?;
--- a/crates/lab/src/tables.rs
+++ b/crates/lab/src/tables.rs
@@ -1,10 +1,10 @@
-//! Results as a person reads them.
+//! Formats results as plain-text tables.
 
 use std::collections::BTreeMap;
 
 use crate::runs::RunResult;
 
-/// Columns lined up, the first to the left and the others to the right.
+/// Aligns columns: the first to the left, the others to the right.
 pub fn table(rows: &[Vec<String>]) -> String {
     let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
     let width = |c: usize| rows.iter().filter_map(|r| r.get(c)).map(|t| t.chars().count()).max().unwrap_or(0);
@@ -25,7 +25,8 @@
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
 
-/// One row for each scenario, set of values and decider: means over the seeds, the worst G, rules broken.
+/// Formats one row for each scenario, set of values and decider: means over the seeds, the lowest G, and the number
+/// of days with broken rules.
 pub fn summary(lines: &[RunResult]) -> String {
     let mut groups: BTreeMap<(String, String, String), Vec<&RunResult>> = BTreeMap::new();
     for line in lines {
@@ -70,7 +71,7 @@
     table(&rows)
 }
 
-/// The first broken rules of each run, a line each.
+/// Formats the first two broken rules of each run, one per line.
 pub fn broken_rules(lines: &[RunResult]) -> String {
     let mut text = String::new();
     for line in lines {
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -1,4 +1,4 @@
-//! The tool as a person or a script uses it.
+//! Runs the `meadowhold-lab` binary as a user or a script does.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -35,7 +35,8 @@
     assert!(single_threaded == run("2") && single_threaded == run("4"));
 }
 
-/// A minute of small seeded days with the judge on.
+/// Runs the scenarios at a reduced rate and with few destinations, without the `grown*` ones, which have 200
+/// couriers. The exit code is 0 only if the judge found no broken rule.
 #[test]
 fn control_breaks_no_rule_on_the_small_scenarios_of_the_library() {
     let files: Vec<PathBuf> =
@@ -52,7 +53,8 @@
     assert_eq!(output.status.code(), Some(0), "{}{}", text(&output.stdout), text(&output.stderr));
 }
 
-/// Each broke a rule once: a supplier order took effect twice, its repeat decided on as its window ended.
+/// Regression test: on these days a supplier order took effect twice, because the decision to repeat it was made as
+/// its deduplication window ended.
 #[test]
 fn days_that_used_to_break_a_rule_break_none() {
     for (day, seed) in [("roll.toml", "4"), ("in-turn.toml", "5")] {
@@ -71,7 +73,7 @@
     assert_eq!(lab(&args).status.code(), Some(0));
     let uninterrupted = std::fs::read_to_string(&out).unwrap();
     assert_eq!(uninterrupted.lines().count(), 6);
-    // Two lines were finished when it was cut off in the middle of the third.
+    // Simulates an interruption in the middle of the third line.
     let line_ends: Vec<usize> = uninterrupted.match_indices('\n').map(|(at, _)| at).collect();
     std::fs::write(&out, &uninterrupted[..line_ends[1] + 40]).unwrap();
     let output = lab(&args);
@@ -136,7 +138,7 @@
     assert!(!found.is_empty() && found == hunt("4", &four));
     for file in std::fs::read_dir(&one).unwrap() {
         let path = file.unwrap().path().display().to_string();
-        // A found day is a scenario of its own, with its seed, and breaks the rule again.
+        // The file includes the seed, so a replay breaks the rule again.
         assert_eq!(lab(&["replay", &path, "--decider", "ejection"]).status.code(), Some(1), "{path}");
     }
 }
