--- a/crates/lab/src/command.rs
+++ b/crates/lab/src/command.rs
@@ -276,11 +276,11 @@
     Ok(jobs)
 }
 
-fn verdict(lines: &[RunResult]) -> Verdict {
+fn verdict(results: &[RunResult]) -> Verdict {
     // Baselines serve as a comparison: rules that they break are printed, but do not change the exit code.
     let control_broke_a_rule =
-        |line: &&RunResult| line.decider == deciders::CONTROL && line.figures.rules_broken > 0;
-    if lines.iter().any(|line| control_broke_a_rule(&line)) {
+        |result: &&RunResult| result.decider == deciders::CONTROL && result.figures.rules_broken > 0;
+    if results.iter().any(|result| control_broke_a_rule(&result)) {
         Verdict::RulesBroken
     } else {
         Verdict::Passed
@@ -289,20 +289,20 @@
 
 fn run_days(days: &Days, format: Format, out: Option<&Path>) -> Result<Verdict, CommandError> {
     let results_file = out.map(ResultsFile::open).transpose()?;
-    let lines = runs::run(&jobs(days)?, results_file.as_ref())?;
+    let results = runs::run(&jobs(days)?, results_file.as_ref())?;
     match format {
         Format::Text => {
-            print(&tables::summary(&lines))?;
-            print(&tables::broken_rules(&lines))?;
+            print(&tables::summary(&results))?;
+            print(&tables::broken_rules(&results))?;
         }
         Format::Json => {
-            for line in &lines {
-                let text = serde_json::to_string(line).map_err(|e| CommandError::new(e.to_string()))?;
+            for result in &results {
+                let text = serde_json::to_string(result).map_err(|e| CommandError::new(e.to_string()))?;
                 print(&(text + "\n"))?;
             }
         }
     }
-    Ok(verdict(&lines))
+    Ok(verdict(&results))
 }
 
 /// Returns every combination of one value for each varied key, as lists of `KEY=VALUE`.
@@ -364,13 +364,13 @@
     // The summary also covers results that an earlier, interrupted sweep wrote to the file.
     let digests: Vec<String> = all.iter().map(|job| runs::digest(&job.scenario)).collect();
     let build = deciders::build_id();
-    let lines: Vec<RunResult> = runs::read_results(out)?
+    let results: Vec<RunResult> = runs::read_results(out)?
         .into_iter()
-        .filter(|line| line.build == build && digests.contains(&line.digest))
+        .filter(|result| result.build == build && digests.contains(&result.digest))
         .collect();
-    print(&tables::summary(&lines))?;
+    print(&tables::summary(&results))?;
     print(&format!("{} of {} days run now, all in {}\n", new_results.len(), all.len(), out.display()))?;
-    Ok(verdict(&lines))
+    Ok(verdict(&results))
 }
 
 fn compare_sides(
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -63,21 +63,21 @@
 /// Pairs the G of runs with the same scenario, values set and seed on both sides. Grouped by scenario and values set,
 /// and sorted by name.
 pub fn pairs_by_scenario(a: &[RunResult], b: &[RunResult]) -> Vec<(String, Vec<(f64, f64)>)> {
-    let pair_key = |line: &RunResult| (line.scenario.clone(), line.sets.clone(), line.seed);
-    let other_side: HashMap<_, f64> = b.iter().map(|line| (pair_key(line), line.figures.g)).collect();
+    let pair_key = |result: &RunResult| (result.scenario.clone(), result.sets.clone(), result.seed);
+    let other_side: HashMap<_, f64> = b.iter().map(|result| (pair_key(result), result.figures.g)).collect();
     let mut groups: Vec<(String, Vec<(f64, f64)>)> = Vec::new();
-    for line in a {
-        let Some(&g) = other_side.get(&pair_key(line)) else { continue };
-        let name = if line.sets.is_empty() {
-            line.scenario.clone()
+    for result in a {
+        let Some(&g) = other_side.get(&pair_key(result)) else { continue };
+        let name = if result.sets.is_empty() {
+            result.scenario.clone()
         } else {
-            format!("{} {}", line.scenario, line.sets.join(" "))
+            format!("{} {}", result.scenario, result.sets.join(" "))
         };
         let index = groups.iter().position(|(known, _)| *known == name).unwrap_or_else(|| {
             groups.push((name, Vec::new()));
             groups.len() - 1
         });
-        groups[index].1.push((line.figures.g, g));
+        groups[index].1.push((result.figures.g, g));
     }
     groups.sort_by(|a, b| a.0.cmp(&b.0));
     groups
--- a/crates/lab/src/runs.rs
+++ b/crates/lab/src/runs.rs
@@ -67,17 +67,17 @@
 pub fn read_results(path: &Path) -> Result<Vec<RunResult>, CommandError> {
     let error = |message: String| CommandError::new(format!("{}: {message}", path.display()));
     let file = File::open(path).map_err(|e| error(e.to_string()))?;
-    let mut lines = Vec::new();
+    let mut results = Vec::new();
     let mut all = BufReader::new(file).lines().enumerate().peekable();
     while let Some((at, text)) = all.next() {
         let text = text.map_err(|e| error(e.to_string()))?;
         match serde_json::from_str(&text) {
-            Ok(line) => lines.push(line),
+            Ok(result) => results.push(result),
             Err(_) if all.peek().is_none() => {}
             Err(e) => return Err(error(format!("line {} is not a result: {e}", at + 1))),
         }
     }
-    Ok(lines)
+    Ok(results)
 }
 
 /// A results file that is open for appending, with the keys of the runs that it holds.
@@ -118,8 +118,8 @@
         self.completed.contains(&run_key(&digest(&job.scenario), &job.decider, build, job.seed))
     }
 
-    fn append(&self, line: &RunResult) -> Result<(), CommandError> {
-        let mut text = serde_json::to_vec(line)
+    fn append(&self, result: &RunResult) -> Result<(), CommandError> {
+        let mut text = serde_json::to_vec(result)
             .map_err(|e| CommandError::new(format!("cannot serialize a result: {e}")))?;
         text.push(b'\n');
         let mut file = self.file.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
@@ -142,12 +142,12 @@
     if let Ok(style) = ProgressStyle::with_template("{bar:30} {pos}/{len} days, {eta} left") {
         bar.set_style(style);
     }
-    let lines = pending
+    let results = pending
         .par_iter()
         .map(|job| {
             let maker = deciders::maker(&job.decider).map_err(CommandError::new)?;
             let figures = figures(&job.scenario, job.seed, &*maker);
-            let line = RunResult {
+            let result = RunResult {
                 scenario: job.name.clone(),
                 digest: digest(&job.scenario),
                 sets: job.sets.clone(),
@@ -157,12 +157,12 @@
                 figures,
             };
             if let Some(results_file) = results_file {
-                results_file.append(&line)?;
+                results_file.append(&result)?;
             }
             bar.inc(1);
-            Ok(line)
+            Ok(result)
         })
         .collect();
     bar.finish_and_clear();
-    lines
+    results
 }
--- a/crates/lab/src/tables.rs
+++ b/crates/lab/src/tables.rs
@@ -27,11 +27,11 @@
 
 /// Formats one row for each scenario, set of values and decider: means over the seeds, the lowest G, and the number
 /// of days with broken rules.
-pub fn summary(lines: &[RunResult]) -> String {
+pub fn summary(results: &[RunResult]) -> String {
     let mut groups: BTreeMap<(String, String, String), Vec<&RunResult>> = BTreeMap::new();
-    for line in lines {
-        let group = (line.scenario.clone(), line.sets.join(" "), line.decider.clone());
-        groups.entry(group).or_default().push(line);
+    for result in results {
+        let group = (result.scenario.clone(), result.sets.join(" "), result.decider.clone());
+        groups.entry(group).or_default().push(result);
     }
     let header = [
         "scenario",
@@ -48,15 +48,16 @@
         "rules broken",
     ];
     let mut rows = vec![header.map(String::from).to_vec()];
-    for ((scenario, sets, decider), lines) in groups {
-        let of = |get: &dyn Fn(&RunResult) -> f64| lines.iter().map(|line| get(line)).collect::<Vec<f64>>();
+    for ((scenario, sets, decider), results) in groups {
+        let of =
+            |get: &dyn Fn(&RunResult) -> f64| results.iter().map(|result| get(result)).collect::<Vec<f64>>();
         let figure = |get: &dyn Fn(&RunResult) -> f64| format!("{:.3}", mean(&of(get)));
-        let broken = lines.iter().filter(|line| line.figures.rules_broken > 0).count();
+        let broken = results.iter().filter(|result| result.figures.rules_broken > 0).count();
         let name = if sets.is_empty() { scenario } else { format!("{scenario} {sets}") };
         rows.push(vec![
             name,
             decider,
-            lines.len().to_string(),
+            results.len().to_string(),
             figure(&|l| l.figures.g),
             format!("{:.3}", of(&|l| l.figures.g).into_iter().fold(1.0, f64::min)),
             figure(&|l| l.figures.whole),
@@ -72,15 +73,15 @@
 }
 
 /// Formats the first two broken rules of each run, one per line.
-pub fn broken_rules(lines: &[RunResult]) -> String {
+pub fn broken_rules(results: &[RunResult]) -> String {
     let mut text = String::new();
-    for line in lines {
-        for b in line.figures.broken.iter().take(2) {
+    for result in results {
+        for b in result.figures.broken.iter().take(2) {
             text.push_str(&format!(
                 "{} seed {} {}: {:?} at {:.2} s, mail {}, courier {}: {}\n",
-                line.scenario,
-                line.seed,
-                line.decider,
+                result.scenario,
+                result.seed,
+                result.decider,
                 b.rule,
                 b.at as f64 / 10_000.0,
                 b.mail,
