--- a/crates/lab/src/command.rs
+++ b/crates/lab/src/command.rs
@@ -436,13 +436,13 @@
         eprintln!("{done} days tried, {} ways to break a rule{worst_found}", broken.len());
     })?;
     for found in broken.iter().chain(&worst) {
-        let kinds: Vec<String> =
+        let troubles: Vec<String> =
             found.scenario.trouble.iter().map(|t| format!("{:?}", t.what).to_lowercase()).collect();
         print(&format!(
             "near {} seed {} ({}): {}\n",
             found.origin,
             found.seed,
-            kinds.join("+"),
+            troubles.join("+"),
             found.summary
         ))?;
     }
@@ -450,14 +450,14 @@
         std::fs::create_dir_all(folder)
             .map_err(|e| CommandError::new(format!("{}: {e}", folder.display())))?;
         for (i, found) in broken.iter().chain(worst.iter().take(3)).enumerate() {
-            let (small, runs) = hunt::shrink(found, hunt.decider, shrink_runs);
-            let kind = match found.symptom {
+            let (reduced, runs) = hunt::shrink(found, hunt.decider, shrink_runs);
+            let symptom = match found.symptom {
                 Symptom::Breaks(rule) => format!("{rule:?}").to_lowercase(),
                 Symptom::Loses(_) => "loss".to_string(),
             };
-            let path = folder.join(format!("{kind}-{i}.toml"));
-            write(&path, &hunt::to_toml(&small)?)?;
-            print(&format!("{}: cut down in {runs} runs, {}\n", path.display(), size_summary(&small)))?;
+            let path = folder.join(format!("{symptom}-{i}.toml"));
+            write(&path, &hunt::to_toml(&reduced)?)?;
+            print(&format!("{}: cut down in {runs} runs, {}\n", path.display(), size_summary(&reduced)))?;
         }
     }
     Ok(if broken.is_empty() { Verdict::Passed } else { Verdict::RulesBroken })
@@ -480,12 +480,12 @@
 
 fn shrink(day: &OneDay, runs: usize, out: Option<&Path>) -> Result<Verdict, CommandError> {
     let (named, seed, maker) = day.load()?;
-    let own = figures(&named.scenario, seed, &*maker);
-    let (symptom, summary) = match own.broken.first() {
+    let own_figures = figures(&named.scenario, seed, &*maker);
+    let (symptom, summary) = match own_figures.broken.first() {
         Some(b) => (Symptom::Breaks(b.rule), format!("{:?}: {}", b.rule, b.words)),
         None => {
             let oracle = deciders::maker(deciders::ORACLE).map_err(CommandError::new)?;
-            let loss = figures(&named.scenario, seed, &*oracle).g - own.g;
+            let loss = figures(&named.scenario, seed, &*oracle).g - own_figures.g;
             if loss < 0.02 {
                 let message = format!(
                     "nothing to shrink: seed {seed} breaks no rule, and its loss against the oracle is only {loss:.3}"
@@ -497,9 +497,14 @@
     };
     let found =
         Finding { origin: named.name.clone(), scenario: named.scenario.clone(), seed, symptom, summary };
-    let (small, runs) = hunt::shrink(&found, &day.decider, runs);
-    let text = hunt::to_toml(&small)?;
-    eprintln!("{}; cut down in {runs} runs to {}, seed {}", found.summary, size_summary(&small), small.seed);
+    let (reduced, runs) = hunt::shrink(&found, &day.decider, runs);
+    let text = hunt::to_toml(&reduced)?;
+    eprintln!(
+        "{}; cut down in {runs} runs to {}, seed {}",
+        found.summary,
+        size_summary(&reduced),
+        reduced.seed
+    );
     match out {
         Some(path) => write(path, &text)?,
         None => print(&text)?,
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -104,12 +104,12 @@
 }
 
 fn set_value(merged: &mut Value, path: &str, value: Value) -> Result<(), String> {
-    let mut at = merged;
+    let mut target = merged;
     let mut value = Some(value);
     let parts: Vec<&str> = path.split('.').collect();
     for (depth, part) in parts.iter().enumerate() {
         let last = depth + 1 == parts.len();
-        at = match at {
+        target = match target {
             Value::Table(table) if last => {
                 table.insert((*part).to_string(), value.take().unwrap_or(Value::Boolean(false)));
                 return Ok(());
