--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,4 +1,4 @@
-//! Reads scenarios: files that include others, values set on the command line over them, and faults with their place.
+//! Loads scenarios: resolves includes, applies values set on the command line, and reports faults with file and line.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -8,133 +8,140 @@
 use serde::Deserialize;
 use toml::{Table, Value};
 
-/// Files that include files, so many deep at most: guards against one that includes itself.
-const DEEPEST: usize = 8;
+/// Maximum depth of nested includes; it stops a file that includes itself.
+const MAX_INCLUDE_DEPTH: usize = 8;
 
-/// What a person is told of input that can't be used; nothing else is printed of it.
+/// An error that ends a command, as one or more messages for the user, each printed on a line of its own.
 #[derive(Debug)]
-pub struct Refused(pub Vec<String>);
+pub struct CommandError(pub Vec<String>);
 
-impl fmt::Display for Refused {
+impl fmt::Display for CommandError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(&self.0.join("\n"))
     }
 }
 
-impl Refused {
-    pub fn one(words: impl Into<String>) -> Refused {
-        Refused(vec![words.into()])
+impl CommandError {
+    pub fn new(message: impl Into<String>) -> CommandError {
+        CommandError(vec![message.into()])
     }
 }
 
-/// A scenario with its name: that of its file, without folder and ending.
+/// A scenario with its name: the file name without folder and extension.
 #[derive(Clone, Debug)]
-pub struct Named {
+pub struct NamedScenario {
     pub name: String,
     pub scenario: Scenario,
 }
 
-/// Reads a file, what it includes, and sets values over it (`mails.load=0.8`, `trouble.0.part=[0.1,0.3]`).
-pub fn load(path: &Path, sets: &[String]) -> Result<Named, Refused> {
-    let merged = merged(path, 0)?;
-    let mut scenario = Scenario::deserialize(Value::Table(merged)).map_err(|e| at_file(path, &e))?;
+/// Loads a scenario file with its includes, applies the values of `sets` (`mails.load=0.8`,
+/// `trouble.0.part=[0.1,0.3]`) and checks the result.
+pub fn load(path: &Path, sets: &[String]) -> Result<NamedScenario, CommandError> {
+    let merged = load_merged(path, 0)?;
+    let mut scenario = Scenario::deserialize(Value::Table(merged)).map_err(|e| file_error(path, &e))?;
     if !sets.is_empty() {
-        scenario = with_sets(&scenario, sets)?;
+        scenario = with_overrides(&scenario, sets)?;
     }
     let faults = check::faults(&scenario);
     if !faults.is_empty() {
-        return Err(Refused(faults.iter().map(|fault| placed(path, sets, fault)).collect()));
+        return Err(CommandError(faults.iter().map(|fault| fault_message(path, sets, fault)).collect()));
     }
     let name = path.file_stem().map_or("day".into(), |stem| stem.to_string_lossy().into_owned());
-    Ok(Named { name, scenario })
+    Ok(NamedScenario { name, scenario })
 }
 
-fn at_file(path: &Path, words: &dyn fmt::Display) -> Refused {
-    Refused::one(format!("{}: {}", path.display(), words.to_string().trim_end()))
+fn file_error(path: &Path, message: &dyn fmt::Display) -> CommandError {
+    CommandError::new(format!("{}: {}", path.display(), message.to_string().trim_end()))
 }
 
-fn merged(path: &Path, depth: usize) -> Result<Table, Refused> {
-    if depth > DEEPEST {
-        let words = format!("files include each other more than {DEEPEST} deep; take the circle out");
-        return Err(at_file(path, &words));
+fn load_merged(path: &Path, depth: usize) -> Result<Table, CommandError> {
+    if depth > MAX_INCLUDE_DEPTH {
+        let message =
+            format!("includes are nested more than {MAX_INCLUDE_DEPTH} deep; remove the circular include");
+        return Err(file_error(path, &message));
     }
-    let text = std::fs::read_to_string(path).map_err(|e| at_file(path, &e))?;
-    // Each file is read by itself first, so that what it says wrong is told with its line.
-    toml::from_str::<Scenario>(&text).map_err(|e| at_file(path, &e))?;
-    let own: Table = toml::from_str(&text).map_err(|e| at_file(path, &e))?;
+    let text = std::fs::read_to_string(path).map_err(|e| file_error(path, &e))?;
+    // Each file is first parsed on its own: errors of the merged table would have no line number.
+    toml::from_str::<Scenario>(&text).map_err(|e| file_error(path, &e))?;
+    let own: Table = toml::from_str(&text).map_err(|e| file_error(path, &e))?;
     let includes = own.get("include").and_then(Value::as_array).cloned().unwrap_or_default();
-    let mut whole = Table::new();
+    let mut merged = Table::new();
     for include in includes.iter().filter_map(Value::as_str) {
-        let beside = path.parent().unwrap_or(Path::new(".")).join(include);
-        lay_over(&mut whole, merged(&beside, depth + 1)?);
+        let included = path.parent().unwrap_or(Path::new(".")).join(include);
+        merge_tables(&mut merged, load_merged(&included, depth + 1)?);
     }
-    lay_over(&mut whole, own);
-    whole.remove("include");
-    Ok(whole)
+    merge_tables(&mut merged, own);
+    merged.remove("include");
+    Ok(merged)
 }
 
-/// Tables are merged key by key; lists and values take the place of what was there.
-fn lay_over(under: &mut Table, over: Table) {
-    for (key, value) in over {
-        match (under.get_mut(&key), value) {
-            (Some(Value::Table(below)), Value::Table(above)) => lay_over(below, above),
+/// Merges tables key by key, recursively; lists and single values are replaced.
+fn merge_tables(base: &mut Table, overrides: Table) {
+    for (key, value) in overrides {
+        match (base.get_mut(&key), value) {
+            (Some(Value::Table(base)), Value::Table(overrides)) => merge_tables(base, overrides),
             (_, value) => {
-                under.insert(key, value);
+                base.insert(key, value);
             }
         }
     }
 }
 
-/// A scenario with values set by path.
-pub fn with_sets(scenario: &Scenario, sets: &[String]) -> Result<Scenario, Refused> {
-    // Written out whole first, so that what no file names can be set too.
-    let mut whole = Value::try_from(scenario).map_err(|e| Refused::one(format!("--set: {e}")))?;
+/// Returns the scenario with the given `KEY=VALUE` pairs applied; a key is a path with dots.
+pub fn with_overrides(scenario: &Scenario, sets: &[String]) -> Result<Scenario, CommandError> {
+    // Serializes the whole scenario, so that keys which no file mentions can also be set.
+    let mut merged = Value::try_from(scenario).map_err(|e| CommandError::new(format!("--set: {e}")))?;
     for set in sets {
-        let told = |words: String| Refused::one(format!("--set {set}: {words}"));
-        let (path, text) = set.split_once('=').ok_or_else(|| told("say KEY=VALUE".into()))?;
+        let error = |message: String| CommandError::new(format!("--set {set}: {message}"));
+        let (key, text) = set.split_once('=').ok_or_else(|| error("expected KEY=VALUE".into()))?;
         let table = format!("value = {text}");
         let value = toml::from_str::<Table>(&table).ok().and_then(|mut t| t.remove("value"));
-        // A bare word is a text.
+        // A value that is not valid TOML, such as a bare word, is taken as a string.
         let value = value.unwrap_or_else(|| Value::String(text.trim().to_string()));
-        place(&mut whole, path.trim(), value).map_err(told)?;
+        set_value(&mut merged, key.trim(), value).map_err(error)?;
     }
-    Scenario::deserialize(whole).map_err(|e| Refused::one(format!("--set {}: {e}", sets.join(" "))))
+    Scenario::deserialize(merged).map_err(|e| CommandError::new(format!("--set {}: {e}", sets.join(" "))))
 }
 
-fn place(whole: &mut Value, path: &str, value: Value) -> Result<(), String> {
-    let mut at = whole;
+fn set_value(merged: &mut Value, path: &str, value: Value) -> Result<(), String> {
+    let mut target = merged;
     let mut value = Some(value);
     let parts: Vec<&str> = path.split('.').collect();
     for (depth, part) in parts.iter().enumerate() {
         let last = depth + 1 == parts.len();
-        at = match at {
+        target = match target {
             Value::Table(table) if last => {
                 table.insert((*part).to_string(), value.take().unwrap_or(Value::Boolean(false)));
                 return Ok(());
             }
             Value::Table(table) => {
                 let known: Vec<String> = table.keys().cloned().collect();
-                table.get_mut(*part).ok_or_else(|| format!("no {part}; there are {}", known.join(", ")))?
+                table
+                    .get_mut(*part)
+                    .ok_or_else(|| format!("unknown key {part}; known keys are {}", known.join(", ")))?
             }
             Value::Array(items) => {
                 let count = items.len();
-                let index = part.parse::<usize>().map_err(|_| format!("{part} is no number from 0"))?;
-                let item =
-                    items.get_mut(index).ok_or_else(|| format!("{index} of {count}, counted from 0"))?;
+                let index = part
+                    .parse::<usize>()
+                    .map_err(|_| format!("{part} is not an index: expected a number from 0"))?;
+                let item = items.get_mut(index).ok_or_else(|| {
+                    format!("index {index} is out of range: the list has {count} entries, numbered from 0")
+                })?;
                 if last {
                     *item = value.take().unwrap_or(Value::Boolean(false));
                     return Ok(());
                 }
                 item
             }
-            _ => return Err(format!("nothing stands below {}", parts[..depth].join("."))),
+            _ => return Err(format!("{} is a single value without keys", parts[..depth].join("."))),
         };
     }
     Ok(())
 }
 
-/// A fault with file and line, where the file names the key; else with the key alone.
-fn placed(path: &Path, sets: &[String], fault: &Fault) -> String {
+/// Formats a fault with the `--set` that caused it, or else with the file, and the line if the file has the key.
+fn fault_message(path: &Path, sets: &[String], fault: &Fault) -> String {
     if let Some(set) = sets.iter().find(|set| set.split('=').next().map(str::trim) == Some(&fault.path)) {
         return format!("--set {set}: {}; {}", fault.found, fault.remedy);
     }
@@ -145,46 +152,48 @@
     }
 }
 
-/// The line on which a key stands, or the part of its path that the file names.
+/// Returns the line of a key, or of the longest part of its path that the file has.
 fn line_of(text: &str, path: &str) -> Option<usize> {
     let document = toml_edit::Document::parse(text).ok()?;
     let mut item = document.as_item();
     let mut span = None;
     for part in path.split('.') {
-        let below = match part.parse::<usize>() {
+        let child = match part.parse::<usize>() {
             Ok(index) => item.get(index),
             Err(_) => item.get(part),
         };
-        let Some(below) = below else { break };
-        span = below.span().or(span);
-        item = below;
+        let Some(child) = child else { break };
+        span = child.span().or(span);
+        item = child;
     }
     span.map(|span| text[..span.start].matches('\n').count() + 1)
 }
 
-/// `7`, `1..20` (both ends counted) or `3,9,11`.
-pub fn seeds(text: &str) -> Result<Vec<u64>, String> {
-    let number = |part: &str| part.trim().parse::<u64>().map_err(|_| format!("{part:?} is no seed"));
+/// Parses seeds: `7`, `1..20` (inclusive) or `3,9,11`.
+pub fn parse_seeds(text: &str) -> Result<Vec<u64>, String> {
+    let number = |part: &str| {
+        part.trim().parse::<u64>().map_err(|_| format!("{part:?} is not a seed: expected a whole number"))
+    };
     if let Some((from, to)) = text.split_once("..") {
         let (from, to) = (number(from)?, number(to.trim_start_matches('='))?);
         if from > to || to - from >= 1_000_000 {
-            return Err(format!("{text} names no seeds, or over a million"));
+            return Err(format!("{text} is an empty range, or one of more than a million seeds"));
         }
         return Ok((from..=to).collect());
     }
     text.split(',').map(number).collect()
 }
 
-/// All scenario files of a folder that can be run by themselves, by name.
-pub fn library(folder: &Path) -> Result<Vec<PathBuf>, Refused> {
-    let entries = std::fs::read_dir(folder).map_err(|e| at_file(folder, &e))?;
+/// Returns the scenario files (`.toml`) of a folder, without subfolders, sorted by name.
+pub fn scenario_files(folder: &Path) -> Result<Vec<PathBuf>, CommandError> {
+    let entries = std::fs::read_dir(folder).map_err(|e| file_error(folder, &e))?;
     let mut files: Vec<PathBuf> = entries
         .filter_map(|entry| entry.ok().map(|entry| entry.path()))
-        .filter(|path| path.extension().is_some_and(|ending| ending == "toml"))
+        .filter(|path| path.extension().is_some_and(|extension| extension == "toml"))
         .collect();
     files.sort();
     if files.is_empty() {
-        return Err(at_file(folder, &"no scenario here: a scenario is a file that ends in .toml"));
+        return Err(file_error(folder, &"the folder has no scenario file (*.toml)"));
     }
     Ok(files)
 }
@@ -202,7 +211,7 @@
     }
 
     #[test]
-    fn what_cannot_be_used_is_refused_with_file_and_line() {
+    fn invalid_scenarios_are_reported_with_file_and_line() {
         let cases = [
             ("seconds = 10\npartnerz = 3\n", "2"),
             ("seconds = 10\n[mails]\nload = 0.5\nfull_rate = -3\n", ":4: mails.full_rate"),
@@ -210,17 +219,17 @@
             ("couriers = 0\n", ":1: couriers"),
             ("seconds = \"long\"\n", "expected a number, or a range"),
             ("include = [\"none.toml\"]\n", "none.toml"),
-            ("include = [\"a.toml\"]\n", "include each other"),
+            ("include = [\"a.toml\"]\n", "circular include"),
         ];
-        for (text, words) in cases {
+        for (text, expected) in cases {
             let folder = folder(&[("a.toml", text)]);
-            let refused = load(&folder.path().join("a.toml"), &[]).unwrap_err().to_string();
-            assert!(refused.contains(words) && refused.contains(".toml"), "{text}: {refused}");
+            let message = load(&folder.path().join("a.toml"), &[]).unwrap_err().to_string();
+            assert!(message.contains(expected) && message.contains(".toml"), "{text}: {message}");
         }
     }
 
     #[test]
-    fn files_lie_over_what_they_include_and_sets_over_both() {
+    fn files_override_their_includes_and_sets_override_both() {
         let folder = folder(&[
             ("base.toml", "seconds = 9\n[mails]\nload = 0.3\nswing = 0.1\n"),
             ("a.toml", "include = [\"base.toml\"]\n[mails]\nload = 0.5\n"),
@@ -236,10 +245,10 @@
     }
 
     #[test]
-    fn seeds_are_one_some_or_a_range() {
-        assert_eq!(seeds("7").unwrap(), [7]);
-        assert_eq!(seeds("1..3").unwrap(), [1, 2, 3]);
-        assert_eq!(seeds("4, 2").unwrap(), [4, 2]);
-        assert!(seeds("3..1").is_err() && seeds("x").is_err());
+    fn seeds_parse_as_single_list_or_range() {
+        assert_eq!(parse_seeds("7").unwrap(), [7]);
+        assert_eq!(parse_seeds("1..3").unwrap(), [1, 2, 3]);
+        assert_eq!(parse_seeds("4, 2").unwrap(), [4, 2]);
+        assert!(parse_seeds("3..1").is_err() && parse_seeds("x").is_err());
     }
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,5 @@
-//! `meadowhold-lab`: runs, sweeps, compares, hunts and plots days of the emulator. Everything here is simulated.
+//! `meadowhold-lab`: runs, sweeps, compares, searches and plots simulated days of the emulator. It opens no network
+//! connection.
 #![forbid(unsafe_code)]
 
 mod charts;
@@ -19,10 +20,10 @@
 fn main() -> ExitCode {
     let command = command::Command::parse();
     match command.run() {
-        Ok(command::Verdict::Fine) => ExitCode::SUCCESS,
+        Ok(command::Verdict::Passed) => ExitCode::SUCCESS,
         Ok(command::Verdict::RulesBroken) => ExitCode::from(1),
-        Err(refused) => {
-            eprintln!("{refused}");
+        Err(error) => {
+            eprintln!("{error}");
             ExitCode::from(2)
         }
     }
--- a/crates/lab/src/speed.rs
+++ b/crates/lab/src/speed.rs
@@ -1,4 +1,4 @@
-//! How fast days are simulated, by size, with the deciders' own share of the time and the memory that it took.
+//! Measures how fast days of several sizes are simulated, the share of the time spent in deciders, and peak memory.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
@@ -10,7 +10,7 @@
 use meadowhold_emulator::scenario::{Figure, Scenario};
 use meadowhold_emulator::world::Options;
 
-/// A size: couriers, partners (about two and a half endpoints each), mails a second at full load, seconds.
+/// Name, couriers, destinations (about 2.5 endpoints each), mails per second at full load, and seconds.
 pub const SIZES: [(&str, f64, f64, f64, f64); 4] = [
     ("3x30", 3.0, 12.0, 100.0, 300.0),
     ("200x1000", 200.0, 400.0, 4_000.0, 20.0),
@@ -18,23 +18,23 @@
     ("2000x20000", 2_000.0, 8_000.0, 40_000.0, 3.0),
 ];
 
-pub struct Speed {
+pub struct Measurement {
     pub figures: Figures,
     pub took: Duration,
-    /// Time that the deciders spent of it.
-    pub deciding: Duration,
-    /// Most memory that the process has held so far, in MiB; nothing where the system does not tell.
+    /// The part of `took` that was spent in deciders.
+    pub decider_time: Duration,
+    /// Peak resident memory of the process so far, in MiB; `None` where the system does not report it.
     pub peak_mib: Option<u64>,
 }
 
-/// Counts the time that its decider takes; a look at the clock costs some 25 ns twice a turn.
+/// Measures the time spent in the wrapped decider. The two clock readings per turn cost about 25 ns each.
 struct Timed {
     inner: Box<dyn Decider>,
-    /// Nanoseconds; added to `SPENT` at the end.
-    spent: u64,
+    /// Added to `SPENT_NS` on drop.
+    spent_ns: u64,
 }
 
-static SPENT: AtomicU64 = AtomicU64::new(0);
+static SPENT_NS: AtomicU64 = AtomicU64::new(0);
 
 impl Decider for Timed {
     fn round(
@@ -44,9 +44,9 @@
         out: &mut Vec<Action>,
         sight: &dyn Sight,
     ) -> Option<Time> {
-        let begun = Instant::now();
+        let started = Instant::now();
         let next = self.inner.round(now, inputs, out, sight);
-        self.spent += begun.elapsed().as_nanos() as u64;
+        self.spent_ns += started.elapsed().as_nanos() as u64;
         next
     }
 
@@ -57,40 +57,40 @@
 
 impl Drop for Timed {
     fn drop(&mut self) {
-        SPENT.fetch_add(self.spent, Ordering::Relaxed);
+        SPENT_NS.fetch_add(self.spent_ns, Ordering::Relaxed);
     }
 }
 
-pub fn scenario(couriers: f64, partners: f64, rate: f64, seconds: f64) -> Scenario {
-    let one = Figure::One;
+pub fn scenario_of_size(couriers: f64, partners: f64, rate: f64, seconds: f64) -> Scenario {
+    let fixed = Figure::One;
     let mut s = Scenario {
-        couriers: one(couriers),
-        partners: one(partners),
-        seconds: one(seconds),
+        couriers: fixed(couriers),
+        partners: fixed(partners),
+        seconds: fixed(seconds),
         ..Scenario::default()
     };
-    (s.mails.full_rate, s.mails.load) = (one(rate), one(0.6));
+    (s.mails.full_rate, s.mails.load) = (fixed(rate), fixed(0.6));
     s
 }
 
-pub fn measure(scenario: &Scenario, seed: u64) -> Speed {
-    SPENT.store(0, Ordering::Relaxed);
-    let begun = Instant::now();
+pub fn measure(scenario: &Scenario, seed: u64) -> Measurement {
+    SPENT_NS.store(0, Ordering::Relaxed);
+    let started = Instant::now();
     let maker = |courier: usize, set| -> Box<dyn Decider> {
-        Box::new(Timed { inner: control(courier, set), spent: 0 })
+        Box::new(Timed { inner: control(courier, set), spent_ns: 0 })
     };
     let ended = run(scenario, seed, &maker, Options::default());
-    let took = begun.elapsed();
+    let took = started.elapsed();
     let figures = Figures::of(&ended);
-    Speed {
+    Measurement {
         figures,
         took,
-        deciding: Duration::from_nanos(SPENT.load(Ordering::Relaxed)),
+        decider_time: Duration::from_nanos(SPENT_NS.load(Ordering::Relaxed)),
         peak_mib: peak_mib(),
     }
 }
 
-/// The process's high-water mark, as Linux tells it (proc(5), `VmHWM`).
+/// Reads the peak resident set size of the process on Linux (`VmHWM` in proc(5)).
 fn peak_mib() -> Option<u64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
     let line = status.lines().find(|line| line.starts_with("VmHWM:"))?;
--- a/crates/lab/src/tables.rs
+++ b/crates/lab/src/tables.rs
@@ -1,10 +1,10 @@
-//! Results as a person reads them.
+//! Formats results as plain-text tables.
 
 use std::collections::BTreeMap;
 
-use crate::runs::Line;
+use crate::runs::RunResult;
 
-/// Columns lined up, the first to the left and the others to the right.
+/// Aligns columns: the first to the left, the others to the right.
 pub fn table(rows: &[Vec<String>]) -> String {
     let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
     let width = |c: usize| rows.iter().filter_map(|r| r.get(c)).map(|t| t.chars().count()).max().unwrap_or(0);
@@ -25,14 +25,15 @@
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
 
-/// One row for each scenario, set of values and decider: means over the seeds, the worst G, rules broken.
-pub fn summary(lines: &[Line]) -> String {
-    let mut groups: BTreeMap<(String, String, String), Vec<&Line>> = BTreeMap::new();
-    for line in lines {
-        let group = (line.scenario.clone(), line.sets.join(" "), line.decider.clone());
-        groups.entry(group).or_default().push(line);
+/// Formats one row for each scenario, set of values and decider: means over the seeds, the lowest G, and the number
+/// of days with broken rules.
+pub fn summary(results: &[RunResult]) -> String {
+    let mut groups: BTreeMap<(String, String, String), Vec<&RunResult>> = BTreeMap::new();
+    for result in results {
+        let group = (result.scenario.clone(), result.sets.join(" "), result.decider.clone());
+        groups.entry(group).or_default().push(result);
     }
-    let head = [
+    let header = [
         "scenario",
         "decider",
         "days",
@@ -46,16 +47,17 @@
         "connects",
         "rules broken",
     ];
-    let mut rows = vec![head.map(String::from).to_vec()];
-    for ((scenario, sets, decider), lines) in groups {
-        let of = |get: &dyn Fn(&Line) -> f64| lines.iter().map(|line| get(line)).collect::<Vec<f64>>();
-        let figure = |get: &dyn Fn(&Line) -> f64| format!("{:.3}", mean(&of(get)));
-        let broken = lines.iter().filter(|line| line.figures.rules_broken > 0).count();
+    let mut rows = vec![header.map(String::from).to_vec()];
+    for ((scenario, sets, decider), results) in groups {
+        let of =
+            |get: &dyn Fn(&RunResult) -> f64| results.iter().map(|result| get(result)).collect::<Vec<f64>>();
+        let figure = |get: &dyn Fn(&RunResult) -> f64| format!("{:.3}", mean(&of(get)));
+        let broken = results.iter().filter(|result| result.figures.rules_broken > 0).count();
         let name = if sets.is_empty() { scenario } else { format!("{scenario} {sets}") };
         rows.push(vec![
             name,
             decider,
-            lines.len().to_string(),
+            results.len().to_string(),
             figure(&|l| l.figures.g),
             format!("{:.3}", of(&|l| l.figures.g).into_iter().fold(1.0, f64::min)),
             figure(&|l| l.figures.whole),
@@ -70,16 +72,16 @@
     table(&rows)
 }
 
-/// The first broken rules of each run, a line each.
-pub fn broken(lines: &[Line]) -> String {
+/// Formats the first two broken rules of each run, one per line.
+pub fn broken_rules(results: &[RunResult]) -> String {
     let mut text = String::new();
-    for line in lines {
-        for b in line.figures.broken.iter().take(2) {
+    for result in results {
+        for b in result.figures.broken.iter().take(2) {
             text.push_str(&format!(
                 "{} seed {} {}: {:?} at {:.2} s, mail {}, courier {}: {}\n",
-                line.scenario,
-                line.seed,
-                line.decider,
+                result.scenario,
+                result.seed,
+                result.decider,
                 b.rule,
                 b.at as f64 / 10_000.0,
                 b.mail,
