--- a/crates/emulator/benches/engine.rs
+++ b/crates/emulator/benches/engine.rs
@@ -1,9 +1,9 @@
 //! Days of the emulator under criterion: what one costs, and what the engine's parts do.
 
 use criterion::{criterion_group, criterion_main, BatchSize, Criterion, Throughput};
-use meadowhold_emulator::agenda::Agenda;
 use meadowhold_emulator::chance::{Purpose, Stream};
 use meadowhold_emulator::decider::control;
+use meadowhold_emulator::event_queue::EventQueue;
 use meadowhold_emulator::figures;
 use meadowhold_emulator::scenario::{Figure, Scenario, Trouble, What};
 
@@ -21,16 +21,20 @@
     group.finish();
 }
 
-fn agenda(c: &mut Criterion) {
+fn event_queue(c: &mut Criterion) {
     let mut stream = Stream::new(1, Purpose::Figures, 0);
     let times: Vec<u64> = (0..10_000).map(|_| stream.below(1_000_000) as u64).collect();
     c.bench_function("agenda: 10,000 put and taken", |b| {
         let put = |times: &[u64]| {
-            let mut agenda = Agenda::default();
-            times.iter().for_each(|&at| agenda.put(at, at));
-            agenda
+            let mut event_queue = EventQueue::default();
+            times.iter().for_each(|&at| event_queue.schedule(at, at));
+            event_queue
         };
-        b.iter_batched(|| put(&times), |mut agenda| while agenda.take().is_some() {}, BatchSize::SmallInput)
+        b.iter_batched(
+            || put(&times),
+            |mut event_queue| while event_queue.pop().is_some() {},
+            BatchSize::SmallInput,
+        )
     });
     c.bench_function("stream: named and drawn from once", |b| {
         let mut index = 0;
@@ -41,5 +45,5 @@
     });
 }
 
-criterion_group!(benches, days, agenda);
+criterion_group!(benches, days, event_queue);
 criterion_main!(benches);
--- a/crates/emulator/src/baselines.rs
+++ b/crates/emulator/src/baselines.rs
@@ -1,5 +1,5 @@
 //! Other ways to decide, for comparison alone: what the field does without this project's design. They share the
-//! bookkeeping and keep effects, waits, drains and order as the rules ask; none of them paces a returning partner.
+//! bookkeeping and keep effects, waits, drains and order as the rules ask; none of them paces a returning destination.
 //!
 //! `Wrong` spoils one rule on purpose, so that it can be shown that the judge sees it.
 
@@ -10,7 +10,7 @@
 };
 
 use crate::chance::{Purpose, Stream};
-use crate::decider::{Decider, Sight};
+use crate::decider::{Decider, WorldView};
 use crate::slots::{grow, may, Slots};
 
 /// How a baseline limits and retries.
@@ -63,7 +63,7 @@
 
 #[derive(Clone, Default)]
 struct Held {
-    dest: usize,
+    destination: usize,
     class: usize,
     key: Option<usize>,
     due: Time,
@@ -80,7 +80,7 @@
 #[derive(Clone, Default)]
 struct End {
     known: bool,
-    dest: usize,
+    destination: usize,
     unit: usize,
     zone: usize,
     batch: usize,
@@ -93,7 +93,7 @@
 }
 
 #[derive(Clone, Default)]
-struct Dest {
+struct DestinationSample {
     ends: Vec<usize>,
     out: usize,
     limit: f64,
@@ -107,7 +107,7 @@
     chance: Stream,
     mails: Vec<Held>,
     ends: Vec<End>,
-    dests: Vec<Dest>,
+    dests: Vec<DestinationSample>,
     holds: Vec<Time>,
     lines: Vec<(VecDeque<usize>, Time)>,
     parked: VecDeque<usize>,
@@ -143,13 +143,13 @@
             Input::ListEntry(entry) => {
                 let (apart, batch) =
                     (self.set.kinds[entry.kind].per_endpoint_limits, self.set.kinds[entry.kind].max_batch);
-                let dest = grow(&mut self.dests, entry.destination);
-                dest.limit = if dest.limit > 0.0 { dest.limit } else { 4.0 };
+                let destination = grow(&mut self.dests, entry.destination);
+                destination.limit = if destination.limit > 0.0 { destination.limit } else { 4.0 };
                 let e = grow(&mut self.ends, entry.endpoint);
                 if !e.known {
-                    dest.ends.push(entry.endpoint);
+                    destination.ends.push(entry.endpoint);
                 }
-                (e.known, e.named, e.dest, e.zone) = (true, true, entry.destination, entry.zone);
+                (e.known, e.named, e.destination, e.zone) = (true, true, entry.destination, entry.zone);
                 e.batch = batch;
                 e.ready = entry.status == EndpointStatus::Ready;
                 e.unit = if apart { 2 * entry.endpoint + 1 } else { 2 * entry.destination };
@@ -172,7 +172,7 @@
     fn take(&mut self, taken: &AcceptedMail) {
         let AcceptedMail {
             mail,
-            destination: dest,
+            destination,
             class,
             key,
             deadline: due,
@@ -180,12 +180,12 @@
             first_run: ran,
             ..
         } = *taken;
-        let new = Held { dest, class, key, due, connects, ran, used: true, ..Held::default() };
+        let new = Held { destination, class, key, due, connects, ran, used: true, ..Held::default() };
         *grow(&mut self.mails, mail) = new;
         if let Some(key) = key {
             grow(&mut self.lines, key).0.push_back(mail);
         }
-        grow(&mut self.dests, dest);
+        grow(&mut self.dests, destination);
         self.budget += RETRY_SHARE;
         if self.wrong != Wrong::Loses || mail % 7 != 0 {
             self.parked.push_back(mail);
@@ -230,11 +230,11 @@
             return;
         }
         m.out = false;
-        let (endpoint, dest) = (m.endpoint, m.dest);
+        let (endpoint, destination) = (m.endpoint, m.destination);
         let ended = usize::from(self.slots.give_back(m.call));
         let e = &mut self.ends[endpoint];
         e.out -= ended;
-        self.dests[dest].out -= ended;
+        self.dests[destination].out -= ended;
         self.holds[e.unit] = self.holds[e.unit].max(now + wait);
         if !outcome.never_ran() {
             m.ran = m.ran.or(Some((m.sent, e.zone)));
@@ -242,7 +242,7 @@
         if let Some(key) = m.key.filter(|_| outcome.may_still_run()) {
             self.lines[key].1 = self.lines[key].1.max(now + self.set.ordering_gap);
         }
-        self.learn(now, endpoint, dest, outcome, took);
+        self.learn(now, endpoint, destination, outcome, took);
         let (again, _) = self.may(now, &self.mails[mail]);
         let budgeted = self.style != Style::Ejection || self.budget >= 1.0 || outcome == Outcome::Refused;
         let unsent = outcome == Outcome::Unsent;
@@ -256,8 +256,8 @@
         }
     }
 
-    fn learn(&mut self, now: Time, endpoint: usize, dest: usize, outcome: Outcome, took: Time) {
-        let (e, d) = (&mut self.ends[endpoint], &mut self.dests[dest]);
+    fn learn(&mut self, now: Time, endpoint: usize, destination: usize, outcome: Outcome, took: Time) {
+        let (e, d) = (&mut self.ends[endpoint], &mut self.dests[destination]);
         let well = outcome == Outcome::Relayed;
         let neutral = matches!(outcome, Outcome::Unsent | Outcome::CalledOff | Outcome::Spoilt);
         if well {
@@ -276,11 +276,11 @@
         d.limit = d.limit.clamp(1.0, self.set.slots as f64);
     }
 
-    fn cap(&self, dest: usize) -> usize {
+    fn cap(&self, destination: usize) -> usize {
         match self.style {
             Style::OneTry | Style::SharedPool | Style::Ejection => self.set.slots,
             Style::FixedCap => (self.set.slots / 4).max(1),
-            Style::Gradient => self.dests[dest].limit as usize,
+            Style::Gradient => self.dests[destination].limit as usize,
         }
     }
 
@@ -295,7 +295,7 @@
                 && now >= end.ejected_until
                 && ran.is_none_or(|(_, zone)| !by_zone || zone == end.zone)
         };
-        let ends = &self.dests[m.dest].ends;
+        let ends = &self.dests[m.destination].ends;
         let count = ends.iter().filter(fits).count();
         if count == 0 {
             return None;
@@ -318,7 +318,8 @@
                 line.front() == Some(&mail) && (m.connects > 0 || now >= *rest)
             });
             let in_turn = in_turn || self.wrong == Wrong::IgnoresOrder;
-            let full = self.dests[m.dest].out >= self.cap(m.dest) && self.wrong != Wrong::Floods;
+            let full =
+                self.dests[m.destination].out >= self.cap(m.destination) && self.wrong != Wrong::Floods;
             let endpoint = if in_turn && !full { self.pick(now, mail) } else { None };
             let room = |&e: &usize| self.slots.has_room(e, self.ends[e].batch, slots);
             let endpoint = endpoint.filter(room);
@@ -337,7 +338,7 @@
             m.call = self.slots.take(endpoint, self.ends[endpoint].batch);
             let begun = self.slots.out() - before;
             self.ends[endpoint].out += begun;
-            self.dests[m.dest].out += begun;
+            self.dests[m.destination].out += begun;
             out.push(Action::Connect { mail, endpoint, timeout: patience, new_connection: false });
         }
         self.parked = later;
@@ -345,7 +346,13 @@
 }
 
 impl Decider for Plain {
-    fn round(&mut self, now: Time, inputs: &[Input], out: &mut Vec<Action>, _: &dyn Sight) -> Option<Time> {
+    fn step(
+        &mut self,
+        now: Time,
+        inputs: &[Input],
+        out: &mut Vec<Action>,
+        _: &dyn WorldView,
+    ) -> Option<Time> {
         inputs.iter().for_each(|input| self.read(now, input, out));
         out.extend(self.ask_at.take_if(|at| *at <= now).map(|_| Action::RequestList));
         let margin = 3 * self.set.timer_resolution;
@@ -361,7 +368,7 @@
         busy.then_some(now + 2 * self.set.timer_resolution).into_iter().chain(self.ask_at).min()
     }
 
-    fn may_begin(&self, endpoint: usize, now: Time) -> bool {
+    fn may_call(&self, endpoint: usize, now: Time) -> bool {
         let e = &self.ends[endpoint];
         (e.ready || self.wrong == Wrong::IgnoresDrains)
             && (now >= self.holds[e.unit] || self.wrong == Wrong::IgnoresWaits)
--- a/crates/emulator/src/calls.rs
+++ b/crates/emulator/src/calls.rs
@@ -15,7 +15,7 @@
         let c = &self.calls[call as usize];
         let (courier, process, endpoint, place) = (c.courier, c.process, c.endpoint, c.place);
         let decider = self.couriers[courier as usize].decider.as_ref();
-        let may = decider.is_some_and(|d| d.may_begin(endpoint as usize, now));
+        let may = decider.is_some_and(|d| d.may_call(endpoint as usize, now));
         if !may {
             self.counts.unsent += 1;
             self.calls[call as usize].connected = false;
@@ -26,7 +26,7 @@
         }
         // A mail that turned out to be over while its connection was made is not sent.
         let over: Vec<u32> = self.calls[call as usize]
-            .riders
+            .connects
             .iter()
             .filter(|r| {
                 let m = &self.mails[r.mail as usize];
@@ -44,30 +44,30 @@
         }
         let c = &mut self.calls[call as usize];
         (c.phase, c.started) = (Phase::Going, now);
-        let unit = self.sites[endpoint as usize].unit;
+        let unit = self.endpoint_states[endpoint as usize].unit;
         let grace = self.day.drain_grace;
-        for i in 0..self.calls[call as usize].riders.len() {
-            let rider = self.calls[call as usize].riders[i];
-            if rider.told {
+        for i in 0..self.calls[call as usize].connects.len() {
+            let connect = self.calls[call as usize].connects[i];
+            if connect.told {
                 continue;
             }
             self.counts.connects += 1;
-            let m = &mut self.mails[rider.mail as usize];
+            let m = &mut self.mails[connect.mail as usize];
             m.connects += 1;
             let (key, again) = (m.key, m.connects > 1);
             if i == 0 {
-                self.judge.sent((courier, process), (endpoint as usize, unit), rider.mail, now, grace);
+                self.judge.sent((courier, process), (endpoint as usize, unit), connect.mail, now, grace);
             }
             if let Some(key) = key {
-                self.judge.sent_in_turn(courier, key, rider.mail, again, now);
+                self.judge.sent_in_turn(courier, key, connect.mail, again, now);
             }
-            self.trace.mark(now, 11, [rider.mail, endpoint]);
-            self.trace.note(now, rider.mail, || format!("goes out to endpoint {endpoint}, call {call}"));
+            self.trace.mark(now, 11, [connect.mail, endpoint]);
+            self.trace.note(now, connect.mail, || format!("goes out to endpoint {endpoint}, call {call}"));
         }
-        let hall = self.day.endpoints[endpoint as usize].hall;
-        if self.passes(self.couriers[courier as usize].hall, hall) {
+        let zone = self.day.endpoints[endpoint as usize].zone;
+        if self.passes(self.couriers[courier as usize].zone, zone) {
             let at = now + self.calls[call as usize].way[0];
-            self.agenda.put(at, Event::Reach { call });
+            self.event_queue.schedule(at, Event::Reach { call });
         } else {
             self.no_longer_coming(call);
             self.calls[call as usize].phase = Phase::Lost;
@@ -78,7 +78,7 @@
     pub fn no_longer_coming(&mut self, call: u32) {
         let c = &mut self.calls[call as usize];
         if std::mem::take(&mut c.coming) {
-            self.sites[c.endpoint as usize].coming -= 1;
+            self.endpoint_states[c.endpoint as usize].coming -= 1;
         }
     }
 
@@ -91,11 +91,11 @@
     }
 
     /// The far side's reply sets out, if the way back stands.
-    pub fn send_back(&mut self, now: Time, call: u32, reply: Reply, after: Time) {
+    pub fn send_reply(&mut self, now: Time, call: u32, reply: Reply, after: Time) {
         let c = &self.calls[call as usize];
-        let hall = self.day.endpoints[c.endpoint as usize].hall;
-        if self.passes(hall, self.couriers[c.courier as usize].hall) {
-            self.agenda.put(now + after + c.way[1], Event::Answer { call, reply });
+        let zone = self.day.endpoints[c.endpoint as usize].zone;
+        if self.passes(zone, self.couriers[c.courier as usize].zone) {
+            self.event_queue.schedule(now + after + c.way[1], Event::Answer { call, reply });
         }
     }
 
@@ -109,7 +109,7 @@
         c.phase = Phase::Ended;
         match reply.outcome {
             Outcome::Relayed => self.counts.heard_work += self.calls[call as usize].work,
-            Outcome::Refused => self.counts.refused += self.calls[call as usize].riders.len() as u64,
+            Outcome::Refused => self.counts.refused += self.calls[call as usize].connects.len() as u64,
             Outcome::Error => self.counts.errors += 1,
             _ => self.counts.broken += 1,
         }
@@ -122,7 +122,7 @@
         self.tell_outcome(now, call, reply, |_| true);
     }
 
-    /// The time of some riders is up; once that of all is, the connection is closed and the call runs on unheard.
+    /// The time of some connects is up; once that of all is, the connection is closed and the call runs on unheard.
     pub fn expire(&mut self, now: Time, call: u32) {
         if !self.is_awaited(call) {
             return;
@@ -139,9 +139,9 @@
     /// A call's connection no longer counts at its endpoint.
     pub fn hang_up_call(&mut self, call: u32) {
         let c = &mut self.calls[call as usize];
-        let site = &mut self.sites[c.endpoint as usize];
-        if std::mem::take(&mut c.connected) && c.place == site.place {
-            site.connections = site.connections.saturating_sub(1);
+        let state = &mut self.endpoint_states[c.endpoint as usize];
+        if std::mem::take(&mut c.connected) && c.place == state.place {
+            state.connections = state.connections.saturating_sub(1);
         }
     }
 }
--- a/crates/emulator/src/chance.rs
+++ b/crates/emulator/src/chance.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
     Figures,
-    Partner,
+    Destination,
     Trouble,
     Arrivals,
     Mail,
--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -36,29 +36,33 @@
         let gap = self.arrivals.gap() / (m.rate * self.swing(now) * starts).max(1e-9) * SECOND as f64;
         let at = now + gap.min(1e12) as Time;
         if at < self.day.length {
-            self.agenda.put(at, Event::Next);
+            self.event_queue.schedule(at, Event::Next);
         }
         if now == 0 {
             return; // the first gap counts from the start
         }
         let place = self.arrivals.unit() * self.traffic.last().copied().unwrap_or(0.0);
-        let dest = self.traffic.partition_point(|&sum| sum <= place).min(self.traffic.len() - 1) as u32;
+        let destination =
+            self.traffic.partition_point(|&sum| sum <= place).min(self.traffic.len() - 1) as u32;
         if self.arrivals.chance(clumps / clump / starts) {
             let left = (clump * (0.5 + self.arrivals.unit())).round().max(1.0) as u32;
-            self.clump(now, dest, left);
+            self.clump(now, destination, left);
         } else {
-            self.mail_comes(now, dest);
+            self.create_mail(now, destination);
         }
     }
 
-    pub fn clump(&mut self, now: Time, dest: u32, left: u32) {
-        self.mail_comes(now, dest);
+    pub fn clump(&mut self, now: Time, destination: u32, left: u32) {
+        self.create_mail(now, destination);
         if left > 1 {
-            self.agenda.put(now + CLUMP_WITHIN / Time::from(left), Event::Clump { dest, left: left - 1 });
+            self.event_queue.schedule(
+                now + CLUMP_WITHIN / Time::from(left),
+                Event::Clump { destination, left: left - 1 },
+            );
         }
     }
 
-    fn mail_comes(&mut self, now: Time, dest: u32) {
+    fn create_mail(&mut self, now: Time, destination: u32) {
         if now >= self.day.length {
             return; // a clump that the day's end cuts off
         }
@@ -69,15 +73,15 @@
         let set = &self.day.classes[class].settings;
         let short = d.chance(self.day.mails.short_lived);
         let part = if short { self.day.mails.short_part } else { 1.0 };
-        let (any_hall, moved, key) = (d.below(self.day.halls.len()), d.unit(), d.unit());
+        let (any_zone, moved, key) = (d.below(self.day.zones.len()), d.unit(), d.unit());
         // Some keys come far more often than others.
         let key = (key * key * self.day.mails.keys as f64) as u32;
         let shifted = self.shift.last().map(|&t| &self.day.troubles[t]).filter(|t| moved < t.size);
         let due = now + ((set.lifetime as f64 * part) as Time).max(1);
         self.mails.push(Mail {
-            dest,
+            destination,
             class: class as u16,
-            hall: shifted.map_or(any_hall, |t| t.hall) as u16,
+            zone: shifted.map_or(any_zone, |t| t.zone) as u16,
             key: set.ordered.then_some(key),
             born: now,
             due,
@@ -96,17 +100,17 @@
             answers: 0,
             relayed_at: None,
         });
-        self.trace.mark(now, 1, [number, dest]);
-        self.trace.note(now, number, || format!("comes, for partner {dest}, queue class {class}"));
+        self.trace.mark(now, 1, [number, destination]);
+        self.trace.note(now, number, || format!("comes, for partner {destination}, queue class {class}"));
         if d.chance(self.day.mails.hang_up) {
             let at = now + (d.unit() * (due - now) as f64) as Time;
-            self.agenda.put(at, Event::HangUp { mail: number, tries: 1 });
+            self.event_queue.schedule(at, Event::HangUp { mail: number, tries: 1 });
         }
-        self.send_in(now, number);
+        self.submit(now, number);
     }
 
     /// The client hands its mail to the front, which chooses a courier.
-    pub fn send_in(&mut self, now: Time, mail: u32) {
+    pub fn submit(&mut self, now: Time, mail: u32) {
         let m = &self.mails[mail as usize];
         if m.stage != Stage::Outside {
             return;
@@ -117,12 +121,12 @@
         }
         let index = u64::from(mail) << 8 | u64::from(m.tries) << 4 | u64::from(m.misses);
         let d = &mut Stream::new(self.day.seed, Purpose::Front, index);
-        let courier = self.front_picks(d, mail);
+        let courier = self.choose_courier(d, mail);
         let way = 5 + d.below(10) as Time;
-        self.agenda.put(now + way, Event::HandIn { mail, courier: courier as u32 });
+        self.event_queue.schedule(now + way, Event::HandIn { mail, courier: courier as u32 });
     }
 
-    fn front_picks(&self, d: &mut Stream, mail: u32) -> usize {
+    fn choose_courier(&self, d: &mut Stream, mail: u32) -> usize {
         let m = &self.mails[mail as usize];
         let all = self.couriers.len();
         let (any, near, hot) = (d.below(all), d.unit(), d.unit());
@@ -139,9 +143,9 @@
             let start = t.couriers[(near * t.couriers.len() as f64) as usize];
             return from(start, &|c| t.couriers.contains(&c)).unwrap_or(any);
         }
-        let hall = usize::from(m.hall);
-        let near = (self.day.mails.by_hall || !self.shift.is_empty())
-            .then(|| from(any, &|c| self.couriers[c].hall == hall))
+        let zone = usize::from(m.zone);
+        let near = (self.day.mails.by_zone || !self.shift.is_empty())
+            .then(|| from(any, &|c| self.couriers[c].zone == zone))
             .flatten();
         near.or_else(|| from(any, &|_| true)).unwrap_or(any)
     }
@@ -158,7 +162,7 @@
             let m = &mut self.mails[mail as usize];
             m.misses += 1;
             if m.misses < MISSES {
-                self.agenda.put(now + pause / 2, Event::Again { mail });
+                self.event_queue.schedule(now + pause / 2, Event::Resubmit { mail });
             } else {
                 m.stage = Stage::Over;
             }
@@ -168,7 +172,7 @@
             self.counts.turned_away += 1;
             self.trace.note(now, mail, || format!("turned away by courier {courier}: its room is full"));
             self.mails[mail as usize].tries += 1;
-            self.come_again(now, mail, 0);
+            self.schedule_retry(now, mail, 0);
             return;
         }
         self.turns_taken += 1;
@@ -188,17 +192,17 @@
     pub fn take_on(&mut self, courier: usize, mail: u32) {
         let m = &self.mails[mail as usize];
         if let Some(key) = m.key {
-            self.judge.joins(courier as u32, key, mail);
+            self.judge.enqueue(courier as u32, key, mail);
         }
         let taken = AcceptedMail {
             mail: m.index as usize,
-            destination: m.dest as usize,
+            destination: m.destination as usize,
             class: usize::from(m.class),
             key: m.key.map(|key| key as usize),
             submitted_at: m.since,
             deadline: m.due,
             connects_used: usize::from(m.connects),
-            first_run: m.ran.map(|(at, hall)| (at, usize::from(hall))),
+            first_run: m.ran.map(|(at, zone)| (at, usize::from(zone))),
         };
         self.tell(courier, Input::AcceptedMail(taken));
     }
@@ -246,21 +250,21 @@
             let words = format!("its final answer came {} ms after its time was up", (now - due) / 10);
             self.judge.breaks(Rule::NoMailLost, now, mail, courier, words);
         }
-        self.leave_line(mail);
+        self.leave_key_queue(mail);
     }
 
     /// A mail that is over and has no connect out no longer holds up those of its key.
-    pub fn leave_line(&mut self, mail: u32) {
+    pub fn leave_key_queue(&mut self, mail: u32) {
         let m = &self.mails[mail as usize];
         if let (Some(key), None) = (m.key, m.out) {
             if m.stage != Stage::Taken {
-                self.judge.leaves(m.courier, key, mail);
+                self.judge.dequeue(m.courier, key, mail);
             }
         }
     }
 
     /// After a deferral, or a door that was shut: the client comes again, if it has a try and time left.
-    pub fn come_again(&mut self, now: Time, mail: u32, named: Time) {
+    pub fn schedule_retry(&mut self, now: Time, mail: u32, named: Time) {
         let m = &mut self.mails[mail as usize];
         let index = u64::from(mail) << 8 | u64::from(m.tries) << 4 | 15;
         let d = &mut Stream::new(self.day.seed, Purpose::Front, index);
@@ -277,12 +281,12 @@
         }
         if usize::from(m.tries) <= self.day.mails.retries && now + pause < m.due {
             m.stage = Stage::Outside;
-            self.agenda.put(now + pause, Event::Again { mail });
+            self.event_queue.schedule(now + pause, Event::Resubmit { mail });
         }
     }
 
     /// What a dead courier held without a journal comes again, unless it may have run and may not be repeated.
-    pub fn outlive(&mut self, now: Time, mail: u32) {
+    pub fn resubmit_after_crash(&mut self, now: Time, mail: u32) {
         let pause = self.day.mails.after_death;
         let m = &mut self.mails[mail as usize];
         let effect = self.day.classes[usize::from(m.class)].settings.effect;
@@ -290,13 +294,13 @@
         if m.ran.is_none() || effect == Effect::Redeliverable {
             m.stage = Stage::Outside;
             m.answers = 0;
-            self.agenda.put(now + pause, Event::Again { mail });
+            self.event_queue.schedule(now + pause, Event::Resubmit { mail });
         }
     }
 
     /// At the end of the day each mail that was taken must be over.
     pub fn close(&mut self) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         for mail in 0..self.mails.len() as u32 {
             let m = &self.mails[mail as usize];
             if m.stage == Stage::Taken && self.couriers[m.courier as usize].alive {
--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -26,14 +26,14 @@
 
 /// An outside system: a destination, whose endpoints come one after the other in `Day::endpoints`.
 #[derive(Clone, Debug)]
-pub struct Partner {
+pub struct Destination {
     pub kind: usize,
     /// Share of the traffic.
     pub share: f64,
     pub first: usize,
     pub count: usize,
     pub limit: Limit,
-    /// Calls a second for each unit (the partner, or a route apart), and the span that they are counted in.
+    /// Calls a second for each unit (the destination, or a route apart), and the span that they are counted in.
     pub rate: f64,
     pub span: Time,
     pub listed_rate: f64,
@@ -51,8 +51,8 @@
 
 #[derive(Clone, Copy, Debug)]
 pub struct Endpoint {
-    pub partner: usize,
-    pub hall: usize,
+    pub destination: usize,
+    pub zone: usize,
     pub slots: usize,
     pub queue: usize,
     /// 0: any number.
@@ -62,13 +62,13 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Struck {
+pub struct AppliedTrouble {
     pub what: What,
     pub from: Time,
     pub until: Time,
     pub size: f64,
     pub class: Option<usize>,
-    pub hall: usize,
+    pub zone: usize,
     pub endpoints: Vec<usize>,
     /// What takes the place of each, where they are replaced.
     pub newcomers: Vec<usize>,
@@ -93,7 +93,7 @@
     pub short_lived: f64,
     pub short_part: f64,
     pub keys: usize,
-    pub by_hall: bool,
+    pub by_zone: bool,
     pub careful: bool,
     pub front_notice: Time,
 }
@@ -102,18 +102,18 @@
 pub struct Day {
     pub seed: u64,
     pub length: Time,
-    pub halls: Vec<String>,
-    /// One way between two halls.
-    pub journey: Vec<Vec<Time>>,
+    pub zones: Vec<String>,
+    /// One way between two zones.
+    pub zone_latency: Vec<Vec<Time>>,
     pub jitter: f64,
     /// Hall of each courier.
     pub couriers: Vec<usize>,
     pub mails: Mails,
     pub classes: Vec<Class>,
     pub kinds: Vec<String>,
-    pub partners: Vec<Partner>,
+    pub destinations: Vec<Destination>,
     pub endpoints: Vec<Endpoint>,
-    pub troubles: Vec<Struck>,
+    pub troubles: Vec<AppliedTrouble>,
     pub settings: Settings,
     pub journal: bool,
     pub down: Time,
@@ -148,13 +148,13 @@
         let d = &mut stream;
         let length = secs(draw(d, s.seconds));
         let couriers = count(d, s.couriers).max(1);
-        let partners = count(d, s.partners).max(1);
+        let destinations = count(d, s.partners).max(1);
         let full_rate = draw(d, s.mails.full_rate);
-        let halls = s.halls.names.clone();
-        let mut journey = vec![vec![0; halls.len()]; halls.len()];
-        for (a, b) in (0..halls.len()).flat_map(|a| (a..halls.len()).map(move |b| (a, b))) {
+        let zones = s.halls.names.clone();
+        let mut zone_latency = vec![vec![0; zones.len()]; zones.len()];
+        for (a, b) in (0..zones.len()).flat_map(|a| (a..zones.len()).map(move |b| (a, b))) {
             let way = ms(draw(d, if a == b { s.halls.same_ms } else { s.halls.cross_ms }));
-            (journey[a][b], journey[b][a]) = (way, way);
+            (zone_latency[a][b], zone_latency[b][a]) = (way, way);
         }
         let mails = Mails {
             rate: full_rate * draw(d, s.mails.load),
@@ -171,15 +171,15 @@
             short_lived: draw(d, s.mails.short_lived),
             short_part: draw(d, s.mails.short_part),
             keys: count(d, s.mails.keys).max(1),
-            by_hall: s.mails.by_hall,
+            by_zone: s.mails.by_hall,
             careful: s.mails.careful,
             front_notice: secs(draw(d, s.mails.front_notice_s)),
         };
         let classes = classes(s, d);
         let uneven = draw(d, s.mails.uneven);
-        let (partners, endpoints) = world(s, seed, partners, full_rate, uneven, &classes);
+        let (destinations, endpoints) = world(s, seed, destinations, full_rate, uneven, &classes);
         let mean = classes.iter().map(|c| c.share * c.service).sum::<f64>() / 1000.0;
-        let pace = partners.iter().map(|p| p.share * p.pace).sum::<f64>();
+        let pace = destinations.iter().map(|p| p.share * p.pace).sum::<f64>();
         let busy = full_rate / couriers as f64 * mean * pace;
         let settings = Settings {
             courier_index: 0,
@@ -197,8 +197,8 @@
             max_retry_after: ms(s.courier.max_pause_ms),
             poll_list: s.list.mode == ListMode::Ask,
             max_poll_delay: secs(s.list.ask_within_s),
-            cold_capacity: partners.iter().map(|p| p.cold_from).fold(1.0, f64::min),
-            warm_up: partners.iter().map(|p| p.cold).max().unwrap_or(0),
+            cold_capacity: destinations.iter().map(|p| p.cold_from).fold(1.0, f64::min),
+            warm_up: destinations.iter().map(|p| p.cold).max().unwrap_or(0),
             overload_multiple: s.rules.tip_multiple,
             overload_duration: secs(s.rules.tip_s),
             ordering_gap: ms(s.courier.turn_gap_ms),
@@ -219,14 +219,14 @@
         let mut day = Day {
             seed,
             length,
-            couriers: (0..couriers).map(|c| c % halls.len()).collect(),
-            halls,
-            journey,
+            couriers: (0..couriers).map(|c| c % zones.len()).collect(),
+            zones,
+            zone_latency,
             jitter: draw(d, s.halls.jitter),
             mails,
             classes,
             kinds: s.kind.iter().map(|kind| kind.name.clone()).collect(),
-            partners,
+            destinations,
             endpoints,
             troubles: Vec::new(),
             settings,
@@ -268,16 +268,16 @@
         self.keep_idle / 20 * 19
     }
 
-    /// Mean time of a call with one mail at a partner that is well and warm, in tenths of a millisecond.
-    pub fn mean_service(&self, partner: usize) -> f64 {
+    /// Mean time of a call with one mail at a destination that is well and warm, in tenths of a millisecond.
+    pub fn mean_service(&self, destination: usize) -> f64 {
         let mean: f64 = self.classes.iter().map(|c| c.share * c.service).sum();
-        mean * self.partners[partner].pace * (SECOND / 1000) as f64
+        mean * self.destinations[destination].pace * (SECOND / 1000) as f64
     }
 
     /// Calls a second that an endpoint serves when well and warm.
     pub fn capacity(&self, endpoint: usize) -> f64 {
         let e = &self.endpoints[endpoint];
-        e.slots as f64 * SECOND as f64 / self.mean_service(e.partner)
+        e.slots as f64 * SECOND as f64 / self.mean_service(e.destination)
     }
 }
 
@@ -311,7 +311,7 @@
     classes
 }
 
-/// Partners by falling traffic, and their endpoints.
+/// Destinations by falling traffic, and their endpoints.
 fn world(
     s: &Scenario,
     seed: u64,
@@ -319,12 +319,12 @@
     full_rate: f64,
     uneven: f64,
     classes: &[Class],
-) -> (Vec<Partner>, Vec<Endpoint>) {
+) -> (Vec<Destination>, Vec<Endpoint>) {
     let mean: f64 = classes.iter().map(|c| c.share * c.service).sum::<f64>() / 1000.0;
     let weights: Vec<f64> = (0..count).map(|p| 1.0 / ((p + 1) as f64).powf(uneven)).collect();
     let whole: f64 = weights.iter().sum();
     let shares: f64 = s.kind.iter().map(|k| k.share.low()).sum::<f64>().max(f64::MIN_POSITIVE);
-    // Kinds that lean to much traffic come first; each gets its share of the partners.
+    // Kinds that lean to much traffic come first; each gets its share of the destinations.
     let mut order: Vec<usize> = (0..s.kind.len()).collect();
     order.sort_by(|&a, &b| s.kind[b].lean.total_cmp(&s.kind[a].lean));
     let mut kinds: Vec<usize> = Vec::with_capacity(count);
@@ -336,9 +336,9 @@
         }
     }
     kinds.resize(count, order[order.len() - 1]);
-    let (mut partners, mut endpoints) = (Vec::with_capacity(count), Vec::new());
+    let (mut destinations, mut endpoints) = (Vec::with_capacity(count), Vec::new());
     for (p, &kind_index) in kinds.iter().enumerate() {
-        let d = &mut Stream::new(seed, Purpose::Partner, p as u64);
+        let d = &mut Stream::new(seed, Purpose::Destination, p as u64);
         let kind = &s.kind[kind_index];
         let share = weights[p] / whole;
         let kind_pace = draw(d, kind.pace);
@@ -356,7 +356,7 @@
         let rate = calls / units;
         let rate_wrong = draw(d, s.list.rate_wrong);
         let wrong = d.spread(rate_wrong);
-        partners.push(Partner {
+        destinations.push(Destination {
             kind: kind_index,
             share,
             first: endpoints.len(),
@@ -377,52 +377,61 @@
             error_share: draw(d, kind.error_share),
         });
         for i in 0..ends {
-            // Routes apart lie in halls of their own; the endpoints of a partner with one limit stand together.
-            let hall = if kind.apart { (home + i) % s.halls.names.len() } else { home };
+            // Routes apart lie in zones of their own; the endpoints of a destination with one limit stand together.
+            let zone = if kind.apart { (home + i) % s.halls.names.len() } else { home };
             let tables =
                 if connections > 0.0 { ((connections * slots as f64).ceil() as usize).max(4) } else { 0 };
-            endpoints.push(Endpoint { partner: p, hall, slots, queue, connections: tables, newcomer: false });
+            endpoints.push(Endpoint {
+                destination: p,
+                zone,
+                slots,
+                queue,
+                connections: tables,
+                newcomer: false,
+            });
         }
     }
-    (partners, endpoints)
+    (destinations, endpoints)
 }
 
 /// Draws whom a trouble strikes.
-fn strike(t: &Trouble, mark: u64, day: &Day) -> Struck {
+fn strike(t: &Trouble, mark: u64, day: &Day) -> AppliedTrouble {
     let d = &mut Stream::new(day.seed, Purpose::Trouble, mark);
     let from = secs(draw(d, t.at_s));
     let until = from + secs(draw(d, t.for_s));
     let (size, part, whole) = (draw(d, t.size), draw(d, t.part), draw(d, t.whole));
-    let hall = t.hall.as_ref().and_then(|name| day.halls.iter().position(|hall| hall == name));
-    let any_hall = d.below(day.halls.len());
+    let zone = t.hall.as_ref().and_then(|name| day.zones.iter().position(|zone| zone == name));
+    let any_zone = d.below(day.zones.len());
     let class = t.class.as_ref().and_then(|name| day.classes.iter().position(|class| class.name == *name));
     let class = class.or((t.what == What::ClassErrors).then(|| d.below(day.classes.len())));
     let kind = t.kind.as_ref().and_then(|name| day.kinds.iter().position(|kind| kind == name));
-    let any_kind = day.partners[d.below(day.partners.len())].kind;
-    let only_hall = hall.or((t.by == By::Hall).then_some(any_hall));
+    let any_kind = day.destinations[d.below(day.destinations.len())].kind;
+    let only_zone = zone.or((t.by == By::Hall).then_some(any_zone));
     let only_kind = kind.or((t.by == By::Kind).then_some(any_kind));
     let stands = |p: &usize| {
-        let partner = &day.partners[*p];
-        let ends = &day.endpoints[partner.first..partner.first + partner.count];
-        only_kind.is_none_or(|kind| kind == partner.kind)
-            && only_hall.is_none_or(|hall| ends.iter().any(|e| e.hall == hall))
+        let destination = &day.destinations[*p];
+        let ends = &day.endpoints[destination.first..destination.first + destination.count];
+        only_kind.is_none_or(|kind| kind == destination.kind)
+            && only_zone.is_none_or(|zone| ends.iter().any(|e| e.zone == zone))
             && (t.partners.is_empty() || t.partners.contains(p))
     };
-    let mut partners: Vec<usize> = (0..day.partners.len()).filter(stands).collect();
-    d.shuffle(&mut partners);
+    let mut destinations: Vec<usize> = (0..day.destinations.len()).filter(stands).collect();
+    d.shuffle(&mut destinations);
     let (mut endpoints, mut sum) = (Vec::new(), 0.0);
-    for p in partners {
+    for p in destinations {
         // What was named is struck whatever it carries; else until the part of the traffic is reached.
-        if t.partners.is_empty() && (sum >= part || (sum > 0.0 && sum + day.partners[p].share > 1.5 * part)) {
+        if t.partners.is_empty()
+            && (sum >= part || (sum > 0.0 && sum + day.destinations[p].share > 1.5 * part))
+        {
             continue;
         }
-        let partner = &day.partners[p];
-        let ends = (partner.first..partner.first + partner.count)
-            .filter(|&e| only_hall.is_none_or(|hall| day.endpoints[e].hall == hall));
+        let destination = &day.destinations[p];
+        let ends = (destination.first..destination.first + destination.count)
+            .filter(|&e| only_zone.is_none_or(|zone| day.endpoints[e].zone == zone));
         let ends: Vec<usize> = ends.collect();
-        let all = d.chance(whole) || only_hall.is_some();
+        let all = d.chance(whole) || only_zone.is_some();
         let struck = if all { ends } else { vec![ends[d.below(ends.len())]] };
-        sum += partner.share * struck.len() as f64 / partner.count as f64;
+        sum += destination.share * struck.len() as f64 / destination.count as f64;
         endpoints.extend(struck);
     }
     endpoints.sort_unstable();
@@ -435,6 +444,17 @@
     } else {
         couriers = t.couriers.iter().copied().filter(|&c| c < day.couriers.len()).collect();
     }
-    let hall = hall.unwrap_or(any_hall);
-    Struck { what: t.what, from, until, size, class, hall, endpoints, newcomers: Vec::new(), couriers, mark }
+    let zone = zone.unwrap_or(any_zone);
+    AppliedTrouble {
+        what: t.what,
+        from,
+        until,
+        size,
+        class,
+        zone,
+        endpoints,
+        newcomers: Vec::new(),
+        couriers,
+        mark,
+    }
 }
--- a/crates/emulator/src/agenda.rs
+++ b/crates/emulator/src/event_queue.rs
@@ -32,31 +32,31 @@
     }
 }
 
-pub struct Agenda<E> {
+pub struct EventQueue<E> {
     heap: BinaryHeap<Entry<E>>,
     next: u64,
     now: Time,
 }
 
-impl<E> Default for Agenda<E> {
+impl<E> Default for EventQueue<E> {
     fn default() -> Self {
-        Agenda { heap: BinaryHeap::new(), next: 0, now: 0 }
+        EventQueue { heap: BinaryHeap::new(), next: 0, now: 0 }
     }
 }
 
-impl<E> Agenda<E> {
+impl<E> EventQueue<E> {
     /// Time of the event that was taken last.
     pub fn now(&self) -> Time {
         self.now
     }
 
     /// Puts an event on; what is due in the past happens now.
-    pub fn put(&mut self, at: Time, event: E) {
+    pub fn schedule(&mut self, at: Time, event: E) {
         self.next += 1;
         self.heap.push(Entry { at: at.max(self.now), number: self.next, event });
     }
 
-    pub fn take(&mut self) -> Option<(Time, E)> {
+    pub fn pop(&mut self) -> Option<(Time, E)> {
         let entry = self.heap.pop()?;
         self.now = entry.at;
         Some((entry.at, entry.event))
@@ -74,17 +74,17 @@
 
     #[test]
     fn events_come_in_order_of_time_then_of_putting() {
-        let mut agenda = Agenda::default();
+        let mut event_queue = EventQueue::default();
         for (at, event) in [(5, 'c'), (1, 'a'), (5, 'd'), (3, 'b')] {
-            agenda.put(at, event);
+            event_queue.schedule(at, event);
         }
         let mut seen = String::new();
-        while let Some((at, event)) = agenda.take() {
+        while let Some((at, event)) = event_queue.pop() {
             seen.push(event);
             if event == 'b' {
-                agenda.put(at - 2, 'x');
+                event_queue.schedule(at - 2, 'x');
             }
         }
-        assert_eq!((seen.as_str(), agenda.now()), ("abxcd", 5));
+        assert_eq!((seen.as_str(), event_queue.now()), ("abxcd", 5));
     }
 }
--- a/crates/emulator/src/figures.rs
+++ b/crates/emulator/src/figures.rs
@@ -115,29 +115,31 @@
     windows.fold((1.0, 0.0), |worst, next| if next.0 < worst.0 { next } else { worst })
 }
 
-/// Service that capacity alone allows: at each partner, as much work as it could do in the whole day and the longest
+/// Service that capacity alone allows: at each destination, as much work as it could do in the whole day and the longest
 /// lifetime after it, well and warm all along, goes to the mails that earn most for their work. Whoever decides, with
 /// whatever foresight, earns no more; troubles are not counted, so that it is the same for all deciders.
 fn capacity_bound(day: &Day, mails: &[Mail]) -> f64 {
     let mut asked = 0.0;
-    let mut wanted: Vec<Vec<(f64, f64)>> = vec![Vec::new(); day.partners.len()];
+    let mut wanted: Vec<Vec<(f64, f64)>> = vec![Vec::new(); day.destinations.len()];
     for mail in mails {
         let class = &day.classes[usize::from(mail.class)];
         asked += class.settings.importance;
-        let p = mail.dest as usize;
-        let work = class.service * day.partners[p].pace / 1000.0;
+        let p = mail.destination as usize;
+        let work = class.service * day.destinations[p].pace / 1000.0;
         wanted[p].push((class.settings.importance, work));
     }
     let longest = day.classes.iter().map(|c| c.settings.lifetime).max().unwrap_or(0);
     let time = (day.length + longest) as f64 / SECOND as f64;
     let mut earned = 0.0;
     for (p, mails) in wanted.iter_mut().enumerate() {
-        let partner = &day.partners[p];
-        let slots: usize =
-            day.endpoints[partner.first..partner.first + partner.count].iter().map(|e| e.slots).sum();
+        let destination = &day.destinations[p];
+        let slots: usize = day.endpoints[destination.first..destination.first + destination.count]
+            .iter()
+            .map(|e| e.slots)
+            .sum();
         // A batch does the work of its longest mail and some for each further one.
-        let batch = partner.batch as f64;
-        let ease = batch / (1.0 + partner.item_work * (batch - 1.0));
+        let batch = destination.batch as f64;
+        let ease = batch / (1.0 + destination.item_work * (batch - 1.0));
         let mut room = slots as f64 * time * ease;
         mails.sort_by(|a, b| (b.0 / b.1).total_cmp(&(a.0 / a.1)));
         for &(importance, work) in mails.iter() {
@@ -160,7 +162,7 @@
         let worst_class = classes.iter().map(|c| c.service).fold(1.0, f64::min);
         let whole = ratio(earned, asked);
         let count = mails.len().max(1) as f64;
-        let work_asked: f64 = mails.iter().map(|m| day.mean_service(m.dest as usize)).sum();
+        let work_asked: f64 = mails.iter().map(|m| day.mean_service(m.destination as usize)).sum();
         let waste = (counts.work - counts.heard_work).max(0.0) / work_asked.max(1.0);
         let (handshakes, refused) = (counts.handshakes as f64 / count, counts.refused as f64 / count);
         let prices = day.prices[0] * waste + day.prices[1] * handshakes + day.prices[2] * refused;
--- a/crates/emulator/src/judge.rs
+++ b/crates/emulator/src/judge.rs
@@ -31,7 +31,7 @@
 
 /// Mails of one key at one courier that are not over, or have a connect out, in the order in which it took them.
 #[derive(Default)]
-struct Line {
+struct KeyQueue {
     mails: VecDeque<u32>,
     rest_until: Time,
 }
@@ -45,7 +45,7 @@
     waits: HashMap<(u32, usize), (u32, Time)>,
     leaving: HashMap<(u32, usize), (u32, Time)>,
     saw: HashMap<(u32, usize), u32>,
-    lines: HashMap<(u32, u32), Line>,
+    lines: HashMap<(u32, u32), KeyQueue>,
 }
 
 /// Broken rules that are kept in full; further ones are counted.
@@ -67,7 +67,7 @@
     }
 
     /// A courier's process has read that an endpoint drains or is gone, or is ready (again).
-    pub fn told_life(&mut self, courier: u32, process: u32, endpoint: usize, ready: bool, now: Time) {
+    pub fn status_read(&mut self, courier: u32, process: u32, endpoint: usize, ready: bool, now: Time) {
         if ready {
             self.leaving.remove(&(courier, endpoint));
         } else {
@@ -114,25 +114,25 @@
         }
     }
 
-    pub fn joins(&mut self, courier: u32, key: u32, mail: u32) {
+    pub fn enqueue(&mut self, courier: u32, key: u32, mail: u32) {
         self.lines.entry((courier, key)).or_default().mails.push_back(mail);
     }
 
     /// A mail is over and has no connect out.
-    pub fn leaves(&mut self, courier: u32, key: u32, mail: u32) {
+    pub fn dequeue(&mut self, courier: u32, key: u32, mail: u32) {
         if let Some(line) = self.lines.get_mut(&(courier, key)) {
             line.mails.retain(|&m| m != mail);
         }
     }
 
     /// A connect ended in a way that may leave it running.
-    pub fn rests(&mut self, courier: u32, key: u32, until: Time) {
+    pub fn hold_key(&mut self, courier: u32, key: u32, until: Time) {
         let line = self.lines.entry((courier, key)).or_default();
         line.rest_until = line.rest_until.max(until);
     }
 
     /// The courier's process has ended; what it held in line comes back as it is taken up again, or not at all.
-    pub fn forgets(&mut self, courier: u32, key: u32) {
+    pub fn clear_key(&mut self, courier: u32, key: u32) {
         if let Some(line) = self.lines.get_mut(&(courier, key)) {
             line.mails.clear();
         }
@@ -174,13 +174,13 @@
     #[test]
     fn a_drain_has_its_grace_and_can_be_taken_back() {
         let mut judge = Judge::default();
-        judge.told_life(0, 0, 4, false, 100);
-        judge.told_life(0, 0, 4, false, 900);
+        judge.status_read(0, 0, 4, false, 100);
+        judge.status_read(0, 0, 4, false, 900);
         judge.sent((0, 0), (4, 0), 1, 600, 500);
         assert_eq!(judge.count, 0);
         judge.sent((0, 0), (4, 0), 1, 601, 500);
         assert_eq!(judge.count, 1);
-        judge.told_life(0, 0, 4, true, 1_000);
+        judge.status_read(0, 0, 4, true, 1_000);
         judge.sent((0, 0), (4, 0), 1, 9_999, 500);
         assert_eq!(judge.count, 1);
     }
@@ -188,14 +188,14 @@
     #[test]
     fn order_is_by_taking_and_rests_bind_first_connects_alone() {
         let mut judge = Judge::default();
-        judge.joins(0, 5, 10);
-        judge.joins(0, 5, 11);
+        judge.enqueue(0, 5, 10);
+        judge.enqueue(0, 5, 11);
         judge.sent_in_turn(0, 5, 10, false, 1);
         assert_eq!(judge.count, 0);
         judge.sent_in_turn(0, 5, 11, false, 2);
         assert_eq!(judge.count, 1);
-        judge.rests(0, 5, 100);
-        judge.leaves(0, 5, 10);
+        judge.hold_key(0, 5, 100);
+        judge.dequeue(0, 5, 10);
         judge.sent_in_turn(0, 5, 11, true, 3);
         assert_eq!(judge.count, 1);
         judge.sent_in_turn(0, 5, 11, false, 99);
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,10 +1,9 @@
-//! A model of what couriers serve, in simulated time: partners and their endpoints, the list, clients, troubles, and a
+//! A model of what couriers serve, in simulated time: destinations and their endpoints, the list, clients, troubles, and a
 //! judge of the six rules. It drives the very `Control` that the courier runs; see `docs/emulator.md`.
 //!
 //! One seed is one day and one run of it, bit for bit, on however many threads other days run beside it.
 #![forbid(unsafe_code)]
 
-pub mod agenda;
 pub mod baselines;
 mod calls;
 pub mod chance;
@@ -12,6 +11,7 @@
 mod clients;
 pub mod day;
 pub mod decider;
+pub mod event_queue;
 pub mod figures;
 pub mod judge;
 mod listing;
@@ -29,23 +29,23 @@
 use std::rc::Rc;
 
 use crate::day::Day;
-use crate::decider::Maker;
+use crate::decider::DeciderFactory;
 use crate::figures::Figures;
 use crate::scenario::Scenario;
 use crate::world::{Ended, Options, World};
 
 /// Runs one day of a scenario that was checked (`check::faults`).
-pub fn run(scenario: &Scenario, seed: u64, maker: &Maker, options: Options) -> Ended {
-    World::new(Rc::new(Day::draw(scenario, seed)), maker, options).run()
+pub fn run(scenario: &Scenario, seed: u64, factory: &DeciderFactory, options: Options) -> Ended {
+    World::new(Rc::new(Day::draw(scenario, seed)), factory, options).run()
 }
 
 /// The figures of one day.
-pub fn figures(scenario: &Scenario, seed: u64, maker: &Maker) -> Figures {
-    Figures::of(&run(scenario, seed, maker, Options::default()))
+pub fn figures(scenario: &Scenario, seed: u64, factory: &DeciderFactory) -> Figures {
+    Figures::of(&run(scenario, seed, factory, Options::default()))
 }
 
 /// The whole history of a mail, a line each, by running its day again: the same seed is the same day.
-pub fn history(scenario: &Scenario, seed: u64, maker: &Maker, mail: u32) -> Vec<String> {
-    let ended = run(scenario, seed, maker, Options { watch: Some(mail), ..Options::default() });
+pub fn history(scenario: &Scenario, seed: u64, factory: &DeciderFactory, mail: u32) -> Vec<String> {
+    let ended = run(scenario, seed, factory, Options { watch: Some(mail), ..Options::default() });
     ended.history.iter().map(|(at, words)| format!("{:>10.1} ms  {words}", *at as f64 / 10.0)).collect()
 }
--- a/crates/emulator/src/listing.rs
+++ b/crates/emulator/src/listing.rs
@@ -23,11 +23,11 @@
 impl World<'_> {
     fn entry(&self, endpoint: usize, life: EndpointStatus) -> Input {
         let e = &self.day.endpoints[endpoint];
-        let p = &self.day.partners[e.partner];
+        let p = &self.day.destinations[e.destination];
         Input::ListEntry(ListEntry {
             endpoint,
-            destination: e.partner,
-            zone: e.hall,
+            destination: e.destination,
+            zone: e.zone,
             kind: p.kind,
             status: life,
             rate: p.listed_rate,
@@ -35,7 +35,7 @@
     }
 
     /// What is published of each endpoint just now, in the order of the endpoints.
-    pub fn whole(&self) -> Vec<Input> {
+    pub fn full_list(&self) -> Vec<Input> {
         let mut lives: Vec<Option<EndpointStatus>> =
             self.day.endpoints.iter().map(|e| (!e.newcomer).then_some(EndpointStatus::Ready)).collect();
         self.list.log.iter().for_each(|&(endpoint, life)| lives[endpoint] = Some(life));
@@ -57,7 +57,7 @@
         self.list.changes.push((endpoint, life));
         let change = self.list.changes.len() as u32 - 1;
         let at = now + self.day.list_lag + self.list.lag;
-        self.agenda.put(at, Event::Publish { change });
+        self.event_queue.schedule(at, Event::Publish { change });
     }
 
     pub fn publish(&mut self, now: Time, change: usize) {
@@ -66,11 +66,11 @@
             return;
         }
         let (endpoint, life) = self.list.changes[change];
-        self.spread(now, endpoint, life);
+        self.announce(now, endpoint, life);
     }
 
     /// Something stands on the list, true or not, and couriers hear of it one after the other.
-    pub fn spread(&mut self, now: Time, endpoint: usize, life: EndpointStatus) {
+    pub fn announce(&mut self, now: Time, endpoint: usize, life: EndpointStatus) {
         self.list.log.push((endpoint, life));
         let upto = self.list.log.len() as u32;
         for courier in 0..self.couriers.len() {
@@ -81,19 +81,22 @@
             let index = (courier as u64) << 32 | u64::from(upto);
             let part = Stream::new(self.day.seed, Purpose::List, index).unit();
             let at = now + (self.day.list_spread as f64 * part) as Time + 1;
-            self.agenda.put(at, Event::Hear { courier: courier as u32, process: c.process, upto });
+            self.event_queue
+                .schedule(at, Event::ListUpdate { courier: courier as u32, process: c.process, upto });
         }
     }
 
-    pub fn hear(&mut self, now: Time, courier: usize, process: u32, upto: usize) {
+    pub fn deliver_list_update(&mut self, now: Time, courier: usize, process: u32, upto: usize) {
         let c = &self.couriers[courier];
         if !c.alive || c.process != process || c.heard >= upto {
             return;
         }
         if self.list.stalls > 0 {
             // It was on its way when the list fell silent: it comes once that is over.
-            self.agenda
-                .put(now + SECOND / 2, Event::Hear { courier: courier as u32, process, upto: upto as u32 });
+            self.event_queue.schedule(
+                now + SECOND / 2,
+                Event::ListUpdate { courier: courier as u32, process, upto: upto as u32 },
+            );
             return;
         }
         let news: Vec<Input> =
@@ -108,10 +111,10 @@
     pub fn ask_list(&mut self, now: Time, courier: usize) {
         let process = self.couriers[courier].process;
         let at = now + SECOND / 20;
-        self.agenda.put(at, Event::Asked { courier: courier as u32, process });
+        self.event_queue.schedule(at, Event::ListResponse { courier: courier as u32, process });
     }
 
-    pub fn asked(&mut self, now: Time, courier: usize, process: u32) {
+    pub fn list_response(&mut self, now: Time, courier: usize, process: u32) {
         if !self.couriers[courier].alive || self.couriers[courier].process != process {
             return;
         }
@@ -119,7 +122,7 @@
             self.tell(courier, Input::ListFailed);
             return;
         }
-        let whole = self.whole();
+        let whole = self.full_list();
         let c = &mut self.couriers[courier];
         (c.heard, c.watches) = (self.list.log.len(), true);
         c.inputs.extend(whole);
@@ -127,20 +130,23 @@
     }
 
     /// The list goes on after a stall.
-    pub fn list_goes_on(&mut self, now: Time) {
+    pub fn resume_list(&mut self, now: Time) {
         for change in std::mem::take(&mut self.list.waiting) {
             self.publish(now, change);
         }
     }
 
     /// All couriers are told that the list is empty, or all of it anew.
-    pub fn retell(&mut self, now: Time, empty: bool) {
+    pub fn resend_list(&mut self, now: Time, empty: bool) {
         for courier in 0..self.couriers.len() {
             if !self.couriers[courier].alive {
                 continue;
             }
-            let told =
-                if empty { vec![Input::ListBegin { complete: true }, Input::ListEnd] } else { self.whole() };
+            let told = if empty {
+                vec![Input::ListBegin { complete: true }, Input::ListEnd]
+            } else {
+                self.full_list()
+            };
             self.couriers[courier].heard = self.list.log.len();
             self.couriers[courier].inputs.extend(told);
             self.wake(courier, now);
@@ -151,7 +157,7 @@
     pub fn judge_unnamed(&mut self, now: Time, courier: usize, inputs: &[Input]) {
         let begin =
             inputs.iter().rposition(|i| matches!(i, Input::ListBegin { complete: true })).unwrap_or(0);
-        let mut named = vec![false; self.sites.len()];
+        let mut named = vec![false; self.endpoint_states.len()];
         for input in &inputs[begin..] {
             if let Input::ListEntry(entry) = input {
                 named[entry.endpoint] = true;
@@ -159,7 +165,7 @@
         }
         let process = self.couriers[courier].process;
         for (endpoint, _) in named.iter().enumerate().filter(|(_, named)| !**named) {
-            self.judge.told_life(courier as u32, process, endpoint, false, now);
+            self.judge.status_read(courier as u32, process, endpoint, false, now);
         }
     }
 }
--- a/crates/emulator/src/oracle.rs
+++ b/crates/emulator/src/oracle.rs
@@ -3,7 +3,7 @@
 
 use meadowhold::interface::{AcceptedMail, Action, Effect, EndpointStatus, Input, Settings, Time};
 
-use crate::decider::{Decider, Sight};
+use crate::decider::{Decider, WorldView};
 use crate::slots::{grow, may, Slots};
 
 /// Chance of being served that a once-only mail waits for.
@@ -50,7 +50,7 @@
 }
 
 impl Oracle {
-    /// `courier`: whose eyes it has; the sight differs by hall.
+    /// `courier`: whose eyes it has; the sight differs by zone.
     pub fn new(set: Settings, courier: usize) -> Oracle {
         Oracle {
             asked: !set.poll_list,
@@ -176,7 +176,7 @@
     }
 
     /// The endpoint that would answer first, and when, of those that a mail may go to now.
-    fn best(&self, now: Time, mail: usize, sight: &dyn Sight) -> Option<(f64, usize)> {
+    fn best(&self, now: Time, mail: usize, view: &dyn WorldView) -> Option<(f64, usize)> {
         let t = &self.mails[mail].taken;
         let in_turn = t.key.is_none_or(|key| {
             let (line, rest) = &self.lines[key];
@@ -191,33 +191,33 @@
             e.ready
                 && now >= self.holds[e.unit]
                 && t.first_run.is_none_or(|(_, zone)| !by_zone || zone == e.zone)
-                && self.slots.riders(endpoint) < e.batch
+                && self.slots.connects(endpoint) < e.batch
                 && self.slots.has_room(endpoint, e.batch, self.set.slots)
         };
         let ends = self.dests[t.destination].iter().copied().filter(|&e| fits(e));
         // What a failure would end waits until one is unlikely; all else is tried, as its chance is worth.
         let once = self.set.classes[t.class].effect == Effect::OnceOnly;
         let answers = ends.filter_map(|e| {
-            let (answer, sure) = sight.answer_in(self.courier, e, t.class)?;
+            let (answer, sure) = view.answer_in(self.courier, e, t.class)?;
             (!once || sure > SURE).then_some((answer / sure, e))
         });
         answers.min_by(|a, b| a.0.total_cmp(&b.0))
     }
 
-    fn dispatch(&mut self, now: Time, out: &mut Vec<Action>, sight: &dyn Sight) {
+    fn dispatch(&mut self, now: Time, out: &mut Vec<Action>, view: &dyn WorldView) {
         let mut order = std::mem::take(&mut self.order);
         order.clear();
         self.slots.next_turn();
         for &mail in &self.parked {
             // What it would earn over the slot time that it takes: slots are what is short.
-            if let Some((answer, _)) = self.best(now, mail, sight) {
+            if let Some((answer, _)) = self.best(now, mail, view) {
                 let earns = self.worth(mail, now + answer as Time);
                 order.push((earns / answer.max(1.0), mail));
             }
         }
         order.sort_by(|a, b| b.0.total_cmp(&a.0));
         for &(value, mail) in &order {
-            let best = self.best(now, mail, sight).filter(|_| value > 0.0);
+            let best = self.best(now, mail, view).filter(|_| value > 0.0);
             let Some((answer, endpoint)) = best else { continue };
             let t = &self.mails[mail].taken;
             let left = t.deadline.saturating_sub(now).max(1);
@@ -239,12 +239,12 @@
 }
 
 impl Decider for Oracle {
-    fn round(
+    fn step(
         &mut self,
         now: Time,
         inputs: &[Input],
         out: &mut Vec<Action>,
-        sight: &dyn Sight,
+        view: &dyn WorldView,
     ) -> Option<Time> {
         inputs.iter().for_each(|input| self.read(now, input, out));
         if !std::mem::replace(&mut self.asked, true) {
@@ -257,12 +257,12 @@
         };
         let hopeless: Vec<usize> = self.parked.iter().filter(hopeless).copied().collect();
         hopeless.into_iter().for_each(|mail| self.give_up(now, mail, out));
-        self.dispatch(now, out, sight);
+        self.dispatch(now, out, view);
         let busy = self.slots.out() > 0 || !self.parked.is_empty();
         busy.then_some(now + self.set.timer_resolution)
     }
 
-    fn may_begin(&self, endpoint: usize, now: Time) -> bool {
+    fn may_call(&self, endpoint: usize, now: Time) -> bool {
         let e = &self.ends[endpoint];
         e.ready && now >= self.holds[e.unit]
     }
--- a/crates/emulator/src/parts.rs
+++ b/crates/emulator/src/parts.rs
@@ -8,7 +8,7 @@
 
 /// An endpoint's process at work, and what troubles do to it just now. Troubles add up, so each is a count or a factor.
 #[derive(Debug)]
-pub struct Site {
+pub struct EndpointState {
     pub unit: usize,
     pub down: u16,
     pub hung: u16,
@@ -39,9 +39,9 @@
     pub place: u32,
 }
 
-impl Site {
-    pub fn new(unit: usize) -> Site {
-        Site {
+impl EndpointState {
+    pub fn new(unit: usize) -> EndpointState {
+        EndpointState {
             unit,
             down: 0,
             hung: 0,
@@ -73,7 +73,7 @@
     }
 
     /// It takes calls and goes on with none.
-    pub fn stands_still(&self) -> bool {
+    pub fn is_stalled(&self) -> bool {
         self.hung > 0 || self.paused > 0
     }
 
@@ -88,10 +88,10 @@
     }
 }
 
-/// What is limited, has outages and tells waits on its own: a partner, or a route apart.
+/// What is limited, has outages and tells waits on its own: a destination, or a route apart.
 #[derive(Debug, Default)]
 pub struct Unit {
-    pub partner: usize,
+    pub destination: usize,
     pub endpoints: Vec<usize>,
     /// What is left of a plain rate, and when that was reckoned.
     pub tokens: f64,
@@ -131,9 +131,9 @@
 
 #[derive(Clone, Debug)]
 pub struct Mail {
-    pub dest: u32,
+    pub destination: u32,
     pub class: u16,
-    pub hall: u16,
+    pub zone: u16,
     pub key: Option<u32>,
     pub born: Time,
     pub due: Time,
@@ -146,14 +146,14 @@
     /// Times handed in, and times that a dead courier was found instead.
     pub tries: u8,
     pub misses: u8,
-    /// Connects of this taking, and send and hall of the first that may have run.
+    /// Connects of this taking, and send and zone of the first that may have run.
     pub connects: u16,
     pub ran: Option<(Time, u16)>,
     /// The call that is out for it.
     pub out: Option<u32>,
     /// Its place in the order of its key.
     pub turn: u64,
-    /// Effects at the partner, for what must not have two.
+    /// Effects at the destination, for what must not have two.
     pub effects: u8,
     /// Final answers of this taking.
     pub answers: u8,
@@ -162,19 +162,19 @@
 
 /// A mail in a call.
 #[derive(Clone, Copy, Debug)]
-pub struct Rider {
+pub struct Connect {
     pub mail: u32,
     /// When its courier gives the answer up.
     pub end: Time,
     /// The courier has its outcome.
     pub told: bool,
-    /// How often the partner had forgotten its key when it came: what falls within one time is one effect.
+    /// How often the destination had forgotten its key when it came: what falls within one time is one effect.
     pub era: u8,
-    /// The partner knew it when it came.
+    /// The destination knew it when it came.
     pub repeat: bool,
 }
 
-/// What a partner knows of a key: when it came first in this era, and the eras that had their effect, a bit each.
+/// What a destination knows of a key: when it came first in this era, and the eras that had their effect, a bit each.
 #[derive(Clone, Copy, Debug)]
 pub struct Known {
     pub since: Time,
@@ -198,7 +198,7 @@
     pub courier: u32,
     pub process: u32,
     pub endpoint: u32,
-    pub riders: Vec<Rider>,
+    pub connects: Vec<Connect>,
     pub started: Time,
     pub kept: bool,
     /// The courier still waits for something of it.
@@ -238,7 +238,7 @@
 }
 
 pub struct Courier {
-    pub hall: usize,
+    pub zone: usize,
     pub alive: bool,
     /// Number of its process, from 0.
     pub process: u32,
@@ -270,9 +270,9 @@
 }
 
 impl Courier {
-    pub fn new(hall: usize) -> Courier {
+    pub fn new(zone: usize) -> Courier {
         Courier {
-            hall,
+            zone,
             alive: true,
             process: 0,
             started: 0,
@@ -314,14 +314,14 @@
     Next,
     /// A mail of a clump.
     Clump {
-        dest: u32,
+        destination: u32,
         left: u32,
     },
     HandIn {
         mail: u32,
         courier: u32,
     },
-    Again {
+    Resubmit {
         mail: u32,
     },
     HangUp {
@@ -366,19 +366,19 @@
     Publish {
         change: u32,
     },
-    Hear {
+    ListUpdate {
         courier: u32,
         process: u32,
         upto: u32,
     },
-    Asked {
+    ListResponse {
         courier: u32,
         process: u32,
     },
-    Die {
+    CourierCrash {
         courier: u32,
     },
-    Rise {
+    CourierRestart {
         courier: u32,
     },
     Notice {
@@ -388,7 +388,7 @@
     Sample,
 }
 
-/// What a courier is told at its next turn of one rider's connect.
+/// What a courier is told at its next turn of one connect's connect.
 pub fn ended(index: usize, reply: &Reply, over: bool, took: Time, kept: bool) -> Input {
     Input::ConnectResult(ConnectResult {
         mail: index,
--- a/crates/emulator/src/series.rs
+++ b/crates/emulator/src/series.rs
@@ -7,14 +7,14 @@
 use crate::parts::Event;
 use crate::world::World;
 
-/// Partners and couriers that are looked at in detail.
-pub const PARTNERS: usize = 8;
+/// Destinations and couriers that are looked at in detail.
+pub const DESTINATIONS: usize = 8;
 const COURIERS: usize = 16;
 
 /// One destination: calls out and caps summed over the couriers looked at, parked mails, what it can serve a second,
 /// and endpoints by standing (well, doubted, down, returning), summed likewise.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Dest {
+pub struct DestinationSample {
     pub out: usize,
     pub cap: usize,
     pub parked: usize,
@@ -31,7 +31,7 @@
     pub alive: usize,
     pub refused: u64,
     pub connects: u64,
-    pub dests: Vec<Dest>,
+    pub dests: Vec<DestinationSample>,
 }
 
 impl World<'_> {
@@ -43,17 +43,17 @@
             sample.alive += usize::from(c.alive);
         }
         (sample.refused, sample.connects) = (self.counts.refused, self.counts.connects);
-        for dest in 0..self.day.partners.len().min(PARTNERS) {
-            let p = &self.day.partners[dest];
-            let mut seen = Dest::default();
+        for destination in 0..self.day.destinations.len().min(DESTINATIONS) {
+            let p = &self.day.destinations[destination];
+            let mut seen = DestinationSample::default();
             for decider in self.couriers.iter().take(COURIERS).filter_map(|c| c.decider.as_ref()) {
-                if let Some((cap, out, parked)) = decider.glance(dest) {
+                if let Some((cap, out, parked)) = decider.destination_load(destination) {
                     seen.cap += cap;
                     seen.out += out;
                     seen.parked += parked;
                 }
                 for endpoint in p.first..p.first + p.count {
-                    if let Some(standing) = decider.standing(endpoint) {
+                    if let Some(standing) = decider.health(endpoint) {
                         let band = match standing {
                             Health::Healthy => 0,
                             Health::Suspect => 1,
@@ -65,16 +65,16 @@
                 }
             }
             let ends = (p.first..p.first + p.count).filter(|&e| {
-                let site = &self.sites[e];
-                !site.is_out() && !site.stands_still()
+                let state = &self.endpoint_states[e];
+                !state.is_out() && !state.is_stalled()
             });
-            let rate = |e: usize| self.day.capacity(e) * self.warmth(e, now) / self.sites[e].slow;
+            let rate = |e: usize| self.day.capacity(e) * self.warmth(e, now) / self.endpoint_states[e].slow;
             seen.capacity = ends.map(rate).sum();
             sample.dests.push(seen);
         }
         self.samples.push(sample);
         if now + self.options.sample_every <= self.day.length {
-            self.agenda.put(now + self.options.sample_every, Event::Sample);
+            self.event_queue.schedule(now + self.options.sample_every, Event::Sample);
         }
     }
 }
--- a/crates/emulator/src/serving.rs
+++ b/crates/emulator/src/serving.rs
@@ -1,4 +1,4 @@
-//! What a partner does with a call: takes it on, lets it wait, refuses it, fails it, loses it; serves it and counts the
+//! What a destination does with a call: takes it on, lets it wait, refuses it, fails it, loses it; serves it and counts the
 //! effects. What is sent to one that is back from an outage is weighed here, and may push it over.
 
 use meadowhold::interface::{Effect, LimitReport, Outcome, Time, SECOND};
@@ -25,7 +25,7 @@
 impl World<'_> {
     fn chance_of(&self, call: u32, purpose: Purpose) -> Stream {
         let c = &self.calls[call as usize];
-        let mail = c.riders[0].mail;
+        let mail = c.connects[0].mail;
         let connects = u64::from(self.mails[mail as usize].connects);
         let tries = u64::from(self.mails[mail as usize].tries);
         Stream::new(self.day.seed, purpose, u64::from(mail) << 16 | connects << 8 | tries)
@@ -35,51 +35,51 @@
     pub fn reach(&mut self, now: Time, call: u32) {
         let endpoint = self.calls[call as usize].endpoint as usize;
         self.no_longer_coming(call);
-        let site = &self.sites[endpoint];
+        let state = &self.endpoint_states[endpoint];
         let c = &self.calls[call as usize];
-        let closed = site.idle_close.is_some_and(|idle| c.kept && now >= c.idle_since + idle);
-        if site.is_down() || c.place != site.place || closed {
+        let closed = state.idle_close.is_some_and(|idle| c.kept && now >= c.idle_since + idle);
+        if state.is_down() || c.place != state.place || closed {
             self.calls[call as usize].phase = Phase::Lost;
-            self.send_back(now, call, Reply::only(Outcome::Broken), 0);
+            self.send_reply(now, call, Reply::only(Outcome::Broken), 0);
             return;
         }
-        if site.half_open > 0 {
+        if state.half_open > 0 {
             self.calls[call as usize].phase = Phase::Lost;
             return;
         }
-        let p = &self.day.partners[self.day.endpoints[endpoint].partner];
-        let further = (self.calls[call as usize].riders.len() - 1) as f64;
+        let p = &self.day.destinations[self.day.endpoints[endpoint].destination];
+        let further = (self.calls[call as usize].connects.len() - 1) as f64;
         let load = 1.0 + p.item_work * further;
-        self.weigh(now, call, endpoint, load);
-        if self.sites[endpoint].is_down() {
+        self.check_overload(now, call, endpoint, load);
+        if self.endpoint_states[endpoint].is_down() {
             self.calls[call as usize].phase = Phase::Lost;
-            self.send_back(now, call, Reply::only(Outcome::Broken), 0);
+            self.send_reply(now, call, Reply::only(Outcome::Broken), 0);
             return;
         }
-        if self.sites[endpoint].stands_still() {
+        if self.endpoint_states[endpoint].is_stalled() {
             self.wait_or_refuse(now, call, endpoint, true);
-        } else if self.sites[endpoint].shut > 0 {
-            let until = self.sites[endpoint].shut_until;
+        } else if self.endpoint_states[endpoint].shut > 0 {
+            let until = self.endpoint_states[endpoint].shut_until;
             self.refuse(now, call, until.saturating_sub(now));
         } else if !self.admit(now, endpoint) {
             let wait = self.told_wait(now, endpoint);
             self.refuse(now, call, wait);
-        } else if !self.spoil(now, call, endpoint) {
+        } else if !self.inject_failure(now, call, endpoint) {
             self.wait_or_refuse(now, call, endpoint, false);
         }
     }
 
     fn wait_or_refuse(&mut self, now: Time, call: u32, endpoint: usize, still: bool) {
         let (slots, depth) = (self.day.endpoints[endpoint].slots, self.day.endpoints[endpoint].queue);
-        if !still && self.sites[endpoint].active.len() < slots {
+        if !still && self.endpoint_states[endpoint].active.len() < slots {
             self.receive(now, call);
             self.serve(now, call);
             return;
         }
-        let site = &mut self.sites[endpoint];
-        if site.queue.len() < depth + if still { slots } else { 0 } {
+        let state = &mut self.endpoint_states[endpoint];
+        if state.queue.len() < depth + if still { slots } else { 0 } {
             self.calls[call as usize].phase = Phase::Waiting;
-            site.queue.push_back(call);
+            state.queue.push_back(call);
             self.receive(now, call);
         } else if still {
             // It hears nobody: what finds no room is dropped, and nobody is told.
@@ -91,10 +91,10 @@
 
     /// The limit's word on one call; refused calls may use it up too.
     fn admit(&mut self, now: Time, endpoint: usize) -> bool {
-        let unit = self.sites[endpoint].unit;
+        let unit = self.endpoint_states[endpoint].unit;
         let (rate, tokens, allowed) = (self.rate(unit), self.tokens(unit, now), self.span_allows(unit));
         let u = &mut self.units[unit];
-        let p = &self.day.partners[u.partner];
+        let p = &self.day.destinations[u.destination];
         match p.limit {
             Limit::None => true,
             Limit::Rate => {
@@ -121,8 +121,8 @@
 
     /// Time until the limit has room again, as a refusal would tell it.
     fn told_wait(&self, now: Time, endpoint: usize) -> Time {
-        let unit = self.sites[endpoint].unit;
-        let p = &self.day.partners[self.units[unit].partner];
+        let unit = self.endpoint_states[endpoint].unit;
+        let p = &self.day.destinations[self.units[unit].destination];
         match p.limit {
             Limit::None => 0,
             Limit::Rate => {
@@ -135,17 +135,17 @@
 
     fn refuse(&mut self, now: Time, call: u32, wait: Time) {
         let endpoint = self.calls[call as usize].endpoint as usize;
-        let p = &self.day.partners[self.day.endpoints[endpoint].partner];
+        let p = &self.day.destinations[self.day.endpoints[endpoint].destination];
         let tells = self.chance_of(call, Purpose::Answer).chance(p.tells_wait);
         self.calls[call as usize].phase = Phase::Lost;
         let wait = if tells { wait } else { 0 };
         let report = self.report(now, endpoint);
-        self.send_back(now, call, Reply { outcome: Outcome::Refused, wait, report }, QUICK / 4);
+        self.send_reply(now, call, Reply { outcome: Outcome::Refused, wait, report }, QUICK / 4);
     }
 
     fn report(&self, now: Time, endpoint: usize) -> Option<LimitReport> {
-        let unit = self.sites[endpoint].unit;
-        let (p, limit) = (&self.day.partners[self.units[unit].partner], self.rate(unit));
+        let unit = self.endpoint_states[endpoint].unit;
+        let (p, limit) = (&self.day.destinations[self.units[unit].destination], self.rate(unit));
         let left = match p.limit {
             Limit::Rate => (self.units[unit].tokens / limit.max(1.0)).clamp(0.0, 1.0),
             _ => (1.0 - self.span_used(unit, now) / self.span_allows(unit)).clamp(0.0, 1.0),
@@ -154,19 +154,19 @@
     }
 
     /// Troubles that fail a call or break it; whether one did.
-    fn spoil(&mut self, now: Time, call: u32, endpoint: usize) -> bool {
+    fn inject_failure(&mut self, now: Time, call: u32, endpoint: usize) -> bool {
         let d = &mut self.chance_of(call, Purpose::Answer);
         d.unit(); // the draw that `refuse` would have taken
-        let p = &self.day.partners[self.day.endpoints[endpoint].partner];
-        let site = &self.sites[endpoint];
+        let p = &self.day.destinations[self.day.endpoints[endpoint].destination];
+        let state = &self.endpoint_states[endpoint];
         let strikes = |class: usize| {
-            let riders = &self.calls[call as usize].riders;
-            riders.iter().any(|r| usize::from(self.mails[r.mail as usize].class) == class)
+            let connects = &self.calls[call as usize].connects;
+            connects.iter().any(|r| usize::from(self.mails[r.mail as usize].class) == class)
         };
-        let of_class = site.class_errors.iter().filter(|(class, _)| strikes(*class));
+        let of_class = state.class_errors.iter().filter(|(class, _)| strikes(*class));
         let well =
-            of_class.fold((1.0 - p.error_share) * (1.0 - site.errors.min(1.0)), |w, (_, e)| w * (1.0 - e));
-        let (fails, breaks) = (d.chance(1.0 - well), d.chance(site.resets));
+            of_class.fold((1.0 - p.error_share) * (1.0 - state.errors.min(1.0)), |w, (_, e)| w * (1.0 - e));
+        let (fails, breaks) = (d.chance(1.0 - well), d.chance(state.resets));
         let after = d.chance(if fails { FAILED_AFTER } else { 0.5 });
         if !fails && !breaks {
             return false;
@@ -178,20 +178,20 @@
         }
         let outcome = if fails { Outcome::Error } else { Outcome::Broken };
         self.counts.work += QUICK as f64;
-        self.send_back(now, call, Reply::only(outcome), QUICK);
+        self.send_reply(now, call, Reply::only(outcome), QUICK);
         true
     }
 
-    /// The partner looks which of a call's mails it knows, as the call comes in: a repeat within the window is dropped.
+    /// The destination looks which of a call's mails it knows, as the call comes in: a repeat within the window is dropped.
     fn receive(&mut self, now: Time, call: u32) {
-        let hall = self.day.endpoints[self.calls[call as usize].endpoint as usize].hall;
-        for i in 0..self.calls[call as usize].riders.len() {
-            let mail = self.calls[call as usize].riders[i].mail;
+        let zone = self.day.endpoints[self.calls[call as usize].endpoint as usize].zone;
+        for i in 0..self.calls[call as usize].connects.len() {
+            let mail = self.calls[call as usize].connects[i].mail;
             let set = &self.day.classes[usize::from(self.mails[mail as usize].class)].settings;
             if set.effect != Effect::Tagged {
                 continue;
             }
-            let place = (mail, if set.dedup_by_zone { hall } else { 0 });
+            let place = (mail, if set.dedup_by_zone { zone } else { 0 });
             let known = self.known.entry(place).or_insert(Known { since: now, era: 0, done: 0 });
             // Its first connect finds it new; what comes after the window finds it forgotten.
             let repeat = known.since < now && now <= known.since + set.dedup_window;
@@ -199,8 +199,8 @@
                 (known.since, known.era) = (now, (known.era + 1).min(31));
             }
             let era = known.era;
-            let rider = &mut self.calls[call as usize].riders[i];
-            (rider.era, rider.repeat) = (era, repeat);
+            let connect = &mut self.calls[call as usize].connects[i];
+            (connect.era, connect.repeat) = (era, repeat);
             self.counts.repeats_dropped += u64::from(repeat);
         }
     }
@@ -208,26 +208,26 @@
     fn serve(&mut self, now: Time, call: u32) {
         let c = &self.calls[call as usize];
         let endpoint = c.endpoint as usize;
-        let p = &self.day.partners[self.day.endpoints[endpoint].partner];
+        let p = &self.day.destinations[self.day.endpoints[endpoint].destination];
         let d = &mut self.chance_of(call, Purpose::Service);
         let noise = d.spread(CONNECT_NOISE);
         let (mut longest, mut repeats) = (0.0f64, 0);
-        for rider in &c.riders {
-            let class = &self.day.classes[usize::from(self.mails[rider.mail as usize].class)];
+        for connect in &c.connects {
+            let class = &self.day.classes[usize::from(self.mails[connect.mail as usize].class)];
             let own =
-                Stream::new(self.day.seed, Purpose::Service, u64::from(rider.mail)).spread(class.spread);
+                Stream::new(self.day.seed, Purpose::Service, u64::from(connect.mail)).spread(class.spread);
             longest = longest.max(class.service * own);
-            repeats += usize::from(rider.repeat && self.has_effect(rider.mail, endpoint));
+            repeats += usize::from(connect.repeat && self.has_effect(connect.mail, endpoint));
         }
-        let further = (c.riders.len() - 1) as f64;
-        let known = if repeats == c.riders.len() { REPEAT_WORK } else { 1.0 };
-        let pace = p.pace * self.sites[endpoint].slow / self.warmth(endpoint, now);
+        let further = (c.connects.len() - 1) as f64;
+        let known = if repeats == c.connects.len() { REPEAT_WORK } else { 1.0 };
+        let pace = p.pace * self.endpoint_states[endpoint].slow / self.warmth(endpoint, now);
         let took = longest * noise * known * (1.0 + p.item_work * further) * pace * (SECOND / 1000) as f64;
         let took = took.max(1.0);
         let c = &mut self.calls[call as usize];
         (c.phase, c.work) = (Phase::Served, took);
-        self.sites[endpoint].active.push(call);
-        self.agenda.put(now + took as Time, Event::Done { call });
+        self.endpoint_states[endpoint].active.push(call);
+        self.event_queue.schedule(now + took as Time, Event::Done { call });
     }
 
     pub fn done(&mut self, now: Time, call: u32) {
@@ -237,29 +237,31 @@
         if phase != Phase::Served {
             return;
         }
-        if self.sites[endpoint].stands_still() {
-            self.sites[endpoint].stuck.push(call);
+        if self.endpoint_states[endpoint].is_stalled() {
+            self.endpoint_states[endpoint].stuck.push(call);
             return;
         }
-        let site = &mut self.sites[endpoint];
-        let Some(at) = site.active.iter().position(|&a| a == call) else { return };
-        site.active.swap_remove(at);
-        let lost = site.lost;
+        let state = &mut self.endpoint_states[endpoint];
+        let Some(at) = state.active.iter().position(|&a| a == call) else { return };
+        state.active.swap_remove(at);
+        let lost = state.lost;
         self.counts.work += work;
         self.effects(now, call);
         self.trace.mark(now, 12, [call, endpoint as u32]);
         let gone = self.chance_of(call, Purpose::List).chance(lost);
         if awaited && !gone {
             let report = self.report(now, endpoint);
-            self.send_back(now, call, Reply { outcome: Outcome::Relayed, wait: 0, report }, 0);
+            self.send_reply(now, call, Reply { outcome: Outcome::Relayed, wait: 0, report }, 0);
         }
         self.next_in_queue(now, endpoint);
     }
 
     pub fn next_in_queue(&mut self, now: Time, endpoint: usize) {
         let slots = self.day.endpoints[endpoint].slots;
-        while self.sites[endpoint].active.len() < slots && !self.sites[endpoint].stands_still() {
-            let Some(call) = self.sites[endpoint].queue.pop_front() else { break };
+        while self.endpoint_states[endpoint].active.len() < slots
+            && !self.endpoint_states[endpoint].is_stalled()
+        {
+            let Some(call) = self.endpoint_states[endpoint].queue.pop_front() else { break };
             self.serve(now, call);
         }
     }
@@ -267,25 +269,25 @@
     /// Whether a tagged mail has had its effect in the present era of its key: then a repeat costs next to nothing.
     fn has_effect(&self, mail: u32, endpoint: usize) -> bool {
         let set = &self.day.classes[usize::from(self.mails[mail as usize].class)].settings;
-        let place = (mail, if set.dedup_by_zone { self.day.endpoints[endpoint].hall } else { 0 });
+        let place = (mail, if set.dedup_by_zone { self.day.endpoints[endpoint].zone } else { 0 });
         self.known.get(&place).is_some_and(|known| known.done >> known.era & 1 == 1)
     }
 
-    /// The effects of a served call, counted at the partner and not believed of anybody.
+    /// The effects of a served call, counted at the destination and not believed of anybody.
     pub fn effects(&mut self, now: Time, call: u32) {
-        let hall = self.day.endpoints[self.calls[call as usize].endpoint as usize].hall;
-        for i in 0..self.calls[call as usize].riders.len() {
-            let rider = self.calls[call as usize].riders[i];
-            let m = &mut self.mails[rider.mail as usize];
+        let zone = self.day.endpoints[self.calls[call as usize].endpoint as usize].zone;
+        for i in 0..self.calls[call as usize].connects.len() {
+            let connect = self.calls[call as usize].connects[i];
+            let m = &mut self.mails[connect.mail as usize];
             let class = &self.day.classes[usize::from(m.class)];
             let counts = match class.settings.effect {
                 Effect::Redeliverable => false,
                 Effect::Tagged => {
-                    let place = (rider.mail, if class.settings.dedup_by_zone { hall } else { 0 });
+                    let place = (connect.mail, if class.settings.dedup_by_zone { zone } else { 0 });
                     let known = self.known.get_mut(&place);
                     known.is_none_or(|known| {
-                        let new = known.done >> rider.era & 1 == 0;
-                        known.done |= 1 << rider.era;
+                        let new = known.done >> connect.era & 1 == 0;
+                        known.done |= 1 << connect.era;
                         new
                     })
                 }
@@ -296,20 +298,20 @@
             }
             m.effects = m.effects.saturating_add(1);
             let effects = m.effects;
-            self.trace.note(now, rider.mail, || format!("takes effect, for the {effects}. time"));
+            self.trace.note(now, connect.mail, || format!("takes effect, for the {effects}. time"));
             if effects > 1 {
                 let courier = self.calls[call as usize].courier;
                 let words = format!("queue class {} took effect {effects} times", class.name);
-                self.judge.breaks(Rule::NoEffectTwice, now, rider.mail, courier, words);
+                self.judge.breaks(Rule::NoEffectTwice, now, connect.mail, courier, words);
             }
         }
     }
 
     /// Weighs what is sent to a unit that is back from an outage and not warm yet.
-    fn weigh(&mut self, now: Time, call: u32, endpoint: usize, load: f64) {
-        let unit = self.sites[endpoint].unit;
+    fn check_overload(&mut self, now: Time, call: u32, endpoint: usize, load: f64) {
+        let unit = self.endpoint_states[endpoint].unit;
         let u = &self.units[unit];
-        let cold = self.day.partners[u.partner].cold;
+        let cold = self.day.destinations[u.destination].cold;
         let Some(back) = u.returned_at.filter(|&back| !u.out && now < back + cold) else { return };
         let courier = self.calls[call as usize].courier;
         let seen = self.judge.has_seen(courier, unit, u.outage);
@@ -332,29 +334,29 @@
         self.counts.fallen += 1;
         for i in 0..self.units[unit].endpoints.len() {
             let endpoint = self.units[unit].endpoints[i];
-            self.sites[endpoint].fallen = true;
+            self.endpoint_states[endpoint].fallen = true;
             self.crash(now, endpoint);
         }
-        self.look_at_unit(now, unit);
+        self.update_unit_outage(now, unit);
         if warned >= SEEN_PART * work {
             let words = format!(
                 "partner {} was pushed over: {work:.1} calls in {} ms where it can do {capacity:.1}, {warned:.1} of them by couriers that had seen its outage",
-                self.units[unit].partner,
+                self.units[unit].destination,
                 length / 10,
             );
-            let mail = self.calls[call as usize].riders[0].mail;
+            let mail = self.calls[call as usize].connects[0].mail;
             self.judge.breaks(Rule::NotPushedOver, now, mail, courier, words);
         }
     }
 
     /// A process ends: what it was at is broken off, half of what was being served after its effect.
     pub fn crash(&mut self, now: Time, endpoint: usize) {
-        let site = &mut self.sites[endpoint];
-        site.place += 1;
-        site.connections = 0;
-        site.stuck.clear();
-        let active = std::mem::take(&mut site.active);
-        let queue = std::mem::take(&mut site.queue);
+        let state = &mut self.endpoint_states[endpoint];
+        state.place += 1;
+        state.connections = 0;
+        state.stuck.clear();
+        let active = std::mem::take(&mut state.active);
+        let queue = std::mem::take(&mut state.queue);
         for &call in &active {
             if self.chance_of(call, Purpose::List).chance(0.5) {
                 self.effects(now, call);
@@ -365,7 +367,7 @@
             self.counts.work += self.calls[call as usize].work / 2.0;
             if self.calls[call as usize].phase != Phase::Ended {
                 self.calls[call as usize].phase = Phase::Lost;
-                self.send_back(now, call, Reply::only(Outcome::Broken), 0);
+                self.send_reply(now, call, Reply::only(Outcome::Broken), 0);
             }
         }
     }
--- a/crates/emulator/src/slots.rs
+++ b/crates/emulator/src/slots.rs
@@ -11,7 +11,7 @@
     &mut list[index]
 }
 
-/// Whether a mail may go again, and whether its client may be told that trying again is harmless. `ran`: send and hall of
+/// Whether a mail may go again, and whether its client may be told that trying again is harmless. `ran`: send and zone of
 /// the first connect that may have run. A repeat leaves the time that a connect may take to the end of its window.
 pub fn may(set: &Settings, now: Time, class: usize, ran: Option<(Time, usize)>) -> (bool, bool) {
     let c = &set.classes[class];
@@ -26,12 +26,12 @@
 
 #[derive(Default)]
 pub struct Slots {
-    /// Riders without an outcome of each call; 0: the place is free.
+    /// Connects without an outcome of each call; 0: the place is free.
     calls: Vec<usize>,
     free: Vec<usize>,
     out: usize,
     turn: u64,
-    /// By endpoint: the turn of its latest call, that call and its riders.
+    /// By endpoint: the turn of its latest call, that call and its connects.
     latest: Vec<(u64, usize, usize)>,
 }
 
@@ -44,14 +44,14 @@
         self.out
     }
 
-    /// Riders that this turn has put into the latest call to an endpoint.
-    pub fn riders(&self, endpoint: usize) -> usize {
+    /// Connects that this turn has put into the latest call to an endpoint.
+    pub fn connects(&self, endpoint: usize) -> usize {
         self.latest.get(endpoint).filter(|l| l.0 == self.turn).map_or(0, |l| l.2)
     }
 
     /// Whether one more mail could go to an endpoint: along with others, or in a slot that is free.
     pub fn has_room(&self, endpoint: usize, batch: usize, most: usize) -> bool {
-        (1..batch).contains(&self.riders(endpoint)) || self.out < most
+        (1..batch).contains(&self.connects(endpoint)) || self.out < most
     }
 
     /// A mail goes to an endpoint; the number of its call.
@@ -59,8 +59,8 @@
         if endpoint >= self.latest.len() {
             self.latest.resize(endpoint + 1, (0, 0, 0));
         }
-        let (turn, call, riders) = self.latest[endpoint];
-        if turn == self.turn && riders < batch {
+        let (turn, call, connects) = self.latest[endpoint];
+        if turn == self.turn && connects < batch {
             self.latest[endpoint].2 += 1;
             self.calls[call] += 1;
             return call;
@@ -75,7 +75,7 @@
         call
     }
 
-    /// A rider has its outcome; whether its call was the last to wait for it.
+    /// A connect has its outcome; whether its call was the last to wait for it.
     pub fn give_back(&mut self, call: usize) -> bool {
         self.calls[call] -= 1;
         let ended = self.calls[call] == 0;
--- a/crates/emulator/src/troubles.rs
+++ b/crates/emulator/src/troubles.rs
@@ -24,7 +24,8 @@
             What::Kill | What::Roll if on => {
                 let apart = if t.what == What::Roll { (t.size * SECOND as f64) as Time } else { 0 };
                 for (i, &courier) in t.couriers.iter().enumerate() {
-                    self.agenda.put(now + apart * i as Time, Event::Die { courier: courier as u32 });
+                    self.event_queue
+                        .schedule(now + apart * i as Time, Event::CourierCrash { courier: courier as u32 });
                 }
             }
             What::ClockStep if on => {
@@ -46,23 +47,23 @@
             What::ListStall => {
                 step(&mut self.list.stalls);
                 if !on && self.list.stalls == 0 {
-                    self.list_goes_on(now);
+                    self.resume_list(now);
                 }
             }
-            What::ListEmpty => self.retell(now, on),
+            What::ListEmpty => self.resend_list(now, on),
             What::ListLies => {
                 let life = if on { EndpointStatus::Draining } else { EndpointStatus::Ready };
                 for &endpoint in &t.endpoints {
-                    if !self.sites[endpoint].gone {
-                        self.spread(now, endpoint, life);
+                    if !self.endpoint_states[endpoint].gone {
+                        self.announce(now, endpoint, life);
                     }
                 }
             }
             What::LinkCut | What::LinkOneWay => {
-                for other in (0..day.halls.len()).filter(|&other| other != t.hall) {
-                    step(&mut self.cut[other][t.hall]);
+                for other in (0..day.zones.len()).filter(|&other| other != t.zone) {
+                    step(&mut self.cut[other][t.zone]);
                     if t.what == What::LinkCut {
-                        step(&mut self.cut[t.hall][other]);
+                        step(&mut self.cut[t.zone][other]);
                     }
                 }
             }
@@ -75,40 +76,40 @@
     fn strike(&mut self, now: Time, index: usize, endpoint: usize, on: bool) {
         let day = self.day.clone();
         let t = &day.troubles[index];
-        let site = &mut self.sites[endpoint];
+        let state = &mut self.endpoint_states[endpoint];
         let step = |count: &mut u16| *count = if on { *count + 1 } else { count.saturating_sub(1) };
         let add = |share: &mut f64| *share = (*share + if on { t.size } else { -t.size }).max(0.0);
         match t.what {
             What::Crash | What::Flap => {
-                step(&mut site.down);
+                step(&mut state.down);
                 if on {
                     self.crash(now, endpoint);
                 }
             }
-            What::Hang => step(&mut site.hung),
-            What::Pauses => step(&mut site.paused),
-            What::Slow => site.slow *= if on { t.size } else { 1.0 / t.size },
-            What::Errors => add(&mut site.errors),
-            What::ClassErrors if on => site.class_errors.push((t.class.unwrap_or(0), t.size)),
+            What::Hang => step(&mut state.hung),
+            What::Pauses => step(&mut state.paused),
+            What::Slow => state.slow *= if on { t.size } else { 1.0 / t.size },
+            What::Errors => add(&mut state.errors),
+            What::ClassErrors if on => state.class_errors.push((t.class.unwrap_or(0), t.size)),
             What::ClassErrors => {
                 let mine = (t.class.unwrap_or(0), t.size);
-                let at = site.class_errors.iter().position(|&e| e == mine);
+                let at = state.class_errors.iter().position(|&e| e == mine);
                 if let Some(at) = at {
-                    site.class_errors.swap_remove(at);
+                    state.class_errors.swap_remove(at);
                 }
             }
             What::Shut => {
-                step(&mut site.shut);
-                site.shut_until = t.until;
+                step(&mut state.shut);
+                state.shut_until = t.until;
             }
-            What::Resets => add(&mut site.resets),
-            What::LostAnswers => add(&mut site.lost),
-            What::HalfOpen => step(&mut site.half_open),
-            What::IdleClose => site.idle_close = on.then_some((t.size * SECOND as f64) as Time),
+            What::Resets => add(&mut state.resets),
+            What::LostAnswers => add(&mut state.lost),
+            What::HalfOpen => step(&mut state.half_open),
+            What::IdleClose => state.idle_close = on.then_some((t.size * SECOND as f64) as Time),
             What::Throttle => {
                 // Once for each unit, however many of its endpoints are struck.
-                let unit = site.unit;
-                let first = t.endpoints.iter().find(|&&e| self.sites[e].unit == unit);
+                let unit = state.unit;
+                let first = t.endpoints.iter().find(|&&e| self.endpoint_states[e].unit == unit);
                 if first == Some(&endpoint) {
                     let size = t.size.max(1e-3);
                     self.units[unit].throttle *= if on { size } else { 1.0 / size };
@@ -116,31 +117,31 @@
             }
             _ => {}
         }
-        if !on && !self.sites[endpoint].stands_still() && !self.sites[endpoint].is_down() {
-            self.goes_on(now, endpoint);
+        if !on && !self.endpoint_states[endpoint].is_stalled() && !self.endpoint_states[endpoint].is_down() {
+            self.resume_endpoint(now, endpoint);
         }
         if !on && matches!(t.what, What::Crash | What::Flap | What::Hang) {
-            self.sites[endpoint].cold_since = Some(now);
+            self.endpoint_states[endpoint].cold_since = Some(now);
         }
-        let unit = self.sites[endpoint].unit;
-        self.look_at_unit(now, unit);
+        let unit = self.endpoint_states[endpoint].unit;
+        self.update_unit_outage(now, unit);
     }
 
     /// What stood still is done now, and what waited begins.
-    fn goes_on(&mut self, now: Time, endpoint: usize) {
-        for call in std::mem::take(&mut self.sites[endpoint].stuck) {
+    fn resume_endpoint(&mut self, now: Time, endpoint: usize) {
+        for call in std::mem::take(&mut self.endpoint_states[endpoint].stuck) {
             self.done(now, call);
         }
         self.next_in_queue(now, endpoint);
     }
 
     /// Whether a unit is out, in the words of the rule; once it is back it is cold.
-    pub fn look_at_unit(&mut self, now: Time, unit: usize) {
-        let there = self.units[unit].endpoints.iter().filter(|&&e| !self.sites[e].gone);
+    pub fn update_unit_outage(&mut self, now: Time, unit: usize) {
+        let there = self.units[unit].endpoints.iter().filter(|&&e| !self.endpoint_states[e].gone);
         let (mut all, mut out) = (0, 0);
         for &endpoint in there {
             all += 1;
-            out += usize::from(self.sites[endpoint].is_out());
+            out += usize::from(self.endpoint_states[endpoint].is_out());
         }
         let is_out = all > 0 && out == all;
         let u = &mut self.units[unit];
@@ -155,7 +156,7 @@
             (u.work, u.warned_work) = (0.0, 0.0);
             u.recent.clear();
             for endpoint in u.endpoints.clone() {
-                self.sites[endpoint].cold_since = Some(now);
+                self.endpoint_states[endpoint].cold_since = Some(now);
             }
         }
         self.trace.mark(now, 31, [unit as u32, u32::from(is_out)]);
@@ -175,7 +176,7 @@
             _ => (t.size * SECOND as f64) as Time,
         };
         let at = if on { (now + next).min(t.until.max(now + 1)) } else { now + next };
-        self.agenda.put(at.max(now + 1), Event::Pulse { index: index as u32, on: !on });
+        self.event_queue.schedule(at.max(now + 1), Event::Pulse { index: index as u32, on: !on });
     }
 
     /// Endpoints drain and then go; where they are replaced, newcomers stand beside them, cold.
@@ -183,22 +184,23 @@
         let day = self.day.clone();
         let t = &day.troubles[index];
         for (i, &endpoint) in t.endpoints.iter().enumerate() {
-            if self.sites[endpoint].gone {
+            if self.endpoint_states[endpoint].gone {
                 continue;
             }
             if on {
                 self.change(now, endpoint, EndpointStatus::Draining);
                 if let Some(&newcomer) = t.newcomers.get(i) {
-                    (self.sites[newcomer].gone, self.sites[newcomer].cold_since) = (false, Some(now));
+                    (self.endpoint_states[newcomer].gone, self.endpoint_states[newcomer].cold_since) =
+                        (false, Some(now));
                     self.change(now, newcomer, EndpointStatus::Ready);
                 }
             } else {
-                self.sites[endpoint].gone = true;
+                self.endpoint_states[endpoint].gone = true;
                 self.crash(now, endpoint);
                 self.change(now, endpoint, EndpointStatus::Removed);
             }
-            let unit = self.sites[endpoint].unit;
-            self.look_at_unit(now, unit);
+            let unit = self.endpoint_states[endpoint].unit;
+            self.update_unit_outage(now, unit);
         }
     }
 }
--- a/crates/emulator/src/turns.rs
+++ b/crates/emulator/src/turns.rs
@@ -5,7 +5,7 @@
 
 use crate::chance::{Purpose, Stream};
 use crate::judge::Rule;
-use crate::parts::{Answer, Call, Event, Idle, Phase, Reply, Rider, Stage};
+use crate::parts::{Answer, Call, Connect, Event, Idle, Phase, Reply, Stage};
 use crate::world::World;
 
 /// Room for inputs that a courier keeps from turn to turn.
@@ -29,14 +29,14 @@
         let Some(mut decider) = c.decider.take() else { return };
         let mut inputs = std::mem::take(&mut c.inputs);
         if std::mem::take(&mut c.list_due) {
-            let mut first = self.whole();
+            let mut first = self.full_list();
             first.append(&mut inputs);
             inputs = first;
         }
         self.counts.turns += 1;
-        self.read_along(now, courier, &inputs);
+        self.record_inputs(now, courier, &inputs);
         let mut actions = std::mem::take(&mut self.actions);
-        let wake = decider.round(now, &inputs, &mut actions, self);
+        let wake = decider.step(now, &inputs, &mut actions, self);
         inputs.clear();
         inputs.shrink_to(KEPT_INPUTS);
         self.couriers[courier].inputs = inputs;
@@ -44,11 +44,11 @@
         self.trace.mark(now, 9, [courier as u32, actions.len() as u32]);
         let first = self.calls.len();
         for action in actions.drain(..) {
-            self.carry_out(now, courier, first, action);
+            self.apply_action(now, courier, first, action);
         }
         self.actions = actions;
         for call in first..self.calls.len() {
-            self.go_out(now, call as u32);
+            self.start_call(now, call as u32);
         }
         if let Some(at) = wake {
             self.wake(courier, at.max(now + 1));
@@ -56,7 +56,7 @@
     }
 
     /// What the courier is told from here on, as the judge has to know it.
-    fn read_along(&mut self, now: Time, courier: usize, inputs: &[Input]) {
+    fn record_inputs(&mut self, now: Time, courier: usize, inputs: &[Input]) {
         let process = self.couriers[courier].process;
         let mut whole = false;
         for input in inputs {
@@ -65,45 +65,45 @@
                 Input::ListEnd if whole => self.judge_unnamed(now, courier, inputs),
                 Input::ListEntry(entry) => {
                     let ready = entry.status == meadowhold::interface::EndpointStatus::Ready;
-                    self.judge.told_life(courier as u32, process, entry.endpoint, ready, now);
+                    self.judge.status_read(courier as u32, process, entry.endpoint, ready, now);
                 }
-                Input::ConnectResult(ended) => self.read_outcome(now, courier, ended),
+                Input::ConnectResult(ended) => self.record_outcome(now, courier, ended),
                 _ => {}
             }
         }
     }
 
-    fn read_outcome(&mut self, now: Time, courier: usize, ended: &meadowhold::interface::ConnectResult) {
+    fn record_outcome(&mut self, now: Time, courier: usize, ended: &meadowhold::interface::ConnectResult) {
         let process = self.couriers[courier].process;
         let mail = self.couriers[courier].mails[ended.mail];
         let m = &self.mails[mail as usize];
         let Some(endpoint) = m.out.map(|call| self.calls[call as usize].endpoint as usize) else { return };
-        let unit = self.sites[endpoint].unit;
+        let unit = self.endpoint_states[endpoint].unit;
         if ended.retry_after > 0 {
             self.judge.told_wait(courier as u32, process, unit, now + ended.retry_after);
         }
         if let Some(key) = m.key.filter(|_| ended.outcome.may_still_run()) {
-            self.judge.rests(courier as u32, key, now + self.day.settings.ordering_gap);
+            self.judge.hold_key(courier as u32, key, now + self.day.settings.ordering_gap);
         }
         let (outcome, wait) = (ended.outcome, ended.retry_after);
         self.trace.note(now, mail, || {
             format!("courier {courier} reads {outcome:?}, told to wait {} ms", wait / 10)
         });
         self.mails[mail as usize].out = None;
-        self.leave_line(mail);
+        self.leave_key_queue(mail);
     }
 
-    fn carry_out(&mut self, now: Time, courier: usize, first: usize, action: Action) {
+    fn apply_action(&mut self, now: Time, courier: usize, first: usize, action: Action) {
         match action {
             Action::Connect { mail, endpoint, timeout, new_connection: fresh } => {
                 let mail = self.couriers[courier].mails[mail];
-                self.ride(now, courier, first, (mail, endpoint, timeout, fresh));
+                self.add_to_call(now, courier, first, (mail, endpoint, timeout, fresh));
             }
             Action::Defer { mail, retry_after: pause } => {
                 let mail = self.couriers[courier].mails[mail];
                 if self.is_held(courier, mail, now) {
                     self.finish(now, mail, Answer::Deferred);
-                    self.come_again(now, mail, pause);
+                    self.schedule_retry(now, mail, pause);
                 }
             }
             Action::Bounce { mail } => {
@@ -114,7 +114,7 @@
             }
             Action::RequestList => self.ask_list(now, courier),
             Action::SendNote { .. } => {}
-            Action::CloseIdle(endpoint) => self.let_go(courier, endpoint as u32),
+            Action::CloseIdle(endpoint) => self.close_idle_connections(courier, endpoint as u32),
             Action::FreeMail(index) => self.couriers[courier].free.push(index as u32),
             Action::FreeKey(_) | Action::FreeEndpoint(_) => {}
         }
@@ -132,7 +132,7 @@
     }
 
     /// Puts a mail into a call of this turn to the endpoint, or begins one.
-    fn ride(&mut self, now: Time, courier: usize, first: usize, order: (u32, usize, Time, bool)) {
+    fn add_to_call(&mut self, now: Time, courier: usize, first: usize, order: (u32, usize, Time, bool)) {
         let (mail, endpoint, timeout, fresh) = order;
         let m = &self.mails[mail as usize];
         if m.stage != Stage::Taken || m.courier != courier as u32 || m.out.is_some() {
@@ -141,9 +141,9 @@
             return;
         }
         let e = &self.day.endpoints[endpoint];
-        let batch = self.day.partners[e.partner].batch;
-        let rider = Rider { mail, end: now + timeout, told: false, era: 0, repeat: false };
-        let fits = |c: &Call| c.endpoint == endpoint as u32 && c.riders.len() < batch;
+        let batch = self.day.destinations[e.destination].batch;
+        let connect = Connect { mail, end: now + timeout, told: false, era: 0, repeat: false };
+        let fits = |c: &Call| c.endpoint == endpoint as u32 && c.connects.len() < batch;
         let open = (first..self.calls.len()).find(|&i| fits(&self.calls[i]));
         let call = open.unwrap_or(self.calls.len());
         if open.is_none() {
@@ -153,14 +153,14 @@
             self.counts.over_slots += u64::from(c.out > self.day.settings.slots);
             let index = u64::from(mail) << 16 | u64::from(m.connects) << 8 | u64::from(m.tries);
             let d = &mut Stream::new(self.day.seed, Purpose::Network, index);
-            let journey = self.day.journey[c.hall][e.hall] as f64;
-            let way = [0, 1].map(|_| (journey * d.spread(self.day.jitter)) as Time + 1);
-            self.sites[endpoint].coming += 1;
+            let zone_latency = self.day.zone_latency[c.zone][e.zone] as f64;
+            let way = [0, 1].map(|_| (zone_latency * d.spread(self.day.jitter)) as Time + 1);
+            self.endpoint_states[endpoint].coming += 1;
             self.calls.push(Call {
                 courier: courier as u32,
                 process: c.process,
                 endpoint: endpoint as u32,
-                riders: Vec::new(),
+                connects: Vec::new(),
                 started: now,
                 kept: true, // until a connection is found: whether a kept one may be used
                 open: true,
@@ -173,9 +173,9 @@
                 work: 0.0,
             });
         }
-        // One rider that must not go on a kept connection has its whole call go on a new one.
+        // One connect that must not go on a kept connection has its whole call go on a new one.
         self.calls[call].kept &= !fresh;
-        self.calls[call].riders.push(rider);
+        self.calls[call].connects.push(connect);
         self.mails[mail as usize].out = Some(call as u32);
         self.trace.mark(now, 10, [mail, endpoint as u32]);
         self.trace
@@ -183,20 +183,20 @@
     }
 
     /// A call finds a kept connection, or begins to make one.
-    fn go_out(&mut self, now: Time, call: u32) {
+    fn start_call(&mut self, now: Time, call: u32) {
         self.counts.calls += 1;
         let c = &self.calls[call as usize];
         let (courier, endpoint, may_keep, way) = (c.courier as usize, c.endpoint, c.kept, c.way);
-        // All riders wait for the longest of them, each to the end of its own time at most.
-        let longest = c.riders.iter().map(|r| r.end).max().unwrap_or(now);
-        for i in 0..self.calls[call as usize].riders.len() {
-            let rider = self.calls[call as usize].riders[i];
-            let end = longest.min(self.mails[rider.mail as usize].due.max(now + 1));
-            let rider = &mut self.calls[call as usize].riders[i];
-            rider.end = end;
-            let again = self.calls[call as usize].riders[..i].iter().any(|r| r.end == end);
+        // All connects wait for the longest of them, each to the end of its own time at most.
+        let longest = c.connects.iter().map(|r| r.end).max().unwrap_or(now);
+        for i in 0..self.calls[call as usize].connects.len() {
+            let connect = self.calls[call as usize].connects[i];
+            let end = longest.min(self.mails[connect.mail as usize].due.max(now + 1));
+            let connect = &mut self.calls[call as usize].connects[i];
+            connect.end = end;
+            let again = self.calls[call as usize].connects[..i].iter().any(|r| r.end == end);
             if !again {
-                self.agenda.put(end, Event::Expire { call });
+                self.event_queue.schedule(end, Event::Expire { call });
             }
         }
         if may_keep {
@@ -209,41 +209,42 @@
         }
         self.calls[call as usize].kept = false;
         self.counts.handshakes += 1;
-        let hall = self.day.endpoints[endpoint as usize].hall;
+        let zone = self.day.endpoints[endpoint as usize].zone;
         let there =
-            self.passes(self.couriers[courier].hall, hall) && self.passes(hall, self.couriers[courier].hall);
+            self.passes(self.couriers[courier].zone, zone) && self.passes(zone, self.couriers[courier].zone);
         let turns = (way[0] + way[1]) as f64;
-        let site = &self.sites[endpoint as usize];
+        let state = &self.endpoint_states[endpoint as usize];
         let table = self.day.endpoints[endpoint as usize].connections;
         if !there {
             let at = now + self.day.settings.connection_timeout;
-            self.agenda.put(at, Event::Unreached { call });
-        } else if site.is_down() || (table > 0 && site.connections >= table) {
-            self.agenda.put(now + turns as Time, Event::Unreached { call });
+            self.event_queue.schedule(at, Event::Unreached { call });
+        } else if state.is_down() || (table > 0 && state.connections >= table) {
+            self.event_queue.schedule(now + turns as Time, Event::Unreached { call });
         } else {
             let at = now + (turns * self.day.handshake_turns) as Time;
-            let site = &mut self.sites[endpoint as usize];
-            site.connections += 1;
+            let state = &mut self.endpoint_states[endpoint as usize];
+            state.connections += 1;
             let c = &mut self.calls[call as usize];
-            (c.place, c.connected) = (site.place, true);
-            self.agenda.put(at, Event::Connected { call });
+            (c.place, c.connected) = (state.place, true);
+            self.event_queue.schedule(at, Event::Connected { call });
         }
     }
 
     /// The connection used last that is not known to be closed.
     fn kept_connection(&mut self, now: Time, courier: usize, endpoint: u32) -> Option<Idle> {
         let keep = self.day.kept_for();
-        let site = &mut self.sites[endpoint as usize];
-        let far = site.idle_close.unwrap_or(Time::MAX);
-        let way = self.day.journey[self.couriers[courier].hall][self.day.endpoints[endpoint as usize].hall];
+        let state = &mut self.endpoint_states[endpoint as usize];
+        let far = state.idle_close.unwrap_or(Time::MAX);
+        let way =
+            self.day.zone_latency[self.couriers[courier].zone][self.day.endpoints[endpoint as usize].zone];
         let idle = self.couriers[courier].idle.get_mut(&endpoint)?;
         while let Some(Idle { since, place }) = idle.pop() {
             // The far side's close is heard of after one way.
             let closed = now >= since + keep || now >= since.saturating_add(far).saturating_add(way);
-            if !closed && place == site.place {
+            if !closed && place == state.place {
                 return Some(Idle { since, place });
             }
-            site.connections -= usize::from(place == site.place);
+            state.connections -= usize::from(place == state.place);
         }
         None
     }
@@ -254,39 +255,39 @@
         let idle = self.couriers[courier].idle.entry(endpoint).or_default();
         if idle.len() >= IDLE_KEPT {
             let old = idle.remove(0);
-            let site = &mut self.sites[endpoint as usize];
-            site.connections -= usize::from(old.place == site.place);
+            let state = &mut self.endpoint_states[endpoint as usize];
+            state.connections -= usize::from(old.place == state.place);
         }
         idle.push(Idle { since: now, place });
         if limited {
             let at = now + self.day.kept_for();
-            self.agenda.put(at, Event::Sweep { courier: courier as u32, endpoint });
+            self.event_queue.schedule(at, Event::Sweep { courier: courier as u32, endpoint });
         }
     }
 
     /// Connections that were idle for too long are closed.
     pub fn sweep(&mut self, now: Time, courier: usize, endpoint: u32) {
         let keep = self.day.kept_for();
-        let site = &mut self.sites[endpoint as usize];
+        let state = &mut self.endpoint_states[endpoint as usize];
         if let Some(idle) = self.couriers[courier].idle.get_mut(&endpoint) {
             idle.retain(|i| {
                 let old = now >= i.since + keep;
-                site.connections -= usize::from(old && i.place == site.place);
+                state.connections -= usize::from(old && i.place == state.place);
                 !old
             });
         }
     }
 
-    fn let_go(&mut self, courier: usize, endpoint: u32) {
-        let site = &mut self.sites[endpoint as usize];
+    fn close_idle_connections(&mut self, courier: usize, endpoint: u32) {
+        let state = &mut self.endpoint_states[endpoint as usize];
         if let Some(idle) = self.couriers[courier].idle.get_mut(&endpoint) {
-            let open = idle.drain(..).filter(|i| i.place == site.place).count();
-            site.connections -= open;
+            let open = idle.drain(..).filter(|i| i.place == state.place).count();
+            state.connections -= open;
         }
     }
 
-    /// SIGKILL: what its calls do at the partners goes on, what it held is on file, or its clients'.
-    pub fn die(&mut self, now: Time, courier: usize) {
+    /// SIGKILL: what its calls do at the destinations goes on, what it held is on file, or its clients'.
+    pub fn crash_courier(&mut self, now: Time, courier: usize) {
         if !self.couriers[courier].alive {
             return;
         }
@@ -307,14 +308,14 @@
                 self.hang_up_call(call as u32);
             }
         }
-        for endpoint in 0..self.sites.len() as u32 {
-            self.let_go(courier, endpoint);
+        for endpoint in 0..self.endpoint_states.len() as u32 {
+            self.close_idle_connections(courier, endpoint);
         }
         for &mail in &owed {
-            let hall = |c: &Call| self.day.endpoints[c.endpoint as usize].hall as u16;
+            let zone = |c: &Call| self.day.endpoints[c.endpoint as usize].zone as u16;
             let m = &self.mails[mail as usize];
             let sent = m.out.map(|call| &self.calls[call as usize]).filter(|c| c.phase != Phase::Connecting);
-            let ran = m.ran.or(sent.map(|c| (c.started, hall(c))));
+            let ran = m.ran.or(sent.map(|c| (c.started, zone(c))));
             self.trace.note(now, mail, || format!("courier {courier} dies; may have run: {}", ran.is_some()));
             let m = &mut self.mails[mail as usize];
             (m.ran, m.out) = (ran, None);
@@ -327,9 +328,9 @@
             }
             m.out = None;
             if let Some(key) = m.key {
-                self.judge.forgets(courier as u32, key);
+                self.judge.clear_key(courier as u32, key);
                 if m.ran.is_some() && m.stage == Stage::Taken {
-                    self.judge.rests(courier as u32, key, now + self.day.settings.ordering_gap);
+                    self.judge.hold_key(courier as u32, key, now + self.day.settings.ordering_gap);
                     self.couriers[courier].rests.push((key, now));
                 }
             }
@@ -345,14 +346,14 @@
         if journal {
             c.owed = owed;
         } else {
-            owed.into_iter().for_each(|mail| self.outlive(now, mail));
+            owed.into_iter().for_each(|mail| self.resubmit_after_crash(now, mail));
         }
         let notice = now + self.day.mails.front_notice;
-        self.agenda.put(notice, Event::Notice { courier: courier as u32, alive: false });
-        self.agenda.put(now + self.day.down, Event::Rise { courier: courier as u32 });
+        self.event_queue.schedule(notice, Event::Notice { courier: courier as u32, alive: false });
+        self.event_queue.schedule(now + self.day.down, Event::CourierRestart { courier: courier as u32 });
     }
 
-    pub fn rise(&mut self, now: Time, courier: usize) {
+    pub fn restart_courier(&mut self, now: Time, courier: usize) {
         if self.couriers[courier].alive {
             return;
         }
@@ -360,7 +361,7 @@
         self.couriers[courier].started = now;
         self.start_process(courier);
         let notice = now + self.day.mails.front_notice.min(self.day.down.max(1));
-        self.agenda.put(notice, Event::Notice { courier: courier as u32, alive: true });
+        self.event_queue.schedule(notice, Event::Notice { courier: courier as u32, alive: true });
         let gap = self.day.settings.ordering_gap;
         for (key, since) in std::mem::take(&mut self.couriers[courier].rests) {
             if self.day.journal && since + gap > now {
@@ -379,26 +380,26 @@
         }
     }
 
-    /// What a courier sees of a call's riders whose outcome is not told yet.
-    pub fn tell_outcome(&mut self, now: Time, call: u32, reply: Reply, only: impl Fn(&Rider) -> bool) {
+    /// What a courier sees of a call's connects whose outcome is not told yet.
+    pub fn tell_outcome(&mut self, now: Time, call: u32, reply: Reply, only: impl Fn(&Connect) -> bool) {
         let c = &self.calls[call as usize];
         let (courier, took, kept) = (c.courier as usize, now - c.started.min(now), c.kept);
         let (endpoint, started) = (c.endpoint as usize, c.started);
-        let (unit, hall) = (self.sites[endpoint].unit, self.day.endpoints[endpoint].hall as u16);
+        let (unit, zone) = (self.endpoint_states[endpoint].unit, self.day.endpoints[endpoint].zone as u16);
         let bad = !matches!(reply.outcome, Outcome::Relayed | Outcome::Unsent | Outcome::CalledOff);
         if bad && self.units[unit].out {
             let outage = self.units[unit].outage;
             self.judge.saw_outage(courier as u32, unit, outage);
         }
-        for i in 0..self.calls[call as usize].riders.len() {
-            let rider = self.calls[call as usize].riders[i];
-            if rider.told || !only(&rider) {
+        for i in 0..self.calls[call as usize].connects.len() {
+            let connect = self.calls[call as usize].connects[i];
+            if connect.told || !only(&connect) {
                 continue;
             }
-            self.calls[call as usize].riders[i].told = true;
-            let m = &mut self.mails[rider.mail as usize];
+            self.calls[call as usize].connects[i].told = true;
+            let m = &mut self.mails[connect.mail as usize];
             if !reply.outcome.never_ran() {
-                m.ran = m.ran.or(Some((started, hall)));
+                m.ran = m.ran.or(Some((started, zone)));
             }
             if let Some(key) = m.key.filter(|_| reply.outcome.may_still_run()) {
                 let rests = &mut self.couriers[courier].rests;
@@ -408,11 +409,11 @@
             let (index, held) = (m.index as usize, m.stage == Stage::Taken);
             let over = reply.outcome == Outcome::Relayed;
             if over && held {
-                self.finish(now, rider.mail, Answer::Relayed);
+                self.finish(now, connect.mail, Answer::Relayed);
             }
             self.tell(courier, crate::parts::ended(index, &reply, over, took, kept));
         }
-        if self.calls[call as usize].riders.iter().all(|r| r.told) {
+        if self.calls[call as usize].connects.iter().all(|r| r.told) {
             if self.calls[call as usize].phase == Phase::Connecting {
                 self.no_longer_coming(call);
             }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -1,17 +1,17 @@
 //! A day as it runs: all that there is, and the loop that takes one event after the other. What each event does stands
 //! beside: `clients` (mails come in and come again), `turns` (a courier decides), `calls` (a call goes out and its
-//! answer comes back), `serving` (what a partner does with it), `troubles`, `listing`.
+//! answer comes back), `serving` (what a destination does with it), `troubles`, `listing`.
 
 use std::rc::Rc;
 
 use meadowhold::interface::{Action, Input, Time, SECOND};
 
-use crate::agenda::Agenda;
 use crate::chance::{Purpose, Stream};
 use crate::day::Day;
-use crate::decider::{Maker, Sight};
+use crate::decider::{DeciderFactory, WorldView};
+use crate::event_queue::EventQueue;
 use crate::judge::Judge;
-use crate::parts::{Call, Courier, Event, Known, Mail, Phase, Site, Unit};
+use crate::parts::{Call, Courier, EndpointState, Event, Known, Mail, Phase, Unit};
 use crate::scenario::Limit;
 use crate::series::Sample;
 use crate::trace::Trace;
@@ -41,7 +41,7 @@
     pub unsent: u64,
     pub turned_away: u64,
     pub repeats_dropped: u64,
-    /// Work done at partners, and the part of it whose answer was heard, in tenths of a millisecond.
+    /// Work done at destinations, and the part of it whose answer was heard, in tenths of a millisecond.
     pub work: f64,
     pub heard_work: f64,
     /// Calls beyond a courier's slots: a fault of the decider.
@@ -51,12 +51,12 @@
 
 pub struct World<'m> {
     pub day: Rc<Day>,
-    pub maker: &'m Maker,
+    pub factory: &'m DeciderFactory,
     pub options: Options,
-    pub agenda: Agenda<Event>,
+    pub event_queue: EventQueue<Event>,
     pub mails: Vec<Mail>,
     pub calls: Vec<Call>,
-    pub sites: Vec<Site>,
+    pub endpoint_states: Vec<EndpointState>,
     pub units: Vec<Unit>,
     pub couriers: Vec<Courier>,
     pub judge: Judge,
@@ -74,10 +74,10 @@
     pub hot: Vec<usize>,
     pub shift: Vec<usize>,
     pub burst: f64,
-    /// From hall, to hall: troubles that cut the way.
+    /// From zone, to zone: troubles that cut the way.
     pub cut: Vec<Vec<u16>>,
     pub list: crate::listing::List,
-    /// Repeats that a partner knows, by mail and hall (or 0 where all halls know it together).
+    /// Repeats that a destination knows, by mail and zone (or 0 where all zones know it together).
     pub known: std::collections::HashMap<(u32, usize), Known>,
     pub actions: Vec<Action>,
 }
@@ -95,7 +95,7 @@
 }
 
 impl World<'_> {
-    pub fn new(day: Rc<Day>, maker: &Maker, options: Options) -> World<'_> {
+    pub fn new(day: Rc<Day>, factory: &DeciderFactory, options: Options) -> World<'_> {
         let sum = |weights: &mut dyn Iterator<Item = f64>| -> Vec<f64> {
             weights
                 .scan(0.0, |sum, weight| {
@@ -105,43 +105,44 @@
                 .collect()
         };
         let mut units: Vec<Unit> = Vec::new();
-        let mut sites = Vec::with_capacity(day.endpoints.len());
-        let mut shared = vec![usize::MAX; day.partners.len()];
+        let mut endpoint_states = Vec::with_capacity(day.endpoints.len());
+        let mut shared = vec![usize::MAX; day.destinations.len()];
         for (e, endpoint) in day.endpoints.iter().enumerate() {
-            let partner = endpoint.partner;
-            if day.partners[partner].apart || shared[partner] == usize::MAX {
-                shared[partner] = units.len();
-                units.push(Unit { partner, throttle: 1.0, tokens: 1.0, ..Unit::default() });
+            let destination = endpoint.destination;
+            if day.destinations[destination].apart || shared[destination] == usize::MAX {
+                shared[destination] = units.len();
+                units.push(Unit { destination, throttle: 1.0, tokens: 1.0, ..Unit::default() });
             }
-            let unit = if day.partners[partner].apart { units.len() - 1 } else { shared[partner] };
+            let unit =
+                if day.destinations[destination].apart { units.len() - 1 } else { shared[destination] };
             units[unit].endpoints.push(e);
-            let mut site = Site::new(unit);
-            site.gone = endpoint.newcomer;
-            sites.push(site);
+            let mut state = EndpointState::new(unit);
+            state.gone = endpoint.newcomer;
+            endpoint_states.push(state);
         }
-        let halls = day.halls.len();
+        let zones = day.zones.len();
         let mut world = World {
-            maker,
+            factory,
             options,
-            agenda: Agenda::default(),
+            event_queue: EventQueue::default(),
             mails: Vec::new(),
             calls: Vec::new(),
-            sites,
+            endpoint_states,
             units,
-            couriers: day.couriers.iter().map(|&hall| Courier::new(hall)).collect(),
+            couriers: day.couriers.iter().map(|&zone| Courier::new(zone)).collect(),
             judge: Judge::default(),
             counts: Counts::default(),
             trace: Trace::new(options.watch),
             samples: Vec::new(),
             arrivals: Stream::new(day.seed, Purpose::Arrivals, 0),
-            traffic: sum(&mut day.partners.iter().map(|p| p.share)),
+            traffic: sum(&mut day.destinations.iter().map(|p| p.share)),
             shares: sum(&mut day.classes.iter().map(|c| c.share)),
             turns_taken: 0,
             front: vec![true; day.couriers.len()],
             hot: Vec::new(),
             shift: Vec::new(),
             burst: 1.0,
-            cut: vec![vec![0; halls]; halls],
+            cut: vec![vec![0; zones]; zones],
             list: crate::listing::List::default(),
             known: Default::default(),
             actions: Vec::new(),
@@ -155,14 +156,14 @@
         for courier in 0..self.couriers.len() {
             self.start_process(courier);
         }
-        self.agenda.put(0, Event::Next);
+        self.event_queue.schedule(0, Event::Next);
         for index in 0..self.day.troubles.len() {
             let (from, until) = (self.day.troubles[index].from, self.day.troubles[index].until);
-            self.agenda.put(from, Event::Trouble { index: index as u32, on: true });
-            self.agenda.put(until.max(from + 1), Event::Trouble { index: index as u32, on: false });
+            self.event_queue.schedule(from, Event::Trouble { index: index as u32, on: true });
+            self.event_queue.schedule(until.max(from + 1), Event::Trouble { index: index as u32, on: false });
         }
         if self.options.sample_every > 0 {
-            self.agenda.put(0, Event::Sample);
+            self.event_queue.schedule(0, Event::Sample);
         }
     }
 
@@ -171,15 +172,15 @@
         let longest = self.day.classes.iter().map(|c| c.settings.lifetime).max().unwrap_or(0);
         let troubled = self.day.troubles.iter().map(|t| t.until).max().unwrap_or(0);
         let end = self.day.length.max(troubled) + longest + 10 * SECOND;
-        while let Some((now, event)) = self.agenda.take() {
+        while let Some((now, event)) = self.event_queue.pop() {
             if now > end {
                 break;
             }
-            self.happen(now, event);
+            self.handle_event(now, event);
         }
         self.close();
         let peak_out = self.couriers.iter().map(|c| c.peak_out).max().unwrap_or(0);
-        self.counts.events = self.agenda.count();
+        self.counts.events = self.event_queue.count();
         let (hash, history) = self.trace.end();
         Ended {
             day: self.day,
@@ -193,12 +194,12 @@
         }
     }
 
-    fn happen(&mut self, now: Time, event: Event) {
+    fn handle_event(&mut self, now: Time, event: Event) {
         match event {
             Event::Next => self.next_mail(now),
-            Event::Clump { dest, left } => self.clump(now, dest, left),
+            Event::Clump { destination, left } => self.clump(now, destination, left),
             Event::HandIn { mail, courier } => self.hand_in(now, mail, courier),
-            Event::Again { mail } => self.send_in(now, mail),
+            Event::Resubmit { mail } => self.submit(now, mail),
             Event::HangUp { mail, tries } => self.hang_up(now, mail, tries),
             Event::Turn { courier, at } => self.turn(now, courier as usize, at),
             Event::Connected { call } => self.connected(now, call),
@@ -211,12 +212,12 @@
             Event::Trouble { index, on } => self.trouble(now, index as usize, on),
             Event::Pulse { index, on } => self.pulse(now, index as usize, on),
             Event::Publish { change } => self.publish(now, change as usize),
-            Event::Hear { courier, process, upto } => {
-                self.hear(now, courier as usize, process, upto as usize)
+            Event::ListUpdate { courier, process, upto } => {
+                self.deliver_list_update(now, courier as usize, process, upto as usize)
             }
-            Event::Asked { courier, process } => self.asked(now, courier as usize, process),
-            Event::Die { courier } => self.die(now, courier as usize),
-            Event::Rise { courier } => self.rise(now, courier as usize),
+            Event::ListResponse { courier, process } => self.list_response(now, courier as usize, process),
+            Event::CourierCrash { courier } => self.crash_courier(now, courier as usize),
+            Event::CourierRestart { courier } => self.restart_courier(now, courier as usize),
             Event::Notice { courier, alive } => self.front[courier as usize] = alive,
             Event::Sample => self.sample(now),
         }
@@ -226,11 +227,11 @@
     pub fn start_process(&mut self, courier: usize) {
         let settings = self.day.settings(courier, self.couriers[courier].process);
         let c = &mut self.couriers[courier];
-        c.decider = Some((self.maker)(courier, settings));
+        c.decider = Some((self.factory)(courier, settings));
         (c.alive, c.watches) = (true, false);
         c.turn_at = None;
         self.first_list(courier);
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         self.wake(courier, now);
     }
 
@@ -244,25 +245,25 @@
         let at = c.last_turn.map_or(at, |last| at.max(last + resolution)).max(c.still_until);
         if c.turn_at.is_none_or(|set| at < set) {
             c.turn_at = Some(at);
-            self.agenda.put(at, Event::Turn { courier: courier as u32, at });
+            self.event_queue.schedule(at, Event::Turn { courier: courier as u32, at });
         }
     }
 
     pub fn tell(&mut self, courier: usize, input: Input) {
         self.couriers[courier].inputs.push(input);
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         self.wake(courier, now);
     }
 
-    /// Whether something gets from one hall to another just now.
+    /// Whether something gets from one zone to another just now.
     pub fn passes(&self, from: usize, to: usize) -> bool {
         self.cut[from][to] == 0
     }
 
     /// How warm an endpoint is: part of its capacity.
     pub fn warmth(&self, endpoint: usize, now: Time) -> f64 {
-        let p = &self.day.partners[self.day.endpoints[endpoint].partner];
-        match self.sites[endpoint].cold_since {
+        let p = &self.day.destinations[self.day.endpoints[endpoint].destination];
+        match self.endpoint_states[endpoint].cold_since {
             Some(since) if p.cold > 0 && now < since + p.cold => {
                 p.cold_from + (1.0 - p.cold_from) * (now - since) as f64 / p.cold as f64
             }
@@ -271,15 +272,15 @@
     }
 
     /// Calls a second that a unit can serve at the warmth that it has. A slowness that has come on top is left out: the
-    /// rule on returning partners is about what is cold, and no courier is told more of it.
+    /// rule on returning destinations is about what is cold, and no courier is told more of it.
     pub fn present_capacity(&self, unit: usize, now: Time) -> f64 {
-        let well = self.units[unit].endpoints.iter().filter(|&&e| !self.sites[e].is_down());
+        let well = self.units[unit].endpoints.iter().filter(|&&e| !self.endpoint_states[e].is_down());
         well.map(|&e| self.day.capacity(e) * self.warmth(e, now)).sum()
     }
 
     /// Whether a unit's limit has room for a call, `ahead` of them being on their way.
     pub fn has_allowance(&self, unit: usize, now: Time, ahead: usize) -> bool {
-        match self.day.partners[self.units[unit].partner].limit {
+        match self.day.destinations[self.units[unit].destination].limit {
             Limit::None => true,
             Limit::Rate => self.tokens(unit, now) >= 1.0 + ahead as f64,
             Limit::Span => self.span_used(unit, now) + ahead as f64 + 1.0 <= self.span_allows(unit),
@@ -289,7 +290,7 @@
     /// Calls a second that a unit's limit allows just now.
     pub fn rate(&self, unit: usize) -> f64 {
         let u = &self.units[unit];
-        self.day.partners[u.partner].rate * u.throttle
+        self.day.destinations[u.destination].rate * u.throttle
     }
 
     /// What is left of a plain rate.
@@ -301,13 +302,13 @@
 
     /// Calls that a span allows, and those that count in the present one.
     pub fn span_allows(&self, unit: usize) -> f64 {
-        let span = self.day.partners[self.units[unit].partner].span;
+        let span = self.day.destinations[self.units[unit].destination].span;
         (self.rate(unit) * span as f64 / SECOND as f64).max(1.0)
     }
 
     pub fn span_used(&self, unit: usize, now: Time) -> f64 {
         let u = &self.units[unit];
-        if now / self.day.partners[u.partner].span == u.span {
+        if now / self.day.destinations[u.destination].span == u.span {
             u.used
         } else {
             0.0
@@ -315,30 +316,31 @@
     }
 }
 
-impl Sight for World<'_> {
+impl WorldView for World<'_> {
     fn answer_in(&self, courier: usize, endpoint: usize, class: usize) -> Option<(f64, f64)> {
-        let (now, site) = (self.agenda.now(), &self.sites[endpoint]);
+        let (now, state) = (self.event_queue.now(), &self.endpoint_states[endpoint]);
         let e = &self.day.endpoints[endpoint];
-        let hall = self.couriers[courier].hall;
-        let coming: usize = self.units[site.unit].endpoints.iter().map(|&e| self.sites[e].coming).sum();
-        let waiting = site.queue.len() + site.coming;
-        let bad = site.is_down() || site.shut > 0 || site.half_open > 0 || site.stands_still();
-        let struck = site.class_errors.iter().filter(|(c, _)| *c == class);
+        let zone = self.couriers[courier].zone;
+        let coming: usize =
+            self.units[state.unit].endpoints.iter().map(|&e| self.endpoint_states[e].coming).sum();
+        let waiting = state.queue.len() + state.coming;
+        let bad = state.is_down() || state.shut > 0 || state.half_open > 0 || state.is_stalled();
+        let struck = state.class_errors.iter().filter(|(c, _)| *c == class);
         let well = struck
-            .fold((1.0 - site.errors.min(1.0)) * (1.0 - site.resets.min(1.0)), |w, (_, e)| w * (1.0 - e));
-        let sure = well * (1.0 - site.lost.min(1.0));
-        // Who waits at the partner can't be overtaken; who waits at the courier can. A call may be on its way
+            .fold((1.0 - state.errors.min(1.0)) * (1.0 - state.resets.min(1.0)), |w, (_, e)| w * (1.0 - e));
+        let sure = well * (1.0 - state.lost.min(1.0));
+        // Who waits at the destination can't be overtaken; who waits at the courier can. A call may be on its way
         // while another ends.
-        let full = site.active.len() + waiting > e.slots;
-        let cut = !self.passes(hall, e.hall) || !self.passes(e.hall, hall);
+        let full = state.active.len() + waiting > e.slots;
+        let cut = !self.passes(zone, e.zone) || !self.passes(e.zone, zone);
         let kept = self.couriers[courier].idle.get(&(endpoint as u32)).is_some_and(|idle| !idle.is_empty());
-        let barred = e.connections > 0 && site.connections >= e.connections && !kept;
-        if bad || full || barred || cut || sure <= 0.0 || !self.has_allowance(site.unit, now, coming) {
+        let barred = e.connections > 0 && state.connections >= e.connections && !kept;
+        if bad || full || barred || cut || sure <= 0.0 || !self.has_allowance(state.unit, now, coming) {
             return None;
         }
-        let ahead = (waiting + site.active.len()) as f64 / e.slots as f64;
-        let service = self.day.mean_service(e.partner) * site.slow / self.warmth(endpoint, now);
-        Some((2.0 * self.day.journey[hall][e.hall] as f64 + service * (1.0 + ahead.floor()), sure))
+        let ahead = (waiting + state.active.len()) as f64 / e.slots as f64;
+        let service = self.day.mean_service(e.destination) * state.slow / self.warmth(endpoint, now);
+        Some((2.0 * self.day.zone_latency[zone][e.zone] as f64 + service * (1.0 + ahead.floor()), sure))
     }
 }
 
--- a/crates/emulator/tests/judge.rs
+++ b/crates/emulator/tests/judge.rs
@@ -47,14 +47,14 @@
     ];
     for (rule, wrong, words) in cases {
         let scenario = day(rule);
-        let maker = move |_: usize, set: Settings| -> Box<dyn Decider> {
+        let factory = move |_: usize, set: Settings| -> Box<dyn Decider> {
             Box::new(Plain::new(set, Style::Gradient, wrong))
         };
-        let found = figures(&scenario, 1, &maker);
+        let found = figures(&scenario, 1, &factory);
         let broken = found.broken.iter().find(|b| b.rule == rule);
         let broken = broken.unwrap_or_else(|| panic!("{wrong:?} was not caught: {:?}", found.broken));
         assert!(broken.words.contains(words), "{}", broken.words);
-        let told = history(&scenario, 1, &maker, broken.mail);
+        let told = history(&scenario, 1, &factory, broken.mail);
         assert!(told.iter().any(|line| line.contains("taken on by courier")), "{told:?}");
     }
 }
--- a/crates/emulator/tests/same.rs
+++ b/crates/emulator/tests/same.rs
@@ -3,7 +3,7 @@
 use meadowhold::interface::Settings;
 use meadowhold_emulator::baselines::{Plain, Style, Wrong};
 use meadowhold_emulator::day::Day;
-use meadowhold_emulator::decider::{control, Decider, Maker};
+use meadowhold_emulator::decider::{control, Decider, DeciderFactory};
 use meadowhold_emulator::figures::Figures;
 use meadowhold_emulator::oracle::Oracle;
 use meadowhold_emulator::scenario::{Figure, Scenario, Shape, Trouble, What};
@@ -37,9 +37,9 @@
     let shared = |_: usize, set: Settings| -> Box<dyn Decider> {
         Box::new(Plain::new(set, Style::SharedPool, Wrong::Nothing))
     };
-    let asked = |maker: &Maker| -> Vec<(u64, u32, u16)> {
-        let ended = run(&scenario, 5, maker, Options::default());
-        ended.mails.iter().map(|m| (m.born, m.dest, m.class)).collect()
+    let asked = |factory: &DeciderFactory| -> Vec<(u64, u32, u16)> {
+        let ended = run(&scenario, 5, factory, Options::default());
+        ended.mails.iter().map(|m| (m.born, m.destination, m.class)).collect()
     };
     assert_eq!(asked(&control), asked(&shared));
 }
@@ -99,7 +99,9 @@
 fn who_sees_all_does_no_worse_than_who_does_not() {
     for (what, size) in [(What::Hang, 1.0), (What::Crash, 1.0), (What::Slow, 8.0), (What::Burst, 2.0)] {
         let scenario = troubled(what, size);
-        let mean = |maker: &Maker| (1..=4).map(|seed| figures(&scenario, seed, maker).whole).sum::<f64>();
+        let mean = |factory: &DeciderFactory| {
+            (1..=4).map(|seed| figures(&scenario, seed, factory).whole).sum::<f64>()
+        };
         let oracle = mean(&|courier, set| Box::new(Oracle::new(set, courier)));
         let module = mean(&control);
         assert!(oracle + 0.04 > module, "{what:?}: {oracle} and {module} in four days");
--- a/crates/emulator/tests/thin.rs
+++ b/crates/emulator/tests/thin.rs
@@ -11,7 +11,7 @@
 use meadowhold::interface::{Action, Input, Outcome, Settings, Time, SECOND};
 use meadowhold_emulator::check;
 use meadowhold_emulator::day::Day;
-use meadowhold_emulator::decider::{control, Decider, Sight};
+use meadowhold_emulator::decider::{control, Decider, WorldView};
 use meadowhold_emulator::oracle::Oracle;
 use meadowhold_emulator::scenario::{Class, Effect, Figure, Kind, Limit, Scenario, Trouble, What};
 use meadowhold_emulator::world::{Options, World};
@@ -70,13 +70,13 @@
     let mean = (LASTS_S.0 + LASTS_S.1) / 2.0;
     let up = mean * (1.0 - OUT) / OUT;
     let between = |chance: &mut fastrand::Rng| LASTS_S.0 + (LASTS_S.1 - LASTS_S.0) * chance.f64();
-    for partner in 0..destinations {
+    for destination in 0..destinations {
         let wait = |chance: &mut fastrand::Rng| -up * (1.0 - chance.f64()).ln();
         let mut at = if chance.f64() < OUT { 0.0 } else { wait(&mut chance) };
         while at < DAY_S {
             let lasts = between(&mut chance);
             let mut trouble = Trouble::new(what, one(at), one(lasts), one(0.0), one(1.0));
-            (trouble.partners, trouble.whole) = (vec![partner], one(1.0));
+            (trouble.partners, trouble.whole) = (vec![destination], one(1.0));
             s.trouble.push(trouble);
             at += lasts + wait(&mut chance);
         }
@@ -182,12 +182,12 @@
 }
 
 impl Decider for Watched {
-    fn round(
+    fn step(
         &mut self,
         now: Time,
         inputs: &[Input],
         out: &mut Vec<Action>,
-        sight: &dyn Sight,
+        view: &dyn WorldView,
     ) -> Option<Time> {
         let mut seen = self.seen.lock().expect("one courier");
         for input in inputs {
@@ -197,7 +197,7 @@
         }
         let before = out.len();
         let began = busy();
-        let next = self.inner.round(now, inputs, out, sight);
+        let next = self.inner.step(now, inputs, out, view);
         seen.deciding_s += busy() - began;
         for action in &out[before..] {
             if let Action::Connect { mail, endpoint, .. } = *action {
@@ -206,22 +206,22 @@
                 seen.out.insert(mail, (endpoint, now));
             }
         }
-        seen.look(now, |endpoint| self.inner.standing(endpoint));
+        seen.look(now, |endpoint| self.inner.health(endpoint));
         next
     }
 
-    fn may_begin(&self, endpoint: usize, now: Time) -> bool {
-        self.inner.may_begin(endpoint, now)
+    fn may_call(&self, endpoint: usize, now: Time) -> bool {
+        self.inner.may_call(endpoint, now)
     }
 
-    fn standing(&self, endpoint: usize) -> Option<Health> {
-        self.inner.standing(endpoint)
+    fn health(&self, endpoint: usize) -> Option<Health> {
+        self.inner.health(endpoint)
     }
 }
 
 /// Sums over the seeds of one line.
 #[derive(Default)]
-struct Line {
+struct KeyQueue {
     messages: u64,
     /// Handed in while their destination was out.
     at_out: u64,
@@ -242,23 +242,23 @@
     turns: u64,
 }
 
-impl Line {
+impl KeyQueue {
     fn play(&mut self, scenario: &Scenario, seed: u64, oracle: bool) {
         assert_eq!(check::faults(scenario), [], "a day that can be drawn");
         let mut day = Day::draw(scenario, seed);
         day.settings.couriers = COURIERS;
         let seen = Arc::new(Mutex::new(Seen::new(&day)));
         let watched = seen.clone();
-        let maker = move |courier: usize, set: Settings| -> Box<dyn Decider> {
+        let factory = move |courier: usize, set: Settings| -> Box<dyn Decider> {
             let inner: Box<dyn Decider> =
                 if oracle { Box::new(Oracle::new(set, courier)) } else { control(courier, set) };
             Box::new(Watched { inner, seen: watched.clone() })
         };
         let day = Rc::new(day);
-        let ended = World::new(day.clone(), &maker, Options::default()).run();
+        let ended = World::new(day.clone(), &factory, Options::default()).run();
         let seen = seen.lock().expect("the day is over");
         for mail in &ended.mails {
-            let outages = || seen.outages_of(mail.dest as usize);
+            let outages = || seen.outages_of(mail.destination as usize);
             let failed = mail.relayed_at.is_none();
             self.messages += 1;
             self.failed += u64::from(failed);
@@ -322,7 +322,7 @@
 fn one_second_between_calls_is_enough_to_learn_of_each_outage() {
     for what in [What::Crash, What::Hang] {
         let scenario = thin(RATE, 1.0, Some(what), false, 1);
-        let (mut present, mut oracle) = (Line::default(), Line::default());
+        let (mut present, mut oracle) = (KeyQueue::default(), KeyQueue::default());
         present.play(&scenario, 1, false);
         oracle.play(&scenario, 1, true);
         assert!(present.outages > 0 && present.at_out > 0, "nothing was out");
@@ -350,7 +350,7 @@
         for (long, lives) in [(false, "seconds"), (true, "an hour")] {
             for (between_s, seeds) in SIZES {
                 for oracle in [false, true] {
-                    let mut line = Line::default();
+                    let mut line = KeyQueue::default();
                     for seed in 0..seeds {
                         line.play(&thin(RATE, between_s, what, long, seed), seed, oracle);
                     }
@@ -437,7 +437,7 @@
     let parts: Vec<[f64; 4]> = [RATE, 4.0 * RATE]
         .into_iter()
         .map(|rate| {
-            let mut line = Line::default();
+            let mut line = KeyQueue::default();
             for seed in 0..2 {
                 line.play(&thin(rate, 100.0, Some(What::Hang), false, seed), seed, false);
             }
--- a/crates/lab/src/charts.rs
+++ b/crates/lab/src/charts.rs
@@ -196,11 +196,11 @@
 where
     B::ErrorType: 'static,
 {
-    let most = ended.day.partners.len().min(2);
+    let most = ended.day.destinations.len().min(2);
     let mut lines = Vec::new();
     for dest in 0..most {
         let mean = ended.day.mean_service(dest) / 10_000.0;
-        let of = |s: &Sample, get: &dyn Fn(&meadowhold_emulator::series::Dest) -> f64| {
+        let of = |s: &Sample, get: &dyn Fn(&meadowhold_emulator::series::DestinationSample) -> f64| {
             s.dests.get(dest).map_or(0.0, get)
         };
         lines.push(sampled(ended, &format!("partner {dest}: out"), |s| of(s, &|d| d.out as f64)));
--- a/crates/lab/src/command.rs
+++ b/crates/lab/src/command.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
-use meadowhold_emulator::decider::Maker;
+use meadowhold_emulator::decider::DeciderFactory;
 use meadowhold_emulator::figures::Figures;
 use meadowhold_emulator::world::Options;
 use meadowhold_emulator::{figures, history, run};
@@ -74,7 +74,7 @@
 }
 
 impl OneDay {
-    fn load(&self) -> Result<(Named, u64, Box<Maker>), Refused> {
+    fn load(&self) -> Result<(Named, u64, Box<DeciderFactory>), Refused> {
         let named = load::load(&self.scenario, &self.sets)?;
         let seed = self.seed.or(named.scenario.seed).unwrap_or(1);
         Ok((named, seed, deciders::maker(&self.decider).map_err(Refused::one)?))
--- a/crates/lab/src/deciders.rs
+++ b/crates/lab/src/deciders.rs
@@ -2,7 +2,7 @@
 
 use meadowhold::interface::Settings;
 use meadowhold_emulator::baselines::{Plain, Style, Wrong};
-use meadowhold_emulator::decider::{control, Decider, Maker};
+use meadowhold_emulator::decider::{control, Decider, DeciderFactory};
 use meadowhold_emulator::oracle::Oracle;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -28,7 +28,7 @@
     all
 }
 
-pub fn maker(name: &str) -> Result<Box<Maker>, String> {
+pub fn maker(name: &str) -> Result<Box<DeciderFactory>, String> {
     if name == CONTROL {
         return Ok(Box::new(control));
     }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use meadowhold_emulator::decider::Maker;
+use meadowhold_emulator::decider::DeciderFactory;
 use meadowhold_emulator::figures::{worth, Figures};
 use meadowhold_emulator::history;
 use meadowhold_emulator::world::Ended;
@@ -37,7 +37,7 @@
     told
 }
 
-pub fn page(named: &Named, decider: &str, maker: &Maker, ended: &Ended) -> Result<String, Refused> {
+pub fn page(named: &Named, decider: &str, maker: &DeciderFactory, ended: &Ended) -> Result<String, Refused> {
     let f = Figures::of(ended);
     let mut page = String::new();
     let title = format!("{} · {decider} · seed {}", named.name, f.seed);
--- a/crates/lab/src/speed.rs
+++ b/crates/lab/src/speed.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use meadowhold::interface::{Action, Input, Time};
-use meadowhold_emulator::decider::{control, Decider, Sight};
+use meadowhold_emulator::decider::{control, Decider, WorldView};
 use meadowhold_emulator::figures::Figures;
 use meadowhold_emulator::run;
 use meadowhold_emulator::scenario::{Figure, Scenario};
@@ -37,21 +37,21 @@
 static SPENT: AtomicU64 = AtomicU64::new(0);
 
 impl Decider for Timed {
-    fn round(
+    fn step(
         &mut self,
         now: Time,
         inputs: &[Input],
         out: &mut Vec<Action>,
-        sight: &dyn Sight,
+        sight: &dyn WorldView,
     ) -> Option<Time> {
         let begun = Instant::now();
-        let next = self.inner.round(now, inputs, out, sight);
+        let next = self.inner.step(now, inputs, out, sight);
         self.spent += begun.elapsed().as_nanos() as u64;
         next
     }
 
-    fn may_begin(&self, endpoint: usize, now: Time) -> bool {
-        self.inner.may_begin(endpoint, now)
+    fn may_call(&self, endpoint: usize, now: Time) -> bool {
+        self.inner.may_call(endpoint, now)
     }
 }
 
