--- a/crates/emulator/src/baselines.rs
+++ b/crates/emulator/src/baselines.rs
@@ -11,7 +11,7 @@
 
 use crate::chance::{Purpose, Stream};
 use crate::decider::{Decider, WorldView};
-use crate::slots::{grow, may, Slots};
+use crate::slots::{entry_mut, may_retry, Slots};
 
 /// How a baseline limits and retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
 
 /// A rule that is broken on purpose.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Wrong {
+pub enum InjectedFault {
     #[default]
     Nothing,
     /// One mail in seven is taken on and forgotten.
@@ -62,7 +62,7 @@
 const SHRINK: f64 = 0.8;
 
 #[derive(Clone, Default)]
-struct Held {
+struct MailState {
     destination: usize,
     class: usize,
     key: Option<usize>,
@@ -78,7 +78,7 @@
 }
 
 #[derive(Clone, Default)]
-struct End {
+struct Endpoint {
     known: bool,
     destination: usize,
     unit: usize,
@@ -93,75 +93,77 @@
 }
 
 #[derive(Clone, Default)]
-struct DestinationSample {
-    ends: Vec<usize>,
+struct Destination {
+    endpoints: Vec<usize>,
     out: usize,
     limit: f64,
     best: f64,
 }
 
-pub struct Plain {
-    set: Settings,
+pub struct Baseline {
+    settings: Settings,
     style: Style,
-    wrong: Wrong,
+    wrong: InjectedFault,
     chance: Stream,
-    mails: Vec<Held>,
-    ends: Vec<End>,
-    dests: Vec<DestinationSample>,
-    holds: Vec<Time>,
-    lines: Vec<(VecDeque<usize>, Time)>,
+    mails: Vec<MailState>,
+    endpoints: Vec<Endpoint>,
+    destinations: Vec<Destination>,
+    wait_until: Vec<Time>,
+    key_queues: Vec<(VecDeque<usize>, Time)>,
     parked: VecDeque<usize>,
     slots: Slots,
     budget: f64,
-    ask_at: Option<Time>,
+    poll_at: Option<Time>,
 }
 
-impl Plain {
-    pub fn new(set: Settings, style: Style, wrong: Wrong) -> Plain {
-        Plain {
-            chance: Stream::new(set.seed, Purpose::Decider, 1),
-            ask_at: set.poll_list.then_some(0),
+impl Baseline {
+    pub fn new(settings: Settings, style: Style, wrong: InjectedFault) -> Baseline {
+        Baseline {
+            chance: Stream::new(settings.seed, Purpose::Decider, 1),
+            poll_at: settings.poll_list.then_some(0),
             style,
             wrong,
             mails: Vec::new(),
-            ends: Vec::new(),
-            dests: Vec::new(),
-            holds: Vec::new(),
-            lines: Vec::new(),
+            endpoints: Vec::new(),
+            destinations: Vec::new(),
+            wait_until: Vec::new(),
+            key_queues: Vec::new(),
             parked: VecDeque::new(),
             slots: Slots::default(),
             budget: 1.0,
-            set,
+            settings,
         }
     }
 
     fn read(&mut self, now: Time, input: &Input, out: &mut Vec<Action>) {
         match input {
             Input::ListBegin { complete: whole } => {
-                self.ends.iter_mut().filter(|_| *whole).for_each(|e| e.named = false)
+                self.endpoints.iter_mut().filter(|_| *whole).for_each(|e| e.named = false)
             }
             Input::ListEntry(entry) => {
-                let (apart, batch) =
-                    (self.set.kinds[entry.kind].per_endpoint_limits, self.set.kinds[entry.kind].max_batch);
-                let destination = grow(&mut self.dests, entry.destination);
+                let (apart, batch) = (
+                    self.settings.kinds[entry.kind].per_endpoint_limits,
+                    self.settings.kinds[entry.kind].max_batch,
+                );
+                let destination = entry_mut(&mut self.destinations, entry.destination);
                 destination.limit = if destination.limit > 0.0 { destination.limit } else { 4.0 };
-                let e = grow(&mut self.ends, entry.endpoint);
+                let e = entry_mut(&mut self.endpoints, entry.endpoint);
                 if !e.known {
-                    destination.ends.push(entry.endpoint);
+                    destination.endpoints.push(entry.endpoint);
                 }
                 (e.known, e.named, e.destination, e.zone) = (true, true, entry.destination, entry.zone);
                 e.batch = batch;
                 e.ready = entry.status == EndpointStatus::Ready;
                 e.unit = if apart { 2 * entry.endpoint + 1 } else { 2 * entry.destination };
                 let unit = e.unit;
-                grow(&mut self.holds, unit);
+                entry_mut(&mut self.wait_until, unit);
             }
-            Input::ListEnd => self.ends.iter_mut().filter(|e| !e.named).for_each(|e| e.ready = false),
-            Input::ListFailed => self.ask_at = Some(now + self.set.max_poll_delay / 8),
+            Input::ListEnd => self.endpoints.iter_mut().filter(|e| !e.named).for_each(|e| e.ready = false),
+            Input::ListFailed => self.poll_at = Some(now + self.settings.max_poll_delay / 8),
             Input::AcceptedMail(taken) => self.take(taken),
             Input::KeyInFlight { key, at: since } => {
-                let rest = &mut grow(&mut self.lines, *key).1;
-                *rest = (*rest).max(since + self.set.ordering_gap);
+                let rest = &mut entry_mut(&mut self.key_queues, *key).1;
+                *rest = (*rest).max(since + self.settings.ordering_gap);
             }
             Input::ClientGone { mail } => self.end(*mail, out),
             Input::ConnectResult(ended) => self.settle(now, ended, out),
@@ -180,22 +182,23 @@
             first_run: ran,
             ..
         } = *taken;
-        let new = Held { destination, class, key, due, connects, ran, used: true, ..Held::default() };
-        *grow(&mut self.mails, mail) = new;
+        let new =
+            MailState { destination, class, key, due, connects, ran, used: true, ..MailState::default() };
+        *entry_mut(&mut self.mails, mail) = new;
         if let Some(key) = key {
-            grow(&mut self.lines, key).0.push_back(mail);
+            entry_mut(&mut self.key_queues, key).0.push_back(mail);
         }
-        grow(&mut self.dests, destination);
+        entry_mut(&mut self.destinations, destination);
         self.budget += RETRY_SHARE;
-        if self.wrong != Wrong::Loses || mail % 7 != 0 {
+        if self.wrong != InjectedFault::Loses || mail % 7 != 0 {
             self.parked.push_back(mail);
         }
     }
 
-    fn may(&self, now: Time, m: &Held) -> (bool, bool) {
-        let left = m.connects < self.set.max_connects && now < m.due;
-        match may(&self.set, now, m.class, m.ran) {
-            _ if self.wrong == Wrong::Repeats => (left, true),
+    fn may(&self, now: Time, m: &MailState) -> (bool, bool) {
+        let left = m.connects < self.settings.max_connects && now < m.due;
+        match may_retry(&self.settings, now, m.class, m.ran) {
+            _ if self.wrong == InjectedFault::Repeats => (left, true),
             (again, deferrable) => (left && again, deferrable),
         }
     }
@@ -211,7 +214,7 @@
         }
         m.used = false;
         if let Some(key) = m.key {
-            self.lines[key].0.retain(|&queued| queued != mail);
+            self.key_queues[key].0.retain(|&queued| queued != mail);
         }
         self.parked.retain(|&parked| parked != mail);
         out.push(Action::FreeMail(mail));
@@ -232,15 +235,15 @@
         m.out = false;
         let (endpoint, destination) = (m.endpoint, m.destination);
         let ended = usize::from(self.slots.give_back(m.call));
-        let e = &mut self.ends[endpoint];
+        let e = &mut self.endpoints[endpoint];
         e.out -= ended;
-        self.dests[destination].out -= ended;
-        self.holds[e.unit] = self.holds[e.unit].max(now + wait);
+        self.destinations[destination].out -= ended;
+        self.wait_until[e.unit] = self.wait_until[e.unit].max(now + wait);
         if !outcome.never_ran() {
             m.ran = m.ran.or(Some((m.sent, e.zone)));
         }
         if let Some(key) = m.key.filter(|_| outcome.may_still_run()) {
-            self.lines[key].1 = self.lines[key].1.max(now + self.set.ordering_gap);
+            self.key_queues[key].1 = self.key_queues[key].1.max(now + self.settings.ordering_gap);
         }
         self.learn(now, endpoint, destination, outcome, took);
         let (again, _) = self.may(now, &self.mails[mail]);
@@ -257,7 +260,7 @@
     }
 
     fn learn(&mut self, now: Time, endpoint: usize, destination: usize, outcome: Outcome, took: Time) {
-        let (e, d) = (&mut self.ends[endpoint], &mut self.dests[destination]);
+        let (e, d) = (&mut self.endpoints[endpoint], &mut self.destinations[destination]);
         let well = outcome == Outcome::Relayed;
         let neutral = matches!(outcome, Outcome::Unsent | Outcome::CalledOff | Outcome::Spoilt);
         if well {
@@ -273,55 +276,56 @@
                 e.ejected_until = now + EJECT_FOR * Time::from(e.ejections);
             }
         }
-        d.limit = d.limit.clamp(1.0, self.set.slots as f64);
+        d.limit = d.limit.clamp(1.0, self.settings.slots as f64);
     }
 
     fn cap(&self, destination: usize) -> usize {
         match self.style {
-            Style::OneTry | Style::SharedPool | Style::Ejection => self.set.slots,
-            Style::FixedCap => (self.set.slots / 4).max(1),
-            Style::Gradient => self.dests[destination].limit as usize,
+            Style::OneTry | Style::SharedPool | Style::Ejection => self.settings.slots,
+            Style::FixedCap => (self.settings.slots / 4).max(1),
+            Style::Gradient => self.destinations[destination].limit as usize,
         }
     }
 
     fn pick(&mut self, now: Time, mail: usize) -> Option<usize> {
         let m = &self.mails[mail];
-        let by_zone = self.set.classes[m.class].dedup_by_zone;
+        let by_zone = self.settings.classes[m.class].dedup_by_zone;
         let (wrong, style, ran) = (self.wrong, self.style, m.ran);
         let fits = |&&e: &&usize| {
-            let end = &self.ends[e];
-            (end.ready || wrong == Wrong::IgnoresDrains)
-                && (now >= self.holds[end.unit] || wrong == Wrong::IgnoresWaits)
+            let end = &self.endpoints[e];
+            (end.ready || wrong == InjectedFault::IgnoresDrains)
+                && (now >= self.wait_until[end.unit] || wrong == InjectedFault::IgnoresWaits)
                 && now >= end.ejected_until
                 && ran.is_none_or(|(_, zone)| !by_zone || zone == end.zone)
         };
-        let ends = &self.dests[m.destination].ends;
-        let count = ends.iter().filter(fits).count();
+        let endpoints = &self.destinations[m.destination].endpoints;
+        let count = endpoints.iter().filter(fits).count();
         if count == 0 {
             return None;
         }
-        let draw = |chance: &mut Stream| ends.iter().filter(fits).nth(chance.below(count)).copied();
+        let draw = |chance: &mut Stream| endpoints.iter().filter(fits).nth(chance.below(count)).copied();
         let (first, second) = (draw(&mut self.chance), draw(&mut self.chance));
         let two = style != Style::OneTry;
-        let other = second.filter(|&s| two && first.is_some_and(|f| self.ends[s].out < self.ends[f].out));
+        let other =
+            second.filter(|&s| two && first.is_some_and(|f| self.endpoints[s].out < self.endpoints[f].out));
         other.or(first)
     }
 
     fn dispatch(&mut self, now: Time, out: &mut Vec<Action>) {
-        let slots = if self.wrong == Wrong::Floods { usize::MAX } else { self.set.slots };
+        let slots = if self.wrong == InjectedFault::Floods { usize::MAX } else { self.settings.slots };
         self.slots.next_turn();
         let mut later = VecDeque::new();
         while let Some(mail) = self.parked.pop_front() {
             let m = &self.mails[mail];
-            let in_turn = m.key.is_none_or(|key| {
-                let (line, rest) = &self.lines[key];
+            let in_order = m.key.is_none_or(|key| {
+                let (line, rest) = &self.key_queues[key];
                 line.front() == Some(&mail) && (m.connects > 0 || now >= *rest)
             });
-            let in_turn = in_turn || self.wrong == Wrong::IgnoresOrder;
-            let full =
-                self.dests[m.destination].out >= self.cap(m.destination) && self.wrong != Wrong::Floods;
-            let endpoint = if in_turn && !full { self.pick(now, mail) } else { None };
-            let room = |&e: &usize| self.slots.has_room(e, self.ends[e].batch, slots);
+            let in_order = in_order || self.wrong == InjectedFault::IgnoresOrder;
+            let full = self.destinations[m.destination].out >= self.cap(m.destination)
+                && self.wrong != InjectedFault::Floods;
+            let endpoint = if in_order && !full { self.pick(now, mail) } else { None };
+            let room = |&e: &usize| self.slots.has_room(e, self.endpoints[e].batch, slots);
             let endpoint = endpoint.filter(room);
             let Some(endpoint) = endpoint else {
                 later.push_back(mail);
@@ -329,23 +333,23 @@
             };
             let m = &mut self.mails[mail];
             let left = m.due.saturating_sub(now).max(1);
-            let class = &self.set.classes[m.class];
+            let class = &self.settings.classes[m.class];
             let patience =
                 if class.effect == Effect::OnceOnly { left } else { (2 * class.target_delay).min(left) };
             (m.out, m.sent, m.endpoint) = (true, now, endpoint);
             m.connects += 1;
             let before = self.slots.out();
-            m.call = self.slots.take(endpoint, self.ends[endpoint].batch);
+            m.call = self.slots.take(endpoint, self.endpoints[endpoint].batch);
             let begun = self.slots.out() - before;
-            self.ends[endpoint].out += begun;
-            self.dests[m.destination].out += begun;
+            self.endpoints[endpoint].out += begun;
+            self.destinations[m.destination].out += begun;
             out.push(Action::Connect { mail, endpoint, timeout: patience, new_connection: false });
         }
         self.parked = later;
     }
 }
 
-impl Decider for Plain {
+impl Decider for Baseline {
     fn step(
         &mut self,
         now: Time,
@@ -354,23 +358,23 @@
         _: &dyn WorldView,
     ) -> Option<Time> {
         inputs.iter().for_each(|input| self.read(now, input, out));
-        out.extend(self.ask_at.take_if(|at| *at <= now).map(|_| Action::RequestList));
-        let margin = 3 * self.set.timer_resolution;
-        let hopeless: Vec<usize> = self
+        out.extend(self.poll_at.take_if(|at| *at <= now).map(|_| Action::RequestList));
+        let margin = 3 * self.settings.timer_resolution;
+        let expired: Vec<usize> = self
             .parked
             .iter()
             .copied()
             .filter(|&mail| now + margin >= self.mails[mail].due || !self.may(now, &self.mails[mail]).0)
             .collect();
-        hopeless.into_iter().for_each(|mail| self.give_up(now, mail, out));
+        expired.into_iter().for_each(|mail| self.give_up(now, mail, out));
         self.dispatch(now, out);
         let busy = self.slots.out() > 0 || !self.parked.is_empty();
-        busy.then_some(now + 2 * self.set.timer_resolution).into_iter().chain(self.ask_at).min()
+        busy.then_some(now + 2 * self.settings.timer_resolution).into_iter().chain(self.poll_at).min()
     }
 
     fn may_call(&self, endpoint: usize, now: Time) -> bool {
-        let e = &self.ends[endpoint];
-        (e.ready || self.wrong == Wrong::IgnoresDrains)
-            && (now >= self.holds[e.unit] || self.wrong == Wrong::IgnoresWaits)
+        let e = &self.endpoints[endpoint];
+        (e.ready || self.wrong == InjectedFault::IgnoresDrains)
+            && (now >= self.wait_until[e.unit] || self.wrong == InjectedFault::IgnoresWaits)
     }
 }
--- a/crates/emulator/src/calls.rs
+++ b/crates/emulator/src/calls.rs
@@ -9,18 +9,18 @@
     /// The connection stands: the courier asks once more whether the call may begin, then its first byte goes out.
     pub fn connected(&mut self, now: Time, call: u32) {
         if !self.is_awaited(call) {
-            self.hang_up_call(call);
+            self.close_connection(call);
             return;
         }
         let c = &self.calls[call as usize];
-        let (courier, process, endpoint, place) = (c.courier, c.process, c.endpoint, c.place);
+        let (courier, process, endpoint, incarnation) = (c.courier, c.process, c.endpoint, c.incarnation);
         let decider = self.couriers[courier as usize].decider.as_ref();
         let may = decider.is_some_and(|d| d.may_call(endpoint as usize, now));
         if !may {
             self.counts.unsent += 1;
             self.calls[call as usize].connected = false;
-            self.keep(now, courier as usize, endpoint, place);
-            self.tell_outcome(now, call, Reply::only(Outcome::Unsent), |_| true);
+            self.keep(now, courier as usize, endpoint, incarnation);
+            self.report_outcome(now, call, Reply::with_outcome(Outcome::Unsent), |_| true);
             self.calls[call as usize].phase = Phase::Ended;
             return;
         }
@@ -35,11 +35,11 @@
             .map(|r| r.mail)
             .collect();
         if !over.is_empty() {
-            self.tell_outcome(now, call, Reply::only(Outcome::Unsent), |r| over.contains(&r.mail));
+            self.report_outcome(now, call, Reply::with_outcome(Outcome::Unsent), |r| over.contains(&r.mail));
         }
         if !self.calls[call as usize].open {
             self.calls[call as usize].phase = Phase::Ended;
-            self.hang_up_call(call);
+            self.close_connection(call);
             return;
         }
         let c = &mut self.calls[call as usize];
@@ -59,33 +59,33 @@
                 self.judge.sent((courier, process), (endpoint as usize, unit), connect.mail, now, grace);
             }
             if let Some(key) = key {
-                self.judge.sent_in_turn(courier, key, connect.mail, again, now);
+                self.judge.sent_in_order(courier, key, connect.mail, again, now);
             }
             self.trace.mark(now, 11, [connect.mail, endpoint]);
             self.trace.note(now, connect.mail, || format!("goes out to endpoint {endpoint}, call {call}"));
         }
         let zone = self.day.endpoints[endpoint as usize].zone;
-        if self.passes(self.couriers[courier as usize].zone, zone) {
+        if self.link_open(self.couriers[courier as usize].zone, zone) {
             let at = now + self.calls[call as usize].way[0];
-            self.event_queue.schedule(at, Event::Reach { call });
+            self.event_queue.schedule(at, Event::CallArrives { call });
         } else {
-            self.no_longer_coming(call);
+            self.leave_transit(call);
             self.calls[call as usize].phase = Phase::Lost;
         }
     }
 
     /// A call is there, or will not be.
-    pub fn no_longer_coming(&mut self, call: u32) {
+    pub fn leave_transit(&mut self, call: u32) {
         let c = &mut self.calls[call as usize];
-        if std::mem::take(&mut c.coming) {
-            self.endpoint_states[c.endpoint as usize].coming -= 1;
+        if std::mem::take(&mut c.in_transit) {
+            self.endpoint_states[c.endpoint as usize].in_transit -= 1;
         }
     }
 
     pub fn unreached(&mut self, now: Time, call: u32) {
         if self.is_awaited(call) {
             self.counts.unreached += 1;
-            self.tell_outcome(now, call, Reply::only(Outcome::Unreached), |_| true);
+            self.report_outcome(now, call, Reply::with_outcome(Outcome::Unreached), |_| true);
             self.calls[call as usize].phase = Phase::Ended;
         }
     }
@@ -94,18 +94,18 @@
     pub fn send_reply(&mut self, now: Time, call: u32, reply: Reply, after: Time) {
         let c = &self.calls[call as usize];
         let zone = self.day.endpoints[c.endpoint as usize].zone;
-        if self.passes(zone, self.couriers[c.courier as usize].zone) {
+        if self.link_open(zone, self.couriers[c.courier as usize].zone) {
             self.event_queue.schedule(now + after + c.way[1], Event::Answer { call, reply });
         }
     }
 
     pub fn answer(&mut self, now: Time, call: u32, reply: Reply) {
         if !self.is_awaited(call) {
-            self.hang_up_call(call);
+            self.close_connection(call);
             return;
         }
         let c = &mut self.calls[call as usize];
-        let (courier, endpoint, place) = (c.courier as usize, c.endpoint, c.place);
+        let (courier, endpoint, incarnation) = (c.courier as usize, c.endpoint, c.incarnation);
         c.phase = Phase::Ended;
         match reply.outcome {
             Outcome::Relayed => self.counts.heard_work += self.calls[call as usize].work,
@@ -114,33 +114,33 @@
             _ => self.counts.broken += 1,
         }
         if reply.outcome == Outcome::Broken {
-            self.hang_up_call(call);
+            self.close_connection(call);
         } else if self.calls[call as usize].connected {
             self.calls[call as usize].connected = false;
-            self.keep(now, courier, endpoint, place);
+            self.keep(now, courier, endpoint, incarnation);
         }
-        self.tell_outcome(now, call, reply, |_| true);
+        self.report_outcome(now, call, reply, |_| true);
     }
 
     /// The time of some connects is up; once that of all is, the connection is closed and the call runs on unheard.
-    pub fn expire(&mut self, now: Time, call: u32) {
+    pub fn timeout(&mut self, now: Time, call: u32) {
         if !self.is_awaited(call) {
             return;
         }
         let connecting = self.calls[call as usize].phase == Phase::Connecting;
         let outcome = if connecting { Outcome::Unsent } else { Outcome::Silent };
         self.counts.silent += u64::from(!connecting);
-        self.tell_outcome(now, call, Reply::only(outcome), |r| r.end <= now);
+        self.report_outcome(now, call, Reply::with_outcome(outcome), |r| r.end <= now);
         if !self.calls[call as usize].open && !connecting {
-            self.hang_up_call(call);
+            self.close_connection(call);
         }
     }
 
     /// A call's connection no longer counts at its endpoint.
-    pub fn hang_up_call(&mut self, call: u32) {
+    pub fn close_connection(&mut self, call: u32) {
         let c = &mut self.calls[call as usize];
         let state = &mut self.endpoint_states[c.endpoint as usize];
-        if std::mem::take(&mut c.connected) && c.place == state.place {
+        if std::mem::take(&mut c.connected) && c.incarnation == state.incarnation {
             state.connections = state.connections.saturating_sub(1);
         }
     }
--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -5,14 +5,14 @@
 
 use crate::chance::{Purpose, Stream};
 use crate::judge::Rule;
-use crate::parts::{Answer, Event, Mail, Stage, NOBODY};
+use crate::parts::{Answer, Event, Mail, Stage, NO_COURIER};
 use crate::scenario::Shape;
 use crate::world::World;
 
 /// Mails of a clump come within this time.
 const CLUMP_WITHIN: Time = SECOND / 20;
 /// A client that finds a dead courier so often gives up.
-const MISSES: u8 = 8;
+const MAX_MISSES: u8 = 8;
 
 impl World<'_> {
     /// Mails a second now, as a multiple of the day's mean.
@@ -36,14 +36,14 @@
         let gap = self.arrivals.gap() / (m.rate * self.swing(now) * starts).max(1e-9) * SECOND as f64;
         let at = now + gap.min(1e12) as Time;
         if at < self.day.length {
-            self.event_queue.schedule(at, Event::Next);
+            self.event_queue.schedule(at, Event::NextArrival);
         }
         if now == 0 {
             return; // the first gap counts from the start
         }
-        let place = self.arrivals.unit() * self.traffic.last().copied().unwrap_or(0.0);
+        let place = self.arrivals.unit() * self.traffic_sums.last().copied().unwrap_or(0.0);
         let destination =
-            self.traffic.partition_point(|&sum| sum <= place).min(self.traffic.len() - 1) as u32;
+            self.traffic_sums.partition_point(|&sum| sum <= place).min(self.traffic_sums.len() - 1) as u32;
         if self.arrivals.chance(clumps / clump / starts) {
             let left = (clump * (0.5 + self.arrivals.unit())).round().max(1.0) as u32;
             self.clump(now, destination, left);
@@ -68,26 +68,26 @@
         }
         let number = self.mails.len() as u32;
         let d = &mut Stream::new(self.day.seed, Purpose::Mail, u64::from(number));
-        let place = d.unit() * self.shares.last().copied().unwrap_or(1.0);
-        let class = self.shares.partition_point(|&sum| sum <= place).min(self.shares.len() - 1);
+        let place = d.unit() * self.class_sums.last().copied().unwrap_or(1.0);
+        let class = self.class_sums.partition_point(|&sum| sum <= place).min(self.class_sums.len() - 1);
         let set = &self.day.classes[class].settings;
         let short = d.chance(self.day.mails.short_lived);
         let part = if short { self.day.mails.short_part } else { 1.0 };
         let (any_zone, moved, key) = (d.below(self.day.zones.len()), d.unit(), d.unit());
         // Some keys come far more often than others.
         let key = (key * key * self.day.mails.keys as f64) as u32;
-        let shifted = self.shift.last().map(|&t| &self.day.troubles[t]).filter(|t| moved < t.size);
+        let shifted = self.zone_shifts.last().map(|&t| &self.day.troubles[t]).filter(|t| moved < t.size);
         let due = now + ((set.lifetime as f64 * part) as Time).max(1);
         self.mails.push(Mail {
             destination,
             class: class as u16,
             zone: shifted.map_or(any_zone, |t| t.zone) as u16,
             key: set.ordered.then_some(key),
-            born: now,
+            created_at: now,
             due,
             target: now + set.target_delay,
             stage: Stage::Outside,
-            courier: NOBODY,
+            courier: NO_COURIER,
             index: 0,
             since: 0,
             tries: 0,
@@ -132,19 +132,19 @@
         let (any, near, hot) = (d.below(all), d.unit(), d.unit());
         // From a place drawn on, the first that the front holds to be alive and that the call asks for.
         let from = |start: usize, fits: &dyn Fn(usize) -> bool| {
-            (0..all).map(|i| (start + i) % all).find(|&c| self.front[c] && fits(c))
+            (0..all).map(|i| (start + i) % all).find(|&c| self.front_alive[c] && fits(c))
         };
         // Mails of a key go to one courier for as long as it lives.
         if let Some(key) = m.key {
             return from(key as usize % all, &|_| true).unwrap_or(any);
         }
-        let hot = self.hot.iter().map(|&t| &self.day.troubles[t]).find(|t| hot < t.size);
+        let hot = self.hot_troubles.iter().map(|&t| &self.day.troubles[t]).find(|t| hot < t.size);
         if let Some(t) = hot.filter(|t| !t.couriers.is_empty()) {
             let start = t.couriers[(near * t.couriers.len() as f64) as usize];
             return from(start, &|c| t.couriers.contains(&c)).unwrap_or(any);
         }
         let zone = usize::from(m.zone);
-        let near = (self.day.mails.by_zone || !self.shift.is_empty())
+        let near = (self.day.mails.by_zone || !self.zone_shifts.is_empty())
             .then(|| from(any, &|c| self.couriers[c].zone == zone))
             .flatten();
         near.or_else(|| from(any, &|_| true)).unwrap_or(any)
@@ -161,7 +161,7 @@
             // Nobody took it: this spends none of the client's tries.
             let m = &mut self.mails[mail as usize];
             m.misses += 1;
-            if m.misses < MISSES {
+            if m.misses < MAX_MISSES {
                 self.event_queue.schedule(now + pause / 2, Event::Resubmit { mail });
             } else {
                 m.stage = Stage::Over;
@@ -175,8 +175,8 @@
             self.schedule_retry(now, mail, 0);
             return;
         }
-        self.turns_taken += 1;
-        let (turn, c) = (self.turns_taken, &mut self.couriers[courier as usize]);
+        self.mails_accepted += 1;
+        let (turn, c) = (self.mails_accepted, &mut self.couriers[courier as usize]);
         c.open += 1;
         let index = c.enter(mail);
         let m = &mut self.mails[mail as usize];
@@ -204,7 +204,7 @@
             connects_used: usize::from(m.connects),
             first_run: m.ran.map(|(at, zone)| (at, usize::from(zone))),
         };
-        self.tell(courier, Input::AcceptedMail(taken));
+        self.push_input(courier, Input::AcceptedMail(taken));
     }
 
     pub fn hang_up(&mut self, now: Time, mail: u32, tries: u8) {
@@ -220,7 +220,7 @@
         let index = m.index as usize;
         self.trace.note(now, mail, || "its client hangs up".to_string());
         self.finish(now, mail, Answer::HungUp);
-        self.tell(courier, Input::ClientGone { mail: index });
+        self.push_input(courier, Input::ClientGone { mail: index });
     }
 
     /// A mail has its final answer (or its client is gone): the judge looks, the client acts on it.
@@ -241,7 +241,7 @@
         }
         // What an earlier process took and a later one still owes may come after its time.
         // So may what fell due while its courier's clock stood still.
-        let due_heard = due.max(c.still_until.min(now));
+        let due_heard = due.max(c.paused_until.min(now));
         let late = now > due_heard + grace && m.since >= c.started && answer != Answer::HungUp;
         self.trace.note(now, mail, || format!("{answer:?} by courier {courier}").to_lowercase());
         if twice {
@@ -277,7 +277,7 @@
             // It may have run, for all the client knows: it comes inside the window alone, with no more time than that,
             // less what making a connection may take: a courier does not know that it is a repeat.
             let spare = self.day.settings.connection_timeout;
-            m.due = m.due.min((m.born + set.dedup_window).saturating_sub(spare));
+            m.due = m.due.min((m.created_at + set.dedup_window).saturating_sub(spare));
         }
         if usize::from(m.tries) <= self.day.mails.retries && now + pause < m.due {
             m.stage = Stage::Outside;
--- a/crates/emulator/src/figures.rs
+++ b/crates/emulator/src/figures.rs
@@ -98,7 +98,7 @@
     let step = SECOND / 10;
     let mut bins = vec![(0.0, 0.0); (day.length / step) as usize + 1];
     for mail in mails {
-        let bin = &mut bins[(mail.born / step) as usize];
+        let bin = &mut bins[(mail.created_at / step) as usize];
         bin.0 += day.classes[usize::from(mail.class)].settings.importance;
         bin.1 += mail.relayed_at.map_or(0.0, |at| worth(day, mail, at));
     }
@@ -209,7 +209,7 @@
     // Two digits of each figure, whatever its size: it grows by itself and never refuses a value.
     let mut histogram = Histogram::new(2).expect("two digits are within what the library takes");
     let own = mails.iter().filter(|m| usize::from(m.class) == class);
-    for took in own.filter_map(|m| m.relayed_at.map(|at| at - m.born)) {
+    for took in own.filter_map(|m| m.relayed_at.map(|at| at - m.created_at)) {
         histogram.saturating_record(took / (SECOND / 1000));
     }
     histogram
--- a/crates/emulator/src/judge.rs
+++ b/crates/emulator/src/judge.rs
@@ -49,12 +49,12 @@
 }
 
 /// Broken rules that are kept in full; further ones are counted.
-const KEPT: usize = 20;
+const MAX_BROKEN_KEPT: usize = 20;
 
 impl Judge {
     pub fn breaks(&mut self, rule: Rule, at: Time, mail: u32, courier: u32, words: String) {
         self.count += 1;
-        if self.broken.len() < KEPT {
+        if self.broken.len() < MAX_BROKEN_KEPT {
             self.broken.push(Broken { rule, at, mail, courier, words });
         }
     }
@@ -81,7 +81,7 @@
         self.saw.insert((courier, unit), outage);
     }
 
-    pub fn has_seen(&self, courier: u32, unit: usize, outage: u32) -> bool {
+    pub fn saw_this_outage(&self, courier: u32, unit: usize, outage: u32) -> bool {
         self.saw.get(&(courier, unit)) == Some(&outage)
     }
 
@@ -138,7 +138,7 @@
         }
     }
 
-    pub fn sent_in_turn(&mut self, courier: u32, key: u32, mail: u32, again: bool, now: Time) {
+    pub fn sent_in_order(&mut self, courier: u32, key: u32, mail: u32, again: bool, now: Time) {
         let Some(line) = self.lines.get(&(courier, key)) else { return };
         let words = match line.mails.front() {
             Some(&first) if first != mail => {
@@ -190,16 +190,16 @@
         let mut judge = Judge::default();
         judge.enqueue(0, 5, 10);
         judge.enqueue(0, 5, 11);
-        judge.sent_in_turn(0, 5, 10, false, 1);
+        judge.sent_in_order(0, 5, 10, false, 1);
         assert_eq!(judge.count, 0);
-        judge.sent_in_turn(0, 5, 11, false, 2);
+        judge.sent_in_order(0, 5, 11, false, 2);
         assert_eq!(judge.count, 1);
         judge.hold_key(0, 5, 100);
         judge.dequeue(0, 5, 10);
-        judge.sent_in_turn(0, 5, 11, true, 3);
+        judge.sent_in_order(0, 5, 11, true, 3);
         assert_eq!(judge.count, 1);
-        judge.sent_in_turn(0, 5, 11, false, 99);
-        judge.sent_in_turn(0, 5, 11, false, 100);
+        judge.sent_in_order(0, 5, 11, false, 99);
+        judge.sent_in_order(0, 5, 11, false, 100);
         assert_eq!(judge.count, 2);
     }
 }
--- a/crates/emulator/src/listing.rs
+++ b/crates/emulator/src/listing.rs
@@ -49,7 +49,7 @@
     /// A new process hears the list first, unless it has to ask.
     pub fn first_list(&mut self, courier: usize) {
         self.couriers[courier].heard = self.list.log.len();
-        self.couriers[courier].list_due = self.day.list_mode == ListMode::Push;
+        self.couriers[courier].full_list_due = self.day.list_mode == ListMode::Push;
     }
 
     /// An endpoint's life has changed: it will be on the list.
@@ -75,7 +75,7 @@
         let upto = self.list.log.len() as u32;
         for courier in 0..self.couriers.len() {
             let c = &self.couriers[courier];
-            if !c.alive || (self.day.list_mode == ListMode::Ask && !c.watches) {
+            if !c.alive || (self.day.list_mode == ListMode::Ask && !c.watching_list) {
                 continue;
             }
             let index = (courier as u64) << 32 | u64::from(upto);
@@ -105,7 +105,7 @@
         c.heard = upto;
         c.inputs.push(Input::ListBegin { complete: false });
         c.inputs.extend(news);
-        self.tell(courier, Input::ListEnd);
+        self.push_input(courier, Input::ListEnd);
     }
 
     pub fn ask_list(&mut self, now: Time, courier: usize) {
@@ -119,12 +119,12 @@
             return;
         }
         if self.list.stalls > 0 {
-            self.tell(courier, Input::ListFailed);
+            self.push_input(courier, Input::ListFailed);
             return;
         }
         let whole = self.full_list();
         let c = &mut self.couriers[courier];
-        (c.heard, c.watches) = (self.list.log.len(), true);
+        (c.heard, c.watching_list) = (self.list.log.len(), true);
         c.inputs.extend(whole);
         self.wake(courier, now);
     }
--- a/crates/emulator/src/oracle.rs
+++ b/crates/emulator/src/oracle.rs
@@ -4,16 +4,16 @@
 use meadowhold::interface::{AcceptedMail, Action, Effect, EndpointStatus, Input, Settings, Time};
 
 use crate::decider::{Decider, WorldView};
-use crate::slots::{grow, may, Slots};
+use crate::slots::{entry_mut, may_retry, Slots};
 
 /// Chance of being served that a once-only mail waits for.
-const SURE: f64 = 0.9;
+const MIN_ONCE_ONLY_CHANCE: f64 = 0.9;
 
 /// Expected answer times after which an answer counts as lost.
-const PATIENCE: f64 = 6.0;
+const TIMEOUT_MULTIPLE: f64 = 6.0;
 
 #[derive(Clone, Default)]
-struct Held {
+struct MailState {
     taken: AcceptedMail,
     out: bool,
     call: usize,
@@ -22,7 +22,7 @@
 }
 
 #[derive(Clone, Default)]
-struct End {
+struct Endpoint {
     known: bool,
     zone: usize,
     batch: usize,
@@ -32,47 +32,47 @@
 }
 
 pub struct Oracle {
-    set: Settings,
+    settings: Settings,
     courier: usize,
-    mails: Vec<Held>,
+    mails: Vec<MailState>,
     sent: Vec<Time>,
     zone: Vec<usize>,
     unit: Vec<usize>,
-    ends: Vec<End>,
-    dests: Vec<Vec<usize>>,
-    holds: Vec<Time>,
+    endpoints: Vec<Endpoint>,
+    destinations: Vec<Vec<usize>>,
+    wait_until: Vec<Time>,
     parked: Vec<usize>,
     /// Mails of each key in the order in which they came, and until when the key rests.
-    lines: Vec<(Vec<usize>, Time)>,
+    key_queues: Vec<(Vec<usize>, Time)>,
     order: Vec<(f64, usize)>,
     slots: Slots,
-    asked: bool,
+    list_requested: bool,
 }
 
 impl Oracle {
     /// `courier`: whose eyes it has; the sight differs by zone.
-    pub fn new(set: Settings, courier: usize) -> Oracle {
+    pub fn new(settings: Settings, courier: usize) -> Oracle {
         Oracle {
-            asked: !set.poll_list,
-            set,
+            list_requested: !settings.poll_list,
+            settings,
             courier,
             mails: Vec::new(),
             sent: Vec::new(),
             zone: Vec::new(),
             unit: Vec::new(),
-            ends: Vec::new(),
-            dests: Vec::new(),
-            holds: Vec::new(),
+            endpoints: Vec::new(),
+            destinations: Vec::new(),
+            wait_until: Vec::new(),
             parked: Vec::new(),
-            lines: Vec::new(),
+            key_queues: Vec::new(),
             order: Vec::new(),
             slots: Slots::default(),
         }
     }
 
     fn may(&self, now: Time, t: &AcceptedMail) -> (bool, bool) {
-        let left = t.connects_used < self.set.max_connects && now < t.deadline;
-        let (again, deferrable) = may(&self.set, now, t.class, t.first_run);
+        let left = t.connects_used < self.settings.max_connects && now < t.deadline;
+        let (again, deferrable) = may_retry(&self.settings, now, t.class, t.first_run);
         (left && again, deferrable)
     }
 
@@ -85,7 +85,7 @@
         if !m.out {
             m.used = false;
             if let Some(key) = m.taken.key {
-                self.lines[key].0.retain(|&queued| queued != mail);
+                self.key_queues[key].0.retain(|&queued| queued != mail);
             }
             self.parked.retain(|&p| p != mail);
             out.push(Action::FreeMail(mail));
@@ -101,31 +101,32 @@
     fn read(&mut self, now: Time, input: &Input, out: &mut Vec<Action>) {
         match input {
             Input::ListBegin { complete: whole } => {
-                self.ends.iter_mut().filter(|_| *whole).for_each(|e| e.named = false)
+                self.endpoints.iter_mut().filter(|_| *whole).for_each(|e| e.named = false)
             }
             Input::ListEntry(l) => {
-                let kind = &self.set.kinds[l.kind];
-                let e = grow(&mut self.ends, l.endpoint);
+                let kind = &self.settings.kinds[l.kind];
+                let e = entry_mut(&mut self.endpoints, l.endpoint);
                 if !e.known {
-                    grow(&mut self.dests, l.destination).push(l.endpoint);
+                    entry_mut(&mut self.destinations, l.destination).push(l.endpoint);
                 }
                 let unit = if kind.per_endpoint_limits { 2 * l.endpoint + 1 } else { 2 * l.destination };
                 let ready = l.status == EndpointStatus::Ready;
                 let batch = kind.max_batch;
-                *e = End { known: true, zone: l.zone, batch, unit, ready, named: true };
-                grow(&mut self.holds, unit);
+                *e = Endpoint { known: true, zone: l.zone, batch, unit, ready, named: true };
+                entry_mut(&mut self.wait_until, unit);
             }
-            Input::ListEnd => self.ends.iter_mut().filter(|e| !e.named).for_each(|e| e.ready = false),
-            Input::ListFailed => self.asked = false,
+            Input::ListEnd => self.endpoints.iter_mut().filter(|e| !e.named).for_each(|e| e.ready = false),
+            Input::ListFailed => self.list_requested = false,
             Input::AcceptedMail(taken) => {
                 let mail = taken.mail;
-                *grow(&mut self.mails, mail) = Held { taken: taken.clone(), used: true, ..Held::default() };
-                grow(&mut self.sent, mail);
-                grow(&mut self.zone, mail);
-                grow(&mut self.unit, mail);
-                grow(&mut self.dests, taken.destination);
+                *entry_mut(&mut self.mails, mail) =
+                    MailState { taken: taken.clone(), used: true, ..MailState::default() };
+                entry_mut(&mut self.sent, mail);
+                entry_mut(&mut self.zone, mail);
+                entry_mut(&mut self.unit, mail);
+                entry_mut(&mut self.destinations, taken.destination);
                 if let Some(key) = taken.key {
-                    grow(&mut self.lines, key).0.push(mail);
+                    entry_mut(&mut self.key_queues, key).0.push(mail);
                 }
                 self.parked.push(mail);
             }
@@ -138,14 +139,14 @@
                 m.out = false;
                 self.slots.give_back(m.call);
                 let unit = self.unit[ended.mail];
-                self.holds[unit] = self.holds[unit].max(now + ended.retry_after);
+                self.wait_until[unit] = self.wait_until[unit].max(now + ended.retry_after);
                 if !ended.outcome.never_ran() {
                     let first = (self.sent[ended.mail], self.zone[ended.mail]);
                     m.taken.first_run = m.taken.first_run.or(Some(first));
                 }
                 let may_run_on = ended.outcome.may_still_run();
                 if let Some(key) = m.taken.key.filter(|_| may_run_on) {
-                    self.lines[key].1 = self.lines[key].1.max(now + self.set.ordering_gap);
+                    self.key_queues[key].1 = self.key_queues[key].1.max(now + self.settings.ordering_gap);
                 }
                 if ended.finished || m.over {
                     self.end(ended.mail, out);
@@ -156,8 +157,8 @@
                 }
             }
             Input::KeyInFlight { key, at: since } => {
-                let rest = &mut grow(&mut self.lines, *key).1;
-                *rest = (*rest).max(since + self.set.ordering_gap);
+                let rest = &mut entry_mut(&mut self.key_queues, *key).1;
+                *rest = (*rest).max(since + self.settings.ordering_gap);
             }
             Input::PeerNote { .. } | Input::Settings(_) | Input::Shutdown(_) | Input::Wakeup => {}
         }
@@ -166,7 +167,7 @@
     /// What a mail would earn if its answer came then.
     fn worth(&self, mail: usize, at: Time) -> f64 {
         let t = &self.mails[mail].taken;
-        let c = &self.set.classes[t.class];
+        let c = &self.settings.classes[t.class];
         let late = at.saturating_sub(t.submitted_at + c.target_delay) as f64 / c.target_delay.max(1) as f64;
         if at >= t.deadline {
             0.0
@@ -178,28 +179,28 @@
     /// The endpoint that would answer first, and when, of those that a mail may go to now.
     fn best(&self, now: Time, mail: usize, view: &dyn WorldView) -> Option<(f64, usize)> {
         let t = &self.mails[mail].taken;
-        let in_turn = t.key.is_none_or(|key| {
-            let (line, rest) = &self.lines[key];
+        let in_order = t.key.is_none_or(|key| {
+            let (line, rest) = &self.key_queues[key];
             line.first() == Some(&mail) && (t.connects_used > 0 || now >= *rest)
         });
-        if !in_turn {
+        if !in_order {
             return None;
         }
-        let by_zone = self.set.classes[t.class].dedup_by_zone;
+        let by_zone = self.settings.classes[t.class].dedup_by_zone;
         let fits = |endpoint: usize| {
-            let e = &self.ends[endpoint];
+            let e = &self.endpoints[endpoint];
             e.ready
-                && now >= self.holds[e.unit]
+                && now >= self.wait_until[e.unit]
                 && t.first_run.is_none_or(|(_, zone)| !by_zone || zone == e.zone)
                 && self.slots.connects(endpoint) < e.batch
-                && self.slots.has_room(endpoint, e.batch, self.set.slots)
+                && self.slots.has_room(endpoint, e.batch, self.settings.slots)
         };
-        let ends = self.dests[t.destination].iter().copied().filter(|&e| fits(e));
+        let endpoints = self.destinations[t.destination].iter().copied().filter(|&e| fits(e));
         // What a failure would end waits until one is unlikely; all else is tried, as its chance is worth.
-        let once = self.set.classes[t.class].effect == Effect::OnceOnly;
-        let answers = ends.filter_map(|e| {
+        let once = self.settings.classes[t.class].effect == Effect::OnceOnly;
+        let answers = endpoints.filter_map(|e| {
             let (answer, sure) = view.answer_in(self.courier, e, t.class)?;
-            (!once || sure > SURE).then_some((answer / sure, e))
+            (!once || sure > MIN_ONCE_ONLY_CHANCE).then_some((answer / sure, e))
         });
         answers.min_by(|a, b| a.0.total_cmp(&b.0))
     }
@@ -222,14 +223,14 @@
             let t = &self.mails[mail].taken;
             let left = t.deadline.saturating_sub(now).max(1);
             // An answer that is long overdue was lost; what may go again need not wait for it.
-            let once = self.set.classes[t.class].effect == Effect::OnceOnly;
-            let timeout = if once { left } else { left.min((PATIENCE * answer) as Time + 1) };
-            let call = self.slots.take(endpoint, self.ends[endpoint].batch);
+            let once = self.settings.classes[t.class].effect == Effect::OnceOnly;
+            let timeout = if once { left } else { left.min((TIMEOUT_MULTIPLE * answer) as Time + 1) };
+            let call = self.slots.take(endpoint, self.endpoints[endpoint].batch);
             let m = &mut self.mails[mail];
             (m.out, m.call) = (true, call);
             m.taken.connects_used += 1;
-            (self.sent[mail], self.zone[mail]) = (now, self.ends[endpoint].zone);
-            self.unit[mail] = self.ends[endpoint].unit;
+            (self.sent[mail], self.zone[mail]) = (now, self.endpoints[endpoint].zone);
+            self.unit[mail] = self.endpoints[endpoint].unit;
             out.push(Action::Connect { mail, endpoint, timeout, new_connection: false });
         }
         let mails = &self.mails;
@@ -247,23 +248,23 @@
         view: &dyn WorldView,
     ) -> Option<Time> {
         inputs.iter().for_each(|input| self.read(now, input, out));
-        if !std::mem::replace(&mut self.asked, true) {
+        if !std::mem::replace(&mut self.list_requested, true) {
             out.push(Action::RequestList);
         }
-        let margin = 3 * self.set.timer_resolution;
-        let hopeless = |&&mail: &&usize| {
+        let margin = 3 * self.settings.timer_resolution;
+        let expired = |&&mail: &&usize| {
             let t = &self.mails[mail].taken;
             now + margin >= t.deadline || !self.may(now, t).0
         };
-        let hopeless: Vec<usize> = self.parked.iter().filter(hopeless).copied().collect();
-        hopeless.into_iter().for_each(|mail| self.give_up(now, mail, out));
+        let expired: Vec<usize> = self.parked.iter().filter(expired).copied().collect();
+        expired.into_iter().for_each(|mail| self.give_up(now, mail, out));
         self.dispatch(now, out, view);
         let busy = self.slots.out() > 0 || !self.parked.is_empty();
-        busy.then_some(now + self.set.timer_resolution)
+        busy.then_some(now + self.settings.timer_resolution)
     }
 
     fn may_call(&self, endpoint: usize, now: Time) -> bool {
-        let e = &self.ends[endpoint];
-        e.ready && now >= self.holds[e.unit]
+        let e = &self.endpoints[endpoint];
+        e.ready && now >= self.wait_until[e.unit]
     }
 }
--- a/crates/emulator/src/parts.rs
+++ b/crates/emulator/src/parts.rs
@@ -31,12 +31,12 @@
     /// Calls that are being served, that wait, and that stand still.
     pub active: Vec<u32>,
     pub queue: VecDeque<u32>,
-    pub stuck: Vec<u32>,
+    pub stalled_calls: Vec<u32>,
     /// Calls on their way here.
-    pub coming: usize,
+    pub in_transit: usize,
     pub connections: usize,
     /// The process's number: connections to an earlier one are closed.
-    pub place: u32,
+    pub incarnation: u32,
 }
 
 impl EndpointState {
@@ -60,10 +60,10 @@
             cold_since: None,
             active: Vec::new(),
             queue: VecDeque::new(),
-            stuck: Vec::new(),
-            coming: 0,
+            stalled_calls: Vec::new(),
+            in_transit: 0,
             connections: 0,
-            place: 0,
+            incarnation: 0,
         }
     }
 
@@ -135,7 +135,7 @@
     pub class: u16,
     pub zone: u16,
     pub key: Option<u32>,
-    pub born: Time,
+    pub created_at: Time,
     pub due: Time,
     pub target: Time,
     pub stage: Stage,
@@ -176,7 +176,7 @@
 
 /// What a destination knows of a key: when it came first in this era, and the eras that had their effect, a bit each.
 #[derive(Clone, Copy, Debug)]
-pub struct Known {
+pub struct DedupEntry {
     pub since: Time,
     pub era: u8,
     pub done: u32,
@@ -207,10 +207,10 @@
     /// Journeys there and back.
     pub way: [Time; 2],
     /// Number of the site's process that it was connected to, and whether its connection counts there.
-    pub place: u32,
+    pub incarnation: u32,
     pub connected: bool,
     /// It is on its way, connecting included.
-    pub coming: bool,
+    pub in_transit: bool,
     /// Since when its kept connection had been idle.
     pub idle_since: Time,
     pub work: f64,
@@ -225,7 +225,7 @@
 }
 
 impl Reply {
-    pub fn only(outcome: Outcome) -> Reply {
+    pub fn with_outcome(outcome: Outcome) -> Reply {
         Reply { outcome, wait: 0, report: None }
     }
 }
@@ -234,7 +234,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Idle {
     pub since: Time,
-    pub place: u32,
+    pub incarnation: u32,
 }
 
 pub struct Courier {
@@ -247,7 +247,7 @@
     pub decider: Option<Box<dyn Decider>>,
     pub inputs: Vec<Input>,
     /// Its next turn begins with the whole list; made only then, for a list to each courier of thousands fills memory.
-    pub list_due: bool,
+    pub full_list_due: bool,
     pub turn_at: Option<Time>,
     pub last_turn: Option<Time>,
     /// Mails by index, and indices that are free.
@@ -262,10 +262,10 @@
     /// Keys whose connects may be running on, and since when, as the journal has them.
     pub rests: Vec<(u32, Time)>,
     /// No turn before this: its clock stands still.
-    pub still_until: Time,
+    pub paused_until: Time,
     /// Changes of the list that it has heard of.
     pub heard: usize,
-    pub watches: bool,
+    pub watching_list: bool,
     pub peak_out: usize,
 }
 
@@ -278,7 +278,7 @@
             started: 0,
             decider: None,
             inputs: Vec::new(),
-            list_due: false,
+            full_list_due: false,
             turn_at: None,
             last_turn: None,
             mails: Vec::new(),
@@ -288,9 +288,9 @@
             idle: HashMap::new(),
             owed: Vec::new(),
             rests: Vec::new(),
-            still_until: 0,
+            paused_until: 0,
             heard: 0,
-            watches: false,
+            watching_list: false,
             peak_out: 0,
         }
     }
@@ -306,12 +306,12 @@
     }
 }
 
-pub const NOBODY: u32 = u32::MAX;
+pub const NO_COURIER: u32 = u32::MAX;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
     /// The next mail of the day's stream.
-    Next,
+    NextArrival,
     /// A mail of a clump.
     Clump {
         destination: u32,
@@ -338,20 +338,20 @@
     Unreached {
         call: u32,
     },
-    Reach {
+    CallArrives {
         call: u32,
     },
-    Done {
+    ServiceDone {
         call: u32,
     },
     Answer {
         call: u32,
         reply: Reply,
     },
-    Expire {
+    Timeout {
         call: u32,
     },
-    Sweep {
+    CloseIdle {
         courier: u32,
         endpoint: u32,
     },
@@ -359,7 +359,7 @@
         index: u32,
         on: bool,
     },
-    Pulse {
+    TroublePulse {
         index: u32,
         on: bool,
     },
@@ -381,7 +381,7 @@
     CourierRestart {
         courier: u32,
     },
-    Notice {
+    FrontNotice {
         courier: u32,
         alive: bool,
     },
--- a/crates/emulator/src/serving.rs
+++ b/crates/emulator/src/serving.rs
@@ -5,22 +5,22 @@
 
 use crate::chance::{Purpose, Stream};
 use crate::judge::Rule;
-use crate::parts::{Event, Known, Phase, Reply};
+use crate::parts::{DedupEntry, Event, Phase, Reply};
 use crate::scenario::Limit;
 use crate::world::World;
 
 /// Time of a call that fails quickly, and of an answer that refuses one.
-const QUICK: Time = SECOND / 50;
+const QUICK_ANSWER: Time = SECOND / 50;
 /// Share of quick failures that come after the effect.
-const FAILED_AFTER: f64 = 0.1;
+const FAILED_AFTER_EFFECT: f64 = 0.1;
 /// Share of the work that knowing a repeat takes.
 const REPEAT_WORK: f64 = 0.05;
 /// Ratio of deviation to mean of the time that one mail takes from connect to connect.
 const CONNECT_NOISE: f64 = 0.25;
 /// Calls by which chance may pass the bound on what a cold unit is sent.
-const SLACK: f64 = 2.0;
+const OVERLOAD_SLACK: f64 = 2.0;
 /// Part of the pushing load that must come from couriers that had seen the outage, for the rule to be broken.
-const SEEN_PART: f64 = 2.0 / 3.0;
+const MIN_INFORMED_PART: f64 = 2.0 / 3.0;
 
 impl World<'_> {
     fn chance_of(&self, call: u32, purpose: Purpose) -> Stream {
@@ -32,15 +32,15 @@
     }
 
     /// A call arrives.
-    pub fn reach(&mut self, now: Time, call: u32) {
+    pub fn call_arrives(&mut self, now: Time, call: u32) {
         let endpoint = self.calls[call as usize].endpoint as usize;
-        self.no_longer_coming(call);
+        self.leave_transit(call);
         let state = &self.endpoint_states[endpoint];
         let c = &self.calls[call as usize];
         let closed = state.idle_close.is_some_and(|idle| c.kept && now >= c.idle_since + idle);
-        if state.is_down() || c.place != state.place || closed {
+        if state.is_down() || c.incarnation != state.incarnation || closed {
             self.calls[call as usize].phase = Phase::Lost;
-            self.send_reply(now, call, Reply::only(Outcome::Broken), 0);
+            self.send_reply(now, call, Reply::with_outcome(Outcome::Broken), 0);
             return;
         }
         if state.half_open > 0 {
@@ -53,7 +53,7 @@
         self.check_overload(now, call, endpoint, load);
         if self.endpoint_states[endpoint].is_down() {
             self.calls[call as usize].phase = Phase::Lost;
-            self.send_reply(now, call, Reply::only(Outcome::Broken), 0);
+            self.send_reply(now, call, Reply::with_outcome(Outcome::Broken), 0);
             return;
         }
         if self.endpoint_states[endpoint].is_stalled() {
@@ -140,7 +140,7 @@
         self.calls[call as usize].phase = Phase::Lost;
         let wait = if tells { wait } else { 0 };
         let report = self.report(now, endpoint);
-        self.send_reply(now, call, Reply { outcome: Outcome::Refused, wait, report }, QUICK / 4);
+        self.send_reply(now, call, Reply { outcome: Outcome::Refused, wait, report }, QUICK_ANSWER / 4);
     }
 
     fn report(&self, now: Time, endpoint: usize) -> Option<LimitReport> {
@@ -167,7 +167,7 @@
         let well =
             of_class.fold((1.0 - p.error_share) * (1.0 - state.errors.min(1.0)), |w, (_, e)| w * (1.0 - e));
         let (fails, breaks) = (d.chance(1.0 - well), d.chance(state.resets));
-        let after = d.chance(if fails { FAILED_AFTER } else { 0.5 });
+        let after = d.chance(if fails { FAILED_AFTER_EFFECT } else { 0.5 });
         if !fails && !breaks {
             return false;
         }
@@ -177,8 +177,8 @@
             self.effects(now, call);
         }
         let outcome = if fails { Outcome::Error } else { Outcome::Broken };
-        self.counts.work += QUICK as f64;
-        self.send_reply(now, call, Reply::only(outcome), QUICK);
+        self.counts.work += QUICK_ANSWER as f64;
+        self.send_reply(now, call, Reply::with_outcome(outcome), QUICK_ANSWER);
         true
     }
 
@@ -192,7 +192,7 @@
                 continue;
             }
             let place = (mail, if set.dedup_by_zone { zone } else { 0 });
-            let known = self.known.entry(place).or_insert(Known { since: now, era: 0, done: 0 });
+            let known = self.dedup.entry(place).or_insert(DedupEntry { since: now, era: 0, done: 0 });
             // Its first connect finds it new; what comes after the window finds it forgotten.
             let repeat = known.since < now && now <= known.since + set.dedup_window;
             if now > known.since + set.dedup_window {
@@ -227,10 +227,10 @@
         let c = &mut self.calls[call as usize];
         (c.phase, c.work) = (Phase::Served, took);
         self.endpoint_states[endpoint].active.push(call);
-        self.event_queue.schedule(now + took as Time, Event::Done { call });
+        self.event_queue.schedule(now + took as Time, Event::ServiceDone { call });
     }
 
-    pub fn done(&mut self, now: Time, call: u32) {
+    pub fn service_done(&mut self, now: Time, call: u32) {
         let c = &self.calls[call as usize];
         let (phase, endpoint, work) = (c.phase, c.endpoint as usize, c.work);
         let awaited = self.is_awaited(call);
@@ -238,7 +238,7 @@
             return;
         }
         if self.endpoint_states[endpoint].is_stalled() {
-            self.endpoint_states[endpoint].stuck.push(call);
+            self.endpoint_states[endpoint].stalled_calls.push(call);
             return;
         }
         let state = &mut self.endpoint_states[endpoint];
@@ -270,7 +270,7 @@
     fn has_effect(&self, mail: u32, endpoint: usize) -> bool {
         let set = &self.day.classes[usize::from(self.mails[mail as usize].class)].settings;
         let place = (mail, if set.dedup_by_zone { self.day.endpoints[endpoint].zone } else { 0 });
-        self.known.get(&place).is_some_and(|known| known.done >> known.era & 1 == 1)
+        self.dedup.get(&place).is_some_and(|known| known.done >> known.era & 1 == 1)
     }
 
     /// The effects of a served call, counted at the destination and not believed of anybody.
@@ -284,7 +284,7 @@
                 Effect::Redeliverable => false,
                 Effect::Tagged => {
                     let place = (connect.mail, if class.settings.dedup_by_zone { zone } else { 0 });
-                    let known = self.known.get_mut(&place);
+                    let known = self.dedup.get_mut(&place);
                     known.is_none_or(|known| {
                         let new = known.done >> connect.era & 1 == 0;
                         known.done |= 1 << connect.era;
@@ -314,7 +314,7 @@
         let cold = self.day.destinations[u.destination].cold;
         let Some(back) = u.returned_at.filter(|&back| !u.out && now < back + cold) else { return };
         let courier = self.calls[call as usize].courier;
-        let seen = self.judge.has_seen(courier, unit, u.outage);
+        let seen = self.judge.saw_this_outage(courier, unit, u.outage);
         let (length, multiple) = (self.day.settings.overload_duration, self.day.settings.overload_multiple);
         let u = &mut self.units[unit];
         u.recent.push_back((now, load, seen));
@@ -327,8 +327,8 @@
             debug_assert!(at <= now);
         }
         let (work, warned) = (u.work, u.warned_work);
-        let capacity = self.present_capacity(unit, now) * length as f64 / SECOND as f64;
-        if work <= multiple * capacity + SLACK {
+        let capacity = self.current_capacity(unit, now) * length as f64 / SECOND as f64;
+        if work <= multiple * capacity + OVERLOAD_SLACK {
             return;
         }
         self.counts.fallen += 1;
@@ -338,7 +338,7 @@
             self.crash(now, endpoint);
         }
         self.update_unit_outage(now, unit);
-        if warned >= SEEN_PART * work {
+        if warned >= MIN_INFORMED_PART * work {
             let words = format!(
                 "partner {} was pushed over: {work:.1} calls in {} ms where it can do {capacity:.1}, {warned:.1} of them by couriers that had seen its outage",
                 self.units[unit].destination,
@@ -352,9 +352,9 @@
     /// A process ends: what it was at is broken off, half of what was being served after its effect.
     pub fn crash(&mut self, now: Time, endpoint: usize) {
         let state = &mut self.endpoint_states[endpoint];
-        state.place += 1;
+        state.incarnation += 1;
         state.connections = 0;
-        state.stuck.clear();
+        state.stalled_calls.clear();
         let active = std::mem::take(&mut state.active);
         let queue = std::mem::take(&mut state.queue);
         for &call in &active {
@@ -367,7 +367,7 @@
             self.counts.work += self.calls[call as usize].work / 2.0;
             if self.calls[call as usize].phase != Phase::Ended {
                 self.calls[call as usize].phase = Phase::Lost;
-                self.send_reply(now, call, Reply::only(Outcome::Broken), 0);
+                self.send_reply(now, call, Reply::with_outcome(Outcome::Broken), 0);
             }
         }
     }
--- a/crates/emulator/src/slots.rs
+++ b/crates/emulator/src/slots.rs
@@ -4,7 +4,7 @@
 use meadowhold::interface::{Effect, Settings, Time};
 
 /// The place of an index in a list that grows with its indices.
-pub fn grow<T: Default>(list: &mut Vec<T>, index: usize) -> &mut T {
+pub fn entry_mut<T: Default>(list: &mut Vec<T>, index: usize) -> &mut T {
     if index >= list.len() {
         list.resize_with(index + 1, T::default);
     }
@@ -13,7 +13,7 @@
 
 /// Whether a mail may go again, and whether its client may be told that trying again is harmless. `ran`: send and zone of
 /// the first connect that may have run. A repeat leaves the time that a connect may take to the end of its window.
-pub fn may(set: &Settings, now: Time, class: usize, ran: Option<(Time, usize)>) -> (bool, bool) {
+pub fn may_retry(set: &Settings, now: Time, class: usize, ran: Option<(Time, usize)>) -> (bool, bool) {
     let c = &set.classes[class];
     match (ran, c.effect) {
         (None, _) | (_, Effect::Redeliverable) => (true, true),
--- a/crates/emulator/src/troubles.rs
+++ b/crates/emulator/src/troubles.rs
@@ -31,14 +31,14 @@
             What::ClockStep if on => {
                 for &courier in &t.couriers {
                     let until = now + (t.size * (SECOND / 1000) as f64) as Time;
-                    self.couriers[courier].still_until = until;
+                    self.couriers[courier].paused_until = until;
                 }
             }
             What::Kill | What::Roll | What::ClockStep => {}
-            What::HotCaller if on => self.hot.push(index),
-            What::HotCaller => self.hot.retain(|&i| i != index),
-            What::HallShift if on => self.shift.push(index),
-            What::HallShift => self.shift.retain(|&i| i != index),
+            What::HotCaller if on => self.hot_troubles.push(index),
+            What::HotCaller => self.hot_troubles.retain(|&i| i != index),
+            What::HallShift if on => self.zone_shifts.push(index),
+            What::HallShift => self.zone_shifts.retain(|&i| i != index),
             What::Burst => self.burst *= if on { t.size } else { 1.0 / t.size },
             What::ListLag => {
                 let further = (t.size * SECOND as f64) as Time;
@@ -61,9 +61,9 @@
             }
             What::LinkCut | What::LinkOneWay => {
                 for other in (0..day.zones.len()).filter(|&other| other != t.zone) {
-                    step(&mut self.cut[other][t.zone]);
+                    step(&mut self.cut_links[other][t.zone]);
                     if t.what == What::LinkCut {
-                        step(&mut self.cut[t.zone][other]);
+                        step(&mut self.cut_links[t.zone][other]);
                     }
                 }
             }
@@ -129,8 +129,8 @@
 
     /// What stood still is done now, and what waited begins.
     fn resume_endpoint(&mut self, now: Time, endpoint: usize) {
-        for call in std::mem::take(&mut self.endpoint_states[endpoint].stuck) {
-            self.done(now, call);
+        for call in std::mem::take(&mut self.endpoint_states[endpoint].stalled_calls) {
+            self.service_done(now, call);
         }
         self.next_in_queue(now, endpoint);
     }
@@ -176,7 +176,7 @@
             _ => (t.size * SECOND as f64) as Time,
         };
         let at = if on { (now + next).min(t.until.max(now + 1)) } else { now + next };
-        self.event_queue.schedule(at.max(now + 1), Event::Pulse { index: index as u32, on: !on });
+        self.event_queue.schedule(at.max(now + 1), Event::TroublePulse { index: index as u32, on: !on });
     }
 
     /// Endpoints drain and then go; where they are replaced, newcomers stand beside them, cold.
--- a/crates/emulator/src/turns.rs
+++ b/crates/emulator/src/turns.rs
@@ -9,9 +9,9 @@
 use crate::world::World;
 
 /// Room for inputs that a courier keeps from turn to turn.
-const KEPT_INPUTS: usize = 256;
+const KEPT_INPUT_CAPACITY: usize = 256;
 /// Idle connections of a courier to one endpoint, at most.
-const IDLE_KEPT: usize = 64;
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
 impl World<'_> {
     pub fn turn(&mut self, now: Time, courier: usize, at: Time) {
@@ -19,16 +19,16 @@
         if !c.alive || c.turn_at != Some(at) {
             return;
         }
-        if now < c.still_until {
+        if now < c.paused_until {
             c.turn_at = None;
-            let until = c.still_until;
+            let until = c.paused_until;
             self.wake(courier, until);
             return;
         }
         (c.turn_at, c.last_turn) = (None, Some(now));
         let Some(mut decider) = c.decider.take() else { return };
         let mut inputs = std::mem::take(&mut c.inputs);
-        if std::mem::take(&mut c.list_due) {
+        if std::mem::take(&mut c.full_list_due) {
             let mut first = self.full_list();
             first.append(&mut inputs);
             inputs = first;
@@ -38,7 +38,7 @@
         let mut actions = std::mem::take(&mut self.actions);
         let wake = decider.step(now, &inputs, &mut actions, self);
         inputs.clear();
-        inputs.shrink_to(KEPT_INPUTS);
+        inputs.shrink_to(KEPT_INPUT_CAPACITY);
         self.couriers[courier].inputs = inputs;
         self.couriers[courier].decider = Some(decider);
         self.trace.mark(now, 9, [courier as u32, actions.len() as u32]);
@@ -155,7 +155,7 @@
             let d = &mut Stream::new(self.day.seed, Purpose::Network, index);
             let zone_latency = self.day.zone_latency[c.zone][e.zone] as f64;
             let way = [0, 1].map(|_| (zone_latency * d.spread(self.day.jitter)) as Time + 1);
-            self.endpoint_states[endpoint].coming += 1;
+            self.endpoint_states[endpoint].in_transit += 1;
             self.calls.push(Call {
                 courier: courier as u32,
                 process: c.process,
@@ -166,9 +166,9 @@
                 open: true,
                 phase: Phase::Connecting,
                 way,
-                place: 0,
+                incarnation: 0,
                 connected: false,
-                coming: true,
+                in_transit: true,
                 idle_since: 0,
                 work: 0.0,
             });
@@ -196,13 +196,13 @@
             connect.end = end;
             let again = self.calls[call as usize].connects[..i].iter().any(|r| r.end == end);
             if !again {
-                self.event_queue.schedule(end, Event::Expire { call });
+                self.event_queue.schedule(end, Event::Timeout { call });
             }
         }
         if may_keep {
             if let Some(idle) = self.kept_connection(now, courier, endpoint) {
                 let c = &mut self.calls[call as usize];
-                (c.place, c.connected, c.idle_since) = (idle.place, true, idle.since);
+                (c.incarnation, c.connected, c.idle_since) = (idle.incarnation, true, idle.since);
                 self.connected(now, call);
                 return;
             }
@@ -210,8 +210,8 @@
         self.calls[call as usize].kept = false;
         self.counts.handshakes += 1;
         let zone = self.day.endpoints[endpoint as usize].zone;
-        let there =
-            self.passes(self.couriers[courier].zone, zone) && self.passes(zone, self.couriers[courier].zone);
+        let there = self.link_open(self.couriers[courier].zone, zone)
+            && self.link_open(zone, self.couriers[courier].zone);
         let turns = (way[0] + way[1]) as f64;
         let state = &self.endpoint_states[endpoint as usize];
         let table = self.day.endpoints[endpoint as usize].connections;
@@ -225,7 +225,7 @@
             let state = &mut self.endpoint_states[endpoint as usize];
             state.connections += 1;
             let c = &mut self.calls[call as usize];
-            (c.place, c.connected) = (state.place, true);
+            (c.incarnation, c.connected) = (state.incarnation, true);
             self.event_queue.schedule(at, Event::Connected { call });
         }
     }
@@ -238,30 +238,30 @@
         let way =
             self.day.zone_latency[self.couriers[courier].zone][self.day.endpoints[endpoint as usize].zone];
         let idle = self.couriers[courier].idle.get_mut(&endpoint)?;
-        while let Some(Idle { since, place }) = idle.pop() {
+        while let Some(Idle { since, incarnation }) = idle.pop() {
             // The far side's close is heard of after one way.
             let closed = now >= since + keep || now >= since.saturating_add(far).saturating_add(way);
-            if !closed && place == state.place {
-                return Some(Idle { since, place });
+            if !closed && incarnation == state.incarnation {
+                return Some(Idle { since, incarnation });
             }
-            state.connections -= usize::from(place == state.place);
+            state.connections -= usize::from(incarnation == state.incarnation);
         }
         None
     }
 
     /// A connection is free again: it is kept for the next call.
-    pub fn keep(&mut self, now: Time, courier: usize, endpoint: u32, place: u32) {
+    pub fn keep(&mut self, now: Time, courier: usize, endpoint: u32, incarnation: u32) {
         let limited = self.day.endpoints[endpoint as usize].connections > 0;
         let idle = self.couriers[courier].idle.entry(endpoint).or_default();
-        if idle.len() >= IDLE_KEPT {
+        if idle.len() >= MAX_IDLE_CONNECTIONS {
             let old = idle.remove(0);
             let state = &mut self.endpoint_states[endpoint as usize];
-            state.connections -= usize::from(old.place == state.place);
+            state.connections -= usize::from(old.incarnation == state.incarnation);
         }
-        idle.push(Idle { since: now, place });
+        idle.push(Idle { since: now, incarnation });
         if limited {
             let at = now + self.day.kept_for();
-            self.event_queue.schedule(at, Event::Sweep { courier: courier as u32, endpoint });
+            self.event_queue.schedule(at, Event::CloseIdle { courier: courier as u32, endpoint });
         }
     }
 
@@ -272,7 +272,7 @@
         if let Some(idle) = self.couriers[courier].idle.get_mut(&endpoint) {
             idle.retain(|i| {
                 let old = now >= i.since + keep;
-                state.connections -= usize::from(old && i.place == state.place);
+                state.connections -= usize::from(old && i.incarnation == state.incarnation);
                 !old
             });
         }
@@ -281,7 +281,7 @@
     fn close_idle_connections(&mut self, courier: usize, endpoint: u32) {
         let state = &mut self.endpoint_states[endpoint as usize];
         if let Some(idle) = self.couriers[courier].idle.get_mut(&endpoint) {
-            let open = idle.drain(..).filter(|i| i.place == state.place).count();
+            let open = idle.drain(..).filter(|i| i.incarnation == state.incarnation).count();
             state.connections -= open;
         }
     }
@@ -303,9 +303,9 @@
             if self.calls[call].courier == courier as u32 && self.is_awaited(call as u32) {
                 self.calls[call].open = false;
                 if self.calls[call].phase == Phase::Connecting {
-                    self.no_longer_coming(call as u32);
+                    self.leave_transit(call as u32);
                 }
-                self.hang_up_call(call as u32);
+                self.close_connection(call as u32);
             }
         }
         for endpoint in 0..self.endpoint_states.len() as u32 {
@@ -349,7 +349,7 @@
             owed.into_iter().for_each(|mail| self.resubmit_after_crash(now, mail));
         }
         let notice = now + self.day.mails.front_notice;
-        self.event_queue.schedule(notice, Event::Notice { courier: courier as u32, alive: false });
+        self.event_queue.schedule(notice, Event::FrontNotice { courier: courier as u32, alive: false });
         self.event_queue.schedule(now + self.day.down, Event::CourierRestart { courier: courier as u32 });
     }
 
@@ -361,11 +361,11 @@
         self.couriers[courier].started = now;
         self.start_process(courier);
         let notice = now + self.day.mails.front_notice.min(self.day.down.max(1));
-        self.event_queue.schedule(notice, Event::Notice { courier: courier as u32, alive: true });
+        self.event_queue.schedule(notice, Event::FrontNotice { courier: courier as u32, alive: true });
         let gap = self.day.settings.ordering_gap;
         for (key, since) in std::mem::take(&mut self.couriers[courier].rests) {
             if self.day.journal && since + gap > now {
-                self.tell(courier, Input::KeyInFlight { key: key as usize, at: since });
+                self.push_input(courier, Input::KeyInFlight { key: key as usize, at: since });
             }
         }
         for mail in std::mem::take(&mut self.couriers[courier].owed) {
@@ -381,7 +381,7 @@
     }
 
     /// What a courier sees of a call's connects whose outcome is not told yet.
-    pub fn tell_outcome(&mut self, now: Time, call: u32, reply: Reply, only: impl Fn(&Connect) -> bool) {
+    pub fn report_outcome(&mut self, now: Time, call: u32, reply: Reply, only: impl Fn(&Connect) -> bool) {
         let c = &self.calls[call as usize];
         let (courier, took, kept) = (c.courier as usize, now - c.started.min(now), c.kept);
         let (endpoint, started) = (c.endpoint as usize, c.started);
@@ -411,11 +411,11 @@
             if over && held {
                 self.finish(now, connect.mail, Answer::Relayed);
             }
-            self.tell(courier, crate::parts::ended(index, &reply, over, took, kept));
+            self.push_input(courier, crate::parts::ended(index, &reply, over, took, kept));
         }
         if self.calls[call as usize].connects.iter().all(|r| r.told) {
             if self.calls[call as usize].phase == Phase::Connecting {
-                self.no_longer_coming(call);
+                self.leave_transit(call);
             }
             self.calls[call as usize].open = false;
             self.couriers[courier].out -= 1;
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -11,7 +11,7 @@
 use crate::decider::{DeciderFactory, WorldView};
 use crate::event_queue::EventQueue;
 use crate::judge::Judge;
-use crate::parts::{Call, Courier, EndpointState, Event, Known, Mail, Phase, Unit};
+use crate::parts::{Call, Courier, DedupEntry, EndpointState, Event, Mail, Phase, Unit};
 use crate::scenario::Limit;
 use crate::series::Sample;
 use crate::trace::Trace;
@@ -65,20 +65,20 @@
     pub samples: Vec<Sample>,
     /// The day's stream of mails, and the traffic's sums by which a destination is drawn.
     pub arrivals: Stream,
-    pub traffic: Vec<f64>,
-    pub shares: Vec<f64>,
-    pub turns_taken: u64,
+    pub traffic_sums: Vec<f64>,
+    pub class_sums: Vec<f64>,
+    pub mails_accepted: u64,
     /// Couriers that the front holds to be alive.
-    pub front: Vec<bool>,
+    pub front_alive: Vec<bool>,
     /// Troubles under way that change who gets mails, and how many.
-    pub hot: Vec<usize>,
-    pub shift: Vec<usize>,
+    pub hot_troubles: Vec<usize>,
+    pub zone_shifts: Vec<usize>,
     pub burst: f64,
     /// From zone, to zone: troubles that cut the way.
-    pub cut: Vec<Vec<u16>>,
+    pub cut_links: Vec<Vec<u16>>,
     pub list: crate::listing::List,
     /// Repeats that a destination knows, by mail and zone (or 0 where all zones know it together).
-    pub known: std::collections::HashMap<(u32, usize), Known>,
+    pub dedup: std::collections::HashMap<(u32, usize), DedupEntry>,
     pub actions: Vec<Action>,
 }
 
@@ -135,28 +135,28 @@
             trace: Trace::new(options.watch),
             samples: Vec::new(),
             arrivals: Stream::new(day.seed, Purpose::Arrivals, 0),
-            traffic: sum(&mut day.destinations.iter().map(|p| p.share)),
-            shares: sum(&mut day.classes.iter().map(|c| c.share)),
-            turns_taken: 0,
-            front: vec![true; day.couriers.len()],
-            hot: Vec::new(),
-            shift: Vec::new(),
+            traffic_sums: sum(&mut day.destinations.iter().map(|p| p.share)),
+            class_sums: sum(&mut day.classes.iter().map(|c| c.share)),
+            mails_accepted: 0,
+            front_alive: vec![true; day.couriers.len()],
+            hot_troubles: Vec::new(),
+            zone_shifts: Vec::new(),
             burst: 1.0,
-            cut: vec![vec![0; zones]; zones],
+            cut_links: vec![vec![0; zones]; zones],
             list: crate::listing::List::default(),
-            known: Default::default(),
+            dedup: Default::default(),
             actions: Vec::new(),
             day,
         };
-        world.begin();
+        world.schedule_start();
         world
     }
 
-    fn begin(&mut self) {
+    fn schedule_start(&mut self) {
         for courier in 0..self.couriers.len() {
             self.start_process(courier);
         }
-        self.event_queue.schedule(0, Event::Next);
+        self.event_queue.schedule(0, Event::NextArrival);
         for index in 0..self.day.troubles.len() {
             let (from, until) = (self.day.troubles[index].from, self.day.troubles[index].until);
             self.event_queue.schedule(from, Event::Trouble { index: index as u32, on: true });
@@ -196,7 +196,7 @@
 
     fn handle_event(&mut self, now: Time, event: Event) {
         match event {
-            Event::Next => self.next_mail(now),
+            Event::NextArrival => self.next_mail(now),
             Event::Clump { destination, left } => self.clump(now, destination, left),
             Event::HandIn { mail, courier } => self.hand_in(now, mail, courier),
             Event::Resubmit { mail } => self.submit(now, mail),
@@ -204,13 +204,13 @@
             Event::Turn { courier, at } => self.turn(now, courier as usize, at),
             Event::Connected { call } => self.connected(now, call),
             Event::Unreached { call } => self.unreached(now, call),
-            Event::Reach { call } => self.reach(now, call),
-            Event::Done { call } => self.done(now, call),
+            Event::CallArrives { call } => self.call_arrives(now, call),
+            Event::ServiceDone { call } => self.service_done(now, call),
             Event::Answer { call, reply } => self.answer(now, call, reply),
-            Event::Expire { call } => self.expire(now, call),
-            Event::Sweep { courier, endpoint } => self.sweep(now, courier as usize, endpoint),
+            Event::Timeout { call } => self.timeout(now, call),
+            Event::CloseIdle { courier, endpoint } => self.sweep(now, courier as usize, endpoint),
             Event::Trouble { index, on } => self.trouble(now, index as usize, on),
-            Event::Pulse { index, on } => self.pulse(now, index as usize, on),
+            Event::TroublePulse { index, on } => self.pulse(now, index as usize, on),
             Event::Publish { change } => self.publish(now, change as usize),
             Event::ListUpdate { courier, process, upto } => {
                 self.deliver_list_update(now, courier as usize, process, upto as usize)
@@ -218,7 +218,7 @@
             Event::ListResponse { courier, process } => self.list_response(now, courier as usize, process),
             Event::CourierCrash { courier } => self.crash_courier(now, courier as usize),
             Event::CourierRestart { courier } => self.restart_courier(now, courier as usize),
-            Event::Notice { courier, alive } => self.front[courier as usize] = alive,
+            Event::FrontNotice { courier, alive } => self.front_alive[courier as usize] = alive,
             Event::Sample => self.sample(now),
         }
     }
@@ -228,7 +228,7 @@
         let settings = self.day.settings(courier, self.couriers[courier].process);
         let c = &mut self.couriers[courier];
         c.decider = Some((self.factory)(courier, settings));
-        (c.alive, c.watches) = (true, false);
+        (c.alive, c.watching_list) = (true, false);
         c.turn_at = None;
         self.first_list(courier);
         let now = self.event_queue.now();
@@ -242,22 +242,22 @@
         if !c.alive {
             return;
         }
-        let at = c.last_turn.map_or(at, |last| at.max(last + resolution)).max(c.still_until);
+        let at = c.last_turn.map_or(at, |last| at.max(last + resolution)).max(c.paused_until);
         if c.turn_at.is_none_or(|set| at < set) {
             c.turn_at = Some(at);
             self.event_queue.schedule(at, Event::Turn { courier: courier as u32, at });
         }
     }
 
-    pub fn tell(&mut self, courier: usize, input: Input) {
+    pub fn push_input(&mut self, courier: usize, input: Input) {
         self.couriers[courier].inputs.push(input);
         let now = self.event_queue.now();
         self.wake(courier, now);
     }
 
     /// Whether something gets from one zone to another just now.
-    pub fn passes(&self, from: usize, to: usize) -> bool {
-        self.cut[from][to] == 0
+    pub fn link_open(&self, from: usize, to: usize) -> bool {
+        self.cut_links[from][to] == 0
     }
 
     /// How warm an endpoint is: part of its capacity.
@@ -273,13 +273,13 @@
 
     /// Calls a second that a unit can serve at the warmth that it has. A slowness that has come on top is left out: the
     /// rule on returning destinations is about what is cold, and no courier is told more of it.
-    pub fn present_capacity(&self, unit: usize, now: Time) -> f64 {
+    pub fn current_capacity(&self, unit: usize, now: Time) -> f64 {
         let well = self.units[unit].endpoints.iter().filter(|&&e| !self.endpoint_states[e].is_down());
         well.map(|&e| self.day.capacity(e) * self.warmth(e, now)).sum()
     }
 
     /// Whether a unit's limit has room for a call, `ahead` of them being on their way.
-    pub fn has_allowance(&self, unit: usize, now: Time, ahead: usize) -> bool {
+    pub fn limit_has_room(&self, unit: usize, now: Time, ahead: usize) -> bool {
         match self.day.destinations[self.units[unit].destination].limit {
             Limit::None => true,
             Limit::Rate => self.tokens(unit, now) >= 1.0 + ahead as f64,
@@ -321,9 +321,9 @@
         let (now, state) = (self.event_queue.now(), &self.endpoint_states[endpoint]);
         let e = &self.day.endpoints[endpoint];
         let zone = self.couriers[courier].zone;
-        let coming: usize =
-            self.units[state.unit].endpoints.iter().map(|&e| self.endpoint_states[e].coming).sum();
-        let waiting = state.queue.len() + state.coming;
+        let in_transit: usize =
+            self.units[state.unit].endpoints.iter().map(|&e| self.endpoint_states[e].in_transit).sum();
+        let waiting = state.queue.len() + state.in_transit;
         let bad = state.is_down() || state.shut > 0 || state.half_open > 0 || state.is_stalled();
         let struck = state.class_errors.iter().filter(|(c, _)| *c == class);
         let well = struck
@@ -332,10 +332,10 @@
         // Who waits at the destination can't be overtaken; who waits at the courier can. A call may be on its way
         // while another ends.
         let full = state.active.len() + waiting > e.slots;
-        let cut = !self.passes(zone, e.zone) || !self.passes(e.zone, zone);
+        let cut = !self.link_open(zone, e.zone) || !self.link_open(e.zone, zone);
         let kept = self.couriers[courier].idle.get(&(endpoint as u32)).is_some_and(|idle| !idle.is_empty());
         let barred = e.connections > 0 && state.connections >= e.connections && !kept;
-        if bad || full || barred || cut || sure <= 0.0 || !self.has_allowance(state.unit, now, coming) {
+        if bad || full || barred || cut || sure <= 0.0 || !self.limit_has_room(state.unit, now, in_transit) {
             return None;
         }
         let ahead = (waiting + state.active.len()) as f64 / e.slots as f64;
--- a/crates/emulator/tests/judge.rs
+++ b/crates/emulator/tests/judge.rs
@@ -1,7 +1,7 @@
 //! Each rule's check can fail: a decider that breaks one rule on purpose is caught, with the mail's whole history.
 
 use meadowhold::interface::Settings;
-use meadowhold_emulator::baselines::{Plain, Style, Wrong};
+use meadowhold_emulator::baselines::{Baseline, InjectedFault, Style};
 use meadowhold_emulator::decider::Decider;
 use meadowhold_emulator::judge::Rule;
 use meadowhold_emulator::scenario::{Figure, Limit, Scenario, Trouble, What};
@@ -38,17 +38,17 @@
 #[test]
 fn each_rule_is_caught_when_it_is_broken_on_purpose() {
     let cases = [
-        (Rule::NoMailLost, Wrong::Loses, "never got its final answer"),
-        (Rule::NoEffectTwice, Wrong::Repeats, "took effect 2 times"),
-        (Rule::DrainsKept, Wrong::IgnoresDrains, "after it was told of as leaving"),
-        (Rule::NotPushedOver, Wrong::Floods, "was pushed over"),
-        (Rule::OrderKept, Wrong::IgnoresOrder, "taken earlier, is not over"),
-        (Rule::WaitsHeeded, Wrong::IgnoresWaits, "before the end of a told wait"),
+        (Rule::NoMailLost, InjectedFault::Loses, "never got its final answer"),
+        (Rule::NoEffectTwice, InjectedFault::Repeats, "took effect 2 times"),
+        (Rule::DrainsKept, InjectedFault::IgnoresDrains, "after it was told of as leaving"),
+        (Rule::NotPushedOver, InjectedFault::Floods, "was pushed over"),
+        (Rule::OrderKept, InjectedFault::IgnoresOrder, "taken earlier, is not over"),
+        (Rule::WaitsHeeded, InjectedFault::IgnoresWaits, "before the end of a told wait"),
     ];
     for (rule, wrong, words) in cases {
         let scenario = day(rule);
         let factory = move |_: usize, set: Settings| -> Box<dyn Decider> {
-            Box::new(Plain::new(set, Style::Gradient, wrong))
+            Box::new(Baseline::new(set, Style::Gradient, wrong))
         };
         let found = figures(&scenario, 1, &factory);
         let broken = found.broken.iter().find(|b| b.rule == rule);
--- a/crates/emulator/tests/same.rs
+++ b/crates/emulator/tests/same.rs
@@ -1,7 +1,7 @@
 //! One seed is one day and one run of it, whatever runs beside it.
 
 use meadowhold::interface::Settings;
-use meadowhold_emulator::baselines::{Plain, Style, Wrong};
+use meadowhold_emulator::baselines::{Baseline, InjectedFault, Style};
 use meadowhold_emulator::day::Day;
 use meadowhold_emulator::decider::{control, Decider, DeciderFactory};
 use meadowhold_emulator::figures::Figures;
@@ -35,11 +35,11 @@
 fn what_a_decider_does_moves_no_draw_of_the_day() {
     let scenario = troubled(What::Errors, 0.8);
     let shared = |_: usize, set: Settings| -> Box<dyn Decider> {
-        Box::new(Plain::new(set, Style::SharedPool, Wrong::Nothing))
+        Box::new(Baseline::new(set, Style::SharedPool, InjectedFault::Nothing))
     };
     let asked = |factory: &DeciderFactory| -> Vec<(u64, u32, u16)> {
         let ended = run(&scenario, 5, factory, Options::default());
-        ended.mails.iter().map(|m| (m.born, m.destination, m.class)).collect()
+        ended.mails.iter().map(|m| (m.created_at, m.destination, m.class)).collect()
     };
     assert_eq!(asked(&control), asked(&shared));
 }
--- a/crates/emulator/tests/thin.rs
+++ b/crates/emulator/tests/thin.rs
@@ -221,7 +221,7 @@
 
 /// Sums over the seeds of one line.
 #[derive(Default)]
-struct KeyQueue {
+struct Totals {
     messages: u64,
     /// Handed in while their destination was out.
     at_out: u64,
@@ -242,7 +242,7 @@
     turns: u64,
 }
 
-impl KeyQueue {
+impl Totals {
     fn play(&mut self, scenario: &Scenario, seed: u64, oracle: bool) {
         assert_eq!(check::faults(scenario), [], "a day that can be drawn");
         let mut day = Day::draw(scenario, seed);
@@ -262,8 +262,10 @@
             let failed = mail.relayed_at.is_none();
             self.messages += 1;
             self.failed += u64::from(failed);
-            self.at_out += u64::from(outages().any(|o| (o.from..o.until).contains(&mail.born)));
-            if outages().all(|outage| outage.overlap(mail.born.saturating_sub(600 * SECOND), mail.due) == 0) {
+            self.at_out += u64::from(outages().any(|o| (o.from..o.until).contains(&mail.created_at)));
+            if outages()
+                .all(|outage| outage.overlap(mail.created_at.saturating_sub(600 * SECOND), mail.due) == 0)
+            {
                 self.well += 1;
                 self.well_failed += u64::from(failed);
                 self.well_late += u64::from(mail.relayed_at.is_some_and(|at| at > mail.target));
@@ -322,7 +324,7 @@
 fn one_second_between_calls_is_enough_to_learn_of_each_outage() {
     for what in [What::Crash, What::Hang] {
         let scenario = thin(RATE, 1.0, Some(what), false, 1);
-        let (mut present, mut oracle) = (KeyQueue::default(), KeyQueue::default());
+        let (mut present, mut oracle) = (Totals::default(), Totals::default());
         present.play(&scenario, 1, false);
         oracle.play(&scenario, 1, true);
         assert!(present.outages > 0 && present.at_out > 0, "nothing was out");
@@ -350,7 +352,7 @@
         for (long, lives) in [(false, "seconds"), (true, "an hour")] {
             for (between_s, seeds) in SIZES {
                 for oracle in [false, true] {
-                    let mut line = KeyQueue::default();
+                    let mut line = Totals::default();
                     for seed in 0..seeds {
                         line.play(&thin(RATE, between_s, what, long, seed), seed, oracle);
                     }
@@ -437,7 +439,7 @@
     let parts: Vec<[f64; 4]> = [RATE, 4.0 * RATE]
         .into_iter()
         .map(|rate| {
-            let mut line = KeyQueue::default();
+            let mut line = Totals::default();
             for seed in 0..2 {
                 line.play(&thin(rate, 100.0, Some(What::Hang), false, seed), seed, false);
             }
--- a/crates/lab/src/deciders.rs
+++ b/crates/lab/src/deciders.rs
@@ -1,7 +1,7 @@
 //! The deciders by name.
 
 use meadowhold::interface::Settings;
-use meadowhold_emulator::baselines::{Plain, Style, Wrong};
+use meadowhold_emulator::baselines::{Baseline, InjectedFault, Style};
 use meadowhold_emulator::decider::{control, Decider, DeciderFactory};
 use meadowhold_emulator::oracle::Oracle;
 use xxhash_rust::xxh3::xxh3_64;
@@ -43,7 +43,7 @@
         format!("no decider {name:?}; there are {}", names.join(", "))
     })?;
     Ok(Box::new(move |_: usize, set: Settings| -> Box<dyn Decider> {
-        Box::new(Plain::new(set, style, Wrong::Nothing))
+        Box::new(Baseline::new(set, style, InjectedFault::Nothing))
     }))
 }
 
