--- a/crates/emulator/src/baselines.rs
+++ b/crates/emulator/src/baselines.rs
@@ -81,7 +81,7 @@
 struct Endpoint {
     known: bool,
     destination: usize,
-    unit: usize,
+    scope: usize,
     zone: usize,
     batch: usize,
     ready: bool,
@@ -154,9 +154,9 @@
                 (e.known, e.named, e.destination, e.zone) = (true, true, entry.destination, entry.zone);
                 e.batch = batch;
                 e.ready = entry.status == EndpointStatus::Ready;
-                e.unit = if apart { 2 * entry.endpoint + 1 } else { 2 * entry.destination };
-                let unit = e.unit;
-                entry_mut(&mut self.wait_until, unit);
+                e.scope = if apart { 2 * entry.endpoint + 1 } else { 2 * entry.destination };
+                let scope = e.scope;
+                entry_mut(&mut self.wait_until, scope);
             }
             Input::ListEnd => self.endpoints.iter_mut().filter(|e| !e.named).for_each(|e| e.ready = false),
             Input::ListFailed => self.poll_at = Some(now + self.settings.max_poll_delay / 8),
@@ -238,7 +238,7 @@
         let e = &mut self.endpoints[endpoint];
         e.out -= ended;
         self.destinations[destination].out -= ended;
-        self.wait_until[e.unit] = self.wait_until[e.unit].max(now + wait);
+        self.wait_until[e.scope] = self.wait_until[e.scope].max(now + wait);
         if !outcome.never_ran() {
             m.ran = m.ran.or(Some((m.sent, e.zone)));
         }
@@ -294,7 +294,7 @@
         let fits = |&&e: &&usize| {
             let end = &self.endpoints[e];
             (end.ready || wrong == InjectedFault::IgnoresDrains)
-                && (now >= self.wait_until[end.unit] || wrong == InjectedFault::IgnoresWaits)
+                && (now >= self.wait_until[end.scope] || wrong == InjectedFault::IgnoresWaits)
                 && now >= end.ejected_until
                 && ran.is_none_or(|(_, zone)| !by_zone || zone == end.zone)
         };
@@ -375,6 +375,6 @@
     fn may_call(&self, endpoint: usize, now: Time) -> bool {
         let e = &self.endpoints[endpoint];
         (e.ready || self.wrong == InjectedFault::IgnoresDrains)
-            && (now >= self.wait_until[e.unit] || self.wrong == InjectedFault::IgnoresWaits)
+            && (now >= self.wait_until[e.scope] || self.wrong == InjectedFault::IgnoresWaits)
     }
 }
--- a/crates/emulator/src/calls.rs
+++ b/crates/emulator/src/calls.rs
@@ -19,7 +19,7 @@
         if !may {
             self.counts.unsent += 1;
             self.calls[call as usize].connected = false;
-            self.keep(now, courier as usize, endpoint, incarnation);
+            self.keep_connection(now, courier as usize, endpoint, incarnation);
             self.report_outcome(now, call, Reply::with_outcome(Outcome::Unsent), |_| true);
             self.calls[call as usize].phase = Phase::Ended;
             return;
@@ -30,7 +30,7 @@
             .iter()
             .filter(|r| {
                 let m = &self.mails[r.mail as usize];
-                !r.told && (m.stage != Stage::Taken || m.courier != courier)
+                !r.reported && (m.stage != Stage::Accepted || m.courier != courier)
             })
             .map(|r| r.mail)
             .collect();
@@ -43,12 +43,12 @@
             return;
         }
         let c = &mut self.calls[call as usize];
-        (c.phase, c.started) = (Phase::Going, now);
-        let unit = self.endpoint_states[endpoint as usize].unit;
+        (c.phase, c.started) = (Phase::InTransit, now);
+        let scope = self.endpoint_states[endpoint as usize].scope;
         let grace = self.day.drain_grace;
         for i in 0..self.calls[call as usize].connects.len() {
             let connect = self.calls[call as usize].connects[i];
-            if connect.told {
+            if connect.reported {
                 continue;
             }
             self.counts.connects += 1;
@@ -56,7 +56,7 @@
             m.connects += 1;
             let (key, again) = (m.key, m.connects > 1);
             if i == 0 {
-                self.judge.sent((courier, process), (endpoint as usize, unit), connect.mail, now, grace);
+                self.judge.sent((courier, process), (endpoint as usize, scope), connect.mail, now, grace);
             }
             if let Some(key) = key {
                 self.judge.sent_in_order(courier, key, connect.mail, again, now);
@@ -66,7 +66,7 @@
         }
         let zone = self.day.endpoints[endpoint as usize].zone;
         if self.link_open(self.couriers[courier as usize].zone, zone) {
-            let at = now + self.calls[call as usize].way[0];
+            let at = now + self.calls[call as usize].latency[0];
             self.event_queue.schedule(at, Event::CallArrives { call });
         } else {
             self.leave_transit(call);
@@ -95,7 +95,7 @@
         let c = &self.calls[call as usize];
         let zone = self.day.endpoints[c.endpoint as usize].zone;
         if self.link_open(zone, self.couriers[c.courier as usize].zone) {
-            self.event_queue.schedule(now + after + c.way[1], Event::Answer { call, reply });
+            self.event_queue.schedule(now + after + c.latency[1], Event::Answer { call, reply });
         }
     }
 
@@ -117,7 +117,7 @@
             self.close_connection(call);
         } else if self.calls[call as usize].connected {
             self.calls[call as usize].connected = false;
-            self.keep(now, courier, endpoint, incarnation);
+            self.keep_connection(now, courier, endpoint, incarnation);
         }
         self.report_outcome(now, call, reply, |_| true);
     }
@@ -130,7 +130,7 @@
         let connecting = self.calls[call as usize].phase == Phase::Connecting;
         let outcome = if connecting { Outcome::Unsent } else { Outcome::Silent };
         self.counts.silent += u64::from(!connecting);
-        self.report_outcome(now, call, Reply::with_outcome(outcome), |r| r.end <= now);
+        self.report_outcome(now, call, Reply::with_outcome(outcome), |r| r.timeout_at <= now);
         if !self.calls[call as usize].open && !connecting {
             self.close_connection(call);
         }
--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -77,25 +77,25 @@
         // Some keys come far more often than others.
         let key = (key * key * self.day.mails.keys as f64) as u32;
         let shifted = self.zone_shifts.last().map(|&t| &self.day.troubles[t]).filter(|t| moved < t.size);
-        let due = now + ((set.lifetime as f64 * part) as Time).max(1);
+        let deadline = now + ((set.lifetime as f64 * part) as Time).max(1);
         self.mails.push(Mail {
             destination,
             class: class as u16,
             zone: shifted.map_or(any_zone, |t| t.zone) as u16,
             key: set.ordered.then_some(key),
             created_at: now,
-            due,
+            deadline,
             target: now + set.target_delay,
-            stage: Stage::Outside,
+            stage: Stage::WithClient,
             courier: NO_COURIER,
             index: 0,
-            since: 0,
+            accepted_at: 0,
             tries: 0,
             misses: 0,
             connects: 0,
-            ran: None,
-            out: None,
-            turn: 0,
+            first_run: None,
+            active_call: None,
+            accept_number: 0,
             effects: 0,
             answers: 0,
             relayed_at: None,
@@ -103,7 +103,7 @@
         self.trace.mark(now, 1, [number, destination]);
         self.trace.note(now, number, || format!("comes, for partner {destination}, queue class {class}"));
         if d.chance(self.day.mails.hang_up) {
-            let at = now + (d.unit() * (due - now) as f64) as Time;
+            let at = now + (d.unit() * (deadline - now) as f64) as Time;
             self.event_queue.schedule(at, Event::HangUp { mail: number, tries: 1 });
         }
         self.submit(now, number);
@@ -112,11 +112,11 @@
     /// The client hands its mail to the front, which chooses a courier.
     pub fn submit(&mut self, now: Time, mail: u32) {
         let m = &self.mails[mail as usize];
-        if m.stage != Stage::Outside {
+        if m.stage != Stage::WithClient {
             return;
         }
-        if now >= m.due {
-            self.mails[mail as usize].stage = Stage::Over;
+        if now >= m.deadline {
+            self.mails[mail as usize].stage = Stage::Closed;
             return;
         }
         let index = u64::from(mail) << 8 | u64::from(m.tries) << 4 | u64::from(m.misses);
@@ -153,7 +153,7 @@
     pub fn hand_in(&mut self, now: Time, mail: u32, courier: u32) {
         let c = &self.couriers[courier as usize];
         let m = &self.mails[mail as usize];
-        if m.stage != Stage::Outside {
+        if m.stage != Stage::WithClient {
             return;
         }
         let pause = self.day.mails.pause;
@@ -164,7 +164,7 @@
             if m.misses < MAX_MISSES {
                 self.event_queue.schedule(now + pause / 2, Event::Resubmit { mail });
             } else {
-                m.stage = Stage::Over;
+                m.stage = Stage::Closed;
             }
             return;
         }
@@ -181,15 +181,16 @@
         let index = c.enter(mail);
         let m = &mut self.mails[mail as usize];
         m.tries += 1;
-        (m.stage, m.courier, m.index, m.since, m.turn) = (Stage::Taken, courier, index, now, turn);
-        (m.connects, m.ran, m.out, m.answers) = (0, None, None, 0);
+        (m.stage, m.courier, m.index, m.accepted_at, m.accept_number) =
+            (Stage::Accepted, courier, index, now, turn);
+        (m.connects, m.first_run, m.active_call, m.answers) = (0, None, None, 0);
         self.trace.mark(now, 2, [mail, courier]);
         self.trace.note(now, mail, || format!("taken on by courier {courier}"));
-        self.take_on(courier as usize, mail);
+        self.give_to_decider(courier as usize, mail);
     }
 
     /// A mail goes to the decider: just taken, or owed by an earlier process.
-    pub fn take_on(&mut self, courier: usize, mail: u32) {
+    pub fn give_to_decider(&mut self, courier: usize, mail: u32) {
         let m = &self.mails[mail as usize];
         if let Some(key) = m.key {
             self.judge.enqueue(courier as u32, key, mail);
@@ -199,22 +200,22 @@
             destination: m.destination as usize,
             class: usize::from(m.class),
             key: m.key.map(|key| key as usize),
-            submitted_at: m.since,
-            deadline: m.due,
+            submitted_at: m.accepted_at,
+            deadline: m.deadline,
             connects_used: usize::from(m.connects),
-            first_run: m.ran.map(|(at, zone)| (at, usize::from(zone))),
+            first_run: m.first_run.map(|(at, zone)| (at, usize::from(zone))),
         };
         self.push_input(courier, Input::AcceptedMail(taken));
     }
 
     pub fn hang_up(&mut self, now: Time, mail: u32, tries: u8) {
         let m = &self.mails[mail as usize];
-        if m.stage == Stage::Outside {
-            self.mails[mail as usize].stage = Stage::Over;
+        if m.stage == Stage::WithClient {
+            self.mails[mail as usize].stage = Stage::Closed;
             return;
         }
         let courier = m.courier as usize;
-        if m.stage != Stage::Taken || m.tries > tries || !self.couriers[courier].alive {
+        if m.stage != Stage::Accepted || m.tries > tries || !self.couriers[courier].alive {
             return;
         }
         let index = m.index as usize;
@@ -228,27 +229,33 @@
         let grace = self.day.answer_grace;
         let m = &mut self.mails[mail as usize];
         self.trace.mark(now, 3 + answer as u8, [mail, m.courier]);
-        let (courier, due) = (m.courier, m.due);
+        let (courier, deadline) = (m.courier, m.deadline);
         let c = &mut self.couriers[courier as usize];
-        if m.stage == Stage::Taken {
+        if m.stage == Stage::Accepted {
             c.open -= 1;
         }
         m.answers += 1;
         let twice = m.answers > 1;
-        m.stage = Stage::Over;
+        m.stage = Stage::Closed;
         if answer == Answer::Relayed && m.relayed_at.is_none() {
             m.relayed_at = Some(now);
         }
         // What an earlier process took and a later one still owes may come after its time.
         // So may what fell due while its courier's clock stood still.
-        let due_heard = due.max(c.paused_until.min(now));
-        let late = now > due_heard + grace && m.since >= c.started && answer != Answer::HungUp;
+        let deadline_seen = deadline.max(c.paused_until.min(now));
+        let late = now > deadline_seen + grace && m.accepted_at >= c.started && answer != Answer::HungUp;
         self.trace.note(now, mail, || format!("{answer:?} by courier {courier}").to_lowercase());
         if twice {
-            self.judge.breaks(Rule::NoMailLost, now, mail, courier, "a second final answer".to_string());
+            self.judge.record_violation(
+                Rule::NoMailLost,
+                now,
+                mail,
+                courier,
+                "a second final answer".to_string(),
+            );
         } else if late {
-            let words = format!("its final answer came {} ms after its time was up", (now - due) / 10);
-            self.judge.breaks(Rule::NoMailLost, now, mail, courier, words);
+            let words = format!("its final answer came {} ms after its time was up", (now - deadline) / 10);
+            self.judge.record_violation(Rule::NoMailLost, now, mail, courier, words);
         }
         self.leave_key_queue(mail);
     }
@@ -256,8 +263,8 @@
     /// A mail that is over and has no connect out no longer holds up those of its key.
     pub fn leave_key_queue(&mut self, mail: u32) {
         let m = &self.mails[mail as usize];
-        if let (Some(key), None) = (m.key, m.out) {
-            if m.stage != Stage::Taken {
+        if let (Some(key), None) = (m.key, m.active_call) {
+            if m.stage != Stage::Accepted {
                 self.judge.dequeue(m.courier, key, mail);
             }
         }
@@ -271,16 +278,16 @@
         let heeds = d.chance(self.day.mails.heed);
         let own = (self.day.mails.pause as f64 * (0.5 + d.unit())) as Time;
         let pause = if heeds { own.max(named) } else { own };
-        m.stage = Stage::Over;
+        m.stage = Stage::Closed;
         let set = &self.day.classes[usize::from(m.class)].settings;
         if set.effect == Effect::Tagged && self.day.mails.careful {
             // It may have run, for all the client knows: it comes inside the window alone, with no more time than that,
             // less what making a connection may take: a courier does not know that it is a repeat.
             let spare = self.day.settings.connection_timeout;
-            m.due = m.due.min((m.created_at + set.dedup_window).saturating_sub(spare));
+            m.deadline = m.deadline.min((m.created_at + set.dedup_window).saturating_sub(spare));
         }
-        if usize::from(m.tries) <= self.day.mails.retries && now + pause < m.due {
-            m.stage = Stage::Outside;
+        if usize::from(m.tries) <= self.day.mails.retries && now + pause < m.deadline {
+            m.stage = Stage::WithClient;
             self.event_queue.schedule(now + pause, Event::Resubmit { mail });
         }
     }
@@ -290,9 +297,9 @@
         let pause = self.day.mails.after_death;
         let m = &mut self.mails[mail as usize];
         let effect = self.day.classes[usize::from(m.class)].settings.effect;
-        m.stage = Stage::Over;
-        if m.ran.is_none() || effect == Effect::Redeliverable {
-            m.stage = Stage::Outside;
+        m.stage = Stage::Closed;
+        if m.first_run.is_none() || effect == Effect::Redeliverable {
+            m.stage = Stage::WithClient;
             m.answers = 0;
             self.event_queue.schedule(now + pause, Event::Resubmit { mail });
         }
@@ -303,9 +310,9 @@
         let now = self.event_queue.now();
         for mail in 0..self.mails.len() as u32 {
             let m = &self.mails[mail as usize];
-            if m.stage == Stage::Taken && self.couriers[m.courier as usize].alive {
+            if m.stage == Stage::Accepted && self.couriers[m.courier as usize].alive {
                 let words = "it never got its final answer".to_string();
-                self.judge.breaks(Rule::NoMailLost, now, mail, m.courier, words);
+                self.judge.record_violation(Rule::NoMailLost, now, mail, m.courier, words);
             }
         }
     }
--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -264,7 +264,7 @@
     }
 
     /// How long a courier keeps an idle connection: a little less than its endpoint does.
-    pub fn kept_for(&self) -> Time {
+    pub fn client_idle_timeout(&self) -> Time {
         self.keep_idle / 20 * 19
     }
 
--- a/crates/emulator/src/figures.rs
+++ b/crates/emulator/src/figures.rs
@@ -70,7 +70,7 @@
 pub fn worth(day: &Day, mail: &Mail, at: Time) -> f64 {
     let set = &day.classes[usize::from(mail.class)].settings;
     let late = at.saturating_sub(mail.target) as f64;
-    if at > mail.due + day.answer_grace {
+    if at > mail.deadline + day.answer_grace {
         return 0.0;
     }
     if late <= 0.0 {
--- a/crates/emulator/src/judge.rs
+++ b/crates/emulator/src/judge.rs
@@ -33,7 +33,7 @@
 #[derive(Default)]
 struct KeyQueue {
     mails: VecDeque<u32>,
-    rest_until: Time,
+    hold_until: Time,
 }
 
 #[derive(Default)]
@@ -43,16 +43,16 @@
     pub count: usize,
     /// Courier and unit, or endpoint, or key. All are looked up, never walked.
     waits: HashMap<(u32, usize), (u32, Time)>,
-    leaving: HashMap<(u32, usize), (u32, Time)>,
-    saw: HashMap<(u32, usize), u32>,
-    lines: HashMap<(u32, u32), KeyQueue>,
+    draining: HashMap<(u32, usize), (u32, Time)>,
+    outages_seen: HashMap<(u32, usize), u32>,
+    key_queues: HashMap<(u32, u32), KeyQueue>,
 }
 
 /// Broken rules that are kept in full; further ones are counted.
 const MAX_BROKEN_KEPT: usize = 20;
 
 impl Judge {
-    pub fn breaks(&mut self, rule: Rule, at: Time, mail: u32, courier: u32, words: String) {
+    pub fn record_violation(&mut self, rule: Rule, at: Time, mail: u32, courier: u32, words: String) {
         self.count += 1;
         if self.broken.len() < MAX_BROKEN_KEPT {
             self.broken.push(Broken { rule, at, mail, courier, words });
@@ -60,8 +60,8 @@
     }
 
     /// A courier's process has read that it is to leave a unit alone.
-    pub fn told_wait(&mut self, courier: u32, process: u32, unit: usize, until: Time) {
-        let told = self.waits.entry((courier, unit)).or_insert((process, until));
+    pub fn wait_read(&mut self, courier: u32, process: u32, scope: usize, until: Time) {
+        let told = self.waits.entry((courier, scope)).or_insert((process, until));
         // Told waits end with the process that was told.
         *told = if told.0 == process { (process, told.1.max(until)) } else { (process, until) };
     }
@@ -69,87 +69,87 @@
     /// A courier's process has read that an endpoint drains or is gone, or is ready (again).
     pub fn status_read(&mut self, courier: u32, process: u32, endpoint: usize, ready: bool, now: Time) {
         if ready {
-            self.leaving.remove(&(courier, endpoint));
+            self.draining.remove(&(courier, endpoint));
         } else {
-            let told = self.leaving.entry((courier, endpoint)).or_insert((process, now));
+            let told = self.draining.entry((courier, endpoint)).or_insert((process, now));
             *told = if told.0 == process { *told } else { (process, now) };
         }
     }
 
     /// A courier saw a call fail or be refused at a unit in this outage of it.
-    pub fn saw_outage(&mut self, courier: u32, unit: usize, outage: u32) {
-        self.saw.insert((courier, unit), outage);
+    pub fn saw_outage(&mut self, courier: u32, scope: usize, outage: u32) {
+        self.outages_seen.insert((courier, scope), outage);
     }
 
-    pub fn saw_this_outage(&self, courier: u32, unit: usize, outage: u32) -> bool {
-        self.saw.get(&(courier, unit)) == Some(&outage)
+    pub fn saw_this_outage(&self, courier: u32, scope: usize, outage: u32) -> bool {
+        self.outages_seen.get(&(courier, scope)) == Some(&outage)
     }
 
     /// The first byte of a call goes out.
     pub fn sent(
         &mut self,
         (courier, process): (u32, u32),
-        (endpoint, unit): (usize, usize),
+        (endpoint, scope): (usize, usize),
         mail: u32,
         now: Time,
         grace: Time,
     ) {
-        match self.waits.get(&(courier, unit)) {
+        match self.waits.get(&(courier, scope)) {
             Some(&(told, until)) if told == process && now < until => {
                 let words =
                     format!("a call went out {} ms before the end of a told wait", (until - now) / 10);
-                self.breaks(Rule::WaitsHeeded, now, mail, courier, words);
+                self.record_violation(Rule::WaitsHeeded, now, mail, courier, words);
             }
             _ => {}
         }
-        match self.leaving.get(&(courier, endpoint)) {
+        match self.draining.get(&(courier, endpoint)) {
             Some(&(told, at)) if told == process && now > at + grace => {
                 let words =
                     format!("endpoint {endpoint} was sent a call {} ms after it was told of as leaving", {
                         (now - at) / 10
                     });
-                self.breaks(Rule::DrainsKept, now, mail, courier, words);
+                self.record_violation(Rule::DrainsKept, now, mail, courier, words);
             }
             _ => {}
         }
     }
 
     pub fn enqueue(&mut self, courier: u32, key: u32, mail: u32) {
-        self.lines.entry((courier, key)).or_default().mails.push_back(mail);
+        self.key_queues.entry((courier, key)).or_default().mails.push_back(mail);
     }
 
     /// A mail is over and has no connect out.
     pub fn dequeue(&mut self, courier: u32, key: u32, mail: u32) {
-        if let Some(line) = self.lines.get_mut(&(courier, key)) {
+        if let Some(line) = self.key_queues.get_mut(&(courier, key)) {
             line.mails.retain(|&m| m != mail);
         }
     }
 
     /// A connect ended in a way that may leave it running.
     pub fn hold_key(&mut self, courier: u32, key: u32, until: Time) {
-        let line = self.lines.entry((courier, key)).or_default();
-        line.rest_until = line.rest_until.max(until);
+        let line = self.key_queues.entry((courier, key)).or_default();
+        line.hold_until = line.hold_until.max(until);
     }
 
     /// The courier's process has ended; what it held in line comes back as it is taken up again, or not at all.
     pub fn clear_key(&mut self, courier: u32, key: u32) {
-        if let Some(line) = self.lines.get_mut(&(courier, key)) {
+        if let Some(line) = self.key_queues.get_mut(&(courier, key)) {
             line.mails.clear();
         }
     }
 
     pub fn sent_in_order(&mut self, courier: u32, key: u32, mail: u32, again: bool, now: Time) {
-        let Some(line) = self.lines.get(&(courier, key)) else { return };
+        let Some(line) = self.key_queues.get(&(courier, key)) else { return };
         let words = match line.mails.front() {
             Some(&first) if first != mail => {
                 format!("key {key}: sent while mail {first}, taken earlier, is not over or has a connect out")
             }
-            _ if !again && now < line.rest_until => {
-                format!("key {key}: sent {} ms before the end of its rest", (line.rest_until - now) / 10)
+            _ if !again && now < line.hold_until => {
+                format!("key {key}: sent {} ms before the end of its rest", (line.hold_until - now) / 10)
             }
             _ => return,
         };
-        self.breaks(Rule::OrderKept, now, mail, courier, words);
+        self.record_violation(Rule::OrderKept, now, mail, courier, words);
     }
 }
 
@@ -160,12 +160,12 @@
     #[test]
     fn a_told_wait_binds_the_process_that_was_told() {
         let mut judge = Judge::default();
-        judge.told_wait(1, 0, 7, 500);
-        judge.told_wait(1, 0, 7, 300);
-        for (courier, process, unit, now, broken) in
+        judge.wait_read(1, 0, 7, 500);
+        judge.wait_read(1, 0, 7, 300);
+        for (courier, process, scope, now, broken) in
             [(1, 0, 7, 499, 1), (1, 0, 7, 500, 1), (1, 1, 7, 100, 1), (2, 0, 7, 100, 1), (1, 0, 8, 100, 1)]
         {
-            judge.sent((courier, process), (0, unit), 3, now, 0);
+            judge.sent((courier, process), (0, scope), 3, now, 0);
             assert_eq!(judge.count, broken, "courier {courier} at {now}");
         }
         assert_eq!(judge.broken[0].rule, Rule::WaitsHeeded);
--- a/crates/emulator/src/listing.rs
+++ b/crates/emulator/src/listing.rs
@@ -47,13 +47,13 @@
     }
 
     /// A new process hears the list first, unless it has to ask.
-    pub fn first_list(&mut self, courier: usize) {
-        self.couriers[courier].heard = self.list.log.len();
+    pub fn queue_first_list(&mut self, courier: usize) {
+        self.couriers[courier].list_position = self.list.log.len();
         self.couriers[courier].full_list_due = self.day.list_mode == ListMode::Push;
     }
 
     /// An endpoint's life has changed: it will be on the list.
-    pub fn change(&mut self, now: Time, endpoint: usize, life: EndpointStatus) {
+    pub fn record_change(&mut self, now: Time, endpoint: usize, life: EndpointStatus) {
         self.list.changes.push((endpoint, life));
         let change = self.list.changes.len() as u32 - 1;
         let at = now + self.day.list_lag + self.list.lag;
@@ -88,7 +88,7 @@
 
     pub fn deliver_list_update(&mut self, now: Time, courier: usize, process: u32, upto: usize) {
         let c = &self.couriers[courier];
-        if !c.alive || c.process != process || c.heard >= upto {
+        if !c.alive || c.process != process || c.list_position >= upto {
             return;
         }
         if self.list.stalls > 0 {
@@ -99,10 +99,12 @@
             );
             return;
         }
-        let news: Vec<Input> =
-            self.list.log[c.heard..upto].iter().map(|&(endpoint, life)| self.entry(endpoint, life)).collect();
+        let news: Vec<Input> = self.list.log[c.list_position..upto]
+            .iter()
+            .map(|&(endpoint, life)| self.entry(endpoint, life))
+            .collect();
         let c = &mut self.couriers[courier];
-        c.heard = upto;
+        c.list_position = upto;
         c.inputs.push(Input::ListBegin { complete: false });
         c.inputs.extend(news);
         self.push_input(courier, Input::ListEnd);
@@ -124,9 +126,9 @@
         }
         let whole = self.full_list();
         let c = &mut self.couriers[courier];
-        (c.heard, c.watching_list) = (self.list.log.len(), true);
+        (c.list_position, c.watching_list) = (self.list.log.len(), true);
         c.inputs.extend(whole);
-        self.wake(courier, now);
+        self.schedule_turn(courier, now);
     }
 
     /// The list goes on after a stall.
@@ -147,9 +149,9 @@
             } else {
                 self.full_list()
             };
-            self.couriers[courier].heard = self.list.log.len();
+            self.couriers[courier].list_position = self.list.log.len();
             self.couriers[courier].inputs.extend(told);
-            self.wake(courier, now);
+            self.schedule_turn(courier, now);
         }
     }
 
--- a/crates/emulator/src/oracle.rs
+++ b/crates/emulator/src/oracle.rs
@@ -26,7 +26,7 @@
     known: bool,
     zone: usize,
     batch: usize,
-    unit: usize,
+    scope: usize,
     ready: bool,
     named: bool,
 }
@@ -37,7 +37,7 @@
     mails: Vec<MailState>,
     sent: Vec<Time>,
     zone: Vec<usize>,
-    unit: Vec<usize>,
+    scope: Vec<usize>,
     endpoints: Vec<Endpoint>,
     destinations: Vec<Vec<usize>>,
     wait_until: Vec<Time>,
@@ -59,7 +59,7 @@
             mails: Vec::new(),
             sent: Vec::new(),
             zone: Vec::new(),
-            unit: Vec::new(),
+            scope: Vec::new(),
             endpoints: Vec::new(),
             destinations: Vec::new(),
             wait_until: Vec::new(),
@@ -109,11 +109,11 @@
                 if !e.known {
                     entry_mut(&mut self.destinations, l.destination).push(l.endpoint);
                 }
-                let unit = if kind.per_endpoint_limits { 2 * l.endpoint + 1 } else { 2 * l.destination };
+                let scope = if kind.per_endpoint_limits { 2 * l.endpoint + 1 } else { 2 * l.destination };
                 let ready = l.status == EndpointStatus::Ready;
                 let batch = kind.max_batch;
-                *e = Endpoint { known: true, zone: l.zone, batch, unit, ready, named: true };
-                entry_mut(&mut self.wait_until, unit);
+                *e = Endpoint { known: true, zone: l.zone, batch, scope, ready, named: true };
+                entry_mut(&mut self.wait_until, scope);
             }
             Input::ListEnd => self.endpoints.iter_mut().filter(|e| !e.named).for_each(|e| e.ready = false),
             Input::ListFailed => self.list_requested = false,
@@ -123,7 +123,7 @@
                     MailState { taken: taken.clone(), used: true, ..MailState::default() };
                 entry_mut(&mut self.sent, mail);
                 entry_mut(&mut self.zone, mail);
-                entry_mut(&mut self.unit, mail);
+                entry_mut(&mut self.scope, mail);
                 entry_mut(&mut self.destinations, taken.destination);
                 if let Some(key) = taken.key {
                     entry_mut(&mut self.key_queues, key).0.push(mail);
@@ -138,8 +138,8 @@
                 }
                 m.out = false;
                 self.slots.give_back(m.call);
-                let unit = self.unit[ended.mail];
-                self.wait_until[unit] = self.wait_until[unit].max(now + ended.retry_after);
+                let scope = self.scope[ended.mail];
+                self.wait_until[scope] = self.wait_until[scope].max(now + ended.retry_after);
                 if !ended.outcome.never_ran() {
                     let first = (self.sent[ended.mail], self.zone[ended.mail]);
                     m.taken.first_run = m.taken.first_run.or(Some(first));
@@ -190,7 +190,7 @@
         let fits = |endpoint: usize| {
             let e = &self.endpoints[endpoint];
             e.ready
-                && now >= self.wait_until[e.unit]
+                && now >= self.wait_until[e.scope]
                 && t.first_run.is_none_or(|(_, zone)| !by_zone || zone == e.zone)
                 && self.slots.connects(endpoint) < e.batch
                 && self.slots.has_room(endpoint, e.batch, self.settings.slots)
@@ -230,7 +230,7 @@
             (m.out, m.call) = (true, call);
             m.taken.connects_used += 1;
             (self.sent[mail], self.zone[mail]) = (now, self.endpoints[endpoint].zone);
-            self.unit[mail] = self.endpoints[endpoint].unit;
+            self.scope[mail] = self.endpoints[endpoint].scope;
             out.push(Action::Connect { mail, endpoint, timeout, new_connection: false });
         }
         let mails = &self.mails;
@@ -265,6 +265,6 @@
 
     fn may_call(&self, endpoint: usize, now: Time) -> bool {
         let e = &self.endpoints[endpoint];
-        e.ready && now >= self.wait_until[e.unit]
+        e.ready && now >= self.wait_until[e.scope]
     }
 }
--- a/crates/emulator/src/parts.rs
+++ b/crates/emulator/src/parts.rs
@@ -9,7 +9,7 @@
 /// An endpoint's process at work, and what troubles do to it just now. Troubles add up, so each is a count or a factor.
 #[derive(Debug)]
 pub struct EndpointState {
-    pub unit: usize,
+    pub scope: usize,
     pub down: u16,
     pub hung: u16,
     pub paused: u16,
@@ -23,11 +23,11 @@
     pub lost: f64,
     pub idle_close: Option<Time>,
     /// Left for good: drained, or replaced.
-    pub gone: bool,
+    pub removed: bool,
     /// Pushed over: it stays down.
-    pub fallen: bool,
+    pub overloaded: bool,
     /// Since when it warms up.
-    pub cold_since: Option<Time>,
+    pub warming_since: Option<Time>,
     /// Calls that are being served, that wait, and that stand still.
     pub active: Vec<u32>,
     pub queue: VecDeque<u32>,
@@ -40,9 +40,9 @@
 }
 
 impl EndpointState {
-    pub fn new(unit: usize) -> EndpointState {
+    pub fn new(scope: usize) -> EndpointState {
         EndpointState {
-            unit,
+            scope,
             down: 0,
             hung: 0,
             paused: 0,
@@ -55,9 +55,9 @@
             resets: 0.0,
             lost: 0.0,
             idle_close: None,
-            gone: false,
-            fallen: false,
-            cold_since: None,
+            removed: false,
+            overloaded: false,
+            warming_since: None,
             active: Vec::new(),
             queue: VecDeque::new(),
             stalled_calls: Vec::new(),
@@ -69,7 +69,7 @@
 
     /// It refuses connections.
     pub fn is_down(&self) -> bool {
-        self.down > 0 || self.gone || self.fallen
+        self.down > 0 || self.removed || self.overloaded
     }
 
     /// It takes calls and goes on with none.
@@ -90,34 +90,34 @@
 
 /// What is limited, has outages and tells waits on its own: a destination, or a route apart.
 #[derive(Debug, Default)]
-pub struct Unit {
+pub struct LimitScope {
     pub destination: usize,
     pub endpoints: Vec<usize>,
     /// What is left of a plain rate, and when that was reckoned.
     pub tokens: f64,
-    pub at: Time,
+    pub tokens_at: Time,
     /// The present span, and the calls that count in it.
     pub span: Time,
     pub used: f64,
     pub throttle: f64,
-    pub out: bool,
+    pub in_outage: bool,
     /// End of the last outage, its number, and which couriers saw a call fail or be refused in it.
     pub returned_at: Option<Time>,
     pub outage: u32,
     /// Work sent to it of late while cold: when, how much, by a courier that had seen the outage.
-    pub recent: VecDeque<(Time, f64, bool)>,
-    pub work: f64,
-    pub warned_work: f64,
+    pub recent_load: VecDeque<(Time, f64, bool)>,
+    pub recent_work: f64,
+    pub informed_work: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// Its client waits to hand it in (again).
-    Outside,
+    WithClient,
     /// A courier has taken it on.
-    Taken,
+    Accepted,
     /// It will not come again.
-    Over,
+    Closed,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -136,23 +136,23 @@
     pub zone: u16,
     pub key: Option<u32>,
     pub created_at: Time,
-    pub due: Time,
+    pub deadline: Time,
     pub target: Time,
     pub stage: Stage,
     pub courier: u32,
     /// Its index at the courier.
     pub index: u32,
-    pub since: Time,
+    pub accepted_at: Time,
     /// Times handed in, and times that a dead courier was found instead.
     pub tries: u8,
     pub misses: u8,
     /// Connects of this taking, and send and zone of the first that may have run.
     pub connects: u16,
-    pub ran: Option<(Time, u16)>,
+    pub first_run: Option<(Time, u16)>,
     /// The call that is out for it.
-    pub out: Option<u32>,
+    pub active_call: Option<u32>,
     /// Its place in the order of its key.
-    pub turn: u64,
+    pub accept_number: u64,
     /// Effects at the destination, for what must not have two.
     pub effects: u8,
     /// Final answers of this taking.
@@ -165,11 +165,11 @@
 pub struct Connect {
     pub mail: u32,
     /// When its courier gives the answer up.
-    pub end: Time,
+    pub timeout_at: Time,
     /// The courier has its outcome.
-    pub told: bool,
+    pub reported: bool,
     /// How often the destination had forgotten its key when it came: what falls within one time is one effect.
-    pub era: u8,
+    pub window: u8,
     /// The destination knew it when it came.
     pub repeat: bool,
 }
@@ -178,14 +178,14 @@
 #[derive(Clone, Copy, Debug)]
 pub struct DedupEntry {
     pub since: Time,
-    pub era: u8,
+    pub window: u8,
     pub done: u32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     Connecting,
-    Going,
+    InTransit,
     Waiting,
     Served,
     /// Broken or lost on the far side.
@@ -200,12 +200,12 @@
     pub endpoint: u32,
     pub connects: Vec<Connect>,
     pub started: Time,
-    pub kept: bool,
+    pub reused: bool,
     /// The courier still waits for something of it.
     pub open: bool,
     pub phase: Phase,
     /// Journeys there and back.
-    pub way: [Time; 2],
+    pub latency: [Time; 2],
     /// Number of the site's process that it was connected to, and whether its connection counts there.
     pub incarnation: u32,
     pub connected: bool,
@@ -255,16 +255,16 @@
     pub free: Vec<u32>,
     /// Mails owed an answer, and calls out.
     pub open: usize,
-    pub out: usize,
+    pub calls_in_flight: usize,
     pub idle: HashMap<u32, Vec<Idle>>,
     /// Owed mails of a dead process, in the order in which they were taken.
     pub owed: Vec<u32>,
     /// Keys whose connects may be running on, and since when, as the journal has them.
-    pub rests: Vec<(u32, Time)>,
+    pub held_keys: Vec<(u32, Time)>,
     /// No turn before this: its clock stands still.
     pub paused_until: Time,
     /// Changes of the list that it has heard of.
-    pub heard: usize,
+    pub list_position: usize,
     pub watching_list: bool,
     pub peak_out: usize,
 }
@@ -284,12 +284,12 @@
             mails: Vec::new(),
             free: Vec::new(),
             open: 0,
-            out: 0,
+            calls_in_flight: 0,
             idle: HashMap::new(),
             owed: Vec::new(),
-            rests: Vec::new(),
+            held_keys: Vec::new(),
             paused_until: 0,
-            heard: 0,
+            list_position: 0,
             watching_list: false,
             peak_out: 0,
         }
--- a/crates/emulator/src/series.rs
+++ b/crates/emulator/src/series.rs
@@ -39,7 +39,7 @@
         let mut sample = Sample { at: now, ..Sample::default() };
         for c in &self.couriers {
             sample.open += c.open;
-            sample.out += c.out;
+            sample.out += c.calls_in_flight;
             sample.alive += usize::from(c.alive);
         }
         (sample.refused, sample.connects) = (self.counts.refused, self.counts.connects);
--- a/crates/emulator/src/serving.rs
+++ b/crates/emulator/src/serving.rs
@@ -37,7 +37,7 @@
         self.leave_transit(call);
         let state = &self.endpoint_states[endpoint];
         let c = &self.calls[call as usize];
-        let closed = state.idle_close.is_some_and(|idle| c.kept && now >= c.idle_since + idle);
+        let closed = state.idle_close.is_some_and(|idle| c.reused && now >= c.idle_since + idle);
         if state.is_down() || c.incarnation != state.incarnation || closed {
             self.calls[call as usize].phase = Phase::Lost;
             self.send_reply(now, call, Reply::with_outcome(Outcome::Broken), 0);
@@ -62,7 +62,7 @@
             let until = self.endpoint_states[endpoint].shut_until;
             self.refuse(now, call, until.saturating_sub(now));
         } else if !self.admit(now, endpoint) {
-            let wait = self.told_wait(now, endpoint);
+            let wait = self.retry_after(now, endpoint);
             self.refuse(now, call, wait);
         } else if !self.inject_failure(now, call, endpoint) {
             self.wait_or_refuse(now, call, endpoint, false);
@@ -72,15 +72,15 @@
     fn wait_or_refuse(&mut self, now: Time, call: u32, endpoint: usize, still: bool) {
         let (slots, depth) = (self.day.endpoints[endpoint].slots, self.day.endpoints[endpoint].queue);
         if !still && self.endpoint_states[endpoint].active.len() < slots {
-            self.receive(now, call);
-            self.serve(now, call);
+            self.mark_repeats(now, call);
+            self.start_service(now, call);
             return;
         }
         let state = &mut self.endpoint_states[endpoint];
         if state.queue.len() < depth + if still { slots } else { 0 } {
             self.calls[call as usize].phase = Phase::Waiting;
             state.queue.push_back(call);
-            self.receive(now, call);
+            self.mark_repeats(now, call);
         } else if still {
             // It hears nobody: what finds no room is dropped, and nobody is told.
             self.calls[call as usize].phase = Phase::Lost;
@@ -91,14 +91,14 @@
 
     /// The limit's word on one call; refused calls may use it up too.
     fn admit(&mut self, now: Time, endpoint: usize) -> bool {
-        let unit = self.endpoint_states[endpoint].unit;
-        let (rate, tokens, allowed) = (self.rate(unit), self.tokens(unit, now), self.span_allows(unit));
-        let u = &mut self.units[unit];
+        let scope = self.endpoint_states[endpoint].scope;
+        let (rate, tokens, allowed) = (self.rate(scope), self.tokens(scope, now), self.span_allows(scope));
+        let u = &mut self.scopes[scope];
         let p = &self.day.destinations[u.destination];
         match p.limit {
             Limit::None => true,
             Limit::Rate => {
-                (u.tokens, u.at) = (tokens, now);
+                (u.tokens, u.tokens_at) = (tokens, now);
                 let room = u.tokens >= 1.0;
                 if room || p.refused_count {
                     u.tokens = (u.tokens - 1.0).max(-rate);
@@ -120,13 +120,13 @@
     }
 
     /// Time until the limit has room again, as a refusal would tell it.
-    fn told_wait(&self, now: Time, endpoint: usize) -> Time {
-        let unit = self.endpoint_states[endpoint].unit;
-        let p = &self.day.destinations[self.units[unit].destination];
+    fn retry_after(&self, now: Time, endpoint: usize) -> Time {
+        let scope = self.endpoint_states[endpoint].scope;
+        let p = &self.day.destinations[self.scopes[scope].destination];
         match p.limit {
             Limit::None => 0,
             Limit::Rate => {
-                let lacks = (1.0 - self.units[unit].tokens).max(0.0) / self.rate(unit).max(1e-6);
+                let lacks = (1.0 - self.scopes[scope].tokens).max(0.0) / self.rate(scope).max(1e-6);
                 p.wait.max((lacks * SECOND as f64) as Time)
             }
             Limit::Span => (now / p.span + 1) * p.span - now,
@@ -144,11 +144,11 @@
     }
 
     fn report(&self, now: Time, endpoint: usize) -> Option<LimitReport> {
-        let unit = self.endpoint_states[endpoint].unit;
-        let (p, limit) = (&self.day.destinations[self.units[unit].destination], self.rate(unit));
+        let scope = self.endpoint_states[endpoint].scope;
+        let (p, limit) = (&self.day.destinations[self.scopes[scope].destination], self.rate(scope));
         let left = match p.limit {
-            Limit::Rate => (self.units[unit].tokens / limit.max(1.0)).clamp(0.0, 1.0),
-            _ => (1.0 - self.span_used(unit, now) / self.span_allows(unit)).clamp(0.0, 1.0),
+            Limit::Rate => (self.scopes[scope].tokens / limit.max(1.0)).clamp(0.0, 1.0),
+            _ => (1.0 - self.span_used(scope, now) / self.span_allows(scope)).clamp(0.0, 1.0),
         };
         (self.day.told_limits && p.limit != Limit::None).then_some(LimitReport { remaining: left, limit })
     }
@@ -173,7 +173,7 @@
         }
         self.calls[call as usize].phase = Phase::Lost;
         if after {
-            self.receive(now, call);
+            self.mark_repeats(now, call);
             self.effects(now, call);
         }
         let outcome = if fails { Outcome::Error } else { Outcome::Broken };
@@ -183,7 +183,7 @@
     }
 
     /// The destination looks which of a call's mails it knows, as the call comes in: a repeat within the window is dropped.
-    fn receive(&mut self, now: Time, call: u32) {
+    fn mark_repeats(&mut self, now: Time, call: u32) {
         let zone = self.day.endpoints[self.calls[call as usize].endpoint as usize].zone;
         for i in 0..self.calls[call as usize].connects.len() {
             let mail = self.calls[call as usize].connects[i].mail;
@@ -192,20 +192,20 @@
                 continue;
             }
             let place = (mail, if set.dedup_by_zone { zone } else { 0 });
-            let known = self.dedup.entry(place).or_insert(DedupEntry { since: now, era: 0, done: 0 });
+            let known = self.dedup.entry(place).or_insert(DedupEntry { since: now, window: 0, done: 0 });
             // Its first connect finds it new; what comes after the window finds it forgotten.
             let repeat = known.since < now && now <= known.since + set.dedup_window;
             if now > known.since + set.dedup_window {
-                (known.since, known.era) = (now, (known.era + 1).min(31));
+                (known.since, known.window) = (now, (known.window + 1).min(31));
             }
-            let era = known.era;
+            let window = known.window;
             let connect = &mut self.calls[call as usize].connects[i];
-            (connect.era, connect.repeat) = (era, repeat);
+            (connect.window, connect.repeat) = (window, repeat);
             self.counts.repeats_dropped += u64::from(repeat);
         }
     }
 
-    fn serve(&mut self, now: Time, call: u32) {
+    fn start_service(&mut self, now: Time, call: u32) {
         let c = &self.calls[call as usize];
         let endpoint = c.endpoint as usize;
         let p = &self.day.destinations[self.day.endpoints[endpoint].destination];
@@ -248,8 +248,8 @@
         self.counts.work += work;
         self.effects(now, call);
         self.trace.mark(now, 12, [call, endpoint as u32]);
-        let gone = self.chance_of(call, Purpose::List).chance(lost);
-        if awaited && !gone {
+        let answer_lost = self.chance_of(call, Purpose::List).chance(lost);
+        if awaited && !answer_lost {
             let report = self.report(now, endpoint);
             self.send_reply(now, call, Reply { outcome: Outcome::Relayed, wait: 0, report }, 0);
         }
@@ -262,7 +262,7 @@
             && !self.endpoint_states[endpoint].is_stalled()
         {
             let Some(call) = self.endpoint_states[endpoint].queue.pop_front() else { break };
-            self.serve(now, call);
+            self.start_service(now, call);
         }
     }
 
@@ -270,7 +270,7 @@
     fn has_effect(&self, mail: u32, endpoint: usize) -> bool {
         let set = &self.day.classes[usize::from(self.mails[mail as usize].class)].settings;
         let place = (mail, if set.dedup_by_zone { self.day.endpoints[endpoint].zone } else { 0 });
-        self.dedup.get(&place).is_some_and(|known| known.done >> known.era & 1 == 1)
+        self.dedup.get(&place).is_some_and(|known| known.done >> known.window & 1 == 1)
     }
 
     /// The effects of a served call, counted at the destination and not believed of anybody.
@@ -286,8 +286,8 @@
                     let place = (connect.mail, if class.settings.dedup_by_zone { zone } else { 0 });
                     let known = self.dedup.get_mut(&place);
                     known.is_none_or(|known| {
-                        let new = known.done >> connect.era & 1 == 0;
-                        known.done |= 1 << connect.era;
+                        let new = known.done >> connect.window & 1 == 0;
+                        known.done |= 1 << connect.window;
                         new
                     })
                 }
@@ -302,50 +302,51 @@
             if effects > 1 {
                 let courier = self.calls[call as usize].courier;
                 let words = format!("queue class {} took effect {effects} times", class.name);
-                self.judge.breaks(Rule::NoEffectTwice, now, connect.mail, courier, words);
+                self.judge.record_violation(Rule::NoEffectTwice, now, connect.mail, courier, words);
             }
         }
     }
 
     /// Weighs what is sent to a unit that is back from an outage and not warm yet.
     fn check_overload(&mut self, now: Time, call: u32, endpoint: usize, load: f64) {
-        let unit = self.endpoint_states[endpoint].unit;
-        let u = &self.units[unit];
+        let scope = self.endpoint_states[endpoint].scope;
+        let u = &self.scopes[scope];
         let cold = self.day.destinations[u.destination].cold;
-        let Some(back) = u.returned_at.filter(|&back| !u.out && now < back + cold) else { return };
+        let Some(back) = u.returned_at.filter(|&back| !u.in_outage && now < back + cold) else { return };
         let courier = self.calls[call as usize].courier;
-        let seen = self.judge.saw_this_outage(courier, unit, u.outage);
+        let seen = self.judge.saw_this_outage(courier, scope, u.outage);
         let (length, multiple) = (self.day.settings.overload_duration, self.day.settings.overload_multiple);
-        let u = &mut self.units[unit];
-        u.recent.push_back((now, load, seen));
-        u.work += load;
-        u.warned_work += if seen { load } else { 0.0 };
-        while let Some(&(at, load, seen)) = u.recent.front().filter(|w| w.0 + length < now || w.0 < back) {
-            u.recent.pop_front();
-            u.work -= load;
-            u.warned_work -= if seen { load } else { 0.0 };
+        let u = &mut self.scopes[scope];
+        u.recent_load.push_back((now, load, seen));
+        u.recent_work += load;
+        u.informed_work += if seen { load } else { 0.0 };
+        while let Some(&(at, load, seen)) = u.recent_load.front().filter(|w| w.0 + length < now || w.0 < back)
+        {
+            u.recent_load.pop_front();
+            u.recent_work -= load;
+            u.informed_work -= if seen { load } else { 0.0 };
             debug_assert!(at <= now);
         }
-        let (work, warned) = (u.work, u.warned_work);
-        let capacity = self.current_capacity(unit, now) * length as f64 / SECOND as f64;
+        let (work, warned) = (u.recent_work, u.informed_work);
+        let capacity = self.current_capacity(scope, now) * length as f64 / SECOND as f64;
         if work <= multiple * capacity + OVERLOAD_SLACK {
             return;
         }
         self.counts.fallen += 1;
-        for i in 0..self.units[unit].endpoints.len() {
-            let endpoint = self.units[unit].endpoints[i];
-            self.endpoint_states[endpoint].fallen = true;
+        for i in 0..self.scopes[scope].endpoints.len() {
+            let endpoint = self.scopes[scope].endpoints[i];
+            self.endpoint_states[endpoint].overloaded = true;
             self.crash(now, endpoint);
         }
-        self.update_unit_outage(now, unit);
+        self.update_outage(now, scope);
         if warned >= MIN_INFORMED_PART * work {
             let words = format!(
                 "partner {} was pushed over: {work:.1} calls in {} ms where it can do {capacity:.1}, {warned:.1} of them by couriers that had seen its outage",
-                self.units[unit].destination,
+                self.scopes[scope].destination,
                 length / 10,
             );
             let mail = self.calls[call as usize].connects[0].mail;
-            self.judge.breaks(Rule::NotPushedOver, now, mail, courier, words);
+            self.judge.record_violation(Rule::NotPushedOver, now, mail, courier, words);
         }
     }
 
--- a/crates/emulator/src/slots.rs
+++ b/crates/emulator/src/slots.rs
@@ -92,7 +92,7 @@
     use super::*;
 
     #[test]
-    fn riders_of_a_turn_share_a_slot_up_to_the_batch() {
+    fn connects_of_a_turn_share_a_slot_up_to_the_batch() {
         let mut slots = Slots::default();
         slots.next_turn();
         let calls = [slots.take(3, 2), slots.take(3, 2), slots.take(3, 2), slots.take(4, 2)];
--- a/crates/emulator/src/troubles.rs
+++ b/crates/emulator/src/troubles.rs
@@ -54,7 +54,7 @@
             What::ListLies => {
                 let life = if on { EndpointStatus::Draining } else { EndpointStatus::Ready };
                 for &endpoint in &t.endpoints {
-                    if !self.endpoint_states[endpoint].gone {
+                    if !self.endpoint_states[endpoint].removed {
                         self.announce(now, endpoint, life);
                     }
                 }
@@ -68,12 +68,12 @@
                 }
             }
             What::Drain | What::Replace => self.replace(now, index, on),
-            _ => t.endpoints.iter().for_each(|&endpoint| self.strike(now, index, endpoint, on)),
+            _ => t.endpoints.iter().for_each(|&endpoint| self.apply_to_endpoint(now, index, endpoint, on)),
         }
     }
 
     /// What a trouble does to one endpoint.
-    fn strike(&mut self, now: Time, index: usize, endpoint: usize, on: bool) {
+    fn apply_to_endpoint(&mut self, now: Time, index: usize, endpoint: usize, on: bool) {
         let day = self.day.clone();
         let t = &day.troubles[index];
         let state = &mut self.endpoint_states[endpoint];
@@ -108,11 +108,11 @@
             What::IdleClose => state.idle_close = on.then_some((t.size * SECOND as f64) as Time),
             What::Throttle => {
                 // Once for each unit, however many of its endpoints are struck.
-                let unit = state.unit;
-                let first = t.endpoints.iter().find(|&&e| self.endpoint_states[e].unit == unit);
+                let scope = state.scope;
+                let first = t.endpoints.iter().find(|&&e| self.endpoint_states[e].scope == scope);
                 if first == Some(&endpoint) {
                     let size = t.size.max(1e-3);
-                    self.units[unit].throttle *= if on { size } else { 1.0 / size };
+                    self.scopes[scope].throttle *= if on { size } else { 1.0 / size };
                 }
             }
             _ => {}
@@ -121,10 +121,10 @@
             self.resume_endpoint(now, endpoint);
         }
         if !on && matches!(t.what, What::Crash | What::Flap | What::Hang) {
-            self.endpoint_states[endpoint].cold_since = Some(now);
+            self.endpoint_states[endpoint].warming_since = Some(now);
         }
-        let unit = self.endpoint_states[endpoint].unit;
-        self.update_unit_outage(now, unit);
+        let scope = self.endpoint_states[endpoint].scope;
+        self.update_outage(now, scope);
     }
 
     /// What stood still is done now, and what waited begins.
@@ -136,30 +136,30 @@
     }
 
     /// Whether a unit is out, in the words of the rule; once it is back it is cold.
-    pub fn update_unit_outage(&mut self, now: Time, unit: usize) {
-        let there = self.units[unit].endpoints.iter().filter(|&&e| !self.endpoint_states[e].gone);
+    pub fn update_outage(&mut self, now: Time, scope: usize) {
+        let there = self.scopes[scope].endpoints.iter().filter(|&&e| !self.endpoint_states[e].removed);
         let (mut all, mut out) = (0, 0);
         for &endpoint in there {
             all += 1;
             out += usize::from(self.endpoint_states[endpoint].is_out());
         }
         let is_out = all > 0 && out == all;
-        let u = &mut self.units[unit];
-        if is_out == u.out {
+        let u = &mut self.scopes[scope];
+        if is_out == u.in_outage {
             return;
         }
-        u.out = is_out;
+        u.in_outage = is_out;
         if is_out {
             u.outage += 1;
         } else {
             u.returned_at = Some(now);
-            (u.work, u.warned_work) = (0.0, 0.0);
-            u.recent.clear();
+            (u.recent_work, u.informed_work) = (0.0, 0.0);
+            u.recent_load.clear();
             for endpoint in u.endpoints.clone() {
-                self.endpoint_states[endpoint].cold_since = Some(now);
+                self.endpoint_states[endpoint].warming_since = Some(now);
             }
         }
-        self.trace.mark(now, 31, [unit as u32, u32::from(is_out)]);
+        self.trace.mark(now, 31, [scope as u32, u32::from(is_out)]);
     }
 
     /// Troubles that come and go by themselves while they last.
@@ -169,7 +169,7 @@
         if on && now >= t.until {
             return;
         }
-        t.endpoints.iter().for_each(|&endpoint| self.strike(now, index, endpoint, on));
+        t.endpoints.iter().for_each(|&endpoint| self.apply_to_endpoint(now, index, endpoint, on));
         let next = match (t.what, on) {
             (What::Pauses, true) => (t.size * (SECOND / 1000) as f64) as Time,
             (What::Pauses, false) => PAUSE_EVERY,
@@ -184,23 +184,23 @@
         let day = self.day.clone();
         let t = &day.troubles[index];
         for (i, &endpoint) in t.endpoints.iter().enumerate() {
-            if self.endpoint_states[endpoint].gone {
+            if self.endpoint_states[endpoint].removed {
                 continue;
             }
             if on {
-                self.change(now, endpoint, EndpointStatus::Draining);
+                self.record_change(now, endpoint, EndpointStatus::Draining);
                 if let Some(&newcomer) = t.newcomers.get(i) {
-                    (self.endpoint_states[newcomer].gone, self.endpoint_states[newcomer].cold_since) =
+                    (self.endpoint_states[newcomer].removed, self.endpoint_states[newcomer].warming_since) =
                         (false, Some(now));
-                    self.change(now, newcomer, EndpointStatus::Ready);
+                    self.record_change(now, newcomer, EndpointStatus::Ready);
                 }
             } else {
-                self.endpoint_states[endpoint].gone = true;
+                self.endpoint_states[endpoint].removed = true;
                 self.crash(now, endpoint);
-                self.change(now, endpoint, EndpointStatus::Removed);
+                self.record_change(now, endpoint, EndpointStatus::Removed);
             }
-            let unit = self.endpoint_states[endpoint].unit;
-            self.update_unit_outage(now, unit);
+            let scope = self.endpoint_states[endpoint].scope;
+            self.update_outage(now, scope);
         }
     }
 }
--- a/crates/emulator/src/turns.rs
+++ b/crates/emulator/src/turns.rs
@@ -22,7 +22,7 @@
         if now < c.paused_until {
             c.turn_at = None;
             let until = c.paused_until;
-            self.wake(courier, until);
+            self.schedule_turn(courier, until);
             return;
         }
         (c.turn_at, c.last_turn) = (None, Some(now));
@@ -51,7 +51,7 @@
             self.start_call(now, call as u32);
         }
         if let Some(at) = wake {
-            self.wake(courier, at.max(now + 1));
+            self.schedule_turn(courier, at.max(now + 1));
         }
     }
 
@@ -77,10 +77,12 @@
         let process = self.couriers[courier].process;
         let mail = self.couriers[courier].mails[ended.mail];
         let m = &self.mails[mail as usize];
-        let Some(endpoint) = m.out.map(|call| self.calls[call as usize].endpoint as usize) else { return };
-        let unit = self.endpoint_states[endpoint].unit;
+        let Some(endpoint) = m.active_call.map(|call| self.calls[call as usize].endpoint as usize) else {
+            return;
+        };
+        let scope = self.endpoint_states[endpoint].scope;
         if ended.retry_after > 0 {
-            self.judge.told_wait(courier as u32, process, unit, now + ended.retry_after);
+            self.judge.wait_read(courier as u32, process, scope, now + ended.retry_after);
         }
         if let Some(key) = m.key.filter(|_| ended.outcome.may_still_run()) {
             self.judge.hold_key(courier as u32, key, now + self.day.settings.ordering_gap);
@@ -89,7 +91,7 @@
         self.trace.note(now, mail, || {
             format!("courier {courier} reads {outcome:?}, told to wait {} ms", wait / 10)
         });
-        self.mails[mail as usize].out = None;
+        self.mails[mail as usize].active_call = None;
         self.leave_key_queue(mail);
     }
 
@@ -101,14 +103,14 @@
             }
             Action::Defer { mail, retry_after: pause } => {
                 let mail = self.couriers[courier].mails[mail];
-                if self.is_held(courier, mail, now) {
+                if self.check_held(courier, mail, now) {
                     self.finish(now, mail, Answer::Deferred);
                     self.schedule_retry(now, mail, pause);
                 }
             }
             Action::Bounce { mail } => {
                 let mail = self.couriers[courier].mails[mail];
-                if self.is_held(courier, mail, now) {
+                if self.check_held(courier, mail, now) {
                     self.finish(now, mail, Answer::Bounced);
                 }
             }
@@ -121,12 +123,12 @@
     }
 
     /// Guards the judge against answers for mails that are with somebody else by now: a second answer is a broken rule.
-    fn is_held(&mut self, courier: usize, mail: u32, now: Time) -> bool {
+    fn check_held(&mut self, courier: usize, mail: u32, now: Time) -> bool {
         let m = &self.mails[mail as usize];
-        let held = m.stage == Stage::Taken && m.courier == courier as u32;
+        let held = m.stage == Stage::Accepted && m.courier == courier as u32;
         if !held {
             let words = "a final answer for a mail that has one".to_string();
-            self.judge.breaks(Rule::NoMailLost, now, mail, courier as u32, words);
+            self.judge.record_violation(Rule::NoMailLost, now, mail, courier as u32, words);
         }
         held
     }
@@ -135,22 +137,22 @@
     fn add_to_call(&mut self, now: Time, courier: usize, first: usize, order: (u32, usize, Time, bool)) {
         let (mail, endpoint, timeout, fresh) = order;
         let m = &self.mails[mail as usize];
-        if m.stage != Stage::Taken || m.courier != courier as u32 || m.out.is_some() {
+        if m.stage != Stage::Accepted || m.courier != courier as u32 || m.active_call.is_some() {
             let words = "a connect after its final answer, or beside another".to_string();
-            self.judge.breaks(Rule::NoMailLost, now, mail, courier as u32, words);
+            self.judge.record_violation(Rule::NoMailLost, now, mail, courier as u32, words);
             return;
         }
         let e = &self.day.endpoints[endpoint];
         let batch = self.day.destinations[e.destination].batch;
-        let connect = Connect { mail, end: now + timeout, told: false, era: 0, repeat: false };
+        let connect = Connect { mail, timeout_at: now + timeout, reported: false, window: 0, repeat: false };
         let fits = |c: &Call| c.endpoint == endpoint as u32 && c.connects.len() < batch;
         let open = (first..self.calls.len()).find(|&i| fits(&self.calls[i]));
         let call = open.unwrap_or(self.calls.len());
         if open.is_none() {
             let c = &mut self.couriers[courier];
-            c.out += 1;
-            c.peak_out = c.peak_out.max(c.out);
-            self.counts.over_slots += u64::from(c.out > self.day.settings.slots);
+            c.calls_in_flight += 1;
+            c.peak_out = c.peak_out.max(c.calls_in_flight);
+            self.counts.over_slots += u64::from(c.calls_in_flight > self.day.settings.slots);
             let index = u64::from(mail) << 16 | u64::from(m.connects) << 8 | u64::from(m.tries);
             let d = &mut Stream::new(self.day.seed, Purpose::Network, index);
             let zone_latency = self.day.zone_latency[c.zone][e.zone] as f64;
@@ -162,10 +164,10 @@
                 endpoint: endpoint as u32,
                 connects: Vec::new(),
                 started: now,
-                kept: true, // until a connection is found: whether a kept one may be used
+                reused: true, // until a connection is found: whether a kept one may be used
                 open: true,
                 phase: Phase::Connecting,
-                way,
+                latency: way,
                 incarnation: 0,
                 connected: false,
                 in_transit: true,
@@ -174,9 +176,9 @@
             });
         }
         // One connect that must not go on a kept connection has its whole call go on a new one.
-        self.calls[call].kept &= !fresh;
+        self.calls[call].reused &= !fresh;
         self.calls[call].connects.push(connect);
-        self.mails[mail as usize].out = Some(call as u32);
+        self.mails[mail as usize].active_call = Some(call as u32);
         self.trace.mark(now, 10, [mail, endpoint as u32]);
         self.trace
             .note(now, mail, || format!("courier {courier} decides on a connect to endpoint {endpoint}"));
@@ -186,28 +188,28 @@
     fn start_call(&mut self, now: Time, call: u32) {
         self.counts.calls += 1;
         let c = &self.calls[call as usize];
-        let (courier, endpoint, may_keep, way) = (c.courier as usize, c.endpoint, c.kept, c.way);
+        let (courier, endpoint, may_keep, way) = (c.courier as usize, c.endpoint, c.reused, c.latency);
         // All connects wait for the longest of them, each to the end of its own time at most.
-        let longest = c.connects.iter().map(|r| r.end).max().unwrap_or(now);
+        let longest = c.connects.iter().map(|r| r.timeout_at).max().unwrap_or(now);
         for i in 0..self.calls[call as usize].connects.len() {
             let connect = self.calls[call as usize].connects[i];
-            let end = longest.min(self.mails[connect.mail as usize].due.max(now + 1));
+            let end = longest.min(self.mails[connect.mail as usize].deadline.max(now + 1));
             let connect = &mut self.calls[call as usize].connects[i];
-            connect.end = end;
-            let again = self.calls[call as usize].connects[..i].iter().any(|r| r.end == end);
+            connect.timeout_at = end;
+            let again = self.calls[call as usize].connects[..i].iter().any(|r| r.timeout_at == end);
             if !again {
                 self.event_queue.schedule(end, Event::Timeout { call });
             }
         }
         if may_keep {
-            if let Some(idle) = self.kept_connection(now, courier, endpoint) {
+            if let Some(idle) = self.reusable_connection(now, courier, endpoint) {
                 let c = &mut self.calls[call as usize];
                 (c.incarnation, c.connected, c.idle_since) = (idle.incarnation, true, idle.since);
                 self.connected(now, call);
                 return;
             }
         }
-        self.calls[call as usize].kept = false;
+        self.calls[call as usize].reused = false;
         self.counts.handshakes += 1;
         let zone = self.day.endpoints[endpoint as usize].zone;
         let there = self.link_open(self.couriers[courier].zone, zone)
@@ -231,8 +233,8 @@
     }
 
     /// The connection used last that is not known to be closed.
-    fn kept_connection(&mut self, now: Time, courier: usize, endpoint: u32) -> Option<Idle> {
-        let keep = self.day.kept_for();
+    fn reusable_connection(&mut self, now: Time, courier: usize, endpoint: u32) -> Option<Idle> {
+        let keep = self.day.client_idle_timeout();
         let state = &mut self.endpoint_states[endpoint as usize];
         let far = state.idle_close.unwrap_or(Time::MAX);
         let way =
@@ -250,7 +252,7 @@
     }
 
     /// A connection is free again: it is kept for the next call.
-    pub fn keep(&mut self, now: Time, courier: usize, endpoint: u32, incarnation: u32) {
+    pub fn keep_connection(&mut self, now: Time, courier: usize, endpoint: u32, incarnation: u32) {
         let limited = self.day.endpoints[endpoint as usize].connections > 0;
         let idle = self.couriers[courier].idle.entry(endpoint).or_default();
         if idle.len() >= MAX_IDLE_CONNECTIONS {
@@ -260,14 +262,14 @@
         }
         idle.push(Idle { since: now, incarnation });
         if limited {
-            let at = now + self.day.kept_for();
+            let at = now + self.day.client_idle_timeout();
             self.event_queue.schedule(at, Event::CloseIdle { courier: courier as u32, endpoint });
         }
     }
 
     /// Connections that were idle for too long are closed.
-    pub fn sweep(&mut self, now: Time, courier: usize, endpoint: u32) {
-        let keep = self.day.kept_for();
+    pub fn close_expired(&mut self, now: Time, courier: usize, endpoint: u32) {
+        let keep = self.day.client_idle_timeout();
         let state = &mut self.endpoint_states[endpoint as usize];
         if let Some(idle) = self.couriers[courier].idle.get_mut(&endpoint) {
             idle.retain(|i| {
@@ -294,10 +296,10 @@
         self.trace.mark(now, 20, [courier as u32, 0]);
         let held = |m: &u32| {
             let m = &self.mails[*m as usize];
-            m.stage == Stage::Taken && m.courier == courier as u32
+            m.stage == Stage::Accepted && m.courier == courier as u32
         };
         let mut owed: Vec<u32> = self.couriers[courier].mails.iter().copied().filter(held).collect();
-        owed.sort_unstable_by_key(|&m| self.mails[m as usize].turn);
+        owed.sort_unstable_by_key(|&m| self.mails[m as usize].accept_number);
         owed.dedup();
         for call in 0..self.calls.len() {
             if self.calls[call].courier == courier as u32 && self.is_awaited(call as u32) {
@@ -314,11 +316,12 @@
         for &mail in &owed {
             let zone = |c: &Call| self.day.endpoints[c.endpoint as usize].zone as u16;
             let m = &self.mails[mail as usize];
-            let sent = m.out.map(|call| &self.calls[call as usize]).filter(|c| c.phase != Phase::Connecting);
-            let ran = m.ran.or(sent.map(|c| (c.started, zone(c))));
+            let sent =
+                m.active_call.map(|call| &self.calls[call as usize]).filter(|c| c.phase != Phase::Connecting);
+            let ran = m.first_run.or(sent.map(|c| (c.started, zone(c))));
             self.trace.note(now, mail, || format!("courier {courier} dies; may have run: {}", ran.is_some()));
             let m = &mut self.mails[mail as usize];
-            (m.ran, m.out) = (ran, None);
+            (m.first_run, m.active_call) = (ran, None);
         }
         // The judge's lines begin anew, with those too whose answer was given and not read; what was out rests.
         for i in 0..self.couriers[courier].mails.len() {
@@ -326,18 +329,18 @@
             if m.courier != courier as u32 {
                 continue;
             }
-            m.out = None;
+            m.active_call = None;
             if let Some(key) = m.key {
                 self.judge.clear_key(courier as u32, key);
-                if m.ran.is_some() && m.stage == Stage::Taken {
+                if m.first_run.is_some() && m.stage == Stage::Accepted {
                     self.judge.hold_key(courier as u32, key, now + self.day.settings.ordering_gap);
-                    self.couriers[courier].rests.push((key, now));
+                    self.couriers[courier].held_keys.push((key, now));
                 }
             }
         }
         let journal = self.day.journal;
         let c = &mut self.couriers[courier];
-        (c.alive, c.decider, c.out, c.open) = (false, None, 0, 0);
+        (c.alive, c.decider, c.calls_in_flight, c.open) = (false, None, 0, 0);
         c.process += 1;
         c.inputs.clear();
         c.mails.clear();
@@ -363,62 +366,62 @@
         let notice = now + self.day.mails.front_notice.min(self.day.down.max(1));
         self.event_queue.schedule(notice, Event::FrontNotice { courier: courier as u32, alive: true });
         let gap = self.day.settings.ordering_gap;
-        for (key, since) in std::mem::take(&mut self.couriers[courier].rests) {
+        for (key, since) in std::mem::take(&mut self.couriers[courier].held_keys) {
             if self.day.journal && since + gap > now {
                 self.push_input(courier, Input::KeyInFlight { key: key as usize, at: since });
             }
         }
         for mail in std::mem::take(&mut self.couriers[courier].owed) {
-            if self.mails[mail as usize].stage != Stage::Taken {
+            if self.mails[mail as usize].stage != Stage::Accepted {
                 continue;
             }
             let c = &mut self.couriers[courier];
             let index = c.enter(mail);
             c.open += 1;
             self.mails[mail as usize].index = index;
-            self.take_on(courier, mail);
+            self.give_to_decider(courier, mail);
         }
     }
 
     /// What a courier sees of a call's connects whose outcome is not told yet.
     pub fn report_outcome(&mut self, now: Time, call: u32, reply: Reply, only: impl Fn(&Connect) -> bool) {
         let c = &self.calls[call as usize];
-        let (courier, took, kept) = (c.courier as usize, now - c.started.min(now), c.kept);
+        let (courier, took, kept) = (c.courier as usize, now - c.started.min(now), c.reused);
         let (endpoint, started) = (c.endpoint as usize, c.started);
-        let (unit, zone) = (self.endpoint_states[endpoint].unit, self.day.endpoints[endpoint].zone as u16);
+        let (scope, zone) = (self.endpoint_states[endpoint].scope, self.day.endpoints[endpoint].zone as u16);
         let bad = !matches!(reply.outcome, Outcome::Relayed | Outcome::Unsent | Outcome::CalledOff);
-        if bad && self.units[unit].out {
-            let outage = self.units[unit].outage;
-            self.judge.saw_outage(courier as u32, unit, outage);
+        if bad && self.scopes[scope].in_outage {
+            let outage = self.scopes[scope].outage;
+            self.judge.saw_outage(courier as u32, scope, outage);
         }
         for i in 0..self.calls[call as usize].connects.len() {
             let connect = self.calls[call as usize].connects[i];
-            if connect.told || !only(&connect) {
+            if connect.reported || !only(&connect) {
                 continue;
             }
-            self.calls[call as usize].connects[i].told = true;
+            self.calls[call as usize].connects[i].reported = true;
             let m = &mut self.mails[connect.mail as usize];
             if !reply.outcome.never_ran() {
-                m.ran = m.ran.or(Some((started, zone)));
+                m.first_run = m.first_run.or(Some((started, zone)));
             }
             if let Some(key) = m.key.filter(|_| reply.outcome.may_still_run()) {
-                let rests = &mut self.couriers[courier].rests;
+                let rests = &mut self.couriers[courier].held_keys;
                 rests.retain(|rest| rest.0 != key);
                 rests.push((key, now));
             }
-            let (index, held) = (m.index as usize, m.stage == Stage::Taken);
+            let (index, held) = (m.index as usize, m.stage == Stage::Accepted);
             let over = reply.outcome == Outcome::Relayed;
             if over && held {
                 self.finish(now, connect.mail, Answer::Relayed);
             }
             self.push_input(courier, crate::parts::ended(index, &reply, over, took, kept));
         }
-        if self.calls[call as usize].connects.iter().all(|r| r.told) {
+        if self.calls[call as usize].connects.iter().all(|r| r.reported) {
             if self.calls[call as usize].phase == Phase::Connecting {
                 self.leave_transit(call);
             }
             self.calls[call as usize].open = false;
-            self.couriers[courier].out -= 1;
+            self.couriers[courier].calls_in_flight -= 1;
         }
     }
 }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -11,7 +11,7 @@
 use crate::decider::{DeciderFactory, WorldView};
 use crate::event_queue::EventQueue;
 use crate::judge::Judge;
-use crate::parts::{Call, Courier, DedupEntry, EndpointState, Event, Mail, Phase, Unit};
+use crate::parts::{Call, Courier, DedupEntry, EndpointState, Event, LimitScope, Mail, Phase};
 use crate::scenario::Limit;
 use crate::series::Sample;
 use crate::trace::Trace;
@@ -57,7 +57,7 @@
     pub mails: Vec<Mail>,
     pub calls: Vec<Call>,
     pub endpoint_states: Vec<EndpointState>,
-    pub units: Vec<Unit>,
+    pub scopes: Vec<LimitScope>,
     pub couriers: Vec<Courier>,
     pub judge: Judge,
     pub counts: Counts,
@@ -104,20 +104,20 @@
                 })
                 .collect()
         };
-        let mut units: Vec<Unit> = Vec::new();
+        let mut scopes: Vec<LimitScope> = Vec::new();
         let mut endpoint_states = Vec::with_capacity(day.endpoints.len());
         let mut shared = vec![usize::MAX; day.destinations.len()];
         for (e, endpoint) in day.endpoints.iter().enumerate() {
             let destination = endpoint.destination;
             if day.destinations[destination].apart || shared[destination] == usize::MAX {
-                shared[destination] = units.len();
-                units.push(Unit { destination, throttle: 1.0, tokens: 1.0, ..Unit::default() });
+                shared[destination] = scopes.len();
+                scopes.push(LimitScope { destination, throttle: 1.0, tokens: 1.0, ..LimitScope::default() });
             }
-            let unit =
-                if day.destinations[destination].apart { units.len() - 1 } else { shared[destination] };
-            units[unit].endpoints.push(e);
-            let mut state = EndpointState::new(unit);
-            state.gone = endpoint.newcomer;
+            let scope =
+                if day.destinations[destination].apart { scopes.len() - 1 } else { shared[destination] };
+            scopes[scope].endpoints.push(e);
+            let mut state = EndpointState::new(scope);
+            state.removed = endpoint.newcomer;
             endpoint_states.push(state);
         }
         let zones = day.zones.len();
@@ -128,7 +128,7 @@
             mails: Vec::new(),
             calls: Vec::new(),
             endpoint_states,
-            units,
+            scopes,
             couriers: day.couriers.iter().map(|&zone| Courier::new(zone)).collect(),
             judge: Judge::default(),
             counts: Counts::default(),
@@ -208,7 +208,7 @@
             Event::ServiceDone { call } => self.service_done(now, call),
             Event::Answer { call, reply } => self.answer(now, call, reply),
             Event::Timeout { call } => self.timeout(now, call),
-            Event::CloseIdle { courier, endpoint } => self.sweep(now, courier as usize, endpoint),
+            Event::CloseIdle { courier, endpoint } => self.close_expired(now, courier as usize, endpoint),
             Event::Trouble { index, on } => self.trouble(now, index as usize, on),
             Event::TroublePulse { index, on } => self.pulse(now, index as usize, on),
             Event::Publish { change } => self.publish(now, change as usize),
@@ -230,13 +230,13 @@
         c.decider = Some((self.factory)(courier, settings));
         (c.alive, c.watching_list) = (true, false);
         c.turn_at = None;
-        self.first_list(courier);
+        self.queue_first_list(courier);
         let now = self.event_queue.now();
-        self.wake(courier, now);
+        self.schedule_turn(courier, now);
     }
 
     /// Sees to it that a courier has a turn at this time or earlier, but no earlier than the resolution allows.
-    pub fn wake(&mut self, courier: usize, at: Time) {
+    pub fn schedule_turn(&mut self, courier: usize, at: Time) {
         let resolution = self.day.settings.timer_resolution;
         let c = &mut self.couriers[courier];
         if !c.alive {
@@ -252,7 +252,7 @@
     pub fn push_input(&mut self, courier: usize, input: Input) {
         self.couriers[courier].inputs.push(input);
         let now = self.event_queue.now();
-        self.wake(courier, now);
+        self.schedule_turn(courier, now);
     }
 
     /// Whether something gets from one zone to another just now.
@@ -263,7 +263,7 @@
     /// How warm an endpoint is: part of its capacity.
     pub fn warmth(&self, endpoint: usize, now: Time) -> f64 {
         let p = &self.day.destinations[self.day.endpoints[endpoint].destination];
-        match self.endpoint_states[endpoint].cold_since {
+        match self.endpoint_states[endpoint].warming_since {
             Some(since) if p.cold > 0 && now < since + p.cold => {
                 p.cold_from + (1.0 - p.cold_from) * (now - since) as f64 / p.cold as f64
             }
@@ -273,41 +273,41 @@
 
     /// Calls a second that a unit can serve at the warmth that it has. A slowness that has come on top is left out: the
     /// rule on returning destinations is about what is cold, and no courier is told more of it.
-    pub fn current_capacity(&self, unit: usize, now: Time) -> f64 {
-        let well = self.units[unit].endpoints.iter().filter(|&&e| !self.endpoint_states[e].is_down());
+    pub fn current_capacity(&self, scope: usize, now: Time) -> f64 {
+        let well = self.scopes[scope].endpoints.iter().filter(|&&e| !self.endpoint_states[e].is_down());
         well.map(|&e| self.day.capacity(e) * self.warmth(e, now)).sum()
     }
 
     /// Whether a unit's limit has room for a call, `ahead` of them being on their way.
-    pub fn limit_has_room(&self, unit: usize, now: Time, ahead: usize) -> bool {
-        match self.day.destinations[self.units[unit].destination].limit {
+    pub fn limit_has_room(&self, scope: usize, now: Time, ahead: usize) -> bool {
+        match self.day.destinations[self.scopes[scope].destination].limit {
             Limit::None => true,
-            Limit::Rate => self.tokens(unit, now) >= 1.0 + ahead as f64,
-            Limit::Span => self.span_used(unit, now) + ahead as f64 + 1.0 <= self.span_allows(unit),
+            Limit::Rate => self.tokens(scope, now) >= 1.0 + ahead as f64,
+            Limit::Span => self.span_used(scope, now) + ahead as f64 + 1.0 <= self.span_allows(scope),
         }
     }
 
     /// Calls a second that a unit's limit allows just now.
-    pub fn rate(&self, unit: usize) -> f64 {
-        let u = &self.units[unit];
+    pub fn rate(&self, scope: usize) -> f64 {
+        let u = &self.scopes[scope];
         self.day.destinations[u.destination].rate * u.throttle
     }
 
     /// What is left of a plain rate.
-    pub fn tokens(&self, unit: usize, now: Time) -> f64 {
-        let (u, rate) = (&self.units[unit], self.rate(unit));
-        let gained = rate * (now - u.at) as f64 / SECOND as f64;
+    pub fn tokens(&self, scope: usize, now: Time) -> f64 {
+        let (u, rate) = (&self.scopes[scope], self.rate(scope));
+        let gained = rate * (now - u.tokens_at) as f64 / SECOND as f64;
         (u.tokens + gained).min(rate.max(1.0))
     }
 
     /// Calls that a span allows, and those that count in the present one.
-    pub fn span_allows(&self, unit: usize) -> f64 {
-        let span = self.day.destinations[self.units[unit].destination].span;
-        (self.rate(unit) * span as f64 / SECOND as f64).max(1.0)
+    pub fn span_allows(&self, scope: usize) -> f64 {
+        let span = self.day.destinations[self.scopes[scope].destination].span;
+        (self.rate(scope) * span as f64 / SECOND as f64).max(1.0)
     }
 
-    pub fn span_used(&self, unit: usize, now: Time) -> f64 {
-        let u = &self.units[unit];
+    pub fn span_used(&self, scope: usize, now: Time) -> f64 {
+        let u = &self.scopes[scope];
         if now / self.day.destinations[u.destination].span == u.span {
             u.used
         } else {
@@ -322,7 +322,7 @@
         let e = &self.day.endpoints[endpoint];
         let zone = self.couriers[courier].zone;
         let in_transit: usize =
-            self.units[state.unit].endpoints.iter().map(|&e| self.endpoint_states[e].in_transit).sum();
+            self.scopes[state.scope].endpoints.iter().map(|&e| self.endpoint_states[e].in_transit).sum();
         let waiting = state.queue.len() + state.in_transit;
         let bad = state.is_down() || state.shut > 0 || state.half_open > 0 || state.is_stalled();
         let struck = state.class_errors.iter().filter(|(c, _)| *c == class);
@@ -335,7 +335,7 @@
         let cut = !self.link_open(zone, e.zone) || !self.link_open(e.zone, zone);
         let kept = self.couriers[courier].idle.get(&(endpoint as u32)).is_some_and(|idle| !idle.is_empty());
         let barred = e.connections > 0 && state.connections >= e.connections && !kept;
-        if bad || full || barred || cut || sure <= 0.0 || !self.limit_has_room(state.unit, now, in_transit) {
+        if bad || full || barred || cut || sure <= 0.0 || !self.limit_has_room(state.scope, now, in_transit) {
             return None;
         }
         let ahead = (waiting + state.active.len()) as f64 / e.slots as f64;
--- a/crates/emulator/tests/thin.rs
+++ b/crates/emulator/tests/thin.rs
@@ -263,9 +263,9 @@
             self.messages += 1;
             self.failed += u64::from(failed);
             self.at_out += u64::from(outages().any(|o| (o.from..o.until).contains(&mail.created_at)));
-            if outages()
-                .all(|outage| outage.overlap(mail.created_at.saturating_sub(600 * SECOND), mail.due) == 0)
-            {
+            if outages().all(|outage| {
+                outage.overlap(mail.created_at.saturating_sub(600 * SECOND), mail.deadline) == 0
+            }) {
                 self.well += 1;
                 self.well_failed += u64::from(failed);
                 self.well_late += u64::from(mail.relayed_at.is_some_and(|at| at > mail.target));
