--- a/crates/emulator/src/calls.rs
+++ b/crates/emulator/src/calls.rs
@@ -1,4 +1,4 @@
-//! A call on its way: the connection stands, the first byte goes out, the answer comes back, or it is given up.
+//! The course of a call: the connection is made, the request is sent, and the answer arrives or times out.
 
 use meadowhold::interface::{Outcome, Time};
 
@@ -6,7 +6,7 @@
 use crate::world::World;
 
 impl World<'_> {
-    /// The connection stands: the courier asks once more whether the call may begin, then its first byte goes out.
+    /// The connection is open. The courier checks once more whether the call may start, then sends it.
     pub fn connected(&mut self, now: Time, call: u32) {
         if !self.is_awaited(call) {
             self.close_connection(call);
@@ -24,7 +24,7 @@
             self.calls[call as usize].phase = Phase::Ended;
             return;
         }
-        // A mail that turned out to be over while its connection was made is not sent.
+        // Mails that were closed while the connection was being made are not sent.
         let over: Vec<u32> = self.calls[call as usize]
             .connects
             .iter()
@@ -74,7 +74,7 @@
         }
     }
 
-    /// A call is there, or will not be.
+    /// A call has arrived at its endpoint, or no longer will.
     pub fn leave_transit(&mut self, call: u32) {
         let c = &mut self.calls[call as usize];
         if std::mem::take(&mut c.in_transit) {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The far side's reply sets out, if the way back stands.
+    /// Sends an endpoint's reply unless the link back to the courier is cut.
     pub fn send_reply(&mut self, now: Time, call: u32, reply: Reply, after: Time) {
         let c = &self.calls[call as usize];
         let zone = self.day.endpoints[c.endpoint as usize].zone;
@@ -122,7 +122,8 @@
         self.report_outcome(now, call, reply, |_| true);
     }
 
-    /// The time of some connects is up; once that of all is, the connection is closed and the call runs on unheard.
+    /// Some connects have timed out. Once all have, the connection is closed, and the call continues with
+    /// nobody waiting for it.
     pub fn timeout(&mut self, now: Time, call: u32) {
         if !self.is_awaited(call) {
             return;
@@ -136,7 +137,7 @@
         }
     }
 
-    /// A call's connection no longer counts at its endpoint.
+    /// Stops counting a call's connection at its endpoint.
     pub fn close_connection(&mut self, call: u32) {
         let c = &mut self.calls[call as usize];
         let state = &mut self.endpoint_states[c.endpoint as usize];
--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -1,5 +1,6 @@
-//! Mails come in by the day's own stream, whatever becomes of those before them; clients come again after a deferral
-//! or a death, and some hang up. The front chooses the courier and learns late which of them live.
+//! Clients. Mails arrive from the day's own random stream, independent of the fate of earlier ones. Clients
+//! hand mails in again after a deferral or a courier's crash, and some hang up. The front (a load balancer)
+//! chooses the courier and learns with a delay which couriers are alive.
 
 use meadowhold::interface::{AcceptedMail, Effect, Input, Time, SECOND};
 
@@ -9,13 +10,13 @@
 use crate::scenario::Shape;
 use crate::world::World;
 
-/// Mails of a clump come within this time.
+/// Time within which all mails of a clump arrive.
 const CLUMP_WITHIN: Time = SECOND / 20;
-/// A client that finds a dead courier so often gives up.
+/// Number of dead couriers after which a client gives up.
 const MAX_MISSES: u8 = 8;
 
 impl World<'_> {
-    /// Mails a second now, as a multiple of the day's mean.
+    /// The current arrival rate as a multiple of the day's mean.
     fn swing(&self, now: Time) -> f64 {
         let (m, t) = (&self.day.mails, now as f64 / self.day.length.max(1) as f64);
         let turn = std::f64::consts::TAU;
@@ -39,7 +40,7 @@
             self.event_queue.schedule(at, Event::NextArrival);
         }
         if now == 0 {
-            return; // the first gap counts from the start
+            return; // the first gap starts at time 0
         }
         let place = self.arrivals.unit() * self.traffic_sums.last().copied().unwrap_or(0.0);
         let destination =
@@ -64,7 +65,7 @@
 
     fn create_mail(&mut self, now: Time, destination: u32) {
         if now >= self.day.length {
-            return; // a clump that the day's end cuts off
+            return; // the day ends within a clump
         }
         let number = self.mails.len() as u32;
         let d = &mut Stream::new(self.day.seed, Purpose::Mail, u64::from(number));
@@ -74,7 +75,7 @@
         let short = d.chance(self.day.mails.short_lived);
         let part = if short { self.day.mails.short_part } else { 1.0 };
         let (any_zone, moved, key) = (d.below(self.day.zones.len()), d.unit(), d.unit());
-        // Some keys come far more often than others.
+        // Squaring the draw makes some keys far more frequent than others.
         let key = (key * key * self.day.mails.keys as f64) as u32;
         let shifted = self.zone_shifts.last().map(|&t| &self.day.troubles[t]).filter(|t| moved < t.size);
         let deadline = now + ((set.lifetime as f64 * part) as Time).max(1);
@@ -130,11 +131,12 @@
         let m = &self.mails[mail as usize];
         let all = self.couriers.len();
         let (any, near, hot) = (d.below(all), d.unit(), d.unit());
-        // From a place drawn on, the first that the front holds to be alive and that the call asks for.
+        // The first courier at or after a drawn start that the front believes alive and that satisfies
+        // `fits`.
         let from = |start: usize, fits: &dyn Fn(usize) -> bool| {
             (0..all).map(|i| (start + i) % all).find(|&c| self.front_alive[c] && fits(c))
         };
-        // Mails of a key go to one courier for as long as it lives.
+        // All mails of a key go to the same courier while it is alive.
         if let Some(key) = m.key {
             return from(key as usize % all, &|_| true).unwrap_or(any);
         }
@@ -158,7 +160,7 @@
         }
         let pause = self.day.mails.pause;
         if !c.alive {
-            // Nobody took it: this spends none of the client's tries.
+            // No courier accepted the mail, so this does not count as one of the client's tries.
             let m = &mut self.mails[mail as usize];
             m.misses += 1;
             if m.misses < MAX_MISSES {
@@ -189,7 +191,7 @@
         self.give_to_decider(courier as usize, mail);
     }
 
-    /// A mail goes to the decider: just taken, or owed by an earlier process.
+    /// Passes a mail to the decider: newly accepted, or taken over from an earlier process.
     pub fn give_to_decider(&mut self, courier: usize, mail: u32) {
         let m = &self.mails[mail as usize];
         if let Some(key) = m.key {
@@ -224,7 +226,7 @@
         self.push_input(courier, Input::ClientGone { mail: index });
     }
 
-    /// A mail has its final answer (or its client is gone): the judge looks, the client acts on it.
+    /// Records the final answer of a mail (or that its client has gone) and has the judge check it.
     pub fn finish(&mut self, now: Time, mail: u32, answer: Answer) {
         let grace = self.day.answer_grace;
         let m = &mut self.mails[mail as usize];
@@ -240,8 +242,8 @@
         if answer == Answer::Relayed && m.relayed_at.is_none() {
             m.relayed_at = Some(now);
         }
-        // What an earlier process took and a later one still owes may come after its time.
-        // So may what fell due while its courier's clock stood still.
+        // A mail that a later process took over may be answered after its deadline, and so may one whose
+        // deadline passed while its courier's clock stood still.
         let deadline_seen = deadline.max(c.paused_until.min(now));
         let late = now > deadline_seen + grace && m.accepted_at >= c.started && answer != Answer::HungUp;
         self.trace.note(now, mail, || format!("{answer:?} by courier {courier}").to_lowercase());
@@ -260,7 +262,7 @@
         self.leave_key_queue(mail);
     }
 
-    /// A mail that is over and has no connect out no longer holds up those of its key.
+    /// A closed mail with no connect in flight no longer blocks later mails of its key.
     pub fn leave_key_queue(&mut self, mail: u32) {
         let m = &self.mails[mail as usize];
         if let (Some(key), None) = (m.key, m.active_call) {
@@ -270,7 +272,8 @@
         }
     }
 
-    /// After a deferral, or a door that was shut: the client comes again, if it has a try and time left.
+    /// After a deferral or a rejection for lack of room, the client hands the mail in again if it has tries
+    /// and time left.
     pub fn schedule_retry(&mut self, now: Time, mail: u32, named: Time) {
         let m = &mut self.mails[mail as usize];
         let index = u64::from(mail) << 8 | u64::from(m.tries) << 4 | 15;
@@ -281,8 +284,9 @@
         m.stage = Stage::Closed;
         let set = &self.day.classes[usize::from(m.class)].settings;
         if set.effect == Effect::Tagged && self.day.mails.careful {
-            // It may have run, for all the client knows: it comes inside the window alone, with no more time than that,
-            // less what making a connection may take: a courier does not know that it is a repeat.
+            // The client cannot know whether the mail has run, so it comes back only within the deduplication
+            // window, with a deadline inside it. The connection timeout is subtracted because the courier
+            // does not know that this is a repeat.
             let spare = self.day.settings.connection_timeout;
             m.deadline = m.deadline.min((m.created_at + set.dedup_window).saturating_sub(spare));
         }
@@ -292,7 +296,8 @@
         }
     }
 
-    /// What a dead courier held without a journal comes again, unless it may have run and may not be repeated.
+    /// Mails that a crashed courier held without a journal are handed in again, unless they may have run and
+    /// must not be repeated.
     pub fn resubmit_after_crash(&mut self, now: Time, mail: u32) {
         let pause = self.day.mails.after_death;
         let m = &mut self.mails[mail as usize];
@@ -305,7 +310,7 @@
         }
     }
 
-    /// At the end of the day each mail that was taken must be over.
+    /// At the end of the day every accepted mail must be closed.
     pub fn close(&mut self) {
         let now = self.event_queue.now();
         for mail in 0..self.mails.len() as u32 {
--- a/crates/emulator/src/judge.rs
+++ b/crates/emulator/src/judge.rs
@@ -1,5 +1,5 @@
-//! The six rules as hard checks. The judge is told what was taken, sent, effected and answered, and what each courier
-//! was told and when; it believes nothing that a decider says of itself.
+//! Checks the six rules. The judge is told what was accepted, sent, executed and answered, and what each
+//! courier was told and when. It does not rely on anything a decider reports about itself.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// No mail is lost: one final answer each, before its time is up, and nothing sent after it.
+    /// Each mail gets exactly one final answer, before its deadline, and is not sent after it.
     NoMailLost,
     NoEffectTwice,
     DrainsKept,
@@ -18,7 +18,7 @@
     WaitsHeeded,
 }
 
-/// A broken rule: the mail (or one of the call's), when, and what happened.
+/// A violation of a rule: the mail concerned (or one of the call's), the time, and a description.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Broken {
     pub rule: Rule,
@@ -29,7 +29,8 @@
     pub words: String,
 }
 
-/// Mails of one key at one courier that are not over, or have a connect out, in the order in which it took them.
+/// Mails of one key at one courier that are not closed or have a connect in flight, in the order of
+/// acceptance.
 #[derive(Default)]
 struct KeyQueue {
     mails: VecDeque<u32>,
@@ -39,16 +40,16 @@
 #[derive(Default)]
 pub struct Judge {
     pub broken: Vec<Broken>,
-    /// How often a rule was broken; `broken` keeps the first few.
+    /// Number of violations; `broken` keeps only the first `MAX_BROKEN_KEPT`.
     pub count: usize,
-    /// Courier and unit, or endpoint, or key. All are looked up, never walked.
+    /// By courier, and by scope, endpoint or key. Never iterated, so the hash order cannot influence a run.
     waits: HashMap<(u32, usize), (u32, Time)>,
     draining: HashMap<(u32, usize), (u32, Time)>,
     outages_seen: HashMap<(u32, usize), u32>,
     key_queues: HashMap<(u32, u32), KeyQueue>,
 }
 
-/// Broken rules that are kept in full; further ones are counted.
+/// Number of violations that are kept in full; later ones are only counted.
 const MAX_BROKEN_KEPT: usize = 20;
 
 impl Judge {
@@ -59,14 +60,14 @@
         }
     }
 
-    /// A courier's process has read that it is to leave a unit alone.
+    /// A courier's process has read that it must not call a scope before `until`.
     pub fn wait_read(&mut self, courier: u32, process: u32, scope: usize, until: Time) {
         let told = self.waits.entry((courier, scope)).or_insert((process, until));
-        // Told waits end with the process that was told.
+        // A wait applies only to the process that was told of it.
         *told = if told.0 == process { (process, told.1.max(until)) } else { (process, until) };
     }
 
-    /// A courier's process has read that an endpoint drains or is gone, or is ready (again).
+    /// A courier's process has read that an endpoint is draining or removed, or ready (again).
     pub fn status_read(&mut self, courier: u32, process: u32, endpoint: usize, ready: bool, now: Time) {
         if ready {
             self.draining.remove(&(courier, endpoint));
@@ -76,7 +77,7 @@
         }
     }
 
-    /// A courier saw a call fail or be refused at a unit in this outage of it.
+    /// A courier saw a call fail or be refused at a scope during this outage.
     pub fn saw_outage(&mut self, courier: u32, scope: usize, outage: u32) {
         self.outages_seen.insert((courier, scope), outage);
     }
@@ -85,7 +86,7 @@
         self.outages_seen.get(&(courier, scope)) == Some(&outage)
     }
 
-    /// The first byte of a call goes out.
+    /// The first byte of a call is sent.
     pub fn sent(
         &mut self,
         (courier, process): (u32, u32),
@@ -118,20 +119,22 @@
         self.key_queues.entry((courier, key)).or_default().mails.push_back(mail);
     }
 
-    /// A mail is over and has no connect out.
+    /// A mail is closed and has no connect in flight.
     pub fn dequeue(&mut self, courier: u32, key: u32, mail: u32) {
         if let Some(line) = self.key_queues.get_mut(&(courier, key)) {
             line.mails.retain(|&m| m != mail);
         }
     }
 
-    /// A connect ended in a way that may leave it running.
+    /// A connect ended but may still be running at the endpoint, so first connects of its key wait until
+    /// `until`.
     pub fn hold_key(&mut self, courier: u32, key: u32, until: Time) {
         let line = self.key_queues.entry((courier, key)).or_default();
         line.hold_until = line.hold_until.max(until);
     }
 
-    /// The courier's process has ended; what it held in line comes back as it is taken up again, or not at all.
+    /// The courier's process has ended. Its mails are queued again when a new process takes them over, if it
+    /// does.
     pub fn clear_key(&mut self, courier: u32, key: u32) {
         if let Some(line) = self.key_queues.get_mut(&(courier, key)) {
             line.mails.clear();
--- a/crates/emulator/src/listing.rs
+++ b/crates/emulator/src/listing.rs
@@ -1,5 +1,5 @@
-//! The list of endpoints: what is true gets on it late, couriers hear of it later still, and troubles make it lag,
-//! stall, lie or come empty.
+//! The list of endpoints. Changes are published after a lag, and couriers receive them later still. Troubles
+//! delay, stall, falsify or empty the list.
 
 use meadowhold::interface::{EndpointStatus, Input, ListEntry, Time, SECOND};
 
@@ -10,12 +10,12 @@
 
 #[derive(Default)]
 pub struct List {
-    /// True changes, in order, and those that wait for the list to go on.
+    /// Actual changes in order, and the indices of those held back by a stall.
     changes: Vec<(usize, EndpointStatus)>,
     waiting: Vec<usize>,
-    /// What was published, in order; couriers hear of it up to a point.
+    /// Published changes in order; each courier has received a prefix of them.
     log: Vec<(usize, EndpointStatus)>,
-    /// Troubles under way: further seconds behind, and stalls.
+    /// Sum of the delays, and number of the stalls, of active troubles.
     pub lag: Time,
     pub stalls: u16,
 }
@@ -34,7 +34,7 @@
         })
     }
 
-    /// What is published of each endpoint just now, in the order of the endpoints.
+    /// The complete list as published now, in the order of the endpoints.
     pub fn full_list(&self) -> Vec<Input> {
         let mut lives: Vec<Option<EndpointStatus>> =
             self.day.endpoints.iter().map(|e| (!e.newcomer).then_some(EndpointStatus::Ready)).collect();
@@ -46,13 +46,13 @@
         begin.chain(entries).chain(std::iter::once(Input::ListEnd)).collect()
     }
 
-    /// A new process hears the list first, unless it has to ask.
+    /// Sends the list to a new process, unless it has to request it.
     pub fn queue_first_list(&mut self, courier: usize) {
         self.couriers[courier].list_position = self.list.log.len();
         self.couriers[courier].full_list_due = self.day.list_mode == ListMode::Push;
     }
 
-    /// An endpoint's life has changed: it will be on the list.
+    /// The status of an endpoint has changed; the list will show it after its lag.
     pub fn record_change(&mut self, now: Time, endpoint: usize, life: EndpointStatus) {
         self.list.changes.push((endpoint, life));
         let change = self.list.changes.len() as u32 - 1;
@@ -69,7 +69,7 @@
         self.announce(now, endpoint, life);
     }
 
-    /// Something stands on the list, true or not, and couriers hear of it one after the other.
+    /// Publishes a status, true or not; couriers receive it one after the other.
     pub fn announce(&mut self, now: Time, endpoint: usize, life: EndpointStatus) {
         self.list.log.push((endpoint, life));
         let upto = self.list.log.len() as u32;
@@ -92,7 +92,7 @@
             return;
         }
         if self.list.stalls > 0 {
-            // It was on its way when the list fell silent: it comes once that is over.
+            // The update was in flight when the list stalled; it is delivered after the stall.
             self.event_queue.schedule(
                 now + SECOND / 2,
                 Event::ListUpdate { courier: courier as u32, process, upto: upto as u32 },
@@ -131,14 +131,14 @@
         self.schedule_turn(courier, now);
     }
 
-    /// The list goes on after a stall.
+    /// Publishes what a stall held back.
     pub fn resume_list(&mut self, now: Time) {
         for change in std::mem::take(&mut self.list.waiting) {
             self.publish(now, change);
         }
     }
 
-    /// All couriers are told that the list is empty, or all of it anew.
+    /// Sends all couriers an empty list, or the complete one.
     pub fn resend_list(&mut self, now: Time, empty: bool) {
         for courier in 0..self.couriers.len() {
             if !self.couriers[courier].alive {
@@ -155,7 +155,8 @@
         }
     }
 
-    /// A whole list leaves out what is gone: the judge holds the courier to that too.
+    /// Endpoints missing from a complete list count as removed; the judge records that the courier has read
+    /// it.
     pub fn judge_unnamed(&mut self, now: Time, courier: usize, inputs: &[Input]) {
         let begin =
             inputs.iter().rposition(|i| matches!(i, Input::ListBegin { complete: true })).unwrap_or(0);
--- a/crates/emulator/src/parts.rs
+++ b/crates/emulator/src/parts.rs
@@ -1,4 +1,4 @@
-//! What the world is made of while a day runs: mails, calls, sites, units, couriers, events. Nothing happens here.
+//! The data types of a running day: mails, calls, endpoint states, limit scopes, couriers and events.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -6,7 +6,8 @@
 
 use crate::decider::Decider;
 
-/// An endpoint's process at work, and what troubles do to it just now. Troubles add up, so each is a count or a factor.
+/// The process behind an endpoint and the troubles that affect it. Troubles overlap, so each is a count or a
+/// factor.
 #[derive(Debug)]
 pub struct EndpointState {
     pub scope: usize,
@@ -22,20 +23,20 @@
     pub resets: f64,
     pub lost: f64,
     pub idle_close: Option<Time>,
-    /// Left for good: drained, or replaced.
+    /// Permanently gone: drained or replaced.
     pub removed: bool,
-    /// Pushed over: it stays down.
+    /// Overloaded while cold; it stays down.
     pub overloaded: bool,
-    /// Since when it warms up.
+    /// When its warm-up started.
     pub warming_since: Option<Time>,
-    /// Calls that are being served, that wait, and that stand still.
+    /// Calls being served, queued, and finished but stalled.
     pub active: Vec<u32>,
     pub queue: VecDeque<u32>,
     pub stalled_calls: Vec<u32>,
-    /// Calls on their way here.
+    /// Calls on their way to this endpoint.
     pub in_transit: usize,
     pub connections: usize,
-    /// The process's number: connections to an earlier one are closed.
+    /// Number of the process; connections to an earlier one are closed.
     pub incarnation: u32,
 }
 
@@ -67,17 +68,18 @@
         }
     }
 
-    /// It refuses connections.
+    /// Whether it refuses connections.
     pub fn is_down(&self) -> bool {
         self.down > 0 || self.removed || self.overloaded
     }
 
-    /// It takes calls and goes on with none.
+    /// Whether it accepts calls without making progress.
     pub fn is_stalled(&self) -> bool {
         self.hung > 0 || self.paused > 0
     }
 
-    /// In the words of the rule on returning destinations: down, silent, hung, shut, or most calls failing.
+    /// Whether the rule on returning destinations counts it as out: down, silent, hung, shut, or with most
+    /// calls failing.
     pub fn is_out(&self) -> bool {
         self.is_down()
             || self.hung > 0
@@ -88,23 +90,24 @@
     }
 }
 
-/// What is limited, has outages and tells waits on its own: a destination, or a route apart.
+/// The unit to which limits, outages and told waits apply: a destination, or a single endpoint where limits
+/// are per endpoint.
 #[derive(Debug, Default)]
 pub struct LimitScope {
     pub destination: usize,
     pub endpoints: Vec<usize>,
-    /// What is left of a plain rate, and when that was reckoned.
+    /// Tokens left under a limit of kind `Rate`, and when they were computed.
     pub tokens: f64,
     pub tokens_at: Time,
-    /// The present span, and the calls that count in it.
+    /// The current span, and the calls counted in it.
     pub span: Time,
     pub used: f64,
     pub throttle: f64,
     pub in_outage: bool,
-    /// End of the last outage, its number, and which couriers saw a call fail or be refused in it.
+    /// End of the last outage, and its number.
     pub returned_at: Option<Time>,
     pub outage: u32,
-    /// Work sent to it of late while cold: when, how much, by a courier that had seen the outage.
+    /// Recent load while cold: time, amount, and whether its courier had seen the outage.
     pub recent_load: VecDeque<(Time, f64, bool)>,
     pub recent_work: f64,
     pub informed_work: f64,
@@ -112,11 +115,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Its client waits to hand it in (again).
+    /// With its client, waiting to be handed in (again).
     WithClient,
-    /// A courier has taken it on.
+    /// Accepted by a courier.
     Accepted,
-    /// It will not come again.
+    /// Will not be handed in again.
     Closed,
 }
 
@@ -125,7 +128,7 @@
     Relayed,
     Deferred,
     Bounced,
-    /// The client hung up: nothing more is owed.
+    /// The client hung up; no answer is owed any more.
     HungUp,
 }
 
@@ -143,19 +146,19 @@
     /// Its index at the courier.
     pub index: u32,
     pub accepted_at: Time,
-    /// Times handed in, and times that a dead courier was found instead.
+    /// Number of times handed in, and number of times a dead courier was found instead.
     pub tries: u8,
     pub misses: u8,
-    /// Connects of this taking, and send and zone of the first that may have run.
+    /// Connects since it was accepted, and send time and zone of the first that may have run.
     pub connects: u16,
     pub first_run: Option<(Time, u16)>,
-    /// The call that is out for it.
+    /// The call in flight for it.
     pub active_call: Option<u32>,
-    /// Its place in the order of its key.
+    /// Its position in the order of acceptance, which is the order within its key.
     pub accept_number: u64,
-    /// Effects at the destination, for what must not have two.
+    /// Effects at the destination, for mails that must have at most one.
     pub effects: u8,
-    /// Final answers of this taking.
+    /// Final answers since it was accepted.
     pub answers: u8,
     pub relayed_at: Option<Time>,
 }
@@ -164,17 +167,18 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Connect {
     pub mail: u32,
-    /// When its courier gives the answer up.
+    /// When the courier stops waiting for the answer.
     pub timeout_at: Time,
-    /// The courier has its outcome.
+    /// Whether the courier has been given the outcome.
     pub reported: bool,
-    /// How often the destination had forgotten its key when it came: what falls within one time is one effect.
+    /// Number of the deduplication window in which it arrived; effects within one window count once.
     pub window: u8,
-    /// The destination knew it when it came.
+    /// Whether the destination recognized it as a repeat.
     pub repeat: bool,
 }
 
-/// What a destination knows of a key: when it came first in this era, and the eras that had their effect, a bit each.
+/// A destination's memory of an idempotency key: start of its present window, number of that window, and a
+/// bit for each window in which it had its effect.
 #[derive(Clone, Copy, Debug)]
 pub struct DedupEntry {
     pub since: Time,
@@ -188,7 +192,7 @@
     InTransit,
     Waiting,
     Served,
-    /// Broken or lost on the far side.
+    /// Broken, or lost at the endpoint.
     Lost,
     Ended,
 }
@@ -201,22 +205,22 @@
     pub connects: Vec<Connect>,
     pub started: Time,
     pub reused: bool,
-    /// The courier still waits for something of it.
+    /// Whether the courier still waits for an outcome.
     pub open: bool,
     pub phase: Phase,
-    /// Journeys there and back.
+    /// Network latency to the endpoint and back.
     pub latency: [Time; 2],
-    /// Number of the site's process that it was connected to, and whether its connection counts there.
+    /// Number of the endpoint's process that it is connected to, and whether its connection counts there.
     pub incarnation: u32,
     pub connected: bool,
-    /// It is on its way, connecting included.
+    /// Whether it is on its way, including the making of the connection.
     pub in_transit: bool,
-    /// Since when its kept connection had been idle.
+    /// When the reused connection became idle.
     pub idle_since: Time,
     pub work: f64,
 }
 
-/// What comes back to a courier.
+/// What an endpoint sends back to a courier.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reply {
     pub outcome: Outcome,
@@ -242,28 +246,29 @@
     pub alive: bool,
     /// Number of its process, from 0.
     pub process: u32,
-    /// When that began.
+    /// When that process started.
     pub started: Time,
     pub decider: Option<Box<dyn Decider>>,
     pub inputs: Vec<Input>,
-    /// Its next turn begins with the whole list; made only then, for a list to each courier of thousands fills memory.
+    /// The next turn starts with the complete list. It is built only then, because a list for each of
+    /// thousands of couriers would take too much memory.
     pub full_list_due: bool,
     pub turn_at: Option<Time>,
     pub last_turn: Option<Time>,
-    /// Mails by index, and indices that are free.
+    /// Mails by index, and free indices.
     pub mails: Vec<u32>,
     pub free: Vec<u32>,
-    /// Mails owed an answer, and calls out.
+    /// Mails without a final answer, and calls in flight.
     pub open: usize,
     pub calls_in_flight: usize,
     pub idle: HashMap<u32, Vec<Idle>>,
-    /// Owed mails of a dead process, in the order in which they were taken.
+    /// Mails of an ended process that its successor takes over, in the order of acceptance.
     pub owed: Vec<u32>,
-    /// Keys whose connects may be running on, and since when, as the journal has them.
+    /// Keys whose connects may still be running, and since when, as recorded in the journal.
     pub held_keys: Vec<(u32, Time)>,
-    /// No turn before this: its clock stands still.
+    /// No turns before this time, because the courier's clock stands still.
     pub paused_until: Time,
-    /// Changes of the list that it has heard of.
+    /// Number of published list changes that it has received.
     pub list_position: usize,
     pub watching_list: bool,
     pub peak_out: usize,
@@ -295,7 +300,7 @@
         }
     }
 
-    /// The index that a mail gets here.
+    /// Assigns an index to a mail.
     pub fn enter(&mut self, mail: u32) -> u32 {
         if let Some(index) = self.free.pop() {
             self.mails[index as usize] = mail;
@@ -310,9 +315,9 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
-    /// The next mail of the day's stream.
+    /// The next arrival of the day's random stream.
     NextArrival,
-    /// A mail of a clump.
+    /// A further mail of a clump.
     Clump {
         destination: u32,
         left: u32,
@@ -388,7 +393,7 @@
     Sample,
 }
 
-/// What a courier is told at its next turn of one connect's connect.
+/// The input that tells a courier the outcome of one connect.
 pub fn ended(index: usize, reply: &Reply, over: bool, took: Time, kept: bool) -> Input {
     Input::ConnectResult(ConnectResult {
         mail: index,
--- a/crates/emulator/src/serving.rs
+++ b/crates/emulator/src/serving.rs
@@ -1,5 +1,5 @@
-//! What a destination does with a call: takes it on, lets it wait, refuses it, fails it, loses it; serves it and counts the
-//! effects. What is sent to one that is back from an outage is weighed here, and may push it over.
+//! How a destination handles a call: serve, queue, refuse, fail or lose it, and count its effects. The load
+//! on a destination that returns from an outage is measured here and can overload it.
 
 use meadowhold::interface::{Effect, LimitReport, Outcome, Time, SECOND};
 
@@ -9,17 +9,18 @@
 use crate::scenario::Limit;
 use crate::world::World;
 
-/// Time of a call that fails quickly, and of an answer that refuses one.
+/// Time until a call fails quickly; a refusal takes a quarter of it.
 const QUICK_ANSWER: Time = SECOND / 50;
-/// Share of quick failures that come after the effect.
+/// Share of quick failures that happen after the effect.
 const FAILED_AFTER_EFFECT: f64 = 0.1;
-/// Share of the work that knowing a repeat takes.
+/// Work of a recognized repeat relative to a first delivery.
 const REPEAT_WORK: f64 = 0.05;
-/// Ratio of deviation to mean of the time that one mail takes from connect to connect.
+/// Coefficient of variation of the service time between connects of one mail.
 const CONNECT_NOISE: f64 = 0.25;
-/// Calls by which chance may pass the bound on what a cold unit is sent.
+/// Calls by which the load on a cold scope may exceed its bound by chance.
 const OVERLOAD_SLACK: f64 = 2.0;
-/// Part of the pushing load that must come from couriers that had seen the outage, for the rule to be broken.
+/// The rule counts as broken only if at least this part of the load came from couriers that had seen the
+/// outage.
 const MIN_INFORMED_PART: f64 = 2.0 / 3.0;
 
 impl World<'_> {
@@ -31,7 +32,7 @@
         Stream::new(self.day.seed, purpose, u64::from(mail) << 16 | connects << 8 | tries)
     }
 
-    /// A call arrives.
+    /// A call arrives at its endpoint.
     pub fn call_arrives(&mut self, now: Time, call: u32) {
         let endpoint = self.calls[call as usize].endpoint as usize;
         self.leave_transit(call);
@@ -82,14 +83,14 @@
             state.queue.push_back(call);
             self.mark_repeats(now, call);
         } else if still {
-            // It hears nobody: what finds no room is dropped, and nobody is told.
+            // A stalled endpoint sends no refusal: a call that finds no room is dropped silently.
             self.calls[call as usize].phase = Phase::Lost;
         } else {
             self.refuse(now, call, 0);
         }
     }
 
-    /// The limit's word on one call; refused calls may use it up too.
+    /// Whether the limit admits one call; refused calls may count against it too.
     fn admit(&mut self, now: Time, endpoint: usize) -> bool {
         let scope = self.endpoint_states[endpoint].scope;
         let (rate, tokens, allowed) = (self.rate(scope), self.tokens(scope, now), self.span_allows(scope));
@@ -108,7 +109,7 @@
             Limit::Span => {
                 let span = now / p.span;
                 if span != u.span {
-                    // Refused calls are carried over into the next span, up to half of what it allows.
+                    // Refused calls carry over into the next span, up to half of its allowance.
                     let over = if span == u.span + 1 { (u.used - allowed).max(0.0) } else { 0.0 };
                     (u.span, u.used) = (span, over.min(allowed / 2.0));
                 }
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Time until the limit has room again, as a refusal would tell it.
+    /// Time until the limit has room again, as told in a refusal.
     fn retry_after(&self, now: Time, endpoint: usize) -> Time {
         let scope = self.endpoint_states[endpoint].scope;
         let p = &self.day.destinations[self.scopes[scope].destination];
@@ -153,10 +154,10 @@
         (self.day.told_limits && p.limit != Limit::None).then_some(LimitReport { remaining: left, limit })
     }
 
-    /// Troubles that fail a call or break it; whether one did.
+    /// Fails or breaks a call as active troubles demand; returns whether it did.
     fn inject_failure(&mut self, now: Time, call: u32, endpoint: usize) -> bool {
         let d = &mut self.chance_of(call, Purpose::Answer);
-        d.unit(); // the draw that `refuse` would have taken
+        d.unit(); // skips the draw that `refuse` takes from the same stream
         let p = &self.day.destinations[self.day.endpoints[endpoint].destination];
         let state = &self.endpoint_states[endpoint];
         let strikes = |class: usize| {
@@ -182,7 +183,8 @@
         true
     }
 
-    /// The destination looks which of a call's mails it knows, as the call comes in: a repeat within the window is dropped.
+    /// Marks those mails of an arriving call that the destination recognizes as repeats within the
+    /// deduplication window.
     fn mark_repeats(&mut self, now: Time, call: u32) {
         let zone = self.day.endpoints[self.calls[call as usize].endpoint as usize].zone;
         for i in 0..self.calls[call as usize].connects.len() {
@@ -193,7 +195,7 @@
             }
             let place = (mail, if set.dedup_by_zone { zone } else { 0 });
             let known = self.dedup.entry(place).or_insert(DedupEntry { since: now, window: 0, done: 0 });
-            // Its first connect finds it new; what comes after the window finds it forgotten.
+            // The first connect creates the entry; after the window the entry starts anew.
             let repeat = known.since < now && now <= known.since + set.dedup_window;
             if now > known.since + set.dedup_window {
                 (known.since, known.window) = (now, (known.window + 1).min(31));
@@ -266,14 +268,14 @@
         }
     }
 
-    /// Whether a tagged mail has had its effect in the present era of its key: then a repeat costs next to nothing.
+    /// Whether a tagged mail has already had its effect in the present window, which makes a repeat cheap.
     fn has_effect(&self, mail: u32, endpoint: usize) -> bool {
         let set = &self.day.classes[usize::from(self.mails[mail as usize].class)].settings;
         let place = (mail, if set.dedup_by_zone { self.day.endpoints[endpoint].zone } else { 0 });
         self.dedup.get(&place).is_some_and(|known| known.done >> known.window & 1 == 1)
     }
 
-    /// The effects of a served call, counted at the destination and not believed of anybody.
+    /// Counts the effects of a served call at the destination, independent of what couriers report.
     pub fn effects(&mut self, now: Time, call: u32) {
         let zone = self.day.endpoints[self.calls[call as usize].endpoint as usize].zone;
         for i in 0..self.calls[call as usize].connects.len() {
@@ -307,7 +309,8 @@
         }
     }
 
-    /// Weighs what is sent to a unit that is back from an outage and not warm yet.
+    /// Measures the load sent to a scope that is back from an outage but still cold, and overloads it above
+    /// the bound.
     fn check_overload(&mut self, now: Time, call: u32, endpoint: usize, load: f64) {
         let scope = self.endpoint_states[endpoint].scope;
         let u = &self.scopes[scope];
@@ -350,7 +353,8 @@
         }
     }
 
-    /// A process ends: what it was at is broken off, half of what was being served after its effect.
+    /// The endpoint's process ends: its calls are broken off, about half of those being served after their
+    /// effect.
     pub fn crash(&mut self, now: Time, endpoint: usize) {
         let state = &mut self.endpoint_states[endpoint];
         state.incarnation += 1;
--- a/crates/emulator/src/troubles.rs
+++ b/crates/emulator/src/troubles.rs
@@ -1,4 +1,4 @@
-//! Troubles begin and end. Each takes back exactly what it did, so that any number of them may overlap.
+//! Applies and ends troubles. Each one undoes exactly what it applied, so any number of them may overlap.
 
 use meadowhold::interface::{EndpointStatus, Time, SECOND};
 
@@ -6,7 +6,7 @@
 use crate::scenario::What;
 use crate::world::World;
 
-/// Pauses come this often.
+/// Interval between pauses.
 const PAUSE_EVERY: Time = SECOND;
 
 impl World<'_> {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// What a trouble does to one endpoint.
+    /// Applies a trouble to one endpoint, or ends it there.
     fn apply_to_endpoint(&mut self, now: Time, index: usize, endpoint: usize, on: bool) {
         let day = self.day.clone();
         let t = &day.troubles[index];
@@ -107,7 +107,7 @@
             What::HalfOpen => step(&mut state.half_open),
             What::IdleClose => state.idle_close = on.then_some((t.size * SECOND as f64) as Time),
             What::Throttle => {
-                // Once for each unit, however many of its endpoints are struck.
+                // Once for each scope, however many of its endpoints are affected.
                 let scope = state.scope;
                 let first = t.endpoints.iter().find(|&&e| self.endpoint_states[e].scope == scope);
                 if first == Some(&endpoint) {
@@ -127,7 +127,7 @@
         self.update_outage(now, scope);
     }
 
-    /// What stood still is done now, and what waited begins.
+    /// Finishes calls that were stalled and starts queued ones.
     fn resume_endpoint(&mut self, now: Time, endpoint: usize) {
         for call in std::mem::take(&mut self.endpoint_states[endpoint].stalled_calls) {
             self.service_done(now, call);
@@ -135,7 +135,7 @@
         self.next_in_queue(now, endpoint);
     }
 
-    /// Whether a unit is out, in the words of the rule; once it is back it is cold.
+    /// Updates whether a scope is in an outage as the rule defines it; a scope that returns is cold.
     pub fn update_outage(&mut self, now: Time, scope: usize) {
         let there = self.scopes[scope].endpoints.iter().filter(|&&e| !self.endpoint_states[e].removed);
         let (mut all, mut out) = (0, 0);
@@ -162,7 +162,7 @@
         self.trace.mark(now, 31, [scope as u32, u32::from(is_out)]);
     }
 
-    /// Troubles that come and go by themselves while they last.
+    /// Troubles that start and stop repeatedly while they last.
     pub fn pulse(&mut self, now: Time, index: usize, on: bool) {
         let day = self.day.clone();
         let t = &day.troubles[index];
@@ -179,7 +179,7 @@
         self.event_queue.schedule(at.max(now + 1), Event::TroublePulse { index: index as u32, on: !on });
     }
 
-    /// Endpoints drain and then go; where they are replaced, newcomers stand beside them, cold.
+    /// Endpoints drain and are then removed; with `Replace`, cold replacements are added at the same time.
     fn replace(&mut self, now: Time, index: usize, on: bool) {
         let day = self.day.clone();
         let t = &day.troubles[index];
--- a/crates/emulator/src/turns.rs
+++ b/crates/emulator/src/turns.rs
@@ -1,5 +1,5 @@
-//! A courier's turn: what came in goes to its decider, what that wants is carried out as a real courier would. Here a
-//! courier also dies, and comes back with its journal or without.
+//! A courier's turn: its inputs go to its decider, and the resulting actions are carried out as a real
+//! courier would. Also crashes of couriers and their restart, with or without a journal.
 
 use meadowhold::interface::{Action, Input, Outcome, Time};
 
@@ -8,9 +8,9 @@
 use crate::parts::{Answer, Call, Connect, Event, Idle, Phase, Reply, Stage};
 use crate::world::World;
 
-/// Room for inputs that a courier keeps from turn to turn.
+/// Capacity of the input buffer that a courier keeps between turns.
 const KEPT_INPUT_CAPACITY: usize = 256;
-/// Idle connections of a courier to one endpoint, at most.
+/// Maximum number of idle connections of a courier to one endpoint.
 const MAX_IDLE_CONNECTIONS: usize = 64;
 
 impl World<'_> {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// What the courier is told from here on, as the judge has to know it.
+    /// Tells the judge what the courier knows from this turn on.
     fn record_inputs(&mut self, now: Time, courier: usize, inputs: &[Input]) {
         let process = self.couriers[courier].process;
         let mut whole = false;
@@ -122,7 +122,8 @@
         }
     }
 
-    /// Guards the judge against answers for mails that are with somebody else by now: a second answer is a broken rule.
+    /// Whether the courier holds this mail. An answer for any other mail would be a second one, which breaks
+    /// a rule.
     fn check_held(&mut self, courier: usize, mail: u32, now: Time) -> bool {
         let m = &self.mails[mail as usize];
         let held = m.stage == Stage::Accepted && m.courier == courier as u32;
@@ -133,7 +134,7 @@
         held
     }
 
-    /// Puts a mail into a call of this turn to the endpoint, or begins one.
+    /// Adds a mail to a call to the endpoint that was started in this turn, or starts one.
     fn add_to_call(&mut self, now: Time, courier: usize, first: usize, order: (u32, usize, Time, bool)) {
         let (mail, endpoint, timeout, fresh) = order;
         let m = &self.mails[mail as usize];
@@ -164,7 +165,7 @@
                 endpoint: endpoint as u32,
                 connects: Vec::new(),
                 started: now,
-                reused: true, // until a connection is found: whether a kept one may be used
+                reused: true, // until a connection is chosen: whether an idle one may be used
                 open: true,
                 phase: Phase::Connecting,
                 latency: way,
@@ -175,7 +176,7 @@
                 work: 0.0,
             });
         }
-        // One connect that must not go on a kept connection has its whole call go on a new one.
+        // If one connect requires a new connection, the whole call uses a new one.
         self.calls[call].reused &= !fresh;
         self.calls[call].connects.push(connect);
         self.mails[mail as usize].active_call = Some(call as u32);
@@ -184,12 +185,12 @@
             .note(now, mail, || format!("courier {courier} decides on a connect to endpoint {endpoint}"));
     }
 
-    /// A call finds a kept connection, or begins to make one.
+    /// Uses an idle connection for a call, or opens a new one.
     fn start_call(&mut self, now: Time, call: u32) {
         self.counts.calls += 1;
         let c = &self.calls[call as usize];
         let (courier, endpoint, may_keep, way) = (c.courier as usize, c.endpoint, c.reused, c.latency);
-        // All connects wait for the longest of them, each to the end of its own time at most.
+        // All connects wait for the one with the longest timeout, but each no longer than its own deadline.
         let longest = c.connects.iter().map(|r| r.timeout_at).max().unwrap_or(now);
         for i in 0..self.calls[call as usize].connects.len() {
             let connect = self.calls[call as usize].connects[i];
@@ -232,7 +233,7 @@
         }
     }
 
-    /// The connection used last that is not known to be closed.
+    /// The most recently used idle connection that is not known to be closed.
     fn reusable_connection(&mut self, now: Time, courier: usize, endpoint: u32) -> Option<Idle> {
         let keep = self.day.client_idle_timeout();
         let state = &mut self.endpoint_states[endpoint as usize];
@@ -241,7 +242,7 @@
             self.day.zone_latency[self.couriers[courier].zone][self.day.endpoints[endpoint as usize].zone];
         let idle = self.couriers[courier].idle.get_mut(&endpoint)?;
         while let Some(Idle { since, incarnation }) = idle.pop() {
-            // The far side's close is heard of after one way.
+            // The courier learns that the endpoint closed a connection one network latency later.
             let closed = now >= since + keep || now >= since.saturating_add(far).saturating_add(way);
             if !closed && incarnation == state.incarnation {
                 return Some(Idle { since, incarnation });
@@ -251,7 +252,7 @@
         None
     }
 
-    /// A connection is free again: it is kept for the next call.
+    /// Keeps a connection for the next call.
     pub fn keep_connection(&mut self, now: Time, courier: usize, endpoint: u32, incarnation: u32) {
         let limited = self.day.endpoints[endpoint as usize].connections > 0;
         let idle = self.couriers[courier].idle.entry(endpoint).or_default();
@@ -267,7 +268,7 @@
         }
     }
 
-    /// Connections that were idle for too long are closed.
+    /// Closes connections that have been idle for too long.
     pub fn close_expired(&mut self, now: Time, courier: usize, endpoint: u32) {
         let keep = self.day.client_idle_timeout();
         let state = &mut self.endpoint_states[endpoint as usize];
@@ -288,7 +289,8 @@
         }
     }
 
-    /// SIGKILL: what its calls do at the destinations goes on, what it held is on file, or its clients'.
+    /// Kills a courier (SIGKILL). Its calls continue at the destinations; the mails it held are in its
+    /// journal, or back with their clients.
     pub fn crash_courier(&mut self, now: Time, courier: usize) {
         if !self.couriers[courier].alive {
             return;
@@ -323,7 +325,8 @@
             let m = &mut self.mails[mail as usize];
             (m.first_run, m.active_call) = (ran, None);
         }
-        // The judge's lines begin anew, with those too whose answer was given and not read; what was out rests.
+        // The judge's queues start anew, including mails whose answer was given but not read; keys with
+        // connects in flight are held.
         for i in 0..self.couriers[courier].mails.len() {
             let m = &mut self.mails[self.couriers[courier].mails[i] as usize];
             if m.courier != courier as u32 {
@@ -383,7 +386,7 @@
         }
     }
 
-    /// What a courier sees of a call's connects whose outcome is not told yet.
+    /// Reports an outcome to the courier for those connects of a call that have none yet.
     pub fn report_outcome(&mut self, now: Time, call: u32, reply: Reply, only: impl Fn(&Connect) -> bool) {
         let c = &self.calls[call as usize];
         let (courier, took, kept) = (c.courier as usize, now - c.started.min(now), c.reused);
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -1,6 +1,6 @@
-//! A day as it runs: all that there is, and the loop that takes one event after the other. What each event does stands
-//! beside: `clients` (mails come in and come again), `turns` (a courier decides), `calls` (a call goes out and its
-//! answer comes back), `serving` (what a destination does with it), `troubles`, `listing`.
+//! The state of one simulated day and its event loop. The handlers of the events are in `clients` (arrivals
+//! and retries), `turns` (a courier's turns), `calls` (a call and its answer), `serving` (what an endpoint
+//! does with a call), `troubles` and `listing`.
 
 use std::rc::Rc;
 
@@ -16,16 +16,16 @@
 use crate::series::Sample;
 use crate::trace::Trace;
 
-/// What a run is asked for beyond its figures.
+/// What a run records in addition to its figures.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Options {
-    /// Keep the history of this mail.
+    /// Record the history of this mail.
     pub watch: Option<u32>,
-    /// Sample the state for plots this often; 0: not at all.
+    /// Interval between samples of the state for plots; 0 takes no samples.
     pub sample_every: Time,
 }
 
-/// Counts of what was done, whatever it was worth.
+/// Running totals of a day.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
     pub events: u64,
@@ -41,10 +41,11 @@
     pub unsent: u64,
     pub turned_away: u64,
     pub repeats_dropped: u64,
-    /// Work done at destinations, and the part of it whose answer was heard, in tenths of a millisecond.
+    /// Work done at destinations, and the part of it whose answer reached the courier, in tenths of a
+    /// millisecond.
     pub work: f64,
     pub heard_work: f64,
-    /// Calls beyond a courier's slots: a fault of the decider.
+    /// Calls that exceeded a courier's slots, which is an error of the decider.
     pub over_slots: u64,
     pub fallen: u64,
 }
@@ -63,26 +64,28 @@
     pub counts: Counts,
     pub trace: Trace,
     pub samples: Vec<Sample>,
-    /// The day's stream of mails, and the traffic's sums by which a destination is drawn.
+    /// The stream that mail arrivals are drawn from, then cumulative sums of traffic by destination and of
+    /// shares by queue class.
     pub arrivals: Stream,
     pub traffic_sums: Vec<f64>,
     pub class_sums: Vec<f64>,
     pub mails_accepted: u64,
-    /// Couriers that the front holds to be alive.
+    /// For each courier, whether the front (the load balancer) believes it to be alive.
     pub front_alive: Vec<bool>,
-    /// Troubles under way that change who gets mails, and how many.
+    /// Active troubles that change which couriers get mails (`hot_troubles`, `zone_shifts`), and the factor
+    /// on the rate of arrivals.
     pub hot_troubles: Vec<usize>,
     pub zone_shifts: Vec<usize>,
     pub burst: f64,
-    /// From zone, to zone: troubles that cut the way.
+    /// Number of active troubles that cut the link, by sending and receiving zone.
     pub cut_links: Vec<Vec<u16>>,
     pub list: crate::listing::List,
-    /// Repeats that a destination knows, by mail and zone (or 0 where all zones know it together).
+    /// Idempotency keys known at destinations, by mail and zone (0 if all zones share them).
     pub dedup: std::collections::HashMap<(u32, usize), DedupEntry>,
     pub actions: Vec<Action>,
 }
 
-/// The end of a run: everything that figures are made of.
+/// The result of a run, from which the figures are computed.
 pub struct Ended {
     pub day: Rc<Day>,
     pub mails: Vec<Mail>,
@@ -168,7 +171,7 @@
     }
 
     pub fn run(mut self) -> Ended {
-        // Beyond this nothing that was sent can still have an effect that the rules ask about.
+        // After this time no call in flight can still have an effect that a rule covers.
         let longest = self.day.classes.iter().map(|c| c.settings.lifetime).max().unwrap_or(0);
         let troubled = self.day.troubles.iter().map(|t| t.until).max().unwrap_or(0);
         let end = self.day.length.max(troubled) + longest + 10 * SECOND;
@@ -223,7 +226,7 @@
         }
     }
 
-    /// A new process of a courier: a decider without a memory, and the list.
+    /// Starts a new process of a courier: a decider without state, which is sent the list.
     pub fn start_process(&mut self, courier: usize) {
         let settings = self.day.settings(courier, self.couriers[courier].process);
         let c = &mut self.couriers[courier];
@@ -235,7 +238,7 @@
         self.schedule_turn(courier, now);
     }
 
-    /// Sees to it that a courier has a turn at this time or earlier, but no earlier than the resolution allows.
+    /// Schedules a turn of a courier at this time or earlier, subject to the timer resolution.
     pub fn schedule_turn(&mut self, courier: usize, at: Time) {
         let resolution = self.day.settings.timer_resolution;
         let c = &mut self.couriers[courier];
@@ -255,12 +258,12 @@
         self.schedule_turn(courier, now);
     }
 
-    /// Whether something gets from one zone to another just now.
+    /// Whether traffic currently passes from one zone to another.
     pub fn link_open(&self, from: usize, to: usize) -> bool {
         self.cut_links[from][to] == 0
     }
 
-    /// How warm an endpoint is: part of its capacity.
+    /// The part of its capacity that an endpoint has while it warms up.
     pub fn warmth(&self, endpoint: usize, now: Time) -> f64 {
         let p = &self.day.destinations[self.day.endpoints[endpoint].destination];
         match self.endpoint_states[endpoint].warming_since {
@@ -271,14 +274,15 @@
         }
     }
 
-    /// Calls a second that a unit can serve at the warmth that it has. A slowness that has come on top is left out: the
-    /// rule on returning destinations is about what is cold, and no courier is told more of it.
+    /// Calls a second that a limit scope can serve at its present warmth. Slowness from troubles is left out:
+    /// the rule on returning destinations concerns cold ones only, and couriers are told nothing about
+    /// slowness.
     pub fn current_capacity(&self, scope: usize, now: Time) -> f64 {
         let well = self.scopes[scope].endpoints.iter().filter(|&&e| !self.endpoint_states[e].is_down());
         well.map(|&e| self.day.capacity(e) * self.warmth(e, now)).sum()
     }
 
-    /// Whether a unit's limit has room for a call, `ahead` of them being on their way.
+    /// Whether the limit of a scope allows one more call when `ahead` calls are already on their way.
     pub fn limit_has_room(&self, scope: usize, now: Time, ahead: usize) -> bool {
         match self.day.destinations[self.scopes[scope].destination].limit {
             Limit::None => true,
@@ -287,20 +291,20 @@
         }
     }
 
-    /// Calls a second that a unit's limit allows just now.
+    /// Calls a second that the limit of a scope allows now.
     pub fn rate(&self, scope: usize) -> f64 {
         let u = &self.scopes[scope];
         self.day.destinations[u.destination].rate * u.throttle
     }
 
-    /// What is left of a plain rate.
+    /// Tokens left under a limit of kind `Rate`.
     pub fn tokens(&self, scope: usize, now: Time) -> f64 {
         let (u, rate) = (&self.scopes[scope], self.rate(scope));
         let gained = rate * (now - u.tokens_at) as f64 / SECOND as f64;
         (u.tokens + gained).min(rate.max(1.0))
     }
 
-    /// Calls that a span allows, and those that count in the present one.
+    /// Calls allowed in one span; `span_used` gives those counted in the present span.
     pub fn span_allows(&self, scope: usize) -> f64 {
         let span = self.day.destinations[self.scopes[scope].destination].span;
         (self.rate(scope) * span as f64 / SECOND as f64).max(1.0)
@@ -329,8 +333,8 @@
         let well = struck
             .fold((1.0 - state.errors.min(1.0)) * (1.0 - state.resets.min(1.0)), |w, (_, e)| w * (1.0 - e));
         let sure = well * (1.0 - state.lost.min(1.0));
-        // Who waits at the destination can't be overtaken; who waits at the courier can. A call may be on its way
-        // while another ends.
+        // A new call cannot overtake calls queued at the destination, whereas mails at the courier can be
+        // reordered. One call may be on its way while another ends.
         let full = state.active.len() + waiting > e.slots;
         let cut = !self.link_open(zone, e.zone) || !self.link_open(e.zone, zone);
         let kept = self.couriers[courier].idle.get(&(endpoint as u32)).is_some_and(|idle| !idle.is_empty());
@@ -345,7 +349,7 @@
 }
 
 impl World<'_> {
-    /// Whether a call is still of the process that began it, and that process waits for it.
+    /// Whether the courier process that started a call is still running and waits for it.
     pub fn is_awaited(&self, call: u32) -> bool {
         let c = &self.calls[call as usize];
         let courier = &self.couriers[c.courier as usize];
