--- a/crates/emulator/benches/engine.rs
+++ b/crates/emulator/benches/engine.rs
@@ -1,4 +1,4 @@
-//! Days of the emulator under criterion: what one costs, and what the engine's parts do.
+//! Benchmarks of whole days and of the event queue and random streams.
 
 use criterion::{criterion_group, criterion_main, BatchSize, Criterion, Throughput};
 use meadowhold_emulator::chance::{Purpose, Stream};
--- a/crates/emulator/src/baselines.rs
+++ b/crates/emulator/src/baselines.rs
@@ -1,7 +1,6 @@
-//! Other ways to decide, for comparison alone: what the field does without this project's design. They share the
-//! bookkeeping and keep effects, waits, drains and order as the rules ask; none of them paces a returning destination.
-//!
-//! `Wrong` spoils one rule on purpose, so that it can be shown that the judge sees it.
+//! Deciders for comparison that use common techniques instead of this project's design. They share the
+//! bookkeeping and keep the rules on effects, waits, drains and order; none of them limits the load on a
+//! returning destination. `InjectedFault` breaks one rule on purpose, to show that the judge detects it.
 
 use std::collections::VecDeque;
 
@@ -13,18 +12,19 @@
 use crate::decider::{Decider, WorldView};
 use crate::slots::{entry_mut, may_retry, Slots};
 
-/// How a baseline limits and retries.
+/// How a baseline limits calls and retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Style {
-    /// Each mail goes out once, to an endpoint drawn at random.
+    /// One connect for each mail, to a random endpoint.
     OneTry,
-    /// One pool of slots for all destinations, in order of arrival, retries at once.
+    /// One pool of slots for all destinations, in order of arrival, with immediate retries.
     SharedPool,
-    /// A quarter of the slots for each destination, whatever it does.
+    /// A quarter of the slots for each destination, whatever its state.
     FixedCap,
-    /// A limit for each destination that grows by one a round trip and falls with latency or failure.
+    /// A limit for each destination that grows by one a round trip, and falls with latency or failure.
     Gradient,
-    /// An endpoint that fails five times in a row is left alone for a while; retries are a fifth of first tries.
+    /// An endpoint that fails five times in a row is not used for a while; retries are limited to a fifth of
+    /// first tries.
     Ejection,
 }
 
@@ -38,17 +38,17 @@
     ];
 }
 
-/// A rule that is broken on purpose.
+/// A fault that breaks one rule on purpose.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum InjectedFault {
     #[default]
     Nothing,
-    /// One mail in seven is taken on and forgotten.
+    /// One mail in seven is accepted and forgotten.
     Loses,
-    /// Once-only mails are tried again like all others.
+    /// Once-only mails are retried like all others.
     Repeats,
     IgnoresDrains,
-    /// All that waits goes out at once, whatever became of what went before.
+    /// All waiting mails are sent at once, whatever the outcome of earlier ones.
     Floods,
     IgnoresOrder,
     IgnoresWaits,
@@ -57,7 +57,7 @@
 const EJECT_AFTER: u32 = 5;
 const EJECT_FOR: Time = 5 * SECOND;
 const RETRY_SHARE: f64 = 0.2;
-/// A gradient limit stops growing once latency is so many times the best seen.
+/// A gradient limit stops growing once latency exceeds the best seen by this factor.
 const SLOW_MULTIPLE: f64 = 4.0;
 const SHRINK: f64 = 0.8;
 
--- a/crates/emulator/src/chance.rs
+++ b/crates/emulator/src/chance.rs
@@ -1,12 +1,13 @@
-//! Streams of chance. Each purpose, and each thing within it, has a stream of its own that hangs on nothing but the
-//! seed: what a decider does moves no draw of the day, so two deciders are compared on the very same day.
+//! Random streams. Each purpose, and each item within it, has a stream that depends only on the seed. A
+//! decider's actions therefore do not change the draws of a day, and two deciders are compared on the same
+//! day.
 
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp1, LogNormal};
 use rand_pcg::Pcg64Mcg;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// What a stream is drawn for.
+/// What a stream is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
     Figures,
@@ -32,7 +33,7 @@
         Stream(Pcg64Mcg::seed_from_u64(xxh3_64_with_seed(&name, seed)))
     }
 
-    /// At least 0, under 1.
+    /// Uniform in [0, 1).
     pub fn unit(&mut self) -> f64 {
         self.0.random::<f64>()
     }
@@ -41,7 +42,7 @@
         self.0.random::<u64>()
     }
 
-    /// One of `0..count`; `count` is at least one.
+    /// Uniform in `0..count`; `count` must be at least one.
     pub fn below(&mut self, count: usize) -> usize {
         self.0.random_range(0..count)
     }
@@ -54,12 +55,12 @@
         low + (high - low) * self.unit()
     }
 
-    /// Exponential, mean one.
+    /// Exponentially distributed with mean one.
     pub fn gap(&mut self) -> f64 {
         Exp1.sample(&mut self.0)
     }
 
-    /// Lognormal, mean one, with this ratio of deviation to mean.
+    /// Lognormal with mean one and this coefficient of variation.
     pub fn spread(&mut self, ratio: f64) -> f64 {
         if ratio <= 0.0 {
             return 1.0;
--- a/crates/emulator/src/check.rs
+++ b/crates/emulator/src/check.rs
@@ -1,12 +1,12 @@
-//! What no day can be drawn from is refused here, with the place in the file and what would do. Each bound stands in a
-//! table row of its own, so that none is checked in two ways.
+//! Checks scenarios before a day is drawn. Each fault names its place in the file and a remedy. Each bound is
+//! stated once, in a table row.
 
 use crate::scenario::{Figure, Scenario, What};
 
-/// A fault of a scenario: where, what was found, what would do.
+/// A fault of a scenario: its place, what was found, and how to correct it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// Path of the key, as `mails.full_rate` or `trouble.2.hall`.
+    /// Path of the key, such as `mails.full_rate` or `trouble.2.hall`.
     pub path: String,
     pub found: String,
     pub remedy: String,
@@ -18,11 +18,11 @@
     }
 }
 
-/// The most that a day may hold: more would not end, or not fit in memory.
+/// Maximum size of a day; a larger one would not finish or not fit in memory.
 pub const MOST_MAILS: f64 = 20e6;
 pub const MOST_ENDPOINTS: f64 = 100_000.0;
 pub const MOST_COURIERS: f64 = 10_000.0;
-/// Couriers x endpoints: each courier has a mind of its own on each endpoint.
+/// Couriers x endpoints, because each courier keeps state for each endpoint.
 pub const MOST_PAIRS: f64 = 60e6;
 const DAY_S: f64 = 86_400.0;
 
@@ -249,7 +249,7 @@
     }
 }
 
-/// Sizes that would not end, or not fit; looked at once each figure is sound by itself.
+/// Checks total sizes, once each figure is valid by itself.
 fn sizes(c: &mut Checks, s: &Scenario) {
     let bursts = s.trouble.iter().filter(|t| t.what == What::Burst).map(|t| t.size.high().max(1.0));
     let most: f64 = bursts.fold(1.0, f64::max);
--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -1,12 +1,12 @@
-//! A day: one draw from a scenario, with every figure settled. Nothing of it is told to a courier but what its
-//! settings and the list say.
+//! A day: one draw from a scenario, with every figure fixed. A courier learns only what its settings and the
+//! list contain.
 
 use meadowhold::interface::{self, Settings, Time, SECOND};
 
 use crate::chance::{Purpose, Stream};
 use crate::scenario::{By, Effect, Figure, Limit, ListMode, Scenario, Shape, Trouble, What};
 
-/// Tenths of a millisecond.
+/// Converts to tenths of a millisecond.
 pub fn ms(value: f64) -> Time {
     (value * (SECOND / 1000) as f64).round().max(0.0) as Time
 }
@@ -24,7 +24,7 @@
     pub settings: interface::QueueClass,
 }
 
-/// An outside system: a destination, whose endpoints come one after the other in `Day::endpoints`.
+/// An external system that mails are for. Its endpoints are contiguous in `Day::endpoints`.
 #[derive(Clone, Debug)]
 pub struct Destination {
     pub kind: usize,
@@ -33,7 +33,8 @@
     pub first: usize,
     pub count: usize,
     pub limit: Limit,
-    /// Calls a second for each unit (the destination, or a route apart), and the span that they are counted in.
+    /// Calls a second of each limit scope (the destination, or one endpoint), and the span in which they are
+    /// counted.
     pub rate: f64,
     pub span: Time,
     pub listed_rate: f64,
@@ -55,9 +56,9 @@
     pub zone: usize,
     pub slots: usize,
     pub queue: usize,
-    /// 0: any number.
+    /// Maximum number of connections; 0 means no limit.
     pub connections: usize,
-    /// It comes in the course of the day, in another's place.
+    /// Added during the day to replace another endpoint.
     pub newcomer: bool,
 }
 
@@ -70,7 +71,7 @@
     pub class: Option<usize>,
     pub zone: usize,
     pub endpoints: Vec<usize>,
-    /// What takes the place of each, where they are replaced.
+    /// The replacements of the endpoints, for `Replace`.
     pub newcomers: Vec<usize>,
     pub couriers: Vec<usize>,
     pub mark: u64,
@@ -78,7 +79,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Mails {
-    /// Mails a second, on the whole.
+    /// Mean number of mails a second.
     pub rate: f64,
     pub full_rate: f64,
     pub shape: Shape,
@@ -103,10 +104,10 @@
     pub seed: u64,
     pub length: Time,
     pub zones: Vec<String>,
-    /// One way between two zones.
+    /// One-way latency between two zones.
     pub zone_latency: Vec<Vec<Time>>,
     pub jitter: f64,
-    /// Hall of each courier.
+    /// Zone of each courier.
     pub couriers: Vec<usize>,
     pub mails: Mails,
     pub classes: Vec<Class>,
@@ -125,14 +126,15 @@
     pub list_spread: Time,
     pub drain_grace: Time,
     pub answer_grace: Time,
-    /// Weights of the whole, the worst ten seconds and the worst queue class, to a sum of one.
+    /// Weights of the whole day, the worst ten seconds and the worst queue class; they sum to one.
     pub weights: [f64; 3],
     /// Prices of waste, handshakes and refusals.
     pub prices: [f64; 3],
 }
 
 fn draw(stream: &mut Stream, figure: Figure) -> f64 {
-    // A single value takes a draw too, so that widening one figure does not move the others.
+    // A single value takes a draw too, so that turning one figure into a range does not shift the draws of
+    // the others.
     let unit = stream.unit();
     figure.low() + (figure.high() - figure.low()) * unit
 }
@@ -142,7 +144,7 @@
 }
 
 impl Day {
-    /// The day of a seed. The scenario has been checked: see `check::faults`.
+    /// Draws the day of a seed from a scenario that `check::faults` has accepted.
     pub fn draw(s: &Scenario, seed: u64) -> Day {
         let mut stream = Stream::new(seed, Purpose::Figures, 0);
         let d = &mut stream;
@@ -256,25 +258,25 @@
         day
     }
 
-    /// The settings of one courier's process.
+    /// The settings of one process of a courier.
     pub fn settings(&self, courier: usize, process: u32) -> Settings {
         let index = (courier as u64) << 32 | u64::from(process);
         let seed = Stream::new(self.seed, Purpose::Decider, index).number();
         Settings { seed, courier_index: courier, ..self.settings.clone() }
     }
 
-    /// How long a courier keeps an idle connection: a little less than its endpoint does.
+    /// How long a courier keeps an idle connection: 5 % less than its endpoint does.
     pub fn client_idle_timeout(&self) -> Time {
         self.keep_idle / 20 * 19
     }
 
-    /// Mean time of a call with one mail at a destination that is well and warm, in tenths of a millisecond.
+    /// Mean duration of a call with one mail at a healthy, warm destination, in tenths of a millisecond.
     pub fn mean_service(&self, destination: usize) -> f64 {
         let mean: f64 = self.classes.iter().map(|c| c.share * c.service).sum();
         mean * self.destinations[destination].pace * (SECOND / 1000) as f64
     }
 
-    /// Calls a second that an endpoint serves when well and warm.
+    /// Calls a second that an endpoint serves when healthy and warm.
     pub fn capacity(&self, endpoint: usize) -> f64 {
         let e = &self.endpoints[endpoint];
         e.slots as f64 * SECOND as f64 / self.mean_service(e.destination)
@@ -311,7 +313,7 @@
     classes
 }
 
-/// Destinations by falling traffic, and their endpoints.
+/// The destinations by decreasing traffic, and their endpoints.
 fn world(
     s: &Scenario,
     seed: u64,
@@ -324,7 +326,8 @@
     let weights: Vec<f64> = (0..count).map(|p| 1.0 / ((p + 1) as f64).powf(uneven)).collect();
     let whole: f64 = weights.iter().sum();
     let shares: f64 = s.kind.iter().map(|k| k.share.low()).sum::<f64>().max(f64::MIN_POSITIVE);
-    // Kinds that lean to much traffic come first; each gets its share of the destinations.
+    // Kinds with a high `lean` get the destinations with the most traffic; each kind gets its share of the
+    // destinations.
     let mut order: Vec<usize> = (0..s.kind.len()).collect();
     order.sort_by(|&a, &b| s.kind[b].lean.total_cmp(&s.kind[a].lean));
     let mut kinds: Vec<usize> = Vec::with_capacity(count);
@@ -377,7 +380,8 @@
             error_share: draw(d, kind.error_share),
         });
         for i in 0..ends {
-            // Routes apart lie in zones of their own; the endpoints of a destination with one limit stand together.
+            // Endpoints with limits of their own are spread over the zones; those that share a limit are in
+            // one zone.
             let zone = if kind.apart { (home + i) % s.halls.names.len() } else { home };
             let tables =
                 if connections > 0.0 { ((connections * slots as f64).ceil() as usize).max(4) } else { 0 };
@@ -394,7 +398,7 @@
     (destinations, endpoints)
 }
 
-/// Draws whom a trouble strikes.
+/// Draws what a trouble affects.
 fn strike(t: &Trouble, mark: u64, day: &Day) -> AppliedTrouble {
     let d = &mut Stream::new(day.seed, Purpose::Trouble, mark);
     let from = secs(draw(d, t.at_s));
@@ -419,7 +423,8 @@
     d.shuffle(&mut destinations);
     let (mut endpoints, mut sum) = (Vec::new(), 0.0);
     for p in destinations {
-        // What was named is struck whatever it carries; else until the part of the traffic is reached.
+        // Destinations named in the scenario are affected whatever their traffic; others are added until
+        // `part` of the traffic is reached.
         if t.partners.is_empty()
             && (sum >= part || (sum > 0.0 && sum + day.destinations[p].share > 1.5 * part))
         {
--- a/crates/emulator/src/decider.rs
+++ b/crates/emulator/src/decider.rs
@@ -1,18 +1,19 @@
-//! What may decide in the emulator: the module itself, and others beside it for comparison.
+//! The interface of deciders in the emulator: `Control`, and others to compare it with.
 
 use meadowhold::control::{Control, Health};
 use meadowhold::interface::{Action, Input, Settings, Time};
 
-/// The true state of the world, for deciders that are allowed to see it; no courier is.
+/// The true state of the world, for deciders that may see it; real couriers cannot.
 pub trait WorldView {
-    /// Time until the answer of a call that would go out now, in tenths of a millisecond, and the chance that it is
-    /// served; nothing if it would surely fail.
+    /// Expected time until the answer to a call sent now, in tenths of a millisecond, and its chance of
+    /// success; `None` if it is certain to fail.
     fn answer_in(&self, courier: usize, endpoint: usize, class: usize) -> Option<(f64, f64)>;
 }
 
-/// One courier's decisions: `Control`, or what is compared with it.
+/// The decisions of one courier, by `Control` or a decider compared with it.
 pub trait Decider {
-    /// One turn: inputs in order, actions into the buffer; returns when the next turn is wanted at the latest.
+    /// Takes one turn: reads the inputs in order, appends actions to `out`, and returns the latest time for
+    /// the next turn.
     fn step(
         &mut self,
         now: Time,
@@ -21,15 +22,15 @@
         view: &dyn WorldView,
     ) -> Option<Time>;
 
-    /// Whether a call that was decided on may still begin.
+    /// Whether a call that was decided on may still start.
     fn may_call(&self, endpoint: usize, now: Time) -> bool;
 
-    /// What is held of an endpoint, for plots; nothing where no standing is kept.
+    /// The decider's view of an endpoint's health, for plots; `None` if it keeps none.
     fn health(&self, _endpoint: usize) -> Option<Health> {
         None
     }
 
-    /// The cap on a destination's calls in flight, the calls and the mails parked, for plots.
+    /// For plots: the cap on a destination's calls in flight, those calls, and the parked mails.
     fn destination_load(&self, _dest: usize) -> Option<(usize, usize, usize)> {
         None
     }
@@ -59,7 +60,7 @@
     }
 }
 
-/// Makes the decider of one courier's process: its number, its settings.
+/// Creates the decider of one courier process from the courier's index and its settings.
 pub type DeciderFactory = dyn Fn(usize, Settings) -> Box<dyn Decider> + Sync;
 
 pub fn control(_: usize, settings: Settings) -> Box<dyn Decider> {
--- a/crates/emulator/src/event_queue.rs
+++ b/crates/emulator/src/event_queue.rs
@@ -1,4 +1,5 @@
-//! What happens next: events in order of time, and of the order in which they were put on at the same time.
+//! The queue of pending events, ordered by time; events of the same time keep the order in which they were
+//! scheduled.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -26,7 +27,7 @@
 }
 
 impl<E> Ord for Entry<E> {
-    /// The earliest is the greatest, for the standard heap gives the greatest first.
+    /// Reversed, because `BinaryHeap` pops the greatest entry first.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.number).cmp(&(self.at, self.number))
     }
@@ -45,12 +46,12 @@
 }
 
 impl<E> EventQueue<E> {
-    /// Time of the event that was taken last.
+    /// Time of the last event popped.
     pub fn now(&self) -> Time {
         self.now
     }
 
-    /// Puts an event on; what is due in the past happens now.
+    /// Schedules an event; a time in the past is replaced by the present.
     pub fn schedule(&mut self, at: Time, event: E) {
         self.next += 1;
         self.heap.push(Entry { at: at.max(self.now), number: self.next, event });
@@ -62,7 +63,7 @@
         Some((entry.at, entry.event))
     }
 
-    /// Events that were put on so far.
+    /// Number of events scheduled so far.
     pub fn count(&self) -> u64 {
         self.next
     }
--- a/crates/emulator/src/figures.rs
+++ b/crates/emulator/src/figures.rs
@@ -1,5 +1,5 @@
-//! What a day was worth: importance delivered in time over importance asked for, on the whole, in the worst ten seconds
-//! and in the worst queue class, less the prices; beside it what capacity alone would allow.
+//! The score of a day: importance delivered in time over importance asked for (over the whole day, in the
+//! worst ten seconds and in the worst queue class), less the prices. Also the bound that capacity alone sets.
 
 use hdrhistogram::Histogram;
 use meadowhold::interface::{Time, SECOND};
@@ -10,7 +10,7 @@
 use crate::parts::Mail;
 use crate::world::Ended;
 
-/// Length of the window whose worst counts.
+/// Length of the window of which the worst is scored.
 const WINDOW: Time = 10 * SECOND;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -19,7 +19,7 @@
     pub mails: u64,
     pub relayed: u64,
     pub service: f64,
-    /// Milliseconds from the client's first try to the answer, of what was relayed.
+    /// Milliseconds from the client's first try to the answer, for relayed mails.
     pub p50_ms: u64,
     pub p90_ms: u64,
     pub p99_ms: u64,
@@ -33,7 +33,7 @@
     pub endpoints: usize,
     pub mails: u64,
     pub relayed: u64,
-    /// Service: the goal's mix less the prices.
+    /// The score: the weighted service less the prices.
     pub g: f64,
     pub whole: f64,
     pub worst_window: f64,
@@ -41,7 +41,8 @@
     pub worst_at_s: f64,
     pub worst_class: f64,
     pub classes: Vec<ClassFigures>,
-    /// Work whose answer nobody heard, over the work asked for; handshakes and refusals over the mails.
+    /// Work whose answer reached nobody, over the work asked for; then handshakes and refusals over the
+    /// number of mails.
     pub waste: f64,
     pub handshakes: f64,
     pub refused: f64,
@@ -56,17 +57,17 @@
     pub fallen: u64,
     pub over_slots: u64,
     pub peak_out: usize,
-    /// What capacity alone would allow, whoever decides; see `capacity_bound`.
+    /// Upper bound of the service for any decider; see `capacity_bound`.
     pub bound: f64,
     pub rules_broken: usize,
     pub broken: Vec<Broken>,
-    /// Fingerprint of all that happened, in hexadecimal.
+    /// Hash of all events, in hexadecimal.
     pub trace: String,
     pub events: u64,
     pub turns: u64,
 }
 
-/// Importance that a mail earns when it is relayed so late after the client's first try.
+/// Importance that a mail earns when it is relayed at this time.
 pub fn worth(day: &Day, mail: &Mail, at: Time) -> f64 {
     let set = &day.classes[usize::from(mail.class)].settings;
     let late = at.saturating_sub(mail.target) as f64;
@@ -93,7 +94,7 @@
     }
 }
 
-/// Importance asked for and earned by tenths of a second of the client's first try.
+/// Importance asked for and earned, in bins of a tenth of a second by the client's first try.
 pub fn by_birth(day: &Day, mails: &[Mail]) -> Vec<(f64, f64)> {
     let step = SECOND / 10;
     let mut bins = vec![(0.0, 0.0); (day.length / step) as usize + 1];
@@ -105,7 +106,7 @@
     bins
 }
 
-/// The window of ten seconds with the least service: its service and its start in seconds.
+/// The ten-second window with the least service: that service, and the window's start in seconds.
 fn worst(bins: &[(f64, f64)]) -> (f64, f64) {
     let width = ((WINDOW / (SECOND / 10)) as usize).min(bins.len().max(1));
     let windows = bins.windows(width).enumerate().map(|(start, window)| {
@@ -115,9 +116,9 @@
     windows.fold((1.0, 0.0), |worst, next| if next.0 < worst.0 { next } else { worst })
 }
 
-/// Service that capacity alone allows: at each destination, as much work as it could do in the whole day and the longest
-/// lifetime after it, well and warm all along, goes to the mails that earn most for their work. Whoever decides, with
-/// whatever foresight, earns no more; troubles are not counted, so that it is the same for all deciders.
+/// The service that capacity alone allows. Each destination does as much work as it could if healthy and warm
+/// for the whole day and the longest lifetime after it, and spends it on the mails that earn most for their
+/// work. No decider can earn more. Troubles are left out, so that the bound is the same for all deciders.
 fn capacity_bound(day: &Day, mails: &[Mail]) -> f64 {
     let mut asked = 0.0;
     let mut wanted: Vec<Vec<(f64, f64)>> = vec![Vec::new(); day.destinations.len()];
@@ -137,7 +138,7 @@
             .iter()
             .map(|e| e.slots)
             .sum();
-        // A batch does the work of its longest mail and some for each further one.
+        // A batch takes the work of its longest mail plus a part for each further one.
         let batch = destination.batch as f64;
         let ease = batch / (1.0 + destination.item_work * (batch - 1.0));
         let mut room = slots as f64 * time * ease;
@@ -204,9 +205,9 @@
     }
 }
 
-/// Milliseconds from birth to answer of what was relayed of a queue class.
+/// Milliseconds from arrival to answer for the relayed mails of a queue class.
 pub fn latencies(mails: &[Mail], class: usize) -> Histogram<u64> {
-    // Two digits of each figure, whatever its size: it grows by itself and never refuses a value.
+    // Two significant digits; the histogram resizes itself and accepts any value.
     let mut histogram = Histogram::new(2).expect("two digits are within what the library takes");
     let own = mails.iter().filter(|m| usize::from(m.class) == class);
     for took in own.filter_map(|m| m.relayed_at.map(|at| at - m.created_at)) {
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,7 +1,6 @@
-//! A model of what couriers serve, in simulated time: destinations and their endpoints, the list, clients, troubles, and a
-//! judge of the six rules. It drives the very `Control` that the courier runs; see `docs/emulator.md`.
-//!
-//! One seed is one day and one run of it, bit for bit, on however many threads other days run beside it.
+//! Simulates the environment of couriers: destinations and their endpoints, the list, clients, troubles, and
+//! a judge of the six rules. It drives the same `Control` that the courier runs; see `docs/emulator.md`. A
+//! seed determines the day and its run exactly, on any number of threads.
 #![forbid(unsafe_code)]
 
 pub mod baselines;
@@ -34,17 +33,17 @@
 use crate::scenario::Scenario;
 use crate::world::{Ended, Options, World};
 
-/// Runs one day of a scenario that was checked (`check::faults`).
+/// Runs one day of a scenario that `check::faults` has accepted.
 pub fn run(scenario: &Scenario, seed: u64, factory: &DeciderFactory, options: Options) -> Ended {
     World::new(Rc::new(Day::draw(scenario, seed)), factory, options).run()
 }
 
-/// The figures of one day.
+/// Runs one day and returns its figures.
 pub fn figures(scenario: &Scenario, seed: u64, factory: &DeciderFactory) -> Figures {
     Figures::of(&run(scenario, seed, factory, Options::default()))
 }
 
-/// The whole history of a mail, a line each, by running its day again: the same seed is the same day.
+/// The history of a mail, one line for each event, obtained by running the same day again.
 pub fn history(scenario: &Scenario, seed: u64, factory: &DeciderFactory, mail: u32) -> Vec<String> {
     let ended = run(scenario, seed, factory, Options { watch: Some(mail), ..Options::default() });
     ended.history.iter().map(|(at, words)| format!("{:>10.1} ms  {words}", *at as f64 / 10.0)).collect()
--- a/crates/emulator/src/oracle.rs
+++ b/crates/emulator/src/oracle.rs
@@ -1,15 +1,16 @@
-//! The ceiling: a decider that sees the true state of all endpoints and sends nothing that would fail, what is worth
-//! most for its time first. No courier can know what it knows; chance alone can still fail its calls.
+//! An upper bound for comparison: a decider that sees the true state of all endpoints, sends no call that is
+//! certain to fail, and sends first what earns most for its slot time. No courier has this knowledge; its
+//! calls fail only by chance.
 
 use meadowhold::interface::{AcceptedMail, Action, Effect, EndpointStatus, Input, Settings, Time};
 
 use crate::decider::{Decider, WorldView};
 use crate::slots::{entry_mut, may_retry, Slots};
 
-/// Chance of being served that a once-only mail waits for.
+/// A once-only mail waits until its chance of success is above this.
 const MIN_ONCE_ONLY_CHANCE: f64 = 0.9;
 
-/// Expected answer times after which an answer counts as lost.
+/// A call times out after this multiple of its expected duration.
 const TIMEOUT_MULTIPLE: f64 = 6.0;
 
 #[derive(Clone, Default)]
@@ -42,7 +43,8 @@
     destinations: Vec<Vec<usize>>,
     wait_until: Vec<Time>,
     parked: Vec<usize>,
-    /// Mails of each key in the order in which they came, and until when the key rests.
+    /// Mails of each key in the order of acceptance, and the time until which new connects of the key must
+    /// wait.
     key_queues: Vec<(Vec<usize>, Time)>,
     order: Vec<(f64, usize)>,
     slots: Slots,
@@ -50,7 +52,7 @@
 }
 
 impl Oracle {
-    /// `courier`: whose eyes it has; the sight differs by zone.
+    /// `courier` is the courier it decides for; what it sees of the endpoints depends on that courier's zone.
     pub fn new(settings: Settings, courier: usize) -> Oracle {
         Oracle {
             list_requested: !settings.poll_list,
@@ -164,7 +166,7 @@
         }
     }
 
-    /// What a mail would earn if its answer came then.
+    /// What a mail earns if it is answered at this time.
     fn worth(&self, mail: usize, at: Time) -> f64 {
         let t = &self.mails[mail].taken;
         let c = &self.settings.classes[t.class];
@@ -176,7 +178,7 @@
         }
     }
 
-    /// The endpoint that would answer first, and when, of those that a mail may go to now.
+    /// The endpoint expected to answer first among those that a mail may go to now, and that answer's delay.
     fn best(&self, now: Time, mail: usize, view: &dyn WorldView) -> Option<(f64, usize)> {
         let t = &self.mails[mail].taken;
         let in_order = t.key.is_none_or(|key| {
@@ -196,7 +198,8 @@
                 && self.slots.has_room(endpoint, e.batch, self.settings.slots)
         };
         let endpoints = self.destinations[t.destination].iter().copied().filter(|&e| fits(e));
-        // What a failure would end waits until one is unlikely; all else is tried, as its chance is worth.
+        // A once-only mail could not be retried after a failure, so it waits until one is unlikely; other
+        // mails are sent, with the expected delay divided by the chance of success.
         let once = self.settings.classes[t.class].effect == Effect::OnceOnly;
         let answers = endpoints.filter_map(|e| {
             let (answer, sure) = view.answer_in(self.courier, e, t.class)?;
@@ -210,7 +213,7 @@
         order.clear();
         self.slots.next_turn();
         for &mail in &self.parked {
-            // What it would earn over the slot time that it takes: slots are what is short.
+            // Earnings divided by slot time, because slots are the scarce resource.
             if let Some((answer, _)) = self.best(now, mail, view) {
                 let earns = self.worth(mail, now + answer as Time);
                 order.push((earns / answer.max(1.0), mail));
@@ -222,7 +225,7 @@
             let Some((answer, endpoint)) = best else { continue };
             let t = &self.mails[mail].taken;
             let left = t.deadline.saturating_sub(now).max(1);
-            // An answer that is long overdue was lost; what may go again need not wait for it.
+            // A long overdue answer was probably lost; a mail that may be repeated need not wait for it.
             let once = self.settings.classes[t.class].effect == Effect::OnceOnly;
             let timeout = if once { left } else { left.min((TIMEOUT_MULTIPLE * answer) as Time + 1) };
             let call = self.slots.take(endpoint, self.endpoints[endpoint].batch);
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -1,9 +1,9 @@
-//! What a scenario file may say. Every figure is a single value or a range, from which each seed draws. What is left
-//! out has the value that stands here; what is not named here is refused.
+//! The format of scenario files. A figure is a single value, or a range from which each seed draws. Missing
+//! keys have the defaults given here; unknown keys are rejected.
 
 use serde::{Deserialize, Serialize};
 
-/// A single value, or a range that each seed draws from evenly.
+/// A single value, or a range from which each seed draws uniformly.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged, expecting = "expected a number, or a range [low, high]")]
 pub enum Figure {
@@ -40,11 +40,11 @@
 pub struct Scenario {
     /// One line on what the day should show.
     pub about: String,
-    /// Files that this one goes out from, beside it; what stands here goes before what stands there.
+    /// Files that this one extends, relative to it; values given here take precedence.
     pub include: Vec<String>,
-    /// The seed of the one day that the file is about, where it was found to be special.
+    /// The seed of the one day that the file is about, if it is about a single day.
     pub seed: Option<u64>,
-    /// Length in seconds; mails come until then, and are ended after it.
+    /// Length in seconds. Mails arrive until then; the run goes on until their lifetimes are over.
     pub seconds: Figure,
     pub couriers: Figure,
     pub partners: Figure,
@@ -85,10 +85,10 @@
 #[serde(default, deny_unknown_fields)]
 pub struct Halls {
     pub names: Vec<String>,
-    /// One way, milliseconds.
+    /// One-way latency in milliseconds, within a zone and between zones.
     pub same_ms: Figure,
     pub cross_ms: Figure,
-    /// Ratio of deviation to mean of each journey.
+    /// Coefficient of variation of the latency.
     pub jitter: Figure,
 }
 
@@ -105,46 +105,48 @@
     #[default]
     Steady,
     Wave,
-    /// A quiet morning, a peak at three quarters of the day.
+    /// Low at the start and end of the day, with the peak in the middle.
     Day,
-    /// Bursts of a second, three times as high, one in six seconds.
+    /// Bursts of one second in every six, at `1 + 2 * swing` times the mean rate.
     Bursts,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Mails {
-    /// Mails a second at full load, all couriers together.
+    /// Mails a second at full load, for all couriers together.
     pub full_rate: Figure,
-    /// Part of the full load that comes.
+    /// Actual load as part of the full load.
     pub load: Figure,
     pub shape: Shape,
-    /// Part by which the shape swings.
+    /// Amplitude of the shape.
     pub swing: Figure,
-    /// Exponent by which partners differ in traffic.
+    /// Exponent of the distribution of traffic over destinations; 0 gives all the same.
     pub uneven: Figure,
-    /// Share of mails that come in clumps, and mails in a clump.
+    /// Share of mails that arrive in clumps, and mails in a clump.
     pub clumps: Figure,
     pub clump: Figure,
-    /// Times that a client hands in again after a deferral, and its pause.
+    /// Number of times that a client hands a mail in again after a deferral, and its pause before that.
     pub retries: Figure,
     pub pause_ms: Figure,
-    /// Part of the clients that heed the time to come back that a deferral names.
+    /// Share of the clients that respect the time to come back named in a deferral.
     pub heed: Figure,
-    /// Pause after which what a dead courier held is handed in again.
+    /// Pause before mails that a crashed courier held are handed in again.
     pub after_death_ms: Figure,
     /// Share of mails whose client hangs up before the end.
     pub hang_up: Figure,
-    /// Share of mails with less time than their queue class has, and the part of it that they have.
+    /// Share of mails with a shorter lifetime than their queue class, and that lifetime as part of the
+    /// class's.
     pub short_lived: Figure,
     pub short_part: Figure,
-    /// Distinct keys of queue classes that keep order.
+    /// Number of distinct keys in queue classes that keep order.
     pub keys: Figure,
-    /// A mail goes to a courier of the hall that it comes from, while one lives there.
+    /// A mail goes to a courier of its own zone while one is alive there.
     pub by_hall: bool,
-    /// A client hands a tagged mail in again only while its partner still knows a repeat, counted from the first try.
+    /// A client hands a tagged mail in again only while the destination still recognizes a repeat, counted
+    /// from the first try.
     pub careful: bool,
-    /// Seconds that the front goes on sending to a courier that is dead.
+    /// Seconds during which the front (the load balancer) still sends mails to a courier that has crashed.
     pub front_notice_s: Figure,
 }
 
@@ -186,7 +188,7 @@
 pub struct Class {
     pub name: String,
     pub share: Figure,
-    /// Mean time at a partner of usual pace, and ratio of deviation to mean.
+    /// Mean service time at a destination of average pace, and its coefficient of variation.
     pub service_ms: Figure,
     pub spread: Figure,
     pub target_ms: f64,
@@ -194,7 +196,8 @@
     pub importance: f64,
     pub late_worth: f64,
     pub effect: Effect,
-    /// Tagged: how long a partner knows a repeat, and whether only endpoints of one hall know it together.
+    /// For tagged mails: how long a destination recognizes repeats, and whether only endpoints of one zone
+    /// share that knowledge.
     pub window_ms: f64,
     pub by_hall: bool,
     pub in_turn: bool,
@@ -220,7 +223,7 @@
 }
 
 impl Class {
-    /// The three kinds that there are, by falling share.
+    /// The default queue classes, by decreasing share.
     fn three() -> Vec<Class> {
         vec![
             Class {
@@ -262,9 +265,9 @@
 pub enum Limit {
     #[default]
     None,
-    /// So many calls a second.
+    /// A number of calls a second.
     Rate,
-    /// So many calls in each fixed span.
+    /// A number of calls in each fixed span.
     Span,
 }
 
@@ -273,11 +276,11 @@
 pub struct Kind {
     pub name: String,
     pub share: Figure,
-    /// Above 0: the partners with much traffic are of this kind first; below 0: those with little.
+    /// Above 0, destinations with the most traffic are given this kind first; below 0, those with the least.
     pub lean: f64,
     pub limit: Limit,
     pub span_ms: Figure,
-    /// The limit (or the capacity where there is none) over the partner's mails at full load.
+    /// The limit (or the capacity, if there is no limit) over the destination's mails at full load.
     pub headroom: Figure,
     pub least_rate: Figure,
     /// Capacity over the limit.
@@ -285,24 +288,24 @@
     /// Share of refusals that tell a wait, and the shortest wait told.
     pub tells_wait: Figure,
     pub wait_ms: Figure,
-    /// Refused calls use up the limit too.
+    /// Refused calls count against the limit too.
     pub refused_count: bool,
-    /// Mails in a call at most, and the work of each further mail of a call.
+    /// Maximum number of mails in a call, and the relative work of each mail after the first.
     pub batch: usize,
     pub item_work: Figure,
-    /// Connections that an endpoint takes over the calls that it serves at once; 0: any number.
+    /// Maximum number of connections to an endpoint, over the calls that it serves at once; 0 means no limit.
     pub connections: Figure,
-    /// Its endpoints are routes apart.
+    /// Each endpoint has a limit and outages of its own.
     pub apart: bool,
     pub endpoints: Figure,
-    /// Ratio of deviation to mean by which partners differ in pace.
+    /// Coefficient of variation of the pace between destinations.
     pub pace: Figure,
-    /// Seconds of work that wait at an endpoint at most.
+    /// Length of an endpoint's queue, in seconds of work.
     pub queue_s: Figure,
-    /// Part of its capacity that a returning partner starts with, and seconds until it is warm.
+    /// Part of its capacity that a returning destination starts with, and seconds until it is warm.
     pub cold_from: Figure,
     pub cold_s: Figure,
-    /// Share of calls that fail on a good day.
+    /// Share of calls that fail without any trouble.
     pub error_share: Figure,
 }
 
@@ -335,7 +338,7 @@
 }
 
 impl Kind {
-    /// Few large partners with a limit, many small ones that are routes apart.
+    /// A few large destinations with a shared limit, and many small ones whose endpoints are independent.
     fn two() -> Vec<Kind> {
         vec![
             Kind {
@@ -357,29 +360,29 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Courier {
-    /// Call slots over what a courier's part of the full load keeps busy.
+    /// Call slots over the number that a courier's part of the full load keeps busy.
     pub slots_room: Figure,
     pub least_slots: usize,
-    /// Seconds of its part of the full load that a courier holds.
+    /// Number of mails that a courier can hold, in seconds of its part of the full load.
     pub hold_s: Figure,
     pub least_room: usize,
     pub resolution_ms: f64,
     pub connect_timeout_ms: f64,
     pub handshake_turns: Figure,
-    /// A connection is closed by its endpoint after being idle for so long.
+    /// Idle time after which an endpoint closes a connection.
     pub keep_idle_s: f64,
     pub max_connects: usize,
-    /// Longest time to come back that a deferral may name; 0: none may.
+    /// Longest time to come back that a deferral may name; with 0 a deferral names none.
     pub max_pause_ms: f64,
     pub turn_gap_ms: f64,
-    /// A killed courier comes back with its journal; else what it held is its clients' to hand in again.
+    /// Whether a killed courier restarts with its journal; otherwise its clients hand its mails in again.
     pub journal: bool,
     pub down_s: Figure,
-    /// Late importance halves with each further target delay; else it falls evenly.
+    /// Late importance halves with each further target delay; otherwise it falls linearly.
     pub by_half: bool,
-    /// Fee of a connect by the hall of a route apart, as part of a mail's importance.
+    /// Fee of a connect by the zone of its endpoint, as part of a mail's importance.
     pub fees: Vec<f64>,
-    /// Answers tell what is left of the limit.
+    /// Answers tell how much of the limit is left.
     pub told_limits: bool,
 }
 
@@ -411,7 +414,7 @@
 pub enum ListMode {
     #[default]
     Push,
-    /// It answers only when asked: the whole list, then a watch on changes.
+    /// The list answers requests only: the complete list first, then changes as they come.
     Ask,
 }
 
@@ -419,12 +422,12 @@
 #[serde(default, deny_unknown_fields)]
 pub struct List {
     pub mode: ListMode,
-    /// Seconds until a change is on the list, and further ones until a courier hears of it.
+    /// Seconds until a change is published, and further seconds until a courier receives it.
     pub lag_s: Figure,
     pub spread_s: Figure,
-    /// The list gives the rate that a partner takes.
+    /// The list gives the rate limit of a destination.
     pub rates: bool,
-    /// Ratio of deviation to mean by which it is wrong.
+    /// Coefficient of variation of the error in that rate.
     pub rate_wrong: Figure,
     pub ask_within_s: f64,
 }
@@ -448,7 +451,7 @@
     pub drain_grace_ms: f64,
     pub tip_multiple: f64,
     pub tip_s: f64,
-    /// Allowed beyond the end of a mail's time for its final answer to be read.
+    /// Time allowed after a mail's deadline for its final answer.
     pub answer_grace_ms: f64,
 }
 
@@ -458,7 +461,7 @@
     }
 }
 
-/// Weights of service (scaled to a sum of one) and prices.
+/// Weights of the service (scaled to a sum of one), and prices.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Goal {
@@ -486,63 +489,63 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum What {
-    /// Endpoints are down and refuse connections; they come back cold.
+    /// Endpoints are down and refuse connections; they return cold.
     Crash,
-    /// Endpoints take calls and answer none until it is over.
+    /// Endpoints accept calls but answer none until it is over.
     Hang,
-    /// `size` times slower.
+    /// Endpoints are slower by the factor `size`.
     Slow,
-    /// Stand still for `size` milliseconds every second or so.
+    /// Endpoints stall for `size` milliseconds about every second.
     Pauses,
-    /// A share of `size` of the calls fail quickly.
+    /// A share `size` of the calls fails quickly.
     Errors,
-    /// A share of `size` of the calls with mails of `class` fail quickly.
+    /// A share `size` of the calls with mails of `class` fails quickly.
     ClassErrors,
-    /// All calls are refused; those told a wait are told its end.
+    /// All calls are refused; a wait that is told lasts until the end of the trouble.
     Shut,
-    /// The limit sinks to `size` of itself.
+    /// The limit is multiplied by `size`.
     Throttle,
-    /// A share of `size` of the calls have their connection broken, half of them after the effect.
+    /// A share `size` of the calls has its connection broken, half of them after the effect.
     Resets,
-    /// Connections stand, calls are lost on the way there.
+    /// Connections can be made, but calls are lost before they arrive.
     HalfOpen,
-    /// A share of `size` of the answers are lost after the effect.
+    /// A share `size` of the answers is lost after the effect.
     LostAnswers,
     /// Endpoints close idle connections after `size` seconds.
     IdleClose,
-    /// Endpoints are listed as draining, then gone; new ones take their place, cold.
+    /// Endpoints are listed as draining and then removed; new, cold ones replace them.
     Replace,
-    /// Endpoints are listed as draining, then go; none takes their place.
+    /// Endpoints are listed as draining and then removed, without replacement.
     Drain,
-    /// Down and up again every `size` seconds.
+    /// Endpoints go down and come back every `size` seconds.
     Flap,
-    /// Couriers are killed and come back.
+    /// Couriers are killed and restart.
     Kill,
-    /// All couriers are killed and come back one after the other, `size` seconds apart.
+    /// All couriers are killed and restart one after the other, `size` seconds apart.
     Roll,
-    /// One or a few couriers get a share of `size` of all mails.
+    /// One or a few couriers get a share `size` of all mails.
     HotCaller,
-    /// A share of `size` of the mails come from one hall from now on.
+    /// A share `size` of the mails comes from one zone.
     HallShift,
-    /// `size` times as many mails.
+    /// The rate of mails is multiplied by `size`.
     Burst,
-    /// The list falls `size` seconds further behind.
+    /// The list lags by `size` seconds more.
     ListLag,
-    /// Nothing new of the list is heard; asking fails.
+    /// The list sends no updates, and requests for it fail.
     ListStall,
-    /// The list names healthy endpoints as draining.
+    /// The list shows healthy endpoints as draining.
     ListLies,
-    /// The list is told as empty once, and whole again at the end.
+    /// An empty list is sent once, and the complete one again at the end.
     ListEmpty,
-    /// Nothing passes between `hall` and the others.
+    /// Nothing passes between zone `hall` and the others.
     LinkCut,
-    /// Calls leave `hall`, their answers do not come back.
+    /// Calls leave zone `hall`, but their answers do not come back.
     LinkOneWay,
-    /// Couriers' clocks stand still for `size` milliseconds, once: no turn in between.
+    /// Couriers' clocks stop once for `size` milliseconds, without turns in that time.
     ClockStep,
 }
 
-/// What a trouble strikes together.
+/// What the endpoints affected by one trouble have in common.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum By {
@@ -556,32 +559,35 @@
 #[serde(deny_unknown_fields)]
 pub struct Trouble {
     pub what: What,
-    /// Seconds from the start, and seconds that it lasts.
+    /// Start and duration in seconds.
     pub at_s: Figure,
     pub for_s: Figure,
-    /// Share of the traffic whose partners are struck (of the couriers, where those are).
+    /// Share of the traffic whose destinations are affected (or share of the couriers, for troubles of
+    /// couriers).
     #[serde(default = "part")]
     pub part: Figure,
     #[serde(default = "size")]
     pub size: Figure,
     #[serde(default)]
     pub by: By,
-    /// Only what stands in this hall; only partners of this kind; only mails of this queue class.
+    /// Restricts the trouble to endpoints in this zone, destinations of this kind, or mails of this queue
+    /// class.
     #[serde(default)]
     pub hall: Option<String>,
     #[serde(default)]
     pub kind: Option<String>,
     #[serde(default)]
     pub class: Option<String>,
-    /// Only these partners, these couriers, by number from 0.
+    /// Restricts the trouble to these destinations or couriers, by index from 0.
     #[serde(default)]
     pub partners: Vec<usize>,
     #[serde(default)]
     pub couriers: Vec<usize>,
-    /// Chance that all endpoints of a partner are struck, not one alone.
+    /// Chance that all endpoints of a destination are affected instead of one.
     #[serde(default = "whole")]
     pub whole: Figure,
-    /// Names its draws; its place in the file where nothing is said. Kept when other troubles are taken out.
+    /// Identifies the draws of this trouble, so that they stay the same when others are removed; by default
+    /// its position in the file.
     #[serde(default)]
     pub mark: Option<u64>,
 }
--- a/crates/emulator/src/series.rs
+++ b/crates/emulator/src/series.rs
@@ -1,4 +1,4 @@
-//! The state as it was, for plots: sampled while the day runs, and only when it is asked for.
+//! Samples of the state for plots, taken only on request.
 
 use meadowhold::control::Health;
 use meadowhold::interface::Time;
@@ -7,12 +7,13 @@
 use crate::parts::Event;
 use crate::world::World;
 
-/// Destinations and couriers that are looked at in detail.
+/// Number of destinations, and of couriers, that are sampled in detail.
 pub const DESTINATIONS: usize = 8;
 const COURIERS: usize = 16;
 
-/// One destination: calls out and caps summed over the couriers looked at, parked mails, what it can serve a second,
-/// and endpoints by standing (well, doubted, down, returning), summed likewise.
+/// One destination: calls in flight, caps and parked mails summed over the sampled couriers, the calls a
+/// second it can serve, and the number of endpoints by health (healthy, suspect, down, recovering), summed
+/// likewise.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct DestinationSample {
     pub out: usize,
@@ -24,7 +25,7 @@
 
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Sample {
-    /// Tenths of a millisecond from the start.
+    /// Tenths of a millisecond from the start of the day.
     pub at: Time,
     pub open: usize,
     pub out: usize,
--- a/crates/emulator/src/slots.rs
+++ b/crates/emulator/src/slots.rs
@@ -1,9 +1,9 @@
-//! What baselines and the oracle have in common: call slots (connects of one turn to one endpoint travel as one call),
-//! and the rules' word on what may be repeated.
+//! Shared by the baselines and the oracle: call slots (connects of one turn to one endpoint form one call),
+//! and the rules on what may be repeated.
 
 use meadowhold::interface::{Effect, Settings, Time};
 
-/// The place of an index in a list that grows with its indices.
+/// The element at an index; the list grows as needed.
 pub fn entry_mut<T: Default>(list: &mut Vec<T>, index: usize) -> &mut T {
     if index >= list.len() {
         list.resize_with(index + 1, T::default);
@@ -11,8 +11,9 @@
     &mut list[index]
 }
 
-/// Whether a mail may go again, and whether its client may be told that trying again is harmless. `ran`: send and zone of
-/// the first connect that may have run. A repeat leaves the time that a connect may take to the end of its window.
+/// Whether a mail may be sent again, and whether its client may be told that a retry is harmless. `ran` holds
+/// the send time and zone of the first connect that may have run. A repeat must start early enough to connect
+/// within the deduplication window.
 pub fn may_retry(set: &Settings, now: Time, class: usize, ran: Option<(Time, usize)>) -> (bool, bool) {
     let c = &set.classes[class];
     match (ran, c.effect) {
@@ -26,12 +27,12 @@
 
 #[derive(Default)]
 pub struct Slots {
-    /// Connects without an outcome of each call; 0: the place is free.
+    /// Connects without an outcome, by call; 0 marks a free entry.
     calls: Vec<usize>,
     free: Vec<usize>,
     out: usize,
     turn: u64,
-    /// By endpoint: the turn of its latest call, that call and its connects.
+    /// By endpoint: turn and index of its latest call, and the number of connects in it.
     latest: Vec<(u64, usize, usize)>,
 }
 
@@ -44,17 +45,17 @@
         self.out
     }
 
-    /// Connects that this turn has put into the latest call to an endpoint.
+    /// Connects that this turn has added to the latest call to an endpoint.
     pub fn connects(&self, endpoint: usize) -> usize {
         self.latest.get(endpoint).filter(|l| l.0 == self.turn).map_or(0, |l| l.2)
     }
 
-    /// Whether one more mail could go to an endpoint: along with others, or in a slot that is free.
+    /// Whether one more mail could go to an endpoint, in a call of this turn or in a free slot.
     pub fn has_room(&self, endpoint: usize, batch: usize, most: usize) -> bool {
         (1..batch).contains(&self.connects(endpoint)) || self.out < most
     }
 
-    /// A mail goes to an endpoint; the number of its call.
+    /// Adds a mail to a call to an endpoint; returns the index of the call.
     pub fn take(&mut self, endpoint: usize, batch: usize) -> usize {
         if endpoint >= self.latest.len() {
             self.latest.resize(endpoint + 1, (0, 0, 0));
@@ -75,7 +76,7 @@
         call
     }
 
-    /// A connect has its outcome; whether its call was the last to wait for it.
+    /// Records the outcome of a connect; returns whether its call has ended.
     pub fn give_back(&mut self, call: usize) -> bool {
         self.calls[call] -= 1;
         let ended = self.calls[call] == 0;
--- a/crates/emulator/src/trace.rs
+++ b/crates/emulator/src/trace.rs
@@ -1,4 +1,4 @@
-//! A fingerprint of all that happened, in order, and the history of one mail in words.
+//! A hash of all events in order, and the readable history of one mail.
 
 use meadowhold::interface::Time;
 use xxhash_rust::xxh3::Xxh3;
@@ -10,7 +10,7 @@
     history: Vec<(Time, String)>,
 }
 
-/// Bytes gathered before they are hashed together.
+/// Number of bytes buffered before they are hashed.
 const GATHERED: usize = 1 << 13;
 
 impl Trace {
@@ -18,7 +18,7 @@
         Trace { hash: Xxh3::new(), buffer: Vec::with_capacity(GATHERED + 64), watched, history: Vec::new() }
     }
 
-    /// Something happened: when, what, to whom.
+    /// Adds an event to the hash: its time, code and subjects.
     pub fn mark(&mut self, at: Time, what: u8, who: [u32; 2]) {
         self.buffer.extend_from_slice(&at.to_le_bytes());
         self.buffer.push(what);
@@ -30,7 +30,7 @@
         }
     }
 
-    /// A line of the watched mail's history; the words are made only for that one.
+    /// Adds a line to the history of the watched mail; the text is built only for that mail.
     pub fn note(&mut self, at: Time, mail: u32, words: impl FnOnce() -> String) {
         if self.watched == Some(mail) {
             self.history.push((at, words()));
--- a/crates/emulator/tests/judge.rs
+++ b/crates/emulator/tests/judge.rs
@@ -1,4 +1,5 @@
-//! Each rule's check can fail: a decider that breaks one rule on purpose is caught, with the mail's whole history.
+//! Each rule's check can fail: a decider that breaks one rule on purpose is detected, with the mail's full
+//! history.
 
 use meadowhold::interface::Settings;
 use meadowhold_emulator::baselines::{Baseline, InjectedFault, Style};
@@ -12,7 +13,7 @@
     Trouble { whole: one(1.0), ..Trouble::new(what, one(5.0), one(8.0), one(part), one(size)) }
 }
 
-/// The day on which a rule is most at stake.
+/// A day that puts the rule under stress.
 fn day(rule: Rule) -> Scenario {
     let mut s = Scenario { seconds: Figure::One(20.0), ..Scenario::default() };
     s.mails.load = Figure::One(0.7);
--- a/crates/emulator/tests/same.rs
+++ b/crates/emulator/tests/same.rs
@@ -1,4 +1,4 @@
-//! One seed is one day and one run of it, whatever runs beside it.
+//! A seed determines the day and its run, whatever runs beside it.
 
 use meadowhold::interface::Settings;
 use meadowhold_emulator::baselines::{Baseline, InjectedFault, Style};
--- a/crates/emulator/tests/thin.rs
+++ b/crates/emulator/tests/thin.rs
@@ -1,7 +1,8 @@
-//! What one courier learns of destinations that it seldom calls: figures for `docs/results.md`, printed by
-//! `cargo test --release -p meadowhold-emulator --test thin -- --ignored --nocapture`. The slice is one courier of
-//! 1,300 with a part of its traffic; the ratio of destinations to messages a second, which is the mean time between its
-//! calls at one of them, is kept. Destinations go out and come back each by itself, minutes at a time.
+//! How fast one courier learns about destinations that it seldom calls. Figures for `docs/results.md` are
+//! printed by `cargo test --release -p meadowhold-emulator --test thin -- --ignored --nocapture`. The
+//! scenario is one courier of 1,300 with a part of its traffic. It keeps the ratio of destinations to
+//! messages a second, which is the mean time between the courier's calls to one destination. Destinations
+//! fail independently, for minutes at a time.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -17,32 +18,33 @@
 use meadowhold_emulator::world::{Options, World};
 
 const COMMAND: &str = "cargo test --release -p meadowhold-emulator --test thin -- --ignored --nocapture";
-/// Where the slopes are written to, if it is set.
+/// Environment variable that names the file to write the slopes to.
 const SLOPES: &str = "MEADOWHOLD_SLOPES";
-/// Messages a second of the slice, and its couriers by their settings.
+/// Messages a second in the scenario, and the number of couriers in its settings.
 const RATE: f64 = 10.0;
 const COURIERS: usize = 1_300;
-/// Part of the destinations that is out at any time, and how long an outage lasts.
+/// Part of the destinations that is out at any time, and the range of an outage's length.
 const OUT: f64 = 0.023;
 const LASTS_S: (f64, f64) = (60.0, 540.0);
 const DAY_S: f64 = 3_600.0;
-/// Seconds between two calls at a destination, and seeds: with few destinations there are few outages in a day.
+/// Seconds between two calls to a destination, and number of seeds: more seeds where few destinations give
+/// few outages.
 const SIZES: [(f64, u64); 4] = [(1.0, 20), (10.0, 6), (100.0, 2), (720.0, 1)];
 
-/// Seconds that this thread has had a processor: on a shared machine the time on the wall says little.
+/// Processor time of this thread in seconds; wall time says little on a shared machine.
 fn busy() -> f64 {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::ThreadCPUTime);
     time.tv_sec as f64 + time.tv_nsec as f64 / 1e9
 }
 
-/// A day with no trouble but the outages, which a generator of its own draws.
+/// A day whose only troubles are outages, drawn by a generator of its own.
 fn thin(rate: f64, between_s: f64, what: Option<What>, long: bool, seed: u64) -> Scenario {
     let one = Figure::One;
     let mut s = Scenario { seconds: one(DAY_S), couriers: one(1.0), ..Scenario::default() };
     let destinations = (rate * between_s) as usize;
     s.partners = one(destinations as f64);
     (s.mails.full_rate, s.mails.load, s.mails.uneven) = (one(rate), one(1.0), one(0.0));
-    // A message is handed in once, and stays: what becomes of it is the courier's doing.
+    // A message is handed in only once, so its outcome depends on the courier alone.
     (s.mails.clumps, s.mails.retries, s.mails.hang_up, s.mails.short_lived) =
         (one(0.0), one(0.0), one(0.0), one(0.0));
     s.kind = vec![Kind {
@@ -89,7 +91,7 @@
     from: Time,
     until: Time,
     endpoint: usize,
-    /// When the courier first doubted the endpoint in it, and first held it to be down.
+    /// When the courier first suspected the endpoint in this outage, and first held it to be down.
     doubted: Option<Time>,
     known: Option<Time>,
 }
@@ -100,16 +102,16 @@
     }
 }
 
-/// What one courier did, seen from beside its decisions.
+/// What one courier did, recorded outside its decider.
 #[derive(Default)]
 struct Seen {
     outages: Vec<Outage>,
-    /// Of each endpoint, in order of time.
+    /// Indices of the outages of each endpoint, in order of time.
     of: HashMap<usize, Vec<usize>>,
     attempts: u64,
     wasted: u64,
     out: HashMap<usize, (usize, Time)>,
-    /// Slot time in all, and of calls while their endpoint was out.
+    /// Total slot time, and the part used by calls while their endpoint was out.
     held: Time,
     held_by_out: Time,
     begun: usize,
@@ -201,7 +203,7 @@
         seen.deciding_s += busy() - began;
         for action in &out[before..] {
             if let Action::Connect { mail, endpoint, .. } = *action {
-                // A call that is over for the courier though nothing came of it.
+                // A call that the courier dropped without an outcome.
                 seen.ended(now, mail, Outcome::Silent);
                 seen.out.insert(mail, (endpoint, now));
             }
@@ -219,13 +221,13 @@
     }
 }
 
-/// Sums over the seeds of one line.
+/// Sums over the seeds of one line of the table.
 #[derive(Default)]
 struct Totals {
     messages: u64,
-    /// Handed in while their destination was out.
+    /// Handed in while the destination was out.
     at_out: u64,
-    /// Not delivered, of all; and of those whose destination was well for all of their time.
+    /// Not delivered, of all messages, and of those whose destination was well throughout their lifetime.
     failed: u64,
     well: u64,
     well_failed: u64,
@@ -293,8 +295,8 @@
 /// A figure's name, its unit, and its value at each size.
 type Points = (String, &'static str, Vec<(f64, f64)>);
 
-/// A straight line or a power law through points, whichever leaves the smaller part of each value unexplained (root
-/// of the mean square): its kind, its slope, its intercept or exponent, and that part.
+/// Fits a line and a power law, and returns the one with the smaller relative error (root mean square): its
+/// kind, slope, intercept or exponent, and that error.
 fn fit(points: &[(f64, f64)]) -> (&'static str, f64, f64, f64) {
     let line = |points: &[(f64, f64)]| {
         let n = points.len() as f64;
@@ -332,7 +334,7 @@
         assert_eq!(present.known.len(), present.outages, "{what:?}");
         assert!(middle(&mut present.known) < LASTS_S.0, "{what:?}: {:?}", present.known);
         assert!(present.wasted > 0 && present.held_by_out > 0, "{what:?}");
-        // It sees an outage, not its beginning: a call on its way then is lost at either.
+        // The oracle sees an outage only once it has begun, so calls already on their way are lost there too.
         assert!(oracle.wasted <= oracle.outages as u64, "{what:?}: {}", oracle.wasted);
         let out: usize = scenario.trouble.len();
         assert_eq!(out, present.outages);
@@ -454,7 +456,8 @@
             parts
         })
         .collect();
-    // What fails at well destinations comes of full slots, of which the larger slice has more: less of it there.
+    // Failures at well destinations come from full slots. The larger slice has more slots and so fewer such
+    // failures, which is why that figure is not compared.
     for (small, large) in parts[0].iter().zip(parts[1]).take(3) {
         assert!((small / large).ln().abs() < 1.5f64.ln(), "{small} and {large}");
     }
