--- a/crates/emulator/benches/engine.rs
+++ b/crates/emulator/benches/engine.rs
@@ -40,7 +40,7 @@
         let mut index = 0;
         b.iter(|| {
             index += 1;
-            Stream::new(1, Purpose::Service, index).spread(0.8)
+            Stream::new(1, Purpose::Service, index).lognormal(0.8)
         })
     });
 }
--- a/crates/emulator/src/baselines.rs
+++ b/crates/emulator/src/baselines.rs
@@ -10,7 +10,7 @@
 
 use crate::chance::{Purpose, Stream};
 use crate::decider::{Decider, WorldView};
-use crate::slots::{entry_mut, may_retry, Slots};
+use crate::slots::{entry_mut, may_retry, CallSlots};
 
 /// How a baseline limits calls and retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -111,7 +111,7 @@
     wait_until: Vec<Time>,
     key_queues: Vec<(VecDeque<usize>, Time)>,
     parked: VecDeque<usize>,
-    slots: Slots,
+    slots: CallSlots,
     budget: f64,
     poll_at: Option<Time>,
 }
@@ -129,7 +129,7 @@
             wait_until: Vec::new(),
             key_queues: Vec::new(),
             parked: VecDeque::new(),
-            slots: Slots::default(),
+            slots: CallSlots::default(),
             budget: 1.0,
             settings,
         }
@@ -234,7 +234,7 @@
         }
         m.out = false;
         let (endpoint, destination) = (m.endpoint, m.destination);
-        let ended = usize::from(self.slots.give_back(m.call));
+        let ended = usize::from(self.slots.finish_connect(m.call));
         let e = &mut self.endpoints[endpoint];
         e.out -= ended;
         self.destinations[destination].out -= ended;
--- a/crates/emulator/src/calls.rs
+++ b/crates/emulator/src/calls.rs
@@ -61,8 +61,10 @@
             if let Some(key) = key {
                 self.judge.sent_in_order(courier, key, connect.mail, again, now);
             }
-            self.trace.mark(now, 11, [connect.mail, endpoint]);
-            self.trace.note(now, connect.mail, || format!("goes out to endpoint {endpoint}, call {call}"));
+            self.trace.record_event(now, 11, [connect.mail, endpoint]);
+            self.trace.record_history(now, connect.mail, || {
+                format!("goes out to endpoint {endpoint}, call {call}")
+            });
         }
         let zone = self.day.endpoints[endpoint as usize].zone;
         if self.link_open(self.couriers[courier as usize].zone, zone) {
--- a/crates/emulator/src/chance.rs
+++ b/crates/emulator/src/chance.rs
@@ -56,12 +56,12 @@
     }
 
     /// Exponentially distributed with mean one.
-    pub fn gap(&mut self) -> f64 {
+    pub fn exponential(&mut self) -> f64 {
         Exp1.sample(&mut self.0)
     }
 
     /// Lognormal with mean one and this coefficient of variation.
-    pub fn spread(&mut self, ratio: f64) -> f64 {
+    pub fn lognormal(&mut self, ratio: f64) -> f64 {
         if ratio <= 0.0 {
             return 1.0;
         }
@@ -89,10 +89,10 @@
     }
 
     #[test]
-    fn spread_has_mean_one() {
+    fn lognormal_has_mean_one() {
         let mut stream = Stream::new(1, Purpose::Service, 0);
         for ratio in [0.0, 0.3, 1.0] {
-            let mean = (0..20_000).map(|_| stream.spread(ratio)).sum::<f64>() / 20_000.0;
+            let mean = (0..20_000).map(|_| stream.lognormal(ratio)).sum::<f64>() / 20_000.0;
             assert!((mean - 1.0).abs() < 0.04, "{ratio}: {mean}");
         }
     }
--- a/crates/emulator/src/check.rs
+++ b/crates/emulator/src/check.rs
@@ -19,11 +19,11 @@
 }
 
 /// Maximum size of a day; a larger one would not finish or not fit in memory.
-pub const MOST_MAILS: f64 = 20e6;
-pub const MOST_ENDPOINTS: f64 = 100_000.0;
+pub const MAX_MAILS: f64 = 20e6;
+pub const MAX_ENDPOINTS: f64 = 100_000.0;
 pub const MOST_COURIERS: f64 = 10_000.0;
 /// Couriers x endpoints, because each courier keeps state for each endpoint.
-pub const MOST_PAIRS: f64 = 60e6;
+pub const MAX_PAIRS: f64 = 60e6;
 const DAY_S: f64 = 86_400.0;
 
 #[derive(Default)]
@@ -56,7 +56,7 @@
     let mut c = Checks::default();
     c.figure("seconds", s.seconds, 1.0, DAY_S);
     c.figure("couriers", s.couriers, 1.0, MOST_COURIERS);
-    c.figure("partners", s.partners, 1.0, MOST_ENDPOINTS);
+    c.figure("partners", s.partners, 1.0, MAX_ENDPOINTS);
     halls_and_mails(&mut c, s);
     classes(&mut c, s);
     kinds(&mut c, s);
@@ -64,7 +64,7 @@
     rules(&mut c, s);
     troubles(&mut c, s);
     if c.0.is_empty() {
-        sizes(&mut c, s);
+        check_sizes(&mut c, s);
     }
     c.0
 }
@@ -250,22 +250,22 @@
 }
 
 /// Checks total sizes, once each figure is valid by itself.
-fn sizes(c: &mut Checks, s: &Scenario) {
+fn check_sizes(c: &mut Checks, s: &Scenario) {
     let bursts = s.trouble.iter().filter(|t| t.what == What::Burst).map(|t| t.size.high().max(1.0));
     let most: f64 = bursts.fold(1.0, f64::max);
     let mails = s.mails.full_rate.high() * s.mails.load.high() * s.seconds.high() * most;
-    if mails > MOST_MAILS {
+    if mails > MAX_MAILS {
         let found = format!("up to {mails:.0} mails in the day");
-        c.fault("mails.full_rate", found, format!("at most {MOST_MAILS:.0}: a shorter day or fewer mails"));
+        c.fault("mails.full_rate", found, format!("at most {MAX_MAILS:.0}: a shorter day or fewer mails"));
     }
     let ends = s.kind.iter().map(|kind| kind.endpoints.high()).fold(0.0, f64::max) * s.partners.high();
-    if ends > MOST_ENDPOINTS {
-        c.fault("partners", format!("up to {ends:.0} endpoints"), format!("at most {MOST_ENDPOINTS:.0}"));
+    if ends > MAX_ENDPOINTS {
+        c.fault("partners", format!("up to {ends:.0} endpoints"), format!("at most {MAX_ENDPOINTS:.0}"));
     }
     let pairs = ends * s.couriers.high();
-    if pairs > MOST_PAIRS {
+    if pairs > MAX_PAIRS {
         let found = format!("couriers times endpoints is up to {pairs:.0}");
-        c.fault("couriers", found, format!("at most {MOST_PAIRS:.0}"));
+        c.fault("couriers", found, format!("at most {MAX_PAIRS:.0}"));
     }
 }
 
@@ -279,7 +279,7 @@
     use crate::scenario::{Figure, Trouble};
 
     #[test]
-    fn the_standing_values_can_be_drawn() {
+    fn the_default_values_can_be_drawn() {
         assert_eq!(faults(&Scenario::default()), []);
     }
 
--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -34,7 +34,7 @@
         let m = &self.day.mails;
         let (clumps, clump) = (m.clumps, m.clump.max(1.0));
         let starts = (1.0 - clumps) + clumps / clump;
-        let gap = self.arrivals.gap() / (m.rate * self.swing(now) * starts).max(1e-9) * SECOND as f64;
+        let gap = self.arrivals.exponential() / (m.rate * self.swing(now) * starts).max(1e-9) * SECOND as f64;
         let at = now + gap.min(1e12) as Time;
         if at < self.day.length {
             self.event_queue.schedule(at, Event::NextArrival);
@@ -101,8 +101,9 @@
             answers: 0,
             relayed_at: None,
         });
-        self.trace.mark(now, 1, [number, destination]);
-        self.trace.note(now, number, || format!("comes, for partner {destination}, queue class {class}"));
+        self.trace.record_event(now, 1, [number, destination]);
+        self.trace
+            .record_history(now, number, || format!("comes, for partner {destination}, queue class {class}"));
         if d.chance(self.day.mails.hang_up) {
             let at = now + (d.unit() * (deadline - now) as f64) as Time;
             self.event_queue.schedule(at, Event::HangUp { mail: number, tries: 1 });
@@ -172,7 +173,8 @@
         }
         if c.open >= self.day.settings.max_mails {
             self.counts.turned_away += 1;
-            self.trace.note(now, mail, || format!("turned away by courier {courier}: its room is full"));
+            self.trace
+                .record_history(now, mail, || format!("turned away by courier {courier}: its room is full"));
             self.mails[mail as usize].tries += 1;
             self.schedule_retry(now, mail, 0);
             return;
@@ -180,14 +182,14 @@
         self.mails_accepted += 1;
         let (turn, c) = (self.mails_accepted, &mut self.couriers[courier as usize]);
         c.open += 1;
-        let index = c.enter(mail);
+        let index = c.assign_index(mail);
         let m = &mut self.mails[mail as usize];
         m.tries += 1;
         (m.stage, m.courier, m.index, m.accepted_at, m.accept_number) =
             (Stage::Accepted, courier, index, now, turn);
         (m.connects, m.first_run, m.active_call, m.answers) = (0, None, None, 0);
-        self.trace.mark(now, 2, [mail, courier]);
-        self.trace.note(now, mail, || format!("taken on by courier {courier}"));
+        self.trace.record_event(now, 2, [mail, courier]);
+        self.trace.record_history(now, mail, || format!("taken on by courier {courier}"));
         self.give_to_decider(courier as usize, mail);
     }
 
@@ -221,7 +223,7 @@
             return;
         }
         let index = m.index as usize;
-        self.trace.note(now, mail, || "its client hangs up".to_string());
+        self.trace.record_history(now, mail, || "its client hangs up".to_string());
         self.finish(now, mail, Answer::HungUp);
         self.push_input(courier, Input::ClientGone { mail: index });
     }
@@ -230,7 +232,7 @@
     pub fn finish(&mut self, now: Time, mail: u32, answer: Answer) {
         let grace = self.day.answer_grace;
         let m = &mut self.mails[mail as usize];
-        self.trace.mark(now, 3 + answer as u8, [mail, m.courier]);
+        self.trace.record_event(now, 3 + answer as u8, [mail, m.courier]);
         let (courier, deadline) = (m.courier, m.deadline);
         let c = &mut self.couriers[courier as usize];
         if m.stage == Stage::Accepted {
@@ -246,7 +248,7 @@
         // deadline passed while its courier's clock stood still.
         let deadline_seen = deadline.max(c.paused_until.min(now));
         let late = now > deadline_seen + grace && m.accepted_at >= c.started && answer != Answer::HungUp;
-        self.trace.note(now, mail, || format!("{answer:?} by courier {courier}").to_lowercase());
+        self.trace.record_history(now, mail, || format!("{answer:?} by courier {courier}").to_lowercase());
         if twice {
             self.judge.record_violation(
                 Rule::NoMailLost,
--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -132,15 +132,15 @@
     pub prices: [f64; 3],
 }
 
-fn draw(stream: &mut Stream, figure: Figure) -> f64 {
+fn draw_figure(stream: &mut Stream, figure: Figure) -> f64 {
     // A single value takes a draw too, so that turning one figure into a range does not shift the draws of
     // the others.
     let unit = stream.unit();
     figure.low() + (figure.high() - figure.low()) * unit
 }
 
-fn count(stream: &mut Stream, figure: Figure) -> usize {
-    draw(stream, figure).floor().max(0.0) as usize
+fn draw_count(stream: &mut Stream, figure: Figure) -> usize {
+    draw_figure(stream, figure).floor().max(0.0) as usize
 }
 
 impl Day {
@@ -148,38 +148,38 @@
     pub fn draw(s: &Scenario, seed: u64) -> Day {
         let mut stream = Stream::new(seed, Purpose::Figures, 0);
         let d = &mut stream;
-        let length = secs(draw(d, s.seconds));
-        let couriers = count(d, s.couriers).max(1);
-        let destinations = count(d, s.partners).max(1);
-        let full_rate = draw(d, s.mails.full_rate);
+        let length = secs(draw_figure(d, s.seconds));
+        let couriers = draw_count(d, s.couriers).max(1);
+        let destinations = draw_count(d, s.partners).max(1);
+        let full_rate = draw_figure(d, s.mails.full_rate);
         let zones = s.halls.names.clone();
         let mut zone_latency = vec![vec![0; zones.len()]; zones.len()];
         for (a, b) in (0..zones.len()).flat_map(|a| (a..zones.len()).map(move |b| (a, b))) {
-            let way = ms(draw(d, if a == b { s.halls.same_ms } else { s.halls.cross_ms }));
+            let way = ms(draw_figure(d, if a == b { s.halls.same_ms } else { s.halls.cross_ms }));
             (zone_latency[a][b], zone_latency[b][a]) = (way, way);
         }
         let mails = Mails {
-            rate: full_rate * draw(d, s.mails.load),
+            rate: full_rate * draw_figure(d, s.mails.load),
             full_rate,
             shape: s.mails.shape,
-            swing: draw(d, s.mails.swing),
-            clumps: draw(d, s.mails.clumps),
-            clump: draw(d, s.mails.clump),
-            retries: count(d, s.mails.retries),
-            pause: ms(draw(d, s.mails.pause_ms)),
-            heed: draw(d, s.mails.heed),
-            after_death: ms(draw(d, s.mails.after_death_ms)),
-            hang_up: draw(d, s.mails.hang_up),
-            short_lived: draw(d, s.mails.short_lived),
-            short_part: draw(d, s.mails.short_part),
-            keys: count(d, s.mails.keys).max(1),
+            swing: draw_figure(d, s.mails.swing),
+            clumps: draw_figure(d, s.mails.clumps),
+            clump: draw_figure(d, s.mails.clump),
+            retries: draw_count(d, s.mails.retries),
+            pause: ms(draw_figure(d, s.mails.pause_ms)),
+            heed: draw_figure(d, s.mails.heed),
+            after_death: ms(draw_figure(d, s.mails.after_death_ms)),
+            hang_up: draw_figure(d, s.mails.hang_up),
+            short_lived: draw_figure(d, s.mails.short_lived),
+            short_part: draw_figure(d, s.mails.short_part),
+            keys: draw_count(d, s.mails.keys).max(1),
             by_zone: s.mails.by_hall,
             careful: s.mails.careful,
-            front_notice: secs(draw(d, s.mails.front_notice_s)),
+            front_notice: secs(draw_figure(d, s.mails.front_notice_s)),
         };
-        let classes = classes(s, d);
-        let uneven = draw(d, s.mails.uneven);
-        let (destinations, endpoints) = world(s, seed, destinations, full_rate, uneven, &classes);
+        let classes = draw_classes(s, d);
+        let uneven = draw_figure(d, s.mails.uneven);
+        let (destinations, endpoints) = draw_destinations(s, seed, destinations, full_rate, uneven, &classes);
         let mean = classes.iter().map(|c| c.share * c.service).sum::<f64>() / 1000.0;
         let pace = destinations.iter().map(|p| p.share * p.pace).sum::<f64>();
         let busy = full_rate / couriers as f64 * mean * pace;
@@ -187,8 +187,8 @@
             courier_index: 0,
             seed,
             couriers,
-            slots: ((busy * draw(d, s.courier.slots_room)).ceil() as usize).max(s.courier.least_slots),
-            max_mails: ((full_rate / couriers as f64 * draw(d, s.courier.hold_s)).ceil() as usize)
+            slots: ((busy * draw_figure(d, s.courier.slots_room)).ceil() as usize).max(s.courier.least_slots),
+            max_mails: ((full_rate / couriers as f64 * draw_figure(d, s.courier.hold_s)).ceil() as usize)
                 .max(s.courier.least_room),
             max_connects: s.courier.max_connects,
             timer_resolution: ms(s.courier.resolution_ms).max(1),
@@ -214,9 +214,10 @@
                 .collect(),
             classes: classes.iter().map(|c| c.settings.clone()).collect(),
         };
-        let down = secs(draw(d, s.courier.down_s));
-        let handshake_turns = draw(d, s.courier.handshake_turns);
-        let (list_lag, list_spread) = (secs(draw(d, s.list.lag_s)), secs(draw(d, s.list.spread_s)));
+        let down = secs(draw_figure(d, s.courier.down_s));
+        let handshake_turns = draw_figure(d, s.courier.handshake_turns);
+        let (list_lag, list_spread) =
+            (secs(draw_figure(d, s.list.lag_s)), secs(draw_figure(d, s.list.spread_s)));
         let weights = [s.goal.whole, s.goal.worst_window, s.goal.worst_class];
         let mut day = Day {
             seed,
@@ -224,7 +225,7 @@
             couriers: (0..couriers).map(|c| c % zones.len()).collect(),
             zones,
             zone_latency,
-            jitter: draw(d, s.halls.jitter),
+            jitter: draw_figure(d, s.halls.jitter),
             mails,
             classes,
             kinds: s.kind.iter().map(|kind| kind.name.clone()).collect(),
@@ -246,14 +247,14 @@
             prices: [s.goal.waste_price, s.goal.handshake_price, s.goal.refused_price],
         };
         for (i, trouble) in s.trouble.iter().enumerate() {
-            let mut struck = strike(trouble, trouble.mark.unwrap_or(i as u64), &day);
-            if struck.what == What::Replace {
-                struck.newcomers = (0..struck.endpoints.len()).map(|n| day.endpoints.len() + n).collect();
+            let mut applied = draw_trouble(trouble, trouble.mark.unwrap_or(i as u64), &day);
+            if applied.what == What::Replace {
+                applied.newcomers = (0..applied.endpoints.len()).map(|n| day.endpoints.len() + n).collect();
                 let place = |&e: &usize| Endpoint { newcomer: true, ..day.endpoints[e] };
-                let newcomers: Vec<Endpoint> = struck.endpoints.iter().map(place).collect();
+                let newcomers: Vec<Endpoint> = applied.endpoints.iter().map(place).collect();
                 day.endpoints.extend(newcomers);
             }
-            day.troubles.push(struck);
+            day.troubles.push(applied);
         }
         day
     }
@@ -283,15 +284,15 @@
     }
 }
 
-fn classes(s: &Scenario, d: &mut Stream) -> Vec<Class> {
+fn draw_classes(s: &Scenario, d: &mut Stream) -> Vec<Class> {
     let mut classes: Vec<Class> = s
         .class
         .iter()
         .map(|c| Class {
             name: c.name.clone(),
-            share: draw(d, c.share),
-            service: draw(d, c.service_ms),
-            spread: draw(d, c.spread),
+            share: draw_figure(d, c.share),
+            service: draw_figure(d, c.service_ms),
+            spread: draw_figure(d, c.spread),
             settings: interface::QueueClass {
                 effect: match c.effect {
                     Effect::Redeliverable => interface::Effect::Redeliverable,
@@ -314,7 +315,7 @@
 }
 
 /// The destinations by decreasing traffic, and their endpoints.
-fn world(
+fn draw_destinations(
     s: &Scenario,
     seed: u64,
     count: usize,
@@ -344,21 +345,21 @@
         let d = &mut Stream::new(seed, Purpose::Destination, p as u64);
         let kind = &s.kind[kind_index];
         let share = weights[p] / whole;
-        let kind_pace = draw(d, kind.pace);
-        let pace = Stream::spread(d, kind_pace).clamp(0.2, 5.0);
-        let calls = (share * full_rate * draw(d, kind.headroom)).max(draw(d, kind.least_rate));
-        let spare = draw(d, kind.spare);
+        let kind_pace = draw_figure(d, kind.pace);
+        let pace = Stream::lognormal(d, kind_pace).clamp(0.2, 5.0);
+        let calls = (share * full_rate * draw_figure(d, kind.headroom)).max(draw_figure(d, kind.least_rate));
+        let spare = draw_figure(d, kind.spare);
         let capacity = if kind.limit == Limit::None { calls } else { calls * spare };
-        let ends = (draw(d, kind.endpoints).floor() as usize).max(1);
+        let ends = (draw_figure(d, kind.endpoints).floor() as usize).max(1);
         let busy = capacity * mean * pace / ends as f64;
         let slots = (busy.ceil() as usize).max(1);
         let home = d.below(s.halls.names.len());
-        let connections = draw(d, kind.connections);
-        let queue = (draw(d, kind.queue_s) * capacity / ends as f64).ceil() as usize;
+        let connections = draw_figure(d, kind.connections);
+        let queue = (draw_figure(d, kind.queue_s) * capacity / ends as f64).ceil() as usize;
         let units = if kind.apart { ends as f64 } else { 1.0 };
         let rate = calls / units;
-        let rate_wrong = draw(d, s.list.rate_wrong);
-        let wrong = d.spread(rate_wrong);
+        let rate_wrong = draw_figure(d, s.list.rate_wrong);
+        let wrong = d.lognormal(rate_wrong);
         destinations.push(Destination {
             kind: kind_index,
             share,
@@ -366,18 +367,18 @@
             count: ends,
             limit: kind.limit,
             rate,
-            span: ms(draw(d, kind.span_ms)),
+            span: ms(draw_figure(d, kind.span_ms)),
             listed_rate: if s.list.rates { rate * wrong } else { 0.0 },
-            tells_wait: draw(d, kind.tells_wait),
-            wait: ms(draw(d, kind.wait_ms)),
+            tells_wait: draw_figure(d, kind.tells_wait),
+            wait: ms(draw_figure(d, kind.wait_ms)),
             refused_count: kind.refused_count,
             batch: kind.batch,
-            item_work: draw(d, kind.item_work),
+            item_work: draw_figure(d, kind.item_work),
             apart: kind.apart,
             pace,
-            cold_from: draw(d, kind.cold_from),
-            cold: secs(draw(d, kind.cold_s)),
-            error_share: draw(d, kind.error_share),
+            cold_from: draw_figure(d, kind.cold_from),
+            cold: secs(draw_figure(d, kind.cold_s)),
+            error_share: draw_figure(d, kind.error_share),
         });
         for i in 0..ends {
             // Endpoints with limits of their own are spread over the zones; those that share a limit are in
@@ -399,11 +400,11 @@
 }
 
 /// Draws what a trouble affects.
-fn strike(t: &Trouble, mark: u64, day: &Day) -> AppliedTrouble {
+fn draw_trouble(t: &Trouble, mark: u64, day: &Day) -> AppliedTrouble {
     let d = &mut Stream::new(day.seed, Purpose::Trouble, mark);
-    let from = secs(draw(d, t.at_s));
-    let until = from + secs(draw(d, t.for_s));
-    let (size, part, whole) = (draw(d, t.size), draw(d, t.part), draw(d, t.whole));
+    let from = secs(draw_figure(d, t.at_s));
+    let until = from + secs(draw_figure(d, t.for_s));
+    let (size, part, whole) = (draw_figure(d, t.size), draw_figure(d, t.part), draw_figure(d, t.whole));
     let zone = t.hall.as_ref().and_then(|name| day.zones.iter().position(|zone| zone == name));
     let any_zone = d.below(day.zones.len());
     let class = t.class.as_ref().and_then(|name| day.classes.iter().position(|class| class.name == *name));
@@ -435,17 +436,17 @@
             .filter(|&e| only_zone.is_none_or(|zone| day.endpoints[e].zone == zone));
         let ends: Vec<usize> = ends.collect();
         let all = d.chance(whole) || only_zone.is_some();
-        let struck = if all { ends } else { vec![ends[d.below(ends.len())]] };
-        sum += destination.share * struck.len() as f64 / destination.count as f64;
-        endpoints.extend(struck);
+        let applied = if all { ends } else { vec![ends[d.below(ends.len())]] };
+        sum += destination.share * applied.len() as f64 / destination.count as f64;
+        endpoints.extend(applied);
     }
     endpoints.sort_unstable();
     let mut couriers: Vec<usize> = (0..day.couriers.len()).collect();
     d.shuffle(&mut couriers);
     if t.couriers.is_empty() {
-        let many =
+        let affected =
             if t.what == What::Roll { day.couriers.len() as f64 } else { day.couriers.len() as f64 * part };
-        couriers.truncate((many.round() as usize).max(1));
+        couriers.truncate((affected.round() as usize).max(1));
     } else {
         couriers = t.couriers.iter().copied().filter(|&c| c < day.couriers.len()).collect();
     }
--- a/crates/emulator/src/figures.rs
+++ b/crates/emulator/src/figures.rs
@@ -8,7 +8,7 @@
 use crate::day::Day;
 use crate::judge::Broken;
 use crate::parts::Mail;
-use crate::world::Ended;
+use crate::world::RunResult;
 
 /// Length of the window of which the worst is scored.
 const WINDOW: Time = 10 * SECOND;
@@ -95,7 +95,7 @@
 }
 
 /// Importance asked for and earned, in bins of a tenth of a second by the client's first try.
-pub fn by_birth(day: &Day, mails: &[Mail]) -> Vec<(f64, f64)> {
+pub fn importance_by_arrival(day: &Day, mails: &[Mail]) -> Vec<(f64, f64)> {
     let step = SECOND / 10;
     let mut bins = vec![(0.0, 0.0); (day.length / step) as usize + 1];
     for mail in mails {
@@ -153,9 +153,9 @@
 }
 
 impl Figures {
-    pub fn of(ended: &Ended) -> Figures {
+    pub fn of(ended: &RunResult) -> Figures {
         let (day, mails, counts) = (&ended.day, &ended.mails, &ended.counts);
-        let bins = by_birth(day, mails);
+        let bins = importance_by_arrival(day, mails);
         let (asked, earned) = bins.iter().fold((0.0, 0.0), |sum, bin| (sum.0 + bin.0, sum.1 + bin.1));
         let classes: Vec<ClassFigures> =
             (0..day.classes.len()).map(|c| class_figures(day, mails, c)).collect();
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -31,10 +31,10 @@
 use crate::decider::DeciderFactory;
 use crate::figures::Figures;
 use crate::scenario::Scenario;
-use crate::world::{Ended, Options, World};
+use crate::world::{Options, RunResult, World};
 
 /// Runs one day of a scenario that `check::faults` has accepted.
-pub fn run(scenario: &Scenario, seed: u64, factory: &DeciderFactory, options: Options) -> Ended {
+pub fn run(scenario: &Scenario, seed: u64, factory: &DeciderFactory, options: Options) -> RunResult {
     World::new(Rc::new(Day::draw(scenario, seed)), factory, options).run()
 }
 
--- a/crates/emulator/src/listing.rs
+++ b/crates/emulator/src/listing.rs
@@ -21,7 +21,7 @@
 }
 
 impl World<'_> {
-    fn entry(&self, endpoint: usize, life: EndpointStatus) -> Input {
+    fn entry(&self, endpoint: usize, status: EndpointStatus) -> Input {
         let e = &self.day.endpoints[endpoint];
         let p = &self.day.destinations[e.destination];
         Input::ListEntry(ListEntry {
@@ -29,19 +29,19 @@
             destination: e.destination,
             zone: e.zone,
             kind: p.kind,
-            status: life,
+            status,
             rate: p.listed_rate,
         })
     }
 
     /// The complete list as published now, in the order of the endpoints.
     pub fn full_list(&self) -> Vec<Input> {
-        let mut lives: Vec<Option<EndpointStatus>> =
+        let mut statuses: Vec<Option<EndpointStatus>> =
             self.day.endpoints.iter().map(|e| (!e.newcomer).then_some(EndpointStatus::Ready)).collect();
-        self.list.log.iter().for_each(|&(endpoint, life)| lives[endpoint] = Some(life));
-        let named = lives.iter().enumerate().filter_map(|(e, life)| life.map(|life| (e, life)));
-        let named = named.filter(|(_, life)| *life != EndpointStatus::Removed);
-        let entries = named.map(|(endpoint, life)| self.entry(endpoint, life));
+        self.list.log.iter().for_each(|&(endpoint, status)| statuses[endpoint] = Some(status));
+        let named = statuses.iter().enumerate().filter_map(|(e, status)| status.map(|status| (e, status)));
+        let named = named.filter(|(_, status)| *status != EndpointStatus::Removed);
+        let entries = named.map(|(endpoint, status)| self.entry(endpoint, status));
         let begin = std::iter::once(Input::ListBegin { complete: true });
         begin.chain(entries).chain(std::iter::once(Input::ListEnd)).collect()
     }
@@ -53,8 +53,8 @@
     }
 
     /// The status of an endpoint has changed; the list will show it after its lag.
-    pub fn record_change(&mut self, now: Time, endpoint: usize, life: EndpointStatus) {
-        self.list.changes.push((endpoint, life));
+    pub fn record_change(&mut self, now: Time, endpoint: usize, status: EndpointStatus) {
+        self.list.changes.push((endpoint, status));
         let change = self.list.changes.len() as u32 - 1;
         let at = now + self.day.list_lag + self.list.lag;
         self.event_queue.schedule(at, Event::Publish { change });
@@ -65,48 +65,48 @@
             self.list.waiting.push(change);
             return;
         }
-        let (endpoint, life) = self.list.changes[change];
-        self.announce(now, endpoint, life);
+        let (endpoint, status) = self.list.changes[change];
+        self.announce(now, endpoint, status);
     }
 
     /// Publishes a status, true or not; couriers receive it one after the other.
-    pub fn announce(&mut self, now: Time, endpoint: usize, life: EndpointStatus) {
-        self.list.log.push((endpoint, life));
-        let upto = self.list.log.len() as u32;
+    pub fn announce(&mut self, now: Time, endpoint: usize, status: EndpointStatus) {
+        self.list.log.push((endpoint, status));
+        let position = self.list.log.len() as u32;
         for courier in 0..self.couriers.len() {
             let c = &self.couriers[courier];
             if !c.alive || (self.day.list_mode == ListMode::Ask && !c.watching_list) {
                 continue;
             }
-            let index = (courier as u64) << 32 | u64::from(upto);
+            let index = (courier as u64) << 32 | u64::from(position);
             let part = Stream::new(self.day.seed, Purpose::List, index).unit();
             let at = now + (self.day.list_spread as f64 * part) as Time + 1;
             self.event_queue
-                .schedule(at, Event::ListUpdate { courier: courier as u32, process: c.process, upto });
+                .schedule(at, Event::ListUpdate { courier: courier as u32, process: c.process, position });
         }
     }
 
-    pub fn deliver_list_update(&mut self, now: Time, courier: usize, process: u32, upto: usize) {
+    pub fn deliver_list_update(&mut self, now: Time, courier: usize, process: u32, position: usize) {
         let c = &self.couriers[courier];
-        if !c.alive || c.process != process || c.list_position >= upto {
+        if !c.alive || c.process != process || c.list_position >= position {
             return;
         }
         if self.list.stalls > 0 {
             // The update was in flight when the list stalled; it is delivered after the stall.
             self.event_queue.schedule(
                 now + SECOND / 2,
-                Event::ListUpdate { courier: courier as u32, process, upto: upto as u32 },
+                Event::ListUpdate { courier: courier as u32, process, position: position as u32 },
             );
             return;
         }
-        let news: Vec<Input> = self.list.log[c.list_position..upto]
+        let updates: Vec<Input> = self.list.log[c.list_position..position]
             .iter()
-            .map(|&(endpoint, life)| self.entry(endpoint, life))
+            .map(|&(endpoint, status)| self.entry(endpoint, status))
             .collect();
         let c = &mut self.couriers[courier];
-        c.list_position = upto;
+        c.list_position = position;
         c.inputs.push(Input::ListBegin { complete: false });
-        c.inputs.extend(news);
+        c.inputs.extend(updates);
         self.push_input(courier, Input::ListEnd);
     }
 
@@ -144,13 +144,13 @@
             if !self.couriers[courier].alive {
                 continue;
             }
-            let told = if empty {
+            let list = if empty {
                 vec![Input::ListBegin { complete: true }, Input::ListEnd]
             } else {
                 self.full_list()
             };
             self.couriers[courier].list_position = self.list.log.len();
-            self.couriers[courier].inputs.extend(told);
+            self.couriers[courier].inputs.extend(list);
             self.schedule_turn(courier, now);
         }
     }
--- a/crates/emulator/src/oracle.rs
+++ b/crates/emulator/src/oracle.rs
@@ -5,7 +5,7 @@
 use meadowhold::interface::{AcceptedMail, Action, Effect, EndpointStatus, Input, Settings, Time};
 
 use crate::decider::{Decider, WorldView};
-use crate::slots::{entry_mut, may_retry, Slots};
+use crate::slots::{entry_mut, may_retry, CallSlots};
 
 /// A once-only mail waits until its chance of success is above this.
 const MIN_ONCE_ONLY_CHANCE: f64 = 0.9;
@@ -47,7 +47,7 @@
     /// wait.
     key_queues: Vec<(Vec<usize>, Time)>,
     order: Vec<(f64, usize)>,
-    slots: Slots,
+    slots: CallSlots,
     list_requested: bool,
 }
 
@@ -68,7 +68,7 @@
             parked: Vec::new(),
             key_queues: Vec::new(),
             order: Vec::new(),
-            slots: Slots::default(),
+            slots: CallSlots::default(),
         }
     }
 
@@ -139,7 +139,7 @@
                     return;
                 }
                 m.out = false;
-                self.slots.give_back(m.call);
+                self.slots.finish_connect(m.call);
                 let scope = self.scope[ended.mail];
                 self.wait_until[scope] = self.wait_until[scope].max(now + ended.retry_after);
                 if !ended.outcome.never_ran() {
--- a/crates/emulator/src/parts.rs
+++ b/crates/emulator/src/parts.rs
@@ -301,7 +301,7 @@
     }
 
     /// Assigns an index to a mail.
-    pub fn enter(&mut self, mail: u32) -> u32 {
+    pub fn assign_index(&mut self, mail: u32) -> u32 {
         if let Some(index) = self.free.pop() {
             self.mails[index as usize] = mail;
             return index;
@@ -374,7 +374,7 @@
     ListUpdate {
         courier: u32,
         process: u32,
-        upto: u32,
+        position: u32,
     },
     ListResponse {
         courier: u32,
--- a/crates/emulator/src/serving.rs
+++ b/crates/emulator/src/serving.rs
@@ -160,11 +160,11 @@
         d.unit(); // skips the draw that `refuse` takes from the same stream
         let p = &self.day.destinations[self.day.endpoints[endpoint].destination];
         let state = &self.endpoint_states[endpoint];
-        let strikes = |class: usize| {
+        let affected = |class: usize| {
             let connects = &self.calls[call as usize].connects;
             connects.iter().any(|r| usize::from(self.mails[r.mail as usize].class) == class)
         };
-        let of_class = state.class_errors.iter().filter(|(class, _)| strikes(*class));
+        let of_class = state.class_errors.iter().filter(|(class, _)| affected(*class));
         let well =
             of_class.fold((1.0 - p.error_share) * (1.0 - state.errors.min(1.0)), |w, (_, e)| w * (1.0 - e));
         let (fails, breaks) = (d.chance(1.0 - well), d.chance(state.resets));
@@ -193,8 +193,8 @@
             if set.effect != Effect::Tagged {
                 continue;
             }
-            let place = (mail, if set.dedup_by_zone { zone } else { 0 });
-            let known = self.dedup.entry(place).or_insert(DedupEntry { since: now, window: 0, done: 0 });
+            let dedup_key = (mail, if set.dedup_by_zone { zone } else { 0 });
+            let known = self.dedup.entry(dedup_key).or_insert(DedupEntry { since: now, window: 0, done: 0 });
             // The first connect creates the entry; after the window the entry starts anew.
             let repeat = known.since < now && now <= known.since + set.dedup_window;
             if now > known.since + set.dedup_window {
@@ -212,12 +212,12 @@
         let endpoint = c.endpoint as usize;
         let p = &self.day.destinations[self.day.endpoints[endpoint].destination];
         let d = &mut self.chance_of(call, Purpose::Service);
-        let noise = d.spread(CONNECT_NOISE);
+        let noise = d.lognormal(CONNECT_NOISE);
         let (mut longest, mut repeats) = (0.0f64, 0);
         for connect in &c.connects {
             let class = &self.day.classes[usize::from(self.mails[connect.mail as usize].class)];
             let own =
-                Stream::new(self.day.seed, Purpose::Service, u64::from(connect.mail)).spread(class.spread);
+                Stream::new(self.day.seed, Purpose::Service, u64::from(connect.mail)).lognormal(class.spread);
             longest = longest.max(class.service * own);
             repeats += usize::from(connect.repeat && self.has_effect(connect.mail, endpoint));
         }
@@ -249,7 +249,7 @@
         let lost = state.lost;
         self.counts.work += work;
         self.effects(now, call);
-        self.trace.mark(now, 12, [call, endpoint as u32]);
+        self.trace.record_event(now, 12, [call, endpoint as u32]);
         let answer_lost = self.chance_of(call, Purpose::List).chance(lost);
         if awaited && !answer_lost {
             let report = self.report(now, endpoint);
@@ -271,8 +271,8 @@
     /// Whether a tagged mail has already had its effect in the present window, which makes a repeat cheap.
     fn has_effect(&self, mail: u32, endpoint: usize) -> bool {
         let set = &self.day.classes[usize::from(self.mails[mail as usize].class)].settings;
-        let place = (mail, if set.dedup_by_zone { self.day.endpoints[endpoint].zone } else { 0 });
-        self.dedup.get(&place).is_some_and(|known| known.done >> known.window & 1 == 1)
+        let dedup_key = (mail, if set.dedup_by_zone { self.day.endpoints[endpoint].zone } else { 0 });
+        self.dedup.get(&dedup_key).is_some_and(|known| known.done >> known.window & 1 == 1)
     }
 
     /// Counts the effects of a served call at the destination, independent of what couriers report.
@@ -285,8 +285,8 @@
             let counts = match class.settings.effect {
                 Effect::Redeliverable => false,
                 Effect::Tagged => {
-                    let place = (connect.mail, if class.settings.dedup_by_zone { zone } else { 0 });
-                    let known = self.dedup.get_mut(&place);
+                    let dedup_key = (connect.mail, if class.settings.dedup_by_zone { zone } else { 0 });
+                    let known = self.dedup.get_mut(&dedup_key);
                     known.is_none_or(|known| {
                         let new = known.done >> connect.window & 1 == 0;
                         known.done |= 1 << connect.window;
@@ -300,7 +300,7 @@
             }
             m.effects = m.effects.saturating_add(1);
             let effects = m.effects;
-            self.trace.note(now, connect.mail, || format!("takes effect, for the {effects}. time"));
+            self.trace.record_history(now, connect.mail, || format!("takes effect, for the {effects}. time"));
             if effects > 1 {
                 let courier = self.calls[call as usize].courier;
                 let words = format!("queue class {} took effect {effects} times", class.name);
--- a/crates/emulator/src/slots.rs
+++ b/crates/emulator/src/slots.rs
@@ -26,7 +26,7 @@
 }
 
 #[derive(Default)]
-pub struct Slots {
+pub struct CallSlots {
     /// Connects without an outcome, by call; 0 marks a free entry.
     calls: Vec<usize>,
     free: Vec<usize>,
@@ -36,7 +36,7 @@
     latest: Vec<(u64, usize, usize)>,
 }
 
-impl Slots {
+impl CallSlots {
     pub fn next_turn(&mut self) {
         self.turn += 1;
     }
@@ -77,7 +77,7 @@
     }
 
     /// Records the outcome of a connect; returns whether its call has ended.
-    pub fn give_back(&mut self, call: usize) -> bool {
+    pub fn finish_connect(&mut self, call: usize) -> bool {
         self.calls[call] -= 1;
         let ended = self.calls[call] == 0;
         if ended {
@@ -94,12 +94,12 @@
 
     #[test]
     fn connects_of_a_turn_share_a_slot_up_to_the_batch() {
-        let mut slots = Slots::default();
+        let mut slots = CallSlots::default();
         slots.next_turn();
         let calls = [slots.take(3, 2), slots.take(3, 2), slots.take(3, 2), slots.take(4, 2)];
         assert_eq!((calls, slots.out()), ([0, 0, 1, 2], 3));
         assert!(slots.has_room(4, 2, 3) && !slots.has_room(5, 2, 3));
-        assert_eq!([slots.give_back(0), slots.give_back(0)], [false, true]);
+        assert_eq!([slots.finish_connect(0), slots.finish_connect(0)], [false, true]);
         slots.next_turn();
         assert_eq!((slots.take(3, 2), slots.out()), (0, 3));
     }
--- a/crates/emulator/src/trace.rs
+++ b/crates/emulator/src/trace.rs
@@ -11,27 +11,32 @@
 }
 
 /// Number of bytes buffered before they are hashed.
-const GATHERED: usize = 1 << 13;
+const BUFFER_SIZE: usize = 1 << 13;
 
 impl Trace {
     pub fn new(watched: Option<u32>) -> Trace {
-        Trace { hash: Xxh3::new(), buffer: Vec::with_capacity(GATHERED + 64), watched, history: Vec::new() }
+        Trace {
+            hash: Xxh3::new(),
+            buffer: Vec::with_capacity(BUFFER_SIZE + 64),
+            watched,
+            history: Vec::new(),
+        }
     }
 
     /// Adds an event to the hash: its time, code and subjects.
-    pub fn mark(&mut self, at: Time, what: u8, who: [u32; 2]) {
+    pub fn record_event(&mut self, at: Time, what: u8, who: [u32; 2]) {
         self.buffer.extend_from_slice(&at.to_le_bytes());
         self.buffer.push(what);
         self.buffer.extend_from_slice(&who[0].to_le_bytes());
         self.buffer.extend_from_slice(&who[1].to_le_bytes());
-        if self.buffer.len() >= GATHERED {
+        if self.buffer.len() >= BUFFER_SIZE {
             self.hash.update(&self.buffer);
             self.buffer.clear();
         }
     }
 
     /// Adds a line to the history of the watched mail; the text is built only for that mail.
-    pub fn note(&mut self, at: Time, mail: u32, words: impl FnOnce() -> String) {
+    pub fn record_history(&mut self, at: Time, mail: u32, words: impl FnOnce() -> String) {
         if self.watched == Some(mail) {
             self.history.push((at, words()));
         }
--- a/crates/emulator/src/troubles.rs
+++ b/crates/emulator/src/troubles.rs
@@ -13,8 +13,8 @@
     pub fn trouble(&mut self, now: Time, index: usize, on: bool) {
         let day = self.day.clone();
         let t = &day.troubles[index];
-        self.trace.mark(now, 30, [index as u32, u32::from(on)]);
-        let step = |count: &mut u16| *count = if on { *count + 1 } else { count.saturating_sub(1) };
+        self.trace.record_event(now, 30, [index as u32, u32::from(on)]);
+        let adjust = |count: &mut u16| *count = if on { *count + 1 } else { count.saturating_sub(1) };
         match t.what {
             What::Flap | What::Pauses => {
                 if on {
@@ -45,25 +45,25 @@
                 self.list.lag = if on { self.list.lag + further } else { self.list.lag - further };
             }
             What::ListStall => {
-                step(&mut self.list.stalls);
+                adjust(&mut self.list.stalls);
                 if !on && self.list.stalls == 0 {
                     self.resume_list(now);
                 }
             }
             What::ListEmpty => self.resend_list(now, on),
             What::ListLies => {
-                let life = if on { EndpointStatus::Draining } else { EndpointStatus::Ready };
+                let status = if on { EndpointStatus::Draining } else { EndpointStatus::Ready };
                 for &endpoint in &t.endpoints {
                     if !self.endpoint_states[endpoint].removed {
-                        self.announce(now, endpoint, life);
+                        self.announce(now, endpoint, status);
                     }
                 }
             }
             What::LinkCut | What::LinkOneWay => {
                 for other in (0..day.zones.len()).filter(|&other| other != t.zone) {
-                    step(&mut self.cut_links[other][t.zone]);
+                    adjust(&mut self.cut_links[other][t.zone]);
                     if t.what == What::LinkCut {
-                        step(&mut self.cut_links[t.zone][other]);
+                        adjust(&mut self.cut_links[t.zone][other]);
                     }
                 }
             }
@@ -77,17 +77,17 @@
         let day = self.day.clone();
         let t = &day.troubles[index];
         let state = &mut self.endpoint_states[endpoint];
-        let step = |count: &mut u16| *count = if on { *count + 1 } else { count.saturating_sub(1) };
+        let adjust = |count: &mut u16| *count = if on { *count + 1 } else { count.saturating_sub(1) };
         let add = |share: &mut f64| *share = (*share + if on { t.size } else { -t.size }).max(0.0);
         match t.what {
             What::Crash | What::Flap => {
-                step(&mut state.down);
+                adjust(&mut state.down);
                 if on {
                     self.crash(now, endpoint);
                 }
             }
-            What::Hang => step(&mut state.hung),
-            What::Pauses => step(&mut state.paused),
+            What::Hang => adjust(&mut state.hung),
+            What::Pauses => adjust(&mut state.paused),
             What::Slow => state.slow *= if on { t.size } else { 1.0 / t.size },
             What::Errors => add(&mut state.errors),
             What::ClassErrors if on => state.class_errors.push((t.class.unwrap_or(0), t.size)),
@@ -99,12 +99,12 @@
                 }
             }
             What::Shut => {
-                step(&mut state.shut);
+                adjust(&mut state.shut);
                 state.shut_until = t.until;
             }
             What::Resets => add(&mut state.resets),
             What::LostAnswers => add(&mut state.lost),
-            What::HalfOpen => step(&mut state.half_open),
+            What::HalfOpen => adjust(&mut state.half_open),
             What::IdleClose => state.idle_close = on.then_some((t.size * SECOND as f64) as Time),
             What::Throttle => {
                 // Once for each scope, however many of its endpoints are affected.
@@ -159,7 +159,7 @@
                 self.endpoint_states[endpoint].warming_since = Some(now);
             }
         }
-        self.trace.mark(now, 31, [scope as u32, u32::from(is_out)]);
+        self.trace.record_event(now, 31, [scope as u32, u32::from(is_out)]);
     }
 
     /// Troubles that start and stop repeatedly while they last.
--- a/crates/emulator/src/turns.rs
+++ b/crates/emulator/src/turns.rs
@@ -41,7 +41,7 @@
         inputs.shrink_to(KEPT_INPUT_CAPACITY);
         self.couriers[courier].inputs = inputs;
         self.couriers[courier].decider = Some(decider);
-        self.trace.mark(now, 9, [courier as u32, actions.len() as u32]);
+        self.trace.record_event(now, 9, [courier as u32, actions.len() as u32]);
         let first = self.calls.len();
         for action in actions.drain(..) {
             self.apply_action(now, courier, first, action);
@@ -88,7 +88,7 @@
             self.judge.hold_key(courier as u32, key, now + self.day.settings.ordering_gap);
         }
         let (outcome, wait) = (ended.outcome, ended.retry_after);
-        self.trace.note(now, mail, || {
+        self.trace.record_history(now, mail, || {
             format!("courier {courier} reads {outcome:?}, told to wait {} ms", wait / 10)
         });
         self.mails[mail as usize].active_call = None;
@@ -97,9 +97,9 @@
 
     fn apply_action(&mut self, now: Time, courier: usize, first: usize, action: Action) {
         match action {
-            Action::Connect { mail, endpoint, timeout, new_connection: fresh } => {
+            Action::Connect { mail, endpoint, timeout, new_connection } => {
                 let mail = self.couriers[courier].mails[mail];
-                self.add_to_call(now, courier, first, (mail, endpoint, timeout, fresh));
+                self.add_to_call(now, courier, first, (mail, endpoint, timeout, new_connection));
             }
             Action::Defer { mail, retry_after: pause } => {
                 let mail = self.couriers[courier].mails[mail];
@@ -136,7 +136,7 @@
 
     /// Adds a mail to a call to the endpoint that was started in this turn, or starts one.
     fn add_to_call(&mut self, now: Time, courier: usize, first: usize, order: (u32, usize, Time, bool)) {
-        let (mail, endpoint, timeout, fresh) = order;
+        let (mail, endpoint, timeout, new_connection) = order;
         let m = &self.mails[mail as usize];
         if m.stage != Stage::Accepted || m.courier != courier as u32 || m.active_call.is_some() {
             let words = "a connect after its final answer, or beside another".to_string();
@@ -157,7 +157,7 @@
             let index = u64::from(mail) << 16 | u64::from(m.connects) << 8 | u64::from(m.tries);
             let d = &mut Stream::new(self.day.seed, Purpose::Network, index);
             let zone_latency = self.day.zone_latency[c.zone][e.zone] as f64;
-            let way = [0, 1].map(|_| (zone_latency * d.spread(self.day.jitter)) as Time + 1);
+            let latency = [0, 1].map(|_| (zone_latency * d.lognormal(self.day.jitter)) as Time + 1);
             self.endpoint_states[endpoint].in_transit += 1;
             self.calls.push(Call {
                 courier: courier as u32,
@@ -168,7 +168,7 @@
                 reused: true, // until a connection is chosen: whether an idle one may be used
                 open: true,
                 phase: Phase::Connecting,
-                latency: way,
+                latency,
                 incarnation: 0,
                 connected: false,
                 in_transit: true,
@@ -177,19 +177,20 @@
             });
         }
         // If one connect requires a new connection, the whole call uses a new one.
-        self.calls[call].reused &= !fresh;
+        self.calls[call].reused &= !new_connection;
         self.calls[call].connects.push(connect);
         self.mails[mail as usize].active_call = Some(call as u32);
-        self.trace.mark(now, 10, [mail, endpoint as u32]);
-        self.trace
-            .note(now, mail, || format!("courier {courier} decides on a connect to endpoint {endpoint}"));
+        self.trace.record_event(now, 10, [mail, endpoint as u32]);
+        self.trace.record_history(now, mail, || {
+            format!("courier {courier} decides on a connect to endpoint {endpoint}")
+        });
     }
 
     /// Uses an idle connection for a call, or opens a new one.
     fn start_call(&mut self, now: Time, call: u32) {
         self.counts.calls += 1;
         let c = &self.calls[call as usize];
-        let (courier, endpoint, may_keep, way) = (c.courier as usize, c.endpoint, c.reused, c.latency);
+        let (courier, endpoint, may_reuse, latency) = (c.courier as usize, c.endpoint, c.reused, c.latency);
         // All connects wait for the one with the longest timeout, but each no longer than its own deadline.
         let longest = c.connects.iter().map(|r| r.timeout_at).max().unwrap_or(now);
         for i in 0..self.calls[call as usize].connects.len() {
@@ -202,7 +203,7 @@
                 self.event_queue.schedule(end, Event::Timeout { call });
             }
         }
-        if may_keep {
+        if may_reuse {
             if let Some(idle) = self.reusable_connection(now, courier, endpoint) {
                 let c = &mut self.calls[call as usize];
                 (c.incarnation, c.connected, c.idle_since) = (idle.incarnation, true, idle.since);
@@ -213,18 +214,18 @@
         self.calls[call as usize].reused = false;
         self.counts.handshakes += 1;
         let zone = self.day.endpoints[endpoint as usize].zone;
-        let there = self.link_open(self.couriers[courier].zone, zone)
+        let reachable = self.link_open(self.couriers[courier].zone, zone)
             && self.link_open(zone, self.couriers[courier].zone);
-        let turns = (way[0] + way[1]) as f64;
+        let round_trip = (latency[0] + latency[1]) as f64;
         let state = &self.endpoint_states[endpoint as usize];
-        let table = self.day.endpoints[endpoint as usize].connections;
-        if !there {
+        let max_connections = self.day.endpoints[endpoint as usize].connections;
+        if !reachable {
             let at = now + self.day.settings.connection_timeout;
             self.event_queue.schedule(at, Event::Unreached { call });
-        } else if state.is_down() || (table > 0 && state.connections >= table) {
-            self.event_queue.schedule(now + turns as Time, Event::Unreached { call });
+        } else if state.is_down() || (max_connections > 0 && state.connections >= max_connections) {
+            self.event_queue.schedule(now + round_trip as Time, Event::Unreached { call });
         } else {
-            let at = now + (turns * self.day.handshake_turns) as Time;
+            let at = now + (round_trip * self.day.handshake_turns) as Time;
             let state = &mut self.endpoint_states[endpoint as usize];
             state.connections += 1;
             let c = &mut self.calls[call as usize];
@@ -237,13 +238,14 @@
     fn reusable_connection(&mut self, now: Time, courier: usize, endpoint: u32) -> Option<Idle> {
         let keep = self.day.client_idle_timeout();
         let state = &mut self.endpoint_states[endpoint as usize];
-        let far = state.idle_close.unwrap_or(Time::MAX);
-        let way =
+        let far_timeout = state.idle_close.unwrap_or(Time::MAX);
+        let latency =
             self.day.zone_latency[self.couriers[courier].zone][self.day.endpoints[endpoint as usize].zone];
         let idle = self.couriers[courier].idle.get_mut(&endpoint)?;
         while let Some(Idle { since, incarnation }) = idle.pop() {
             // The courier learns that the endpoint closed a connection one network latency later.
-            let closed = now >= since + keep || now >= since.saturating_add(far).saturating_add(way);
+            let closed =
+                now >= since + keep || now >= since.saturating_add(far_timeout).saturating_add(latency);
             if !closed && incarnation == state.incarnation {
                 return Some(Idle { since, incarnation });
             }
@@ -295,7 +297,7 @@
         if !self.couriers[courier].alive {
             return;
         }
-        self.trace.mark(now, 20, [courier as u32, 0]);
+        self.trace.record_event(now, 20, [courier as u32, 0]);
         let held = |m: &u32| {
             let m = &self.mails[*m as usize];
             m.stage == Stage::Accepted && m.courier == courier as u32
@@ -321,7 +323,9 @@
             let sent =
                 m.active_call.map(|call| &self.calls[call as usize]).filter(|c| c.phase != Phase::Connecting);
             let ran = m.first_run.or(sent.map(|c| (c.started, zone(c))));
-            self.trace.note(now, mail, || format!("courier {courier} dies; may have run: {}", ran.is_some()));
+            self.trace.record_history(now, mail, || {
+                format!("courier {courier} dies; may have run: {}", ran.is_some())
+            });
             let m = &mut self.mails[mail as usize];
             (m.first_run, m.active_call) = (ran, None);
         }
@@ -363,7 +367,7 @@
         if self.couriers[courier].alive {
             return;
         }
-        self.trace.mark(now, 21, [courier as u32, 0]);
+        self.trace.record_event(now, 21, [courier as u32, 0]);
         self.couriers[courier].started = now;
         self.start_process(courier);
         let notice = now + self.day.mails.front_notice.min(self.day.down.max(1));
@@ -379,7 +383,7 @@
                 continue;
             }
             let c = &mut self.couriers[courier];
-            let index = c.enter(mail);
+            let index = c.assign_index(mail);
             c.open += 1;
             self.mails[mail as usize].index = index;
             self.give_to_decider(courier, mail);
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -86,7 +86,7 @@
 }
 
 /// The result of a run, from which the figures are computed.
-pub struct Ended {
+pub struct RunResult {
     pub day: Rc<Day>,
     pub mails: Vec<Mail>,
     pub judge: Judge,
@@ -170,7 +170,7 @@
         }
     }
 
-    pub fn run(mut self) -> Ended {
+    pub fn run(mut self) -> RunResult {
         // After this time no call in flight can still have an effect that a rule covers.
         let longest = self.day.classes.iter().map(|c| c.settings.lifetime).max().unwrap_or(0);
         let troubled = self.day.troubles.iter().map(|t| t.until).max().unwrap_or(0);
@@ -185,7 +185,7 @@
         let peak_out = self.couriers.iter().map(|c| c.peak_out).max().unwrap_or(0);
         self.counts.events = self.event_queue.count();
         let (hash, history) = self.trace.end();
-        Ended {
+        RunResult {
             day: self.day,
             mails: self.mails,
             judge: self.judge,
@@ -215,8 +215,8 @@
             Event::Trouble { index, on } => self.trouble(now, index as usize, on),
             Event::TroublePulse { index, on } => self.pulse(now, index as usize, on),
             Event::Publish { change } => self.publish(now, change as usize),
-            Event::ListUpdate { courier, process, upto } => {
-                self.deliver_list_update(now, courier as usize, process, upto as usize)
+            Event::ListUpdate { courier, process, position } => {
+                self.deliver_list_update(now, courier as usize, process, position as usize)
             }
             Event::ListResponse { courier, process } => self.list_response(now, courier as usize, process),
             Event::CourierCrash { courier } => self.crash_courier(now, courier as usize),
--- a/crates/emulator/tests/same.rs
+++ b/crates/emulator/tests/same.rs
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn who_sees_all_does_no_worse_than_who_does_not() {
+fn the_oracle_does_no_worse_than_the_module() {
     for (what, size) in [(What::Hang, 1.0), (What::Crash, 1.0), (What::Slow, 8.0), (What::Burst, 2.0)] {
         let scenario = troubled(what, size);
         let mean = |factory: &DeciderFactory| {
--- a/crates/emulator/tests/thin.rs
+++ b/crates/emulator/tests/thin.rs
@@ -24,21 +24,21 @@
 const RATE: f64 = 10.0;
 const COURIERS: usize = 1_300;
 /// Part of the destinations that is out at any time, and the range of an outage's length.
-const OUT: f64 = 0.023;
-const LASTS_S: (f64, f64) = (60.0, 540.0);
+const OUT_SHARE: f64 = 0.023;
+const OUTAGE_S: (f64, f64) = (60.0, 540.0);
 const DAY_S: f64 = 3_600.0;
 /// Seconds between two calls to a destination, and number of seeds: more seeds where few destinations give
 /// few outages.
 const SIZES: [(f64, u64); 4] = [(1.0, 20), (10.0, 6), (100.0, 2), (720.0, 1)];
 
 /// Processor time of this thread in seconds; wall time says little on a shared machine.
-fn busy() -> f64 {
+fn thread_cpu_s() -> f64 {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::ThreadCPUTime);
     time.tv_sec as f64 + time.tv_nsec as f64 / 1e9
 }
 
 /// A day whose only troubles are outages, drawn by a generator of its own.
-fn thin(rate: f64, between_s: f64, what: Option<What>, long: bool, seed: u64) -> Scenario {
+fn rarely_called(rate: f64, between_s: f64, what: Option<What>, long: bool, seed: u64) -> Scenario {
     let one = Figure::One;
     let mut s = Scenario { seconds: one(DAY_S), couriers: one(1.0), ..Scenario::default() };
     let destinations = (rate * between_s) as usize;
@@ -69,12 +69,12 @@
     s.list.rates = false;
     let Some(what) = what else { return s };
     let mut chance = fastrand::Rng::with_seed(seed);
-    let mean = (LASTS_S.0 + LASTS_S.1) / 2.0;
-    let up = mean * (1.0 - OUT) / OUT;
-    let between = |chance: &mut fastrand::Rng| LASTS_S.0 + (LASTS_S.1 - LASTS_S.0) * chance.f64();
+    let mean = (OUTAGE_S.0 + OUTAGE_S.1) / 2.0;
+    let up = mean * (1.0 - OUT_SHARE) / OUT_SHARE;
+    let between = |chance: &mut fastrand::Rng| OUTAGE_S.0 + (OUTAGE_S.1 - OUTAGE_S.0) * chance.f64();
     for destination in 0..destinations {
         let wait = |chance: &mut fastrand::Rng| -up * (1.0 - chance.f64()).ln();
-        let mut at = if chance.f64() < OUT { 0.0 } else { wait(&mut chance) };
+        let mut at = if chance.f64() < OUT_SHARE { 0.0 } else { wait(&mut chance) };
         while at < DAY_S {
             let lasts = between(&mut chance);
             let mut trouble = Trouble::new(what, one(at), one(lasts), one(0.0), one(1.0));
@@ -92,7 +92,7 @@
     until: Time,
     endpoint: usize,
     /// When the courier first suspected the endpoint in this outage, and first held it to be down.
-    doubted: Option<Time>,
+    suspected: Option<Time>,
     known: Option<Time>,
 }
 
@@ -104,10 +104,10 @@
 
 /// What one courier did, recorded outside its decider.
 #[derive(Default)]
-struct Seen {
+struct Observations {
     outages: Vec<Outage>,
     /// Indices of the outages of each endpoint, in order of time.
-    of: HashMap<usize, Vec<usize>>,
+    by_endpoint: HashMap<usize, Vec<usize>>,
     attempts: u64,
     wasted: u64,
     out: HashMap<usize, (usize, Time)>,
@@ -119,8 +119,8 @@
     deciding_s: f64,
 }
 
-impl Seen {
-    fn new(day: &Day) -> Seen {
+impl Observations {
+    fn new(day: &Day) -> Observations {
         let mut outages: Vec<Outage> = day
             .troubles
             .iter()
@@ -128,21 +128,24 @@
                 from: t.from,
                 until: t.until,
                 endpoint: t.endpoints[0],
-                doubted: None,
+                suspected: None,
                 known: None,
             })
             .collect();
         outages.sort_by_key(|outage| outage.from);
-        let mut of: HashMap<usize, Vec<usize>> = HashMap::new();
-        outages.iter().enumerate().for_each(|(i, outage)| of.entry(outage.endpoint).or_default().push(i));
-        Seen { outages, of, ..Seen::default() }
+        let mut by_endpoint: HashMap<usize, Vec<usize>> = HashMap::new();
+        outages
+            .iter()
+            .enumerate()
+            .for_each(|(i, outage)| by_endpoint.entry(outage.endpoint).or_default().push(i));
+        Observations { outages, by_endpoint, ..Observations::default() }
     }
 
     fn outages_of(&self, endpoint: usize) -> impl Iterator<Item = &Outage> {
-        self.of.get(&endpoint).into_iter().flatten().map(|&i| &self.outages[i])
+        self.by_endpoint.get(&endpoint).into_iter().flatten().map(|&i| &self.outages[i])
     }
 
-    fn ended(&mut self, now: Time, mail: usize, outcome: Outcome) {
+    fn connect_ended(&mut self, now: Time, mail: usize, outcome: Outcome) {
         let Some((endpoint, begun)) = self.out.remove(&mail) else { return };
         if outcome == Outcome::Unsent {
             return;
@@ -155,7 +158,7 @@
         self.wasted += u64::from(then_out && outcome != Outcome::Relayed);
     }
 
-    fn look(&mut self, now: Time, standing: impl Fn(usize) -> Option<Health>) {
+    fn observe_health(&mut self, now: Time, standing: impl Fn(usize) -> Option<Health>) {
         while self.outages.get(self.begun).is_some_and(|outage| outage.from <= now) {
             self.now_out.push(self.begun);
             self.begun += 1;
@@ -168,7 +171,7 @@
             }
             let held = standing(outage.endpoint);
             if matches!(held, Some(Health::Suspect | Health::Down)) {
-                outage.doubted.get_or_insert(now - outage.from);
+                outage.suspected.get_or_insert(now - outage.from);
             }
             if held == Some(Health::Down) {
                 outage.known.get_or_insert(now - outage.from);
@@ -178,12 +181,12 @@
     }
 }
 
-struct Watched {
+struct ObservedDecider {
     inner: Box<dyn Decider>,
-    seen: Arc<Mutex<Seen>>,
+    seen: Arc<Mutex<Observations>>,
 }
 
-impl Decider for Watched {
+impl Decider for ObservedDecider {
     fn step(
         &mut self,
         now: Time,
@@ -194,21 +197,21 @@
         let mut seen = self.seen.lock().expect("one courier");
         for input in inputs {
             if let Input::ConnectResult(ended) = input {
-                seen.ended(now, ended.mail, ended.outcome);
+                seen.connect_ended(now, ended.mail, ended.outcome);
             }
         }
         let before = out.len();
-        let began = busy();
+        let began = thread_cpu_s();
         let next = self.inner.step(now, inputs, out, view);
-        seen.deciding_s += busy() - began;
+        seen.deciding_s += thread_cpu_s() - began;
         for action in &out[before..] {
             if let Action::Connect { mail, endpoint, .. } = *action {
                 // A call that the courier dropped without an outcome.
-                seen.ended(now, mail, Outcome::Silent);
+                seen.connect_ended(now, mail, Outcome::Silent);
                 seen.out.insert(mail, (endpoint, now));
             }
         }
-        seen.look(now, |endpoint| self.inner.health(endpoint));
+        seen.observe_health(now, |endpoint| self.inner.health(endpoint));
         next
     }
 
@@ -238,23 +241,23 @@
     held_by_out: Time,
     capacity: f64,
     outages: usize,
-    doubted: Vec<f64>,
+    suspected: Vec<f64>,
     known: Vec<f64>,
     deciding_s: f64,
     turns: u64,
 }
 
 impl Totals {
-    fn play(&mut self, scenario: &Scenario, seed: u64, oracle: bool) {
+    fn add_day(&mut self, scenario: &Scenario, seed: u64, oracle: bool) {
         assert_eq!(check::faults(scenario), [], "a day that can be drawn");
         let mut day = Day::draw(scenario, seed);
         day.settings.couriers = COURIERS;
-        let seen = Arc::new(Mutex::new(Seen::new(&day)));
+        let seen = Arc::new(Mutex::new(Observations::new(&day)));
         let watched = seen.clone();
         let factory = move |courier: usize, set: Settings| -> Box<dyn Decider> {
             let inner: Box<dyn Decider> =
                 if oracle { Box::new(Oracle::new(set, courier)) } else { control(courier, set) };
-            Box::new(Watched { inner, seen: watched.clone() })
+            Box::new(ObservedDecider { inner, seen: watched.clone() })
         };
         let day = Rc::new(day);
         let ended = World::new(day.clone(), &factory, Options::default()).run();
@@ -280,14 +283,14 @@
         self.capacity += day.settings.slots as f64 * day.length as f64;
         self.outages += seen.outages.len();
         let seconds = |time: Time| time as f64 / SECOND as f64;
-        self.doubted.extend(seen.outages.iter().filter_map(|outage| outage.doubted.map(seconds)));
+        self.suspected.extend(seen.outages.iter().filter_map(|outage| outage.suspected.map(seconds)));
         self.known.extend(seen.outages.iter().filter_map(|outage| outage.known.map(seconds)));
         self.deciding_s += seen.deciding_s;
         self.turns += ended.counts.turns;
     }
 }
 
-fn middle(values: &mut [f64]) -> f64 {
+fn median(values: &mut [f64]) -> f64 {
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied().unwrap_or(f64::NAN)
 }
@@ -325,14 +328,14 @@
 #[test]
 fn one_second_between_calls_is_enough_to_learn_of_each_outage() {
     for what in [What::Crash, What::Hang] {
-        let scenario = thin(RATE, 1.0, Some(what), false, 1);
+        let scenario = rarely_called(RATE, 1.0, Some(what), false, 1);
         let (mut present, mut oracle) = (Totals::default(), Totals::default());
-        present.play(&scenario, 1, false);
-        oracle.play(&scenario, 1, true);
+        present.add_day(&scenario, 1, false);
+        oracle.add_day(&scenario, 1, true);
         assert!(present.outages > 0 && present.at_out > 0, "nothing was out");
         assert_eq!((present.messages, present.at_out), (oracle.messages, oracle.at_out));
         assert_eq!(present.known.len(), present.outages, "{what:?}");
-        assert!(middle(&mut present.known) < LASTS_S.0, "{what:?}: {:?}", present.known);
+        assert!(median(&mut present.known) < OUTAGE_S.0, "{what:?}: {:?}", present.known);
         assert!(present.wasted > 0 && present.held_by_out > 0, "{what:?}");
         // The oracle sees an outage only once it has begun, so calls already on their way are lost there too.
         assert!(oracle.wasted <= oracle.outages as u64, "{what:?}: {}", oracle.wasted);
@@ -356,14 +359,14 @@
                 for oracle in [false, true] {
                     let mut line = Totals::default();
                     for seed in 0..seeds {
-                        line.play(&thin(RATE, between_s, what, long, seed), seed, oracle);
+                        line.add_day(&rarely_called(RATE, between_s, what, long, seed), seed, oracle);
                     }
                     let part = |part: u64, whole: u64| part as f64 / whole.max(1) as f64;
                     let wasted = part(line.wasted, line.attempts);
                     let held = line.held_by_out as f64 / line.capacity;
-                    let (doubted, known) = (line.doubted.len(), line.known.len());
+                    let (suspected, known) = (line.suspected.len(), line.known.len());
                     let of_outages = |many: usize| many as f64 / line.outages.max(1) as f64;
-                    let until = (middle(&mut line.doubted), middle(&mut line.known));
+                    let until = (median(&mut line.suspected), median(&mut line.known));
                     let us = line.deciding_s / line.messages as f64 * 1e6;
                     let turn_s = line.deciding_s / line.turns as f64;
                     let name = if oracle { "oracle" } else { "present" };
@@ -376,7 +379,7 @@
                         part(line.well_failed, line.well),
                         part(line.well_late, line.well),
                         line.outages,
-                        of_outages(doubted),
+                        of_outages(suspected),
                         of_outages(known),
                         until.0,
                         until.1,
@@ -443,7 +446,7 @@
         .map(|rate| {
             let mut line = Totals::default();
             for seed in 0..2 {
-                line.play(&thin(rate, 100.0, Some(What::Hang), false, seed), seed, false);
+                line.add_day(&rarely_called(rate, 100.0, Some(What::Hang), false, seed), seed, false);
             }
             let part = |part: u64, whole: u64| part as f64 / whole as f64;
             let parts = [
--- a/crates/lab/src/charts.rs
+++ b/crates/lab/src/charts.rs
@@ -3,10 +3,10 @@
 use std::path::Path;
 use std::sync::Once;
 
-use meadowhold_emulator::figures::{by_birth, latencies};
+use meadowhold_emulator::figures::{importance_by_arrival, latencies};
 use meadowhold_emulator::scenario::What;
 use meadowhold_emulator::series::Sample;
-use meadowhold_emulator::world::Ended;
+use meadowhold_emulator::world::RunResult;
 use plotters::coord::Shift;
 use plotters::prelude::*;
 
@@ -67,7 +67,7 @@
     });
 }
 
-pub fn svg(chart: Chart, ended: &Ended) -> Result<String, Refused> {
+pub fn svg(chart: Chart, ended: &RunResult) -> Result<String, Refused> {
     font();
     let mut text = String::new();
     {
@@ -77,13 +77,17 @@
     Ok(text)
 }
 
-pub fn png(chart: Chart, ended: &Ended, path: &Path) -> Result<(), Refused> {
+pub fn png(chart: Chart, ended: &RunResult, path: &Path) -> Result<(), Refused> {
     font();
     let area = BitMapBackend::new(path, SIZE).into_drawing_area();
     draw(chart, ended, &area).map_err(|e| Refused::one(format!("{}: {e}", path.display())))
 }
 
-fn draw<B: DrawingBackend>(chart: Chart, ended: &Ended, area: &DrawingArea<B, Shift>) -> Result<(), Failed>
+fn draw<B: DrawingBackend>(
+    chart: Chart,
+    ended: &RunResult,
+    area: &DrawingArea<B, Shift>,
+) -> Result<(), Failed>
 where
     B::ErrorType: 'static,
 {
@@ -99,12 +103,12 @@
     Ok(())
 }
 
-fn length(ended: &Ended) -> f64 {
+fn length(ended: &RunResult) -> f64 {
     ended.day.length as f64 / 10_000.0
 }
 
 /// Times in which a trouble was under way, in seconds, with its name.
-fn troubles(ended: &Ended) -> Vec<(f64, f64, String)> {
+fn troubles(ended: &RunResult) -> Vec<(f64, f64, String)> {
     let name = |what: What| format!("{what:?}").to_lowercase();
     let seconds = |t: u64| t as f64 / 10_000.0;
     ended.day.troubles.iter().map(|t| (seconds(t.from), seconds(t.until), name(t.what))).collect()
@@ -117,7 +121,7 @@
 }
 
 fn over_time<B: DrawingBackend>(
-    ended: &Ended,
+    ended: &RunResult,
     area: &DrawingArea<B, Shift>,
     (title, unit): (&str, &str),
     lines: &[Line],
@@ -158,11 +162,11 @@
     Ok(())
 }
 
-fn importance<B: DrawingBackend>(ended: &Ended, area: &DrawingArea<B, Shift>) -> Result<(), Failed>
+fn importance<B: DrawingBackend>(ended: &RunResult, area: &DrawingArea<B, Shift>) -> Result<(), Failed>
 where
     B::ErrorType: 'static,
 {
-    let bins = by_birth(&ended.day, &ended.mails);
+    let bins = importance_by_arrival(&ended.day, &ended.mails);
     let seconds: Vec<(f64, f64)> = bins
         .chunks_exact(10)
         .map(|second| second.iter().fold((0.0, 0.0), |sum, bin| (sum.0 + bin.0, sum.1 + bin.1)))
@@ -175,12 +179,12 @@
     over_time(ended, area, (Chart::Importance.title(), "importance a second"), &lines)
 }
 
-fn sampled(ended: &Ended, name: &str, of: impl Fn(&Sample) -> f64) -> Line {
+fn sampled(ended: &RunResult, name: &str, of: impl Fn(&Sample) -> f64) -> Line {
     let points = ended.samples.iter().map(|s| (s.at as f64 / 10_000.0, of(s))).collect();
     Line { name: name.to_string(), points }
 }
 
-fn holds<B: DrawingBackend>(ended: &Ended, area: &DrawingArea<B, Shift>) -> Result<(), Failed>
+fn holds<B: DrawingBackend>(ended: &RunResult, area: &DrawingArea<B, Shift>) -> Result<(), Failed>
 where
     B::ErrorType: 'static,
 {
@@ -192,7 +196,7 @@
     over_time(ended, area, (Chart::Holds.title(), "count"), &lines)
 }
 
-fn caps<B: DrawingBackend>(ended: &Ended, area: &DrawingArea<B, Shift>) -> Result<(), Failed>
+fn caps<B: DrawingBackend>(ended: &RunResult, area: &DrawingArea<B, Shift>) -> Result<(), Failed>
 where
     B::ErrorType: 'static,
 {
@@ -211,7 +215,7 @@
     over_time(ended, area, (Chart::Caps.title(), "calls, mails"), &lines)
 }
 
-fn standings<B: DrawingBackend>(ended: &Ended, area: &DrawingArea<B, Shift>) -> Result<(), Failed>
+fn standings<B: DrawingBackend>(ended: &RunResult, area: &DrawingArea<B, Shift>) -> Result<(), Failed>
 where
     B::ErrorType: 'static,
 {
@@ -256,7 +260,7 @@
     Ok(())
 }
 
-fn latency<B: DrawingBackend>(ended: &Ended, area: &DrawingArea<B, Shift>) -> Result<(), Failed>
+fn latency<B: DrawingBackend>(ended: &RunResult, area: &DrawingArea<B, Shift>) -> Result<(), Failed>
 where
     B::ErrorType: 'static,
 {
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -5,7 +5,7 @@
 use meadowhold_emulator::decider::DeciderFactory;
 use meadowhold_emulator::figures::{worth, Figures};
 use meadowhold_emulator::history;
-use meadowhold_emulator::world::Ended;
+use meadowhold_emulator::world::RunResult;
 
 use crate::charts::{svg, Chart};
 use crate::load::{Named, Refused};
@@ -18,7 +18,7 @@
 }
 
 /// The mails that a reader will ask about: of broken rules, else those that lost most importance.
-fn telling(ended: &Ended) -> Vec<u32> {
+fn telling(ended: &RunResult) -> Vec<u32> {
     let mut told: Vec<u32> = ended.judge.broken.iter().map(|b| b.mail).collect();
     told.dedup();
     if told.is_empty() {
@@ -37,7 +37,12 @@
     told
 }
 
-pub fn page(named: &Named, decider: &str, maker: &DeciderFactory, ended: &Ended) -> Result<String, Refused> {
+pub fn page(
+    named: &Named,
+    decider: &str,
+    maker: &DeciderFactory,
+    ended: &RunResult,
+) -> Result<String, Refused> {
     let f = Figures::of(ended);
     let mut page = String::new();
     let title = format!("{} · {decider} · seed {}", named.name, f.seed);
