--- a/crates/emulator/src/baselines.rs
+++ b/crates/emulator/src/baselines.rs
@@ -135,7 +135,7 @@
         }
     }
 
-    fn read(&mut self, now: Time, input: &Input, out: &mut Vec<Action>) {
+    fn handle_input(&mut self, now: Time, input: &Input, out: &mut Vec<Action>) {
         match input {
             Input::ListBegin { complete: whole } => {
                 self.endpoints.iter_mut().filter(|_| *whole).for_each(|e| e.named = false)
@@ -165,8 +165,8 @@
                 let rest = &mut entry_mut(&mut self.key_queues, *key).1;
                 *rest = (*rest).max(since + self.settings.ordering_gap);
             }
-            Input::ClientGone { mail } => self.end(*mail, out),
-            Input::ConnectResult(ended) => self.settle(now, ended, out),
+            Input::ClientGone { mail } => self.close(*mail, out),
+            Input::ConnectResult(ended) => self.handle_result(now, ended, out),
             Input::PeerNote { .. } | Input::Settings(_) | Input::Shutdown(_) | Input::Wakeup => {}
         }
     }
@@ -195,7 +195,7 @@
         }
     }
 
-    fn may(&self, now: Time, m: &MailState) -> (bool, bool) {
+    fn may_retry(&self, now: Time, m: &MailState) -> (bool, bool) {
         let left = m.connects < self.settings.max_connects && now < m.due;
         match may_retry(&self.settings, now, m.class, m.ran) {
             _ if self.wrong == InjectedFault::Repeats => (left, true),
@@ -203,7 +203,7 @@
         }
     }
 
-    fn end(&mut self, mail: usize, out: &mut Vec<Action>) {
+    fn close(&mut self, mail: usize, out: &mut Vec<Action>) {
         let m = &mut self.mails[mail];
         if !m.used {
             return;
@@ -221,12 +221,12 @@
     }
 
     fn give_up(&mut self, now: Time, mail: usize, out: &mut Vec<Action>) {
-        let (_, deferrable) = self.may(now, &self.mails[mail]);
+        let (_, deferrable) = self.may_retry(now, &self.mails[mail]);
         out.push(if deferrable { Action::Defer { mail, retry_after: 0 } } else { Action::Bounce { mail } });
-        self.end(mail, out);
+        self.close(mail, out);
     }
 
-    fn settle(&mut self, now: Time, ended: &ConnectResult, out: &mut Vec<Action>) {
+    fn handle_result(&mut self, now: Time, ended: &ConnectResult, out: &mut Vec<Action>) {
         let ConnectResult { mail, outcome, finished: over, retry_after: wait, duration: took, .. } = *ended;
         let m = &mut self.mails[mail];
         if !m.out {
@@ -245,12 +245,12 @@
         if let Some(key) = m.key.filter(|_| outcome.may_still_run()) {
             self.key_queues[key].1 = self.key_queues[key].1.max(now + self.settings.ordering_gap);
         }
-        self.learn(now, endpoint, destination, outcome, took);
-        let (again, _) = self.may(now, &self.mails[mail]);
+        self.update_limits(now, endpoint, destination, outcome, took);
+        let (again, _) = self.may_retry(now, &self.mails[mail]);
         let budgeted = self.style != Style::Ejection || self.budget >= 1.0 || outcome == Outcome::Refused;
         let unsent = outcome == Outcome::Unsent;
         if over || self.mails[mail].over {
-            self.end(mail, out);
+            self.close(mail, out);
         } else if again && (unsent || (self.style != Style::OneTry && budgeted)) {
             self.budget -= if unsent || outcome == Outcome::Refused { 0.0 } else { 1.0 };
             self.parked.push_front(mail);
@@ -259,7 +259,14 @@
         }
     }
 
-    fn learn(&mut self, now: Time, endpoint: usize, destination: usize, outcome: Outcome, took: Time) {
+    fn update_limits(
+        &mut self,
+        now: Time,
+        endpoint: usize,
+        destination: usize,
+        outcome: Outcome,
+        took: Time,
+    ) {
         let (e, d) = (&mut self.endpoints[endpoint], &mut self.destinations[destination]);
         let well = outcome == Outcome::Relayed;
         let neutral = matches!(outcome, Outcome::Unsent | Outcome::CalledOff | Outcome::Spoilt);
@@ -357,14 +364,14 @@
         out: &mut Vec<Action>,
         _: &dyn WorldView,
     ) -> Option<Time> {
-        inputs.iter().for_each(|input| self.read(now, input, out));
+        inputs.iter().for_each(|input| self.handle_input(now, input, out));
         out.extend(self.poll_at.take_if(|at| *at <= now).map(|_| Action::RequestList));
         let margin = 3 * self.settings.timer_resolution;
         let expired: Vec<usize> = self
             .parked
             .iter()
             .copied()
-            .filter(|&mail| now + margin >= self.mails[mail].due || !self.may(now, &self.mails[mail]).0)
+            .filter(|&mail| now + margin >= self.mails[mail].due || !self.may_retry(now, &self.mails[mail]).0)
             .collect();
         expired.into_iter().for_each(|mail| self.give_up(now, mail, out));
         self.dispatch(now, out);
--- a/crates/emulator/src/check.rs
+++ b/crates/emulator/src/check.rs
@@ -57,24 +57,24 @@
     c.figure("seconds", s.seconds, 1.0, DAY_S);
     c.figure("couriers", s.couriers, 1.0, MOST_COURIERS);
     c.figure("partners", s.partners, 1.0, MAX_ENDPOINTS);
-    halls_and_mails(&mut c, s);
-    classes(&mut c, s);
-    kinds(&mut c, s);
-    courier(&mut c, s);
-    rules(&mut c, s);
-    troubles(&mut c, s);
+    check_zones_and_mails(&mut c, s);
+    check_classes(&mut c, s);
+    check_kinds(&mut c, s);
+    check_courier(&mut c, s);
+    check_rules(&mut c, s);
+    check_troubles(&mut c, s);
     if c.0.is_empty() {
         check_sizes(&mut c, s);
     }
     c.0
 }
 
-fn halls_and_mails(c: &mut Checks, s: &Scenario) {
+fn check_zones_and_mails(c: &mut Checks, s: &Scenario) {
     if s.halls.names.is_empty() || s.halls.names.len() > 64 {
         c.fault("halls.names", format!("{} halls", s.halls.names.len()), "name 1 to 64 halls");
     }
-    if let Some(twice) = twice(&s.halls.names) {
-        c.fault("halls.names", format!("{twice} is there twice"), "give each hall a name of its own");
+    if let Some(duplicate) = duplicate(&s.halls.names) {
+        c.fault("halls.names", format!("{duplicate} is there twice"), "give each hall a name of its own");
     }
     c.figure("halls.same_ms", s.halls.same_ms, 0.0, 10_000.0);
     c.figure("halls.cross_ms", s.halls.cross_ms, 0.0, 10_000.0);
@@ -97,13 +97,13 @@
     c.figure("mails.front_notice_s", m.front_notice_s, 0.0, 600.0);
 }
 
-fn classes(c: &mut Checks, s: &Scenario) {
+fn check_classes(c: &mut Checks, s: &Scenario) {
     if s.class.is_empty() || s.class.len() > 64 {
         c.fault("class", format!("{} queue classes", s.class.len()), "name 1 to 64 queue classes");
     }
     let names: Vec<String> = s.class.iter().map(|class| class.name.clone()).collect();
-    if let Some(twice) = twice(&names) {
-        let found = format!("{twice:?} is there twice");
+    if let Some(duplicate) = duplicate(&names) {
+        let found = format!("{duplicate:?} is there twice");
         c.fault("class", found, "give each queue class a name of its own");
     }
     for (i, class) in s.class.iter().enumerate() {
@@ -132,7 +132,7 @@
     }
 }
 
-fn kinds(c: &mut Checks, s: &Scenario) {
+fn check_kinds(c: &mut Checks, s: &Scenario) {
     if s.kind.is_empty() || s.kind.len() > 64 {
         c.fault("kind", format!("{} kinds", s.kind.len()), "name 1 to 64 kinds of partner");
     }
@@ -161,7 +161,7 @@
     }
 }
 
-fn courier(c: &mut Checks, s: &Scenario) {
+fn check_courier(c: &mut Checks, s: &Scenario) {
     let k = &s.courier;
     c.figure("courier.slots_room", k.slots_room, 0.01, 1_000.0);
     c.value("courier.least_slots", k.least_slots as f64, 1.0, 65_536.0);
@@ -184,7 +184,7 @@
     c.value("list.ask_within_s", s.list.ask_within_s, 0.1, 3_600.0);
 }
 
-fn rules(c: &mut Checks, s: &Scenario) {
+fn check_rules(c: &mut Checks, s: &Scenario) {
     c.value("rules.drain_grace_ms", s.rules.drain_grace_ms, 0.0, 600_000.0);
     c.value("rules.tip_multiple", s.rules.tip_multiple, 1.0, 1_000.0);
     c.value("rules.tip_s", s.rules.tip_s, 0.1, 3_600.0);
@@ -203,7 +203,7 @@
     c.value("goal.refused_price", g.refused_price, 0.0, 10.0);
 }
 
-fn troubles(c: &mut Checks, s: &Scenario) {
+fn check_troubles(c: &mut Checks, s: &Scenario) {
     for (i, t) in s.trouble.iter().enumerate() {
         let at = |key: &str| format!("trouble.{i}.{key}");
         c.figure(&at("at_s"), t.at_s, 0.0, DAY_S);
@@ -269,7 +269,7 @@
     }
 }
 
-fn twice(names: &[String]) -> Option<&String> {
+fn duplicate(names: &[String]) -> Option<&String> {
     names.iter().enumerate().find(|(i, name)| names[..*i].contains(name)).map(|(_, name)| name)
 }
 
@@ -285,8 +285,8 @@
 
     #[test]
     fn impossible_days_are_refused_with_their_place() {
-        type Spoil = fn(&mut Scenario);
-        let cases: [(&str, Spoil); 12] = [
+        type Edit = fn(&mut Scenario);
+        let cases: [(&str, Edit); 12] = [
             ("partners", |s| s.partners = Figure::One(0.0)),
             ("courier.least_slots", |s| s.courier.least_slots = 0),
             ("seconds", |s| s.seconds = Figure::One(-3.0)),
@@ -305,9 +305,9 @@
                 s.trouble.push(trouble);
             }),
         ];
-        for (path, spoil) in cases {
+        for (path, edit) in cases {
             let mut scenario = Scenario::default();
-            spoil(&mut scenario);
+            edit(&mut scenario);
             let found = faults(&scenario);
             assert_eq!(found.first().map(|f| f.path.as_str()), Some(path), "{found:?}");
         }
--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -17,7 +17,7 @@
 
 impl World<'_> {
     /// The current arrival rate as a multiple of the day's mean.
-    fn swing(&self, now: Time) -> f64 {
+    fn rate_factor(&self, now: Time) -> f64 {
         let (m, t) = (&self.day.mails, now as f64 / self.day.length.max(1) as f64);
         let turn = std::f64::consts::TAU;
         let shape = match m.shape {
@@ -34,7 +34,8 @@
         let m = &self.day.mails;
         let (clumps, clump) = (m.clumps, m.clump.max(1.0));
         let starts = (1.0 - clumps) + clumps / clump;
-        let gap = self.arrivals.exponential() / (m.rate * self.swing(now) * starts).max(1e-9) * SECOND as f64;
+        let gap =
+            self.arrivals.exponential() / (m.rate * self.rate_factor(now) * starts).max(1e-9) * SECOND as f64;
         let at = now + gap.min(1e12) as Time;
         if at < self.day.length {
             self.event_queue.schedule(at, Event::NextArrival);
@@ -276,13 +277,13 @@
 
     /// After a deferral or a rejection for lack of room, the client hands the mail in again if it has tries
     /// and time left.
-    pub fn schedule_retry(&mut self, now: Time, mail: u32, named: Time) {
+    pub fn schedule_retry(&mut self, now: Time, mail: u32, retry_after: Time) {
         let m = &mut self.mails[mail as usize];
         let index = u64::from(mail) << 8 | u64::from(m.tries) << 4 | 15;
         let d = &mut Stream::new(self.day.seed, Purpose::Front, index);
         let heeds = d.chance(self.day.mails.heed);
         let own = (self.day.mails.pause as f64 * (0.5 + d.unit())) as Time;
-        let pause = if heeds { own.max(named) } else { own };
+        let pause = if heeds { own.max(retry_after) } else { own };
         m.stage = Stage::Closed;
         let set = &self.day.classes[usize::from(m.class)].settings;
         if set.effect == Effect::Tagged && self.day.mails.careful {
@@ -313,7 +314,7 @@
     }
 
     /// At the end of the day every accepted mail must be closed.
-    pub fn close(&mut self) {
+    pub fn check_all_closed(&mut self) {
         let now = self.event_queue.now();
         for mail in 0..self.mails.len() as u32 {
             let m = &self.mails[mail as usize];
--- a/crates/emulator/src/listing.rs
+++ b/crates/emulator/src/listing.rs
@@ -110,7 +110,7 @@
         self.push_input(courier, Input::ListEnd);
     }
 
-    pub fn ask_list(&mut self, now: Time, courier: usize) {
+    pub fn request_list(&mut self, now: Time, courier: usize) {
         let process = self.couriers[courier].process;
         let at = now + SECOND / 20;
         self.event_queue.schedule(at, Event::ListResponse { courier: courier as u32, process });
@@ -157,7 +157,7 @@
 
     /// Endpoints missing from a complete list count as removed; the judge records that the courier has read
     /// it.
-    pub fn judge_unnamed(&mut self, now: Time, courier: usize, inputs: &[Input]) {
+    pub fn record_missing_entries(&mut self, now: Time, courier: usize, inputs: &[Input]) {
         let begin =
             inputs.iter().rposition(|i| matches!(i, Input::ListBegin { complete: true })).unwrap_or(0);
         let mut named = vec![false; self.endpoint_states.len()];
--- a/crates/emulator/src/oracle.rs
+++ b/crates/emulator/src/oracle.rs
@@ -72,13 +72,13 @@
         }
     }
 
-    fn may(&self, now: Time, t: &AcceptedMail) -> (bool, bool) {
+    fn may_retry(&self, now: Time, t: &AcceptedMail) -> (bool, bool) {
         let left = t.connects_used < self.settings.max_connects && now < t.deadline;
         let (again, deferrable) = may_retry(&self.settings, now, t.class, t.first_run);
         (left && again, deferrable)
     }
 
-    fn end(&mut self, mail: usize, out: &mut Vec<Action>) {
+    fn close(&mut self, mail: usize, out: &mut Vec<Action>) {
         let m = &mut self.mails[mail];
         if !m.used {
             return;
@@ -95,12 +95,12 @@
     }
 
     fn give_up(&mut self, now: Time, mail: usize, out: &mut Vec<Action>) {
-        let (_, deferrable) = self.may(now, &self.mails[mail].taken);
+        let (_, deferrable) = self.may_retry(now, &self.mails[mail].taken);
         out.push(if deferrable { Action::Defer { mail, retry_after: 0 } } else { Action::Bounce { mail } });
-        self.end(mail, out);
+        self.close(mail, out);
     }
 
-    fn read(&mut self, now: Time, input: &Input, out: &mut Vec<Action>) {
+    fn handle_input(&mut self, now: Time, input: &Input, out: &mut Vec<Action>) {
         match input {
             Input::ListBegin { complete: whole } => {
                 self.endpoints.iter_mut().filter(|_| *whole).for_each(|e| e.named = false)
@@ -132,7 +132,7 @@
                 }
                 self.parked.push(mail);
             }
-            Input::ClientGone { mail } => self.end(*mail, out),
+            Input::ClientGone { mail } => self.close(*mail, out),
             Input::ConnectResult(ended) => {
                 let m = &mut self.mails[ended.mail];
                 if !m.out {
@@ -151,8 +151,8 @@
                     self.key_queues[key].1 = self.key_queues[key].1.max(now + self.settings.ordering_gap);
                 }
                 if ended.finished || m.over {
-                    self.end(ended.mail, out);
-                } else if self.may(now, &self.mails[ended.mail].taken).0 {
+                    self.close(ended.mail, out);
+                } else if self.may_retry(now, &self.mails[ended.mail].taken).0 {
                     self.parked.push(ended.mail);
                 } else {
                     self.give_up(now, ended.mail, out);
@@ -250,14 +250,14 @@
         out: &mut Vec<Action>,
         view: &dyn WorldView,
     ) -> Option<Time> {
-        inputs.iter().for_each(|input| self.read(now, input, out));
+        inputs.iter().for_each(|input| self.handle_input(now, input, out));
         if !std::mem::replace(&mut self.list_requested, true) {
             out.push(Action::RequestList);
         }
         let margin = 3 * self.settings.timer_resolution;
         let expired = |&&mail: &&usize| {
             let t = &self.mails[mail].taken;
-            now + margin >= t.deadline || !self.may(now, t).0
+            now + margin >= t.deadline || !self.may_retry(now, t).0
         };
         let expired: Vec<usize> = self.parked.iter().filter(expired).copied().collect();
         expired.into_iter().for_each(|mail| self.give_up(now, mail, out));
--- a/crates/emulator/src/serving.rs
+++ b/crates/emulator/src/serving.rs
@@ -24,7 +24,7 @@
 const MIN_INFORMED_PART: f64 = 2.0 / 3.0;
 
 impl World<'_> {
-    fn chance_of(&self, call: u32, purpose: Purpose) -> Stream {
+    fn call_stream(&self, call: u32, purpose: Purpose) -> Stream {
         let c = &self.calls[call as usize];
         let mail = c.connects[0].mail;
         let connects = u64::from(self.mails[mail as usize].connects);
@@ -58,7 +58,7 @@
             return;
         }
         if self.endpoint_states[endpoint].is_stalled() {
-            self.wait_or_refuse(now, call, endpoint, true);
+            self.serve_or_queue(now, call, endpoint, true);
         } else if self.endpoint_states[endpoint].shut > 0 {
             let until = self.endpoint_states[endpoint].shut_until;
             self.refuse(now, call, until.saturating_sub(now));
@@ -66,23 +66,23 @@
             let wait = self.retry_after(now, endpoint);
             self.refuse(now, call, wait);
         } else if !self.inject_failure(now, call, endpoint) {
-            self.wait_or_refuse(now, call, endpoint, false);
+            self.serve_or_queue(now, call, endpoint, false);
         }
     }
 
-    fn wait_or_refuse(&mut self, now: Time, call: u32, endpoint: usize, still: bool) {
+    fn serve_or_queue(&mut self, now: Time, call: u32, endpoint: usize, stalled: bool) {
         let (slots, depth) = (self.day.endpoints[endpoint].slots, self.day.endpoints[endpoint].queue);
-        if !still && self.endpoint_states[endpoint].active.len() < slots {
+        if !stalled && self.endpoint_states[endpoint].active.len() < slots {
             self.mark_repeats(now, call);
             self.start_service(now, call);
             return;
         }
         let state = &mut self.endpoint_states[endpoint];
-        if state.queue.len() < depth + if still { slots } else { 0 } {
+        if state.queue.len() < depth + if stalled { slots } else { 0 } {
             self.calls[call as usize].phase = Phase::Waiting;
             state.queue.push_back(call);
             self.mark_repeats(now, call);
-        } else if still {
+        } else if stalled {
             // A stalled endpoint sends no refusal: a call that finds no room is dropped silently.
             self.calls[call as usize].phase = Phase::Lost;
         } else {
@@ -137,14 +137,14 @@
     fn refuse(&mut self, now: Time, call: u32, wait: Time) {
         let endpoint = self.calls[call as usize].endpoint as usize;
         let p = &self.day.destinations[self.day.endpoints[endpoint].destination];
-        let tells = self.chance_of(call, Purpose::Answer).chance(p.tells_wait);
+        let tells = self.call_stream(call, Purpose::Answer).chance(p.tells_wait);
         self.calls[call as usize].phase = Phase::Lost;
         let wait = if tells { wait } else { 0 };
-        let report = self.report(now, endpoint);
+        let report = self.limit_report(now, endpoint);
         self.send_reply(now, call, Reply { outcome: Outcome::Refused, wait, report }, QUICK_ANSWER / 4);
     }
 
-    fn report(&self, now: Time, endpoint: usize) -> Option<LimitReport> {
+    fn limit_report(&self, now: Time, endpoint: usize) -> Option<LimitReport> {
         let scope = self.endpoint_states[endpoint].scope;
         let (p, limit) = (&self.day.destinations[self.scopes[scope].destination], self.rate(scope));
         let left = match p.limit {
@@ -156,7 +156,7 @@
 
     /// Fails or breaks a call as active troubles demand; returns whether it did.
     fn inject_failure(&mut self, now: Time, call: u32, endpoint: usize) -> bool {
-        let d = &mut self.chance_of(call, Purpose::Answer);
+        let d = &mut self.call_stream(call, Purpose::Answer);
         d.unit(); // skips the draw that `refuse` takes from the same stream
         let p = &self.day.destinations[self.day.endpoints[endpoint].destination];
         let state = &self.endpoint_states[endpoint];
@@ -175,7 +175,7 @@
         self.calls[call as usize].phase = Phase::Lost;
         if after {
             self.mark_repeats(now, call);
-            self.effects(now, call);
+            self.apply_effects(now, call);
         }
         let outcome = if fails { Outcome::Error } else { Outcome::Broken };
         self.counts.work += QUICK_ANSWER as f64;
@@ -211,7 +211,7 @@
         let c = &self.calls[call as usize];
         let endpoint = c.endpoint as usize;
         let p = &self.day.destinations[self.day.endpoints[endpoint].destination];
-        let d = &mut self.chance_of(call, Purpose::Service);
+        let d = &mut self.call_stream(call, Purpose::Service);
         let noise = d.lognormal(CONNECT_NOISE);
         let (mut longest, mut repeats) = (0.0f64, 0);
         for connect in &c.connects {
@@ -248,11 +248,11 @@
         state.active.swap_remove(at);
         let lost = state.lost;
         self.counts.work += work;
-        self.effects(now, call);
+        self.apply_effects(now, call);
         self.trace.record_event(now, 12, [call, endpoint as u32]);
-        let answer_lost = self.chance_of(call, Purpose::List).chance(lost);
+        let answer_lost = self.call_stream(call, Purpose::List).chance(lost);
         if awaited && !answer_lost {
-            let report = self.report(now, endpoint);
+            let report = self.limit_report(now, endpoint);
             self.send_reply(now, call, Reply { outcome: Outcome::Relayed, wait: 0, report }, 0);
         }
         self.next_in_queue(now, endpoint);
@@ -276,7 +276,7 @@
     }
 
     /// Counts the effects of a served call at the destination, independent of what couriers report.
-    pub fn effects(&mut self, now: Time, call: u32) {
+    pub fn apply_effects(&mut self, now: Time, call: u32) {
         let zone = self.day.endpoints[self.calls[call as usize].endpoint as usize].zone;
         for i in 0..self.calls[call as usize].connects.len() {
             let connect = self.calls[call as usize].connects[i];
@@ -339,7 +339,7 @@
         for i in 0..self.scopes[scope].endpoints.len() {
             let endpoint = self.scopes[scope].endpoints[i];
             self.endpoint_states[endpoint].overloaded = true;
-            self.crash(now, endpoint);
+            self.crash_endpoint(now, endpoint);
         }
         self.update_outage(now, scope);
         if warned >= MIN_INFORMED_PART * work {
@@ -355,7 +355,7 @@
 
     /// The endpoint's process ends: its calls are broken off, about half of those being served after their
     /// effect.
-    pub fn crash(&mut self, now: Time, endpoint: usize) {
+    pub fn crash_endpoint(&mut self, now: Time, endpoint: usize) {
         let state = &mut self.endpoint_states[endpoint];
         state.incarnation += 1;
         state.connections = 0;
@@ -363,8 +363,8 @@
         let active = std::mem::take(&mut state.active);
         let queue = std::mem::take(&mut state.queue);
         for &call in &active {
-            if self.chance_of(call, Purpose::List).chance(0.5) {
-                self.effects(now, call);
+            if self.call_stream(call, Purpose::List).chance(0.5) {
+                self.apply_effects(now, call);
             }
         }
         for call in active.into_iter().chain(queue) {
--- a/crates/emulator/src/troubles.rs
+++ b/crates/emulator/src/troubles.rs
@@ -10,7 +10,7 @@
 const PAUSE_EVERY: Time = SECOND;
 
 impl World<'_> {
-    pub fn trouble(&mut self, now: Time, index: usize, on: bool) {
+    pub fn switch_trouble(&mut self, now: Time, index: usize, on: bool) {
         let day = self.day.clone();
         let t = &day.troubles[index];
         self.trace.record_event(now, 30, [index as u32, u32::from(on)]);
@@ -83,7 +83,7 @@
             What::Crash | What::Flap => {
                 adjust(&mut state.down);
                 if on {
-                    self.crash(now, endpoint);
+                    self.crash_endpoint(now, endpoint);
                 }
             }
             What::Hang => adjust(&mut state.hung),
@@ -196,7 +196,7 @@
                 }
             } else {
                 self.endpoint_states[endpoint].removed = true;
-                self.crash(now, endpoint);
+                self.crash_endpoint(now, endpoint);
                 self.record_change(now, endpoint, EndpointStatus::Removed);
             }
             let scope = self.endpoint_states[endpoint].scope;
--- a/crates/emulator/src/turns.rs
+++ b/crates/emulator/src/turns.rs
@@ -62,7 +62,7 @@
         for input in inputs {
             match input {
                 Input::ListBegin { complete: all } => whole = *all,
-                Input::ListEnd if whole => self.judge_unnamed(now, courier, inputs),
+                Input::ListEnd if whole => self.record_missing_entries(now, courier, inputs),
                 Input::ListEntry(entry) => {
                     let ready = entry.status == meadowhold::interface::EndpointStatus::Ready;
                     self.judge.status_read(courier as u32, process, entry.endpoint, ready, now);
@@ -114,7 +114,7 @@
                     self.finish(now, mail, Answer::Bounced);
                 }
             }
-            Action::RequestList => self.ask_list(now, courier),
+            Action::RequestList => self.request_list(now, courier),
             Action::SendNote { .. } => {}
             Action::CloseIdle(endpoint) => self.close_idle_connections(courier, endpoint as u32),
             Action::FreeMail(index) => self.couriers[courier].free.push(index as u32),
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -181,7 +181,7 @@
             }
             self.handle_event(now, event);
         }
-        self.close();
+        self.check_all_closed();
         let peak_out = self.couriers.iter().map(|c| c.peak_out).max().unwrap_or(0);
         self.counts.events = self.event_queue.count();
         let (hash, history) = self.trace.end();
@@ -212,7 +212,7 @@
             Event::Answer { call, reply } => self.answer(now, call, reply),
             Event::Timeout { call } => self.timeout(now, call),
             Event::CloseIdle { courier, endpoint } => self.close_expired(now, courier as usize, endpoint),
-            Event::Trouble { index, on } => self.trouble(now, index as usize, on),
+            Event::Trouble { index, on } => self.switch_trouble(now, index as usize, on),
             Event::TroublePulse { index, on } => self.pulse(now, index as usize, on),
             Event::Publish { change } => self.publish(now, change as usize),
             Event::ListUpdate { courier, process, position } => {
