--- a/crates/emulator/src/check.rs
+++ b/crates/emulator/src/check.rs
@@ -39,7 +39,7 @@
         if !(from.is_finite() && to.is_finite()) {
             self.fault(path, "not a finite number", format!("give {low} to {high}"));
         } else if from > to {
-            self.fault(path, format!("the range [{from}, {to}] runs backwards"), "put the lower end first");
+            self.fault(path, format!("the range [{from}, {to}] is reversed"), "put the lower end first");
         } else if from < low || to > high {
             let found = if from < low { from } else { to };
             self.fault(path, format!("{found} is out of bounds"), format!("give {low} to {high}"));
@@ -74,7 +74,7 @@
         c.fault("halls.names", format!("{} halls", s.halls.names.len()), "name 1 to 64 halls");
     }
     if let Some(duplicate) = duplicate(&s.halls.names) {
-        c.fault("halls.names", format!("{duplicate} is there twice"), "give each hall a name of its own");
+        c.fault("halls.names", format!("duplicate name {duplicate}"), "give each hall a unique name");
     }
     c.figure("halls.same_ms", s.halls.same_ms, 0.0, 10_000.0);
     c.figure("halls.cross_ms", s.halls.cross_ms, 0.0, 10_000.0);
@@ -103,8 +103,8 @@
     }
     let names: Vec<String> = s.class.iter().map(|class| class.name.clone()).collect();
     if let Some(duplicate) = duplicate(&names) {
-        let found = format!("{duplicate:?} is there twice");
-        c.fault("class", found, "give each queue class a name of its own");
+        let found = format!("duplicate name {duplicate:?}");
+        c.fault("class", found, "give each queue class a unique name");
     }
     for (i, class) in s.class.iter().enumerate() {
         let at = |key: &str| format!("class.{i}.{key}");
@@ -124,7 +124,11 @@
         c.value(&at("late_worth"), class.late_worth, 0.0, 1.0);
         c.value(&at("window_ms"), class.window_ms, 0.0, 86_400_000.0);
         if class.effect == crate::scenario::Effect::Tagged && class.window_ms <= 0.0 {
-            c.fault(&at("window_ms"), "tagged with no window", "say how long a partner knows a repeat");
+            c.fault(
+                &at("window_ms"),
+                "a tagged class without a window",
+                "give the time for which repeats are recognized",
+            );
         }
     }
     if !s.class.is_empty() && s.class.iter().all(|class| class.share.high() <= 0.0) {
@@ -221,7 +225,7 @@
         c.figure(&at("size"), t.size, low, high);
         let names = |all: &[String]| all.join(", ");
         let unknown = |name: &Option<String>, all: &[String]| {
-            name.clone().filter(|name| !all.contains(name)).map(|name| format!("{name:?} is not there"))
+            name.clone().filter(|name| !all.contains(name)).map(|name| format!("{name:?} is not defined"))
         };
         if let Some(found) = unknown(&t.hall, &s.halls.names) {
             c.fault(&at("hall"), found, format!("one of {}", names(&s.halls.names)));
@@ -236,15 +240,15 @@
         }
         let partners = s.partners.low() as usize;
         if let Some(&p) = t.partners.iter().find(|&&p| p >= partners) {
-            c.fault(&at("partners"), format!("partner {p} of {partners}"), "count from 0");
+            c.fault(&at("partners"), format!("no partner {p}"), format!("give indices below {partners}"));
         }
         let couriers = s.couriers.low() as usize;
         if let Some(&k) = t.couriers.iter().find(|&&k| k >= couriers) {
-            c.fault(&at("couriers"), format!("courier {k} of {couriers}"), "count from 0");
+            c.fault(&at("couriers"), format!("no courier {k}"), format!("give indices below {couriers}"));
         }
         let link = matches!(t.what, What::LinkCut | What::LinkOneWay);
         if link && s.halls.names.len() < 2 {
-            c.fault(&at("what"), "a link with one hall", "name a second hall");
+            c.fault(&at("what"), "a link trouble with a single hall", "name a second hall");
         }
     }
 }
--- a/crates/emulator/src/figures.rs
+++ b/crates/emulator/src/figures.rs
@@ -208,7 +208,7 @@
 /// Milliseconds from arrival to answer for the relayed mails of a queue class.
 pub fn latencies(mails: &[Mail], class: usize) -> Histogram<u64> {
     // Two significant digits; the histogram resizes itself and accepts any value.
-    let mut histogram = Histogram::new(2).expect("two digits are within what the library takes");
+    let mut histogram = Histogram::new(2).expect("2 is a valid number of significant digits");
     let own = mails.iter().filter(|m| usize::from(m.class) == class);
     for took in own.filter_map(|m| m.relayed_at.map(|at| at - m.created_at)) {
         histogram.saturating_record(took / (SECOND / 1000));
--- a/crates/emulator/tests/judge.rs
+++ b/crates/emulator/tests/judge.rs
@@ -53,7 +53,7 @@
         };
         let found = figures(&scenario, 1, &factory);
         let broken = found.broken.iter().find(|b| b.rule == rule);
-        let broken = broken.unwrap_or_else(|| panic!("{wrong:?} was not caught: {:?}", found.broken));
+        let broken = broken.unwrap_or_else(|| panic!("{wrong:?} was not detected: {:?}", found.broken));
         assert!(broken.words.contains(words), "{}", broken.words);
         let told = history(&scenario, 1, &factory, broken.mail);
         assert!(told.iter().any(|line| line.contains("taken on by courier")), "{told:?}");
--- a/crates/emulator/tests/same.rs
+++ b/crates/emulator/tests/same.rs
@@ -24,7 +24,7 @@
         let alone = figures(&scenario, 3, &control);
         let beside: Vec<Figures> = std::thread::scope(|scope| {
             let runs: Vec<_> = (0..4).map(|_| scope.spawn(|| figures(&scenario, 3, &control))).collect();
-            runs.into_iter().map(|run| run.join().expect("a run ended in a panic")).collect()
+            runs.into_iter().map(|run| run.join().expect("a run panicked")).collect()
         });
         assert!(beside.iter().all(|other| *other == alone), "{}", alone.trace);
         assert_ne!(alone.trace, figures(&scenario, 4, &control).trace);
@@ -89,7 +89,7 @@
     let quiet = figures(&Scenario { seconds: Figure::One(15.0), ..Scenario::default() }, 2, &control);
     for (what, size) in troubles {
         let found = figures(&troubled(what, size), 2, &control);
-        assert_ne!(found.trace, quiet.trace, "{what:?} struck nobody");
+        assert_ne!(found.trace, quiet.trace, "{what:?} had no effect");
         assert!(found.relayed * 2 > found.mails, "{what:?}: {} of {}", found.relayed, found.mails);
         assert_eq!(found.over_slots, 0, "{what:?}");
     }
@@ -104,8 +104,8 @@
         };
         let oracle = mean(&|courier, set| Box::new(Oracle::new(set, courier)));
         let module = mean(&control);
-        assert!(oracle + 0.04 > module, "{what:?}: {oracle} and {module} in four days");
+        assert!(oracle + 0.04 > module, "{what:?}: oracle {oracle}, module {module}, summed over four days");
         let found = figures(&scenario, 1, &control);
-        assert!(found.whole <= found.bound + 1e-9, "{} over {}", found.whole, found.bound);
+        assert!(found.whole <= found.bound + 1e-9, "service {} above the bound {}", found.whole, found.bound);
     }
 }
--- a/crates/emulator/tests/thin.rs
+++ b/crates/emulator/tests/thin.rs
@@ -194,7 +194,7 @@
         out: &mut Vec<Action>,
         view: &dyn WorldView,
     ) -> Option<Time> {
-        let mut seen = self.seen.lock().expect("one courier");
+        let mut seen = self.seen.lock().expect("a courier's turn panicked");
         for input in inputs {
             if let Input::ConnectResult(ended) = input {
                 seen.connect_ended(now, ended.mail, ended.outcome);
@@ -249,7 +249,7 @@
 
 impl Totals {
     fn add_day(&mut self, scenario: &Scenario, seed: u64, oracle: bool) {
-        assert_eq!(check::faults(scenario), [], "a day that can be drawn");
+        assert_eq!(check::faults(scenario), [], "the scenario is invalid");
         let mut day = Day::draw(scenario, seed);
         day.settings.couriers = COURIERS;
         let seen = Arc::new(Mutex::new(Observations::new(&day)));
@@ -261,7 +261,7 @@
         };
         let day = Rc::new(day);
         let ended = World::new(day.clone(), &factory, Options::default()).run();
-        let seen = seen.lock().expect("the day is over");
+        let seen = seen.lock().expect("a courier's turn panicked");
         for mail in &ended.mails {
             let outages = || seen.outages_of(mail.destination as usize);
             let failed = mail.relayed_at.is_none();
@@ -332,7 +332,7 @@
         let (mut present, mut oracle) = (Totals::default(), Totals::default());
         present.add_day(&scenario, 1, false);
         oracle.add_day(&scenario, 1, true);
-        assert!(present.outages > 0 && present.at_out > 0, "nothing was out");
+        assert!(present.outages > 0 && present.at_out > 0, "no destination was out");
         assert_eq!((present.messages, present.at_out), (oracle.messages, oracle.at_out));
         assert_eq!(present.known.len(), present.outages, "{what:?}");
         assert!(median(&mut present.known) < OUTAGE_S.0, "{what:?}: {:?}", present.known);
@@ -432,7 +432,7 @@
         })
         .collect();
     if let Ok(file) = std::env::var(SLOPES) {
-        let text = serde_json::to_string_pretty(&slopes).expect("plain values");
+        let text = serde_json::to_string_pretty(&slopes).expect("the slopes cannot be written as JSON");
         std::fs::write(&file, text + "\n").unwrap_or_else(|error| panic!("{file}: {error}"));
     }
 }
