--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -172,7 +172,7 @@
             }
             return;
         }
-        if c.open >= self.day.settings.max_mails {
+        if c.mails_held >= self.day.settings.max_mails {
             self.counts.turned_away += 1;
             self.trace
                 .record_history(now, mail, || format!("turned away by courier {courier}: its room is full"));
@@ -182,7 +182,7 @@
         }
         self.mails_accepted += 1;
         let (turn, c) = (self.mails_accepted, &mut self.couriers[courier as usize]);
-        c.open += 1;
+        c.mails_held += 1;
         let index = c.assign_index(mail);
         let m = &mut self.mails[mail as usize];
         m.tries += 1;
@@ -237,7 +237,7 @@
         let (courier, deadline) = (m.courier, m.deadline);
         let c = &mut self.couriers[courier as usize];
         if m.stage == Stage::Accepted {
-            c.open -= 1;
+            c.mails_held -= 1;
         }
         m.answers += 1;
         let twice = m.answers > 1;
--- a/crates/emulator/src/parts.rs
+++ b/crates/emulator/src/parts.rs
@@ -181,9 +181,9 @@
 /// bit for each window in which it had its effect.
 #[derive(Clone, Copy, Debug)]
 pub struct DedupEntry {
-    pub since: Time,
+    pub window_start: Time,
     pub window: u8,
-    pub done: u32,
+    pub effects: u32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -259,11 +259,11 @@
     pub mails: Vec<u32>,
     pub free: Vec<u32>,
     /// Mails without a final answer, and calls in flight.
-    pub open: usize,
+    pub mails_held: usize,
     pub calls_in_flight: usize,
     pub idle: HashMap<u32, Vec<Idle>>,
     /// Mails of an ended process that its successor takes over, in the order of acceptance.
-    pub owed: Vec<u32>,
+    pub owed_mails: Vec<u32>,
     /// Keys whose connects may still be running, and since when, as recorded in the journal.
     pub held_keys: Vec<(u32, Time)>,
     /// No turns before this time, because the courier's clock stands still.
@@ -288,10 +288,10 @@
             last_turn: None,
             mails: Vec::new(),
             free: Vec::new(),
-            open: 0,
+            mails_held: 0,
             calls_in_flight: 0,
             idle: HashMap::new(),
-            owed: Vec::new(),
+            owed_mails: Vec::new(),
             held_keys: Vec::new(),
             paused_until: 0,
             list_position: 0,
--- a/crates/emulator/src/series.rs
+++ b/crates/emulator/src/series.rs
@@ -39,7 +39,7 @@
     pub fn sample(&mut self, now: Time) {
         let mut sample = Sample { at: now, ..Sample::default() };
         for c in &self.couriers {
-            sample.open += c.open;
+            sample.open += c.mails_held;
             sample.out += c.calls_in_flight;
             sample.alive += usize::from(c.alive);
         }
--- a/crates/emulator/src/serving.rs
+++ b/crates/emulator/src/serving.rs
@@ -194,11 +194,15 @@
                 continue;
             }
             let dedup_key = (mail, if set.dedup_by_zone { zone } else { 0 });
-            let known = self.dedup.entry(dedup_key).or_insert(DedupEntry { since: now, window: 0, done: 0 });
+            let known = self.dedup.entry(dedup_key).or_insert(DedupEntry {
+                window_start: now,
+                window: 0,
+                effects: 0,
+            });
             // The first connect creates the entry; after the window the entry starts anew.
-            let repeat = known.since < now && now <= known.since + set.dedup_window;
-            if now > known.since + set.dedup_window {
-                (known.since, known.window) = (now, (known.window + 1).min(31));
+            let repeat = known.window_start < now && now <= known.window_start + set.dedup_window;
+            if now > known.window_start + set.dedup_window {
+                (known.window_start, known.window) = (now, (known.window + 1).min(31));
             }
             let window = known.window;
             let connect = &mut self.calls[call as usize].connects[i];
@@ -272,7 +276,7 @@
     fn has_effect(&self, mail: u32, endpoint: usize) -> bool {
         let set = &self.day.classes[usize::from(self.mails[mail as usize].class)].settings;
         let dedup_key = (mail, if set.dedup_by_zone { self.day.endpoints[endpoint].zone } else { 0 });
-        self.dedup.get(&dedup_key).is_some_and(|known| known.done >> known.window & 1 == 1)
+        self.dedup.get(&dedup_key).is_some_and(|known| known.effects >> known.window & 1 == 1)
     }
 
     /// Counts the effects of a served call at the destination, independent of what couriers report.
@@ -288,8 +292,8 @@
                     let dedup_key = (connect.mail, if class.settings.dedup_by_zone { zone } else { 0 });
                     let known = self.dedup.get_mut(&dedup_key);
                     known.is_none_or(|known| {
-                        let new = known.done >> connect.window & 1 == 0;
-                        known.done |= 1 << connect.window;
+                        let new = known.effects >> connect.window & 1 == 0;
+                        known.effects |= 1 << connect.window;
                         new
                     })
                 }
--- a/crates/emulator/src/turns.rs
+++ b/crates/emulator/src/turns.rs
@@ -347,14 +347,14 @@
         }
         let journal = self.day.journal;
         let c = &mut self.couriers[courier];
-        (c.alive, c.decider, c.calls_in_flight, c.open) = (false, None, 0, 0);
+        (c.alive, c.decider, c.calls_in_flight, c.mails_held) = (false, None, 0, 0);
         c.process += 1;
         c.inputs.clear();
         c.mails.clear();
         c.free.clear();
         c.idle.clear();
         if journal {
-            c.owed = owed;
+            c.owed_mails = owed;
         } else {
             owed.into_iter().for_each(|mail| self.resubmit_after_crash(now, mail));
         }
@@ -378,13 +378,13 @@
                 self.push_input(courier, Input::KeyInFlight { key: key as usize, at: since });
             }
         }
-        for mail in std::mem::take(&mut self.couriers[courier].owed) {
+        for mail in std::mem::take(&mut self.couriers[courier].owed_mails) {
             if self.mails[mail as usize].stage != Stage::Accepted {
                 continue;
             }
             let c = &mut self.couriers[courier];
             let index = c.assign_index(mail);
-            c.open += 1;
+            c.mails_held += 1;
             self.mails[mail as usize].index = index;
             self.give_to_decider(courier, mail);
         }
