--- a/crates/emulator/src/chance.rs
+++ b/crates/emulator/src/chance.rs
@@ -1,16 +1,17 @@
-//! Streams of chance. Each purpose, and each thing within it, has a stream of its own that hangs on nothing but the
-//! seed: what a decider does moves no draw of the day, so two deciders are compared on the very same day.
+//! Random streams. Each purpose, and each item within it, has a stream that depends only on the seed. A
+//! decider's actions therefore do not change the draws of a day, and two deciders are compared on the same
+//! day.
 
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp1, LogNormal};
 use rand_pcg::Pcg64Mcg;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// What a stream is drawn for.
+/// What a stream is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
     Figures,
-    Partner,
+    Destination,
     Trouble,
     Arrivals,
     Mail,
@@ -32,7 +33,7 @@
         Stream(Pcg64Mcg::seed_from_u64(xxh3_64_with_seed(&name, seed)))
     }
 
-    /// At least 0, under 1.
+    /// Uniform in [0, 1).
     pub fn unit(&mut self) -> f64 {
         self.0.random::<f64>()
     }
@@ -41,7 +42,7 @@
         self.0.random::<u64>()
     }
 
-    /// One of `0..count`; `count` is at least one.
+    /// Uniform in `0..count`; `count` must be at least one.
     pub fn below(&mut self, count: usize) -> usize {
         self.0.random_range(0..count)
     }
@@ -54,13 +55,13 @@
         low + (high - low) * self.unit()
     }
 
-    /// Exponential, mean one.
-    pub fn gap(&mut self) -> f64 {
+    /// Exponentially distributed with mean one.
+    pub fn exponential(&mut self) -> f64 {
         Exp1.sample(&mut self.0)
     }
 
-    /// Lognormal, mean one, with this ratio of deviation to mean.
-    pub fn spread(&mut self, ratio: f64) -> f64 {
+    /// Lognormal with mean one and this coefficient of variation.
+    pub fn lognormal(&mut self, ratio: f64) -> f64 {
         if ratio <= 0.0 {
             return 1.0;
         }
@@ -88,10 +89,10 @@
     }
 
     #[test]
-    fn spread_has_mean_one() {
+    fn lognormal_has_mean_one() {
         let mut stream = Stream::new(1, Purpose::Service, 0);
         for ratio in [0.0, 0.3, 1.0] {
-            let mean = (0..20_000).map(|_| stream.spread(ratio)).sum::<f64>() / 20_000.0;
+            let mean = (0..20_000).map(|_| stream.lognormal(ratio)).sum::<f64>() / 20_000.0;
             assert!((mean - 1.0).abs() < 0.04, "{ratio}: {mean}");
         }
     }
--- a/crates/emulator/src/check.rs
+++ b/crates/emulator/src/check.rs
@@ -1,12 +1,12 @@
-//! What no day can be drawn from is refused here, with the place in the file and what would do. Each bound stands in a
-//! table row of its own, so that none is checked in two ways.
+//! Checks scenarios before a day is drawn. Each fault names its place in the file and a remedy. Each bound is
+//! stated once, in a table row.
 
 use crate::scenario::{Figure, Scenario, What};
 
-/// A fault of a scenario: where, what was found, what would do.
+/// A fault of a scenario: its place, what was found, and how to correct it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// Path of the key, as `mails.full_rate` or `trouble.2.hall`.
+    /// Path of the key, such as `mails.full_rate` or `trouble.2.hall`.
     pub path: String,
     pub found: String,
     pub remedy: String,
@@ -18,12 +18,12 @@
     }
 }
 
-/// The most that a day may hold: more would not end, or not fit in memory.
-pub const MOST_MAILS: f64 = 20e6;
-pub const MOST_ENDPOINTS: f64 = 100_000.0;
+/// Maximum size of a day; a larger one would not finish or not fit in memory.
+pub const MAX_MAILS: f64 = 20e6;
+pub const MAX_ENDPOINTS: f64 = 100_000.0;
 pub const MOST_COURIERS: f64 = 10_000.0;
-/// Couriers x endpoints: each courier has a mind of its own on each endpoint.
-pub const MOST_PAIRS: f64 = 60e6;
+/// Couriers x endpoints, because each courier keeps state for each endpoint.
+pub const MAX_PAIRS: f64 = 60e6;
 const DAY_S: f64 = 86_400.0;
 
 #[derive(Default)]
@@ -39,7 +39,7 @@
         if !(from.is_finite() && to.is_finite()) {
             self.fault(path, "not a finite number", format!("give {low} to {high}"));
         } else if from > to {
-            self.fault(path, format!("the range [{from}, {to}] runs backwards"), "put the lower end first");
+            self.fault(path, format!("the range [{from}, {to}] is reversed"), "put the lower end first");
         } else if from < low || to > high {
             let found = if from < low { from } else { to };
             self.fault(path, format!("{found} is out of bounds"), format!("give {low} to {high}"));
@@ -56,25 +56,25 @@
     let mut c = Checks::default();
     c.figure("seconds", s.seconds, 1.0, DAY_S);
     c.figure("couriers", s.couriers, 1.0, MOST_COURIERS);
-    c.figure("partners", s.partners, 1.0, MOST_ENDPOINTS);
-    halls_and_mails(&mut c, s);
-    classes(&mut c, s);
-    kinds(&mut c, s);
-    courier(&mut c, s);
-    rules(&mut c, s);
-    troubles(&mut c, s);
+    c.figure("partners", s.partners, 1.0, MAX_ENDPOINTS);
+    check_zones_and_mails(&mut c, s);
+    check_classes(&mut c, s);
+    check_kinds(&mut c, s);
+    check_courier(&mut c, s);
+    check_rules(&mut c, s);
+    check_troubles(&mut c, s);
     if c.0.is_empty() {
-        sizes(&mut c, s);
+        check_sizes(&mut c, s);
     }
     c.0
 }
 
-fn halls_and_mails(c: &mut Checks, s: &Scenario) {
+fn check_zones_and_mails(c: &mut Checks, s: &Scenario) {
     if s.halls.names.is_empty() || s.halls.names.len() > 64 {
         c.fault("halls.names", format!("{} halls", s.halls.names.len()), "name 1 to 64 halls");
     }
-    if let Some(twice) = twice(&s.halls.names) {
-        c.fault("halls.names", format!("{twice} is there twice"), "give each hall a name of its own");
+    if let Some(duplicate) = duplicate(&s.halls.names) {
+        c.fault("halls.names", format!("duplicate name {duplicate}"), "give each hall a unique name");
     }
     c.figure("halls.same_ms", s.halls.same_ms, 0.0, 10_000.0);
     c.figure("halls.cross_ms", s.halls.cross_ms, 0.0, 10_000.0);
@@ -97,14 +97,14 @@
     c.figure("mails.front_notice_s", m.front_notice_s, 0.0, 600.0);
 }
 
-fn classes(c: &mut Checks, s: &Scenario) {
+fn check_classes(c: &mut Checks, s: &Scenario) {
     if s.class.is_empty() || s.class.len() > 64 {
         c.fault("class", format!("{} queue classes", s.class.len()), "name 1 to 64 queue classes");
     }
     let names: Vec<String> = s.class.iter().map(|class| class.name.clone()).collect();
-    if let Some(twice) = twice(&names) {
-        let found = format!("{twice:?} is there twice");
-        c.fault("class", found, "give each queue class a name of its own");
+    if let Some(duplicate) = duplicate(&names) {
+        let found = format!("duplicate name {duplicate:?}");
+        c.fault("class", found, "give each queue class a unique name");
     }
     for (i, class) in s.class.iter().enumerate() {
         let at = |key: &str| format!("class.{i}.{key}");
@@ -124,7 +124,11 @@
         c.value(&at("late_worth"), class.late_worth, 0.0, 1.0);
         c.value(&at("window_ms"), class.window_ms, 0.0, 86_400_000.0);
         if class.effect == crate::scenario::Effect::Tagged && class.window_ms <= 0.0 {
-            c.fault(&at("window_ms"), "tagged with no window", "say how long a partner knows a repeat");
+            c.fault(
+                &at("window_ms"),
+                "a tagged class without a window",
+                "give the time for which repeats are recognized",
+            );
         }
     }
     if !s.class.is_empty() && s.class.iter().all(|class| class.share.high() <= 0.0) {
@@ -132,7 +136,7 @@
     }
 }
 
-fn kinds(c: &mut Checks, s: &Scenario) {
+fn check_kinds(c: &mut Checks, s: &Scenario) {
     if s.kind.is_empty() || s.kind.len() > 64 {
         c.fault("kind", format!("{} kinds", s.kind.len()), "name 1 to 64 kinds of partner");
     }
@@ -161,7 +165,7 @@
     }
 }
 
-fn courier(c: &mut Checks, s: &Scenario) {
+fn check_courier(c: &mut Checks, s: &Scenario) {
     let k = &s.courier;
     c.figure("courier.slots_room", k.slots_room, 0.01, 1_000.0);
     c.value("courier.least_slots", k.least_slots as f64, 1.0, 65_536.0);
@@ -184,7 +188,7 @@
     c.value("list.ask_within_s", s.list.ask_within_s, 0.1, 3_600.0);
 }
 
-fn rules(c: &mut Checks, s: &Scenario) {
+fn check_rules(c: &mut Checks, s: &Scenario) {
     c.value("rules.drain_grace_ms", s.rules.drain_grace_ms, 0.0, 600_000.0);
     c.value("rules.tip_multiple", s.rules.tip_multiple, 1.0, 1_000.0);
     c.value("rules.tip_s", s.rules.tip_s, 0.1, 3_600.0);
@@ -203,7 +207,7 @@
     c.value("goal.refused_price", g.refused_price, 0.0, 10.0);
 }
 
-fn troubles(c: &mut Checks, s: &Scenario) {
+fn check_troubles(c: &mut Checks, s: &Scenario) {
     for (i, t) in s.trouble.iter().enumerate() {
         let at = |key: &str| format!("trouble.{i}.{key}");
         c.figure(&at("at_s"), t.at_s, 0.0, DAY_S);
@@ -221,7 +225,7 @@
         c.figure(&at("size"), t.size, low, high);
         let names = |all: &[String]| all.join(", ");
         let unknown = |name: &Option<String>, all: &[String]| {
-            name.clone().filter(|name| !all.contains(name)).map(|name| format!("{name:?} is not there"))
+            name.clone().filter(|name| !all.contains(name)).map(|name| format!("{name:?} is not defined"))
         };
         if let Some(found) = unknown(&t.hall, &s.halls.names) {
             c.fault(&at("hall"), found, format!("one of {}", names(&s.halls.names)));
@@ -236,40 +240,40 @@
         }
         let partners = s.partners.low() as usize;
         if let Some(&p) = t.partners.iter().find(|&&p| p >= partners) {
-            c.fault(&at("partners"), format!("partner {p} of {partners}"), "count from 0");
+            c.fault(&at("partners"), format!("no partner {p}"), format!("give indices below {partners}"));
         }
         let couriers = s.couriers.low() as usize;
         if let Some(&k) = t.couriers.iter().find(|&&k| k >= couriers) {
-            c.fault(&at("couriers"), format!("courier {k} of {couriers}"), "count from 0");
+            c.fault(&at("couriers"), format!("no courier {k}"), format!("give indices below {couriers}"));
         }
         let link = matches!(t.what, What::LinkCut | What::LinkOneWay);
         if link && s.halls.names.len() < 2 {
-            c.fault(&at("what"), "a link with one hall", "name a second hall");
+            c.fault(&at("what"), "a link trouble with a single hall", "name a second hall");
         }
     }
 }
 
-/// Sizes that would not end, or not fit; looked at once each figure is sound by itself.
-fn sizes(c: &mut Checks, s: &Scenario) {
+/// Checks total sizes, once each figure is valid by itself.
+fn check_sizes(c: &mut Checks, s: &Scenario) {
     let bursts = s.trouble.iter().filter(|t| t.what == What::Burst).map(|t| t.size.high().max(1.0));
     let most: f64 = bursts.fold(1.0, f64::max);
     let mails = s.mails.full_rate.high() * s.mails.load.high() * s.seconds.high() * most;
-    if mails > MOST_MAILS {
+    if mails > MAX_MAILS {
         let found = format!("up to {mails:.0} mails in the day");
-        c.fault("mails.full_rate", found, format!("at most {MOST_MAILS:.0}: a shorter day or fewer mails"));
+        c.fault("mails.full_rate", found, format!("at most {MAX_MAILS:.0}: a shorter day or fewer mails"));
     }
     let ends = s.kind.iter().map(|kind| kind.endpoints.high()).fold(0.0, f64::max) * s.partners.high();
-    if ends > MOST_ENDPOINTS {
-        c.fault("partners", format!("up to {ends:.0} endpoints"), format!("at most {MOST_ENDPOINTS:.0}"));
+    if ends > MAX_ENDPOINTS {
+        c.fault("partners", format!("up to {ends:.0} endpoints"), format!("at most {MAX_ENDPOINTS:.0}"));
     }
     let pairs = ends * s.couriers.high();
-    if pairs > MOST_PAIRS {
+    if pairs > MAX_PAIRS {
         let found = format!("couriers times endpoints is up to {pairs:.0}");
-        c.fault("couriers", found, format!("at most {MOST_PAIRS:.0}"));
+        c.fault("couriers", found, format!("at most {MAX_PAIRS:.0}"));
     }
 }
 
-fn twice(names: &[String]) -> Option<&String> {
+fn duplicate(names: &[String]) -> Option<&String> {
     names.iter().enumerate().find(|(i, name)| names[..*i].contains(name)).map(|(_, name)| name)
 }
 
@@ -279,14 +283,14 @@
     use crate::scenario::{Figure, Trouble};
 
     #[test]
-    fn the_standing_values_can_be_drawn() {
+    fn the_default_values_can_be_drawn() {
         assert_eq!(faults(&Scenario::default()), []);
     }
 
     #[test]
     fn impossible_days_are_refused_with_their_place() {
-        type Spoil = fn(&mut Scenario);
-        let cases: [(&str, Spoil); 12] = [
+        type Edit = fn(&mut Scenario);
+        let cases: [(&str, Edit); 12] = [
             ("partners", |s| s.partners = Figure::One(0.0)),
             ("courier.least_slots", |s| s.courier.least_slots = 0),
             ("seconds", |s| s.seconds = Figure::One(-3.0)),
@@ -305,9 +309,9 @@
                 s.trouble.push(trouble);
             }),
         ];
-        for (path, spoil) in cases {
+        for (path, edit) in cases {
             let mut scenario = Scenario::default();
-            spoil(&mut scenario);
+            edit(&mut scenario);
             let found = faults(&scenario);
             assert_eq!(found.first().map(|f| f.path.as_str()), Some(path), "{found:?}");
         }
--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -1,22 +1,23 @@
-//! Mails come in by the day's own stream, whatever becomes of those before them; clients come again after a deferral
-//! or a death, and some hang up. The front chooses the courier and learns late which of them live.
+//! Clients. Mails arrive from the day's own random stream, independent of the fate of earlier ones. Clients
+//! hand mails in again after a deferral or a courier's crash, and some hang up. The front (a load balancer)
+//! chooses the courier and learns with a delay which couriers are alive.
 
 use meadowhold::interface::{AcceptedMail, Effect, Input, Time, SECOND};
 
 use crate::chance::{Purpose, Stream};
 use crate::judge::Rule;
-use crate::parts::{Answer, Event, Mail, Stage, NOBODY};
+use crate::parts::{Answer, Event, Mail, Stage, NO_COURIER};
 use crate::scenario::Shape;
 use crate::world::World;
 
-/// Mails of a clump come within this time.
+/// Time within which all mails of a clump arrive.
 const CLUMP_WITHIN: Time = SECOND / 20;
-/// A client that finds a dead courier so often gives up.
-const MISSES: u8 = 8;
+/// Number of dead couriers after which a client gives up.
+const MAX_MISSES: u8 = 8;
 
 impl World<'_> {
-    /// Mails a second now, as a multiple of the day's mean.
-    fn swing(&self, now: Time) -> f64 {
+    /// The current arrival rate as a multiple of the day's mean.
+    fn rate_factor(&self, now: Time) -> f64 {
         let (m, t) = (&self.day.mails, now as f64 / self.day.length.max(1) as f64);
         let turn = std::f64::consts::TAU;
         let shape = match m.shape {
@@ -33,115 +34,122 @@
         let m = &self.day.mails;
         let (clumps, clump) = (m.clumps, m.clump.max(1.0));
         let starts = (1.0 - clumps) + clumps / clump;
-        let gap = self.arrivals.gap() / (m.rate * self.swing(now) * starts).max(1e-9) * SECOND as f64;
+        let gap =
+            self.arrivals.exponential() / (m.rate * self.rate_factor(now) * starts).max(1e-9) * SECOND as f64;
         let at = now + gap.min(1e12) as Time;
         if at < self.day.length {
-            self.agenda.put(at, Event::Next);
+            self.event_queue.schedule(at, Event::NextArrival);
         }
         if now == 0 {
-            return; // the first gap counts from the start
+            return; // the first gap starts at time 0
         }
-        let place = self.arrivals.unit() * self.traffic.last().copied().unwrap_or(0.0);
-        let dest = self.traffic.partition_point(|&sum| sum <= place).min(self.traffic.len() - 1) as u32;
+        let place = self.arrivals.unit() * self.traffic_sums.last().copied().unwrap_or(0.0);
+        let destination =
+            self.traffic_sums.partition_point(|&sum| sum <= place).min(self.traffic_sums.len() - 1) as u32;
         if self.arrivals.chance(clumps / clump / starts) {
             let left = (clump * (0.5 + self.arrivals.unit())).round().max(1.0) as u32;
-            self.clump(now, dest, left);
+            self.clump(now, destination, left);
         } else {
-            self.mail_comes(now, dest);
+            self.create_mail(now, destination);
         }
     }
 
-    pub fn clump(&mut self, now: Time, dest: u32, left: u32) {
-        self.mail_comes(now, dest);
+    pub fn clump(&mut self, now: Time, destination: u32, left: u32) {
+        self.create_mail(now, destination);
         if left > 1 {
-            self.agenda.put(now + CLUMP_WITHIN / Time::from(left), Event::Clump { dest, left: left - 1 });
+            self.event_queue.schedule(
+                now + CLUMP_WITHIN / Time::from(left),
+                Event::Clump { destination, left: left - 1 },
+            );
         }
     }
 
-    fn mail_comes(&mut self, now: Time, dest: u32) {
+    fn create_mail(&mut self, now: Time, destination: u32) {
         if now >= self.day.length {
-            return; // a clump that the day's end cuts off
+            return; // the day ends within a clump
         }
         let number = self.mails.len() as u32;
         let d = &mut Stream::new(self.day.seed, Purpose::Mail, u64::from(number));
-        let place = d.unit() * self.shares.last().copied().unwrap_or(1.0);
-        let class = self.shares.partition_point(|&sum| sum <= place).min(self.shares.len() - 1);
+        let place = d.unit() * self.class_sums.last().copied().unwrap_or(1.0);
+        let class = self.class_sums.partition_point(|&sum| sum <= place).min(self.class_sums.len() - 1);
         let set = &self.day.classes[class].settings;
         let short = d.chance(self.day.mails.short_lived);
         let part = if short { self.day.mails.short_part } else { 1.0 };
-        let (any_hall, moved, key) = (d.below(self.day.halls.len()), d.unit(), d.unit());
-        // Some keys come far more often than others.
+        let (any_zone, moved, key) = (d.below(self.day.zones.len()), d.unit(), d.unit());
+        // Squaring the draw makes some keys far more frequent than others.
         let key = (key * key * self.day.mails.keys as f64) as u32;
-        let shifted = self.shift.last().map(|&t| &self.day.troubles[t]).filter(|t| moved < t.size);
-        let due = now + ((set.lifetime as f64 * part) as Time).max(1);
+        let shifted = self.zone_shifts.last().map(|&t| &self.day.troubles[t]).filter(|t| moved < t.size);
+        let deadline = now + ((set.lifetime as f64 * part) as Time).max(1);
         self.mails.push(Mail {
-            dest,
+            destination,
             class: class as u16,
-            hall: shifted.map_or(any_hall, |t| t.hall) as u16,
+            zone: shifted.map_or(any_zone, |t| t.zone) as u16,
             key: set.ordered.then_some(key),
-            born: now,
-            due,
+            created_at: now,
+            deadline,
             target: now + set.target_delay,
-            stage: Stage::Outside,
-            courier: NOBODY,
+            stage: Stage::WithClient,
+            courier: NO_COURIER,
             index: 0,
-            since: 0,
+            accepted_at: 0,
             tries: 0,
             misses: 0,
             connects: 0,
-            ran: None,
-            out: None,
-            turn: 0,
+            first_run: None,
+            active_call: None,
+            accept_number: 0,
             effects: 0,
             answers: 0,
             relayed_at: None,
         });
-        self.trace.mark(now, 1, [number, dest]);
-        self.trace.note(now, number, || format!("comes, for partner {dest}, queue class {class}"));
+        self.trace.record_event(now, 1, [number, destination]);
+        self.trace
+            .record_history(now, number, || format!("comes, for partner {destination}, queue class {class}"));
         if d.chance(self.day.mails.hang_up) {
-            let at = now + (d.unit() * (due - now) as f64) as Time;
-            self.agenda.put(at, Event::HangUp { mail: number, tries: 1 });
+            let at = now + (d.unit() * (deadline - now) as f64) as Time;
+            self.event_queue.schedule(at, Event::HangUp { mail: number, tries: 1 });
         }
-        self.send_in(now, number);
+        self.submit(now, number);
     }
 
     /// The client hands its mail to the front, which chooses a courier.
-    pub fn send_in(&mut self, now: Time, mail: u32) {
+    pub fn submit(&mut self, now: Time, mail: u32) {
         let m = &self.mails[mail as usize];
-        if m.stage != Stage::Outside {
+        if m.stage != Stage::WithClient {
             return;
         }
-        if now >= m.due {
-            self.mails[mail as usize].stage = Stage::Over;
+        if now >= m.deadline {
+            self.mails[mail as usize].stage = Stage::Closed;
             return;
         }
         let index = u64::from(mail) << 8 | u64::from(m.tries) << 4 | u64::from(m.misses);
         let d = &mut Stream::new(self.day.seed, Purpose::Front, index);
-        let courier = self.front_picks(d, mail);
+        let courier = self.choose_courier(d, mail);
         let way = 5 + d.below(10) as Time;
-        self.agenda.put(now + way, Event::HandIn { mail, courier: courier as u32 });
+        self.event_queue.schedule(now + way, Event::HandIn { mail, courier: courier as u32 });
     }
 
-    fn front_picks(&self, d: &mut Stream, mail: u32) -> usize {
+    fn choose_courier(&self, d: &mut Stream, mail: u32) -> usize {
         let m = &self.mails[mail as usize];
         let all = self.couriers.len();
         let (any, near, hot) = (d.below(all), d.unit(), d.unit());
-        // From a place drawn on, the first that the front holds to be alive and that the call asks for.
+        // The first courier at or after a drawn start that the front believes alive and that satisfies
+        // `fits`.
         let from = |start: usize, fits: &dyn Fn(usize) -> bool| {
-            (0..all).map(|i| (start + i) % all).find(|&c| self.front[c] && fits(c))
+            (0..all).map(|i| (start + i) % all).find(|&c| self.front_alive[c] && fits(c))
         };
-        // Mails of a key go to one courier for as long as it lives.
+        // All mails of a key go to the same courier while it is alive.
         if let Some(key) = m.key {
             return from(key as usize % all, &|_| true).unwrap_or(any);
         }
-        let hot = self.hot.iter().map(|&t| &self.day.troubles[t]).find(|t| hot < t.size);
+        let hot = self.hot_troubles.iter().map(|&t| &self.day.troubles[t]).find(|t| hot < t.size);
         if let Some(t) = hot.filter(|t| !t.couriers.is_empty()) {
             let start = t.couriers[(near * t.couriers.len() as f64) as usize];
             return from(start, &|c| t.couriers.contains(&c)).unwrap_or(any);
         }
-        let hall = usize::from(m.hall);
-        let near = (self.day.mails.by_hall || !self.shift.is_empty())
-            .then(|| from(any, &|c| self.couriers[c].hall == hall))
+        let zone = usize::from(m.zone);
+        let near = (self.day.mails.by_zone || !self.zone_shifts.is_empty())
+            .then(|| from(any, &|c| self.couriers[c].zone == zone))
             .flatten();
         near.or_else(|| from(any, &|_| true)).unwrap_or(any)
     }
@@ -149,159 +157,170 @@
     pub fn hand_in(&mut self, now: Time, mail: u32, courier: u32) {
         let c = &self.couriers[courier as usize];
         let m = &self.mails[mail as usize];
-        if m.stage != Stage::Outside {
+        if m.stage != Stage::WithClient {
             return;
         }
         let pause = self.day.mails.pause;
         if !c.alive {
-            // Nobody took it: this spends none of the client's tries.
+            // No courier accepted the mail, so this does not count as one of the client's tries.
             let m = &mut self.mails[mail as usize];
             m.misses += 1;
-            if m.misses < MISSES {
-                self.agenda.put(now + pause / 2, Event::Again { mail });
+            if m.misses < MAX_MISSES {
+                self.event_queue.schedule(now + pause / 2, Event::Resubmit { mail });
             } else {
-                m.stage = Stage::Over;
+                m.stage = Stage::Closed;
             }
             return;
         }
-        if c.open >= self.day.settings.max_mails {
+        if c.mails_held >= self.day.settings.max_mails {
             self.counts.turned_away += 1;
-            self.trace.note(now, mail, || format!("turned away by courier {courier}: its room is full"));
+            self.trace
+                .record_history(now, mail, || format!("turned away by courier {courier}: its room is full"));
             self.mails[mail as usize].tries += 1;
-            self.come_again(now, mail, 0);
+            self.schedule_retry(now, mail, 0);
             return;
         }
-        self.turns_taken += 1;
-        let (turn, c) = (self.turns_taken, &mut self.couriers[courier as usize]);
-        c.open += 1;
-        let index = c.enter(mail);
+        self.mails_accepted += 1;
+        let (turn, c) = (self.mails_accepted, &mut self.couriers[courier as usize]);
+        c.mails_held += 1;
+        let index = c.assign_index(mail);
         let m = &mut self.mails[mail as usize];
         m.tries += 1;
-        (m.stage, m.courier, m.index, m.since, m.turn) = (Stage::Taken, courier, index, now, turn);
-        (m.connects, m.ran, m.out, m.answers) = (0, None, None, 0);
-        self.trace.mark(now, 2, [mail, courier]);
-        self.trace.note(now, mail, || format!("taken on by courier {courier}"));
-        self.take_on(courier as usize, mail);
+        (m.stage, m.courier, m.index, m.accepted_at, m.accept_number) =
+            (Stage::Accepted, courier, index, now, turn);
+        (m.connects, m.first_run, m.active_call, m.answers) = (0, None, None, 0);
+        self.trace.record_event(now, 2, [mail, courier]);
+        self.trace.record_history(now, mail, || format!("taken on by courier {courier}"));
+        self.give_to_decider(courier as usize, mail);
     }
 
-    /// A mail goes to the decider: just taken, or owed by an earlier process.
-    pub fn take_on(&mut self, courier: usize, mail: u32) {
+    /// Passes a mail to the decider: newly accepted, or taken over from an earlier process.
+    pub fn give_to_decider(&mut self, courier: usize, mail: u32) {
         let m = &self.mails[mail as usize];
         if let Some(key) = m.key {
-            self.judge.joins(courier as u32, key, mail);
+            self.judge.enqueue(courier as u32, key, mail);
         }
         let taken = AcceptedMail {
             mail: m.index as usize,
-            destination: m.dest as usize,
+            destination: m.destination as usize,
             class: usize::from(m.class),
             key: m.key.map(|key| key as usize),
-            submitted_at: m.since,
-            deadline: m.due,
+            submitted_at: m.accepted_at,
+            deadline: m.deadline,
             connects_used: usize::from(m.connects),
-            first_run: m.ran.map(|(at, hall)| (at, usize::from(hall))),
+            first_run: m.first_run.map(|(at, zone)| (at, usize::from(zone))),
         };
-        self.tell(courier, Input::AcceptedMail(taken));
+        self.push_input(courier, Input::AcceptedMail(taken));
     }
 
     pub fn hang_up(&mut self, now: Time, mail: u32, tries: u8) {
         let m = &self.mails[mail as usize];
-        if m.stage == Stage::Outside {
-            self.mails[mail as usize].stage = Stage::Over;
+        if m.stage == Stage::WithClient {
+            self.mails[mail as usize].stage = Stage::Closed;
             return;
         }
         let courier = m.courier as usize;
-        if m.stage != Stage::Taken || m.tries > tries || !self.couriers[courier].alive {
+        if m.stage != Stage::Accepted || m.tries > tries || !self.couriers[courier].alive {
             return;
         }
         let index = m.index as usize;
-        self.trace.note(now, mail, || "its client hangs up".to_string());
+        self.trace.record_history(now, mail, || "its client hangs up".to_string());
         self.finish(now, mail, Answer::HungUp);
-        self.tell(courier, Input::ClientGone { mail: index });
+        self.push_input(courier, Input::ClientGone { mail: index });
     }
 
-    /// A mail has its final answer (or its client is gone): the judge looks, the client acts on it.
+    /// Records the final answer of a mail (or that its client has gone) and has the judge check it.
     pub fn finish(&mut self, now: Time, mail: u32, answer: Answer) {
         let grace = self.day.answer_grace;
         let m = &mut self.mails[mail as usize];
-        self.trace.mark(now, 3 + answer as u8, [mail, m.courier]);
-        let (courier, due) = (m.courier, m.due);
+        self.trace.record_event(now, 3 + answer as u8, [mail, m.courier]);
+        let (courier, deadline) = (m.courier, m.deadline);
         let c = &mut self.couriers[courier as usize];
-        if m.stage == Stage::Taken {
-            c.open -= 1;
+        if m.stage == Stage::Accepted {
+            c.mails_held -= 1;
         }
         m.answers += 1;
         let twice = m.answers > 1;
-        m.stage = Stage::Over;
+        m.stage = Stage::Closed;
         if answer == Answer::Relayed && m.relayed_at.is_none() {
             m.relayed_at = Some(now);
         }
-        // What an earlier process took and a later one still owes may come after its time.
-        // So may what fell due while its courier's clock stood still.
-        let due_heard = due.max(c.still_until.min(now));
-        let late = now > due_heard + grace && m.since >= c.started && answer != Answer::HungUp;
-        self.trace.note(now, mail, || format!("{answer:?} by courier {courier}").to_lowercase());
+        // A mail that a later process took over may be answered after its deadline, and so may one whose
+        // deadline passed while its courier's clock stood still.
+        let deadline_seen = deadline.max(c.paused_until.min(now));
+        let late = now > deadline_seen + grace && m.accepted_at >= c.started && answer != Answer::HungUp;
+        self.trace.record_history(now, mail, || format!("{answer:?} by courier {courier}").to_lowercase());
         if twice {
-            self.judge.breaks(Rule::NoMailLost, now, mail, courier, "a second final answer".to_string());
+            self.judge.record_violation(
+                Rule::NoMailLost,
+                now,
+                mail,
+                courier,
+                "a second final answer".to_string(),
+            );
         } else if late {
-            let words = format!("its final answer came {} ms after its time was up", (now - due) / 10);
-            self.judge.breaks(Rule::NoMailLost, now, mail, courier, words);
+            let words = format!("its final answer came {} ms after its time was up", (now - deadline) / 10);
+            self.judge.record_violation(Rule::NoMailLost, now, mail, courier, words);
         }
-        self.leave_line(mail);
+        self.leave_key_queue(mail);
     }
 
-    /// A mail that is over and has no connect out no longer holds up those of its key.
-    pub fn leave_line(&mut self, mail: u32) {
+    /// A closed mail with no connect in flight no longer blocks later mails of its key.
+    pub fn leave_key_queue(&mut self, mail: u32) {
         let m = &self.mails[mail as usize];
-        if let (Some(key), None) = (m.key, m.out) {
-            if m.stage != Stage::Taken {
-                self.judge.leaves(m.courier, key, mail);
+        if let (Some(key), None) = (m.key, m.active_call) {
+            if m.stage != Stage::Accepted {
+                self.judge.dequeue(m.courier, key, mail);
             }
         }
     }
 
-    /// After a deferral, or a door that was shut: the client comes again, if it has a try and time left.
-    pub fn come_again(&mut self, now: Time, mail: u32, named: Time) {
+    /// After a deferral or a rejection for lack of room, the client hands the mail in again if it has tries
+    /// and time left.
+    pub fn schedule_retry(&mut self, now: Time, mail: u32, retry_after: Time) {
         let m = &mut self.mails[mail as usize];
         let index = u64::from(mail) << 8 | u64::from(m.tries) << 4 | 15;
         let d = &mut Stream::new(self.day.seed, Purpose::Front, index);
         let heeds = d.chance(self.day.mails.heed);
         let own = (self.day.mails.pause as f64 * (0.5 + d.unit())) as Time;
-        let pause = if heeds { own.max(named) } else { own };
-        m.stage = Stage::Over;
+        let pause = if heeds { own.max(retry_after) } else { own };
+        m.stage = Stage::Closed;
         let set = &self.day.classes[usize::from(m.class)].settings;
         if set.effect == Effect::Tagged && self.day.mails.careful {
-            // It may have run, for all the client knows: it comes inside the window alone, with no more time than that,
-            // less what making a connection may take: a courier does not know that it is a repeat.
+            // The client cannot know whether the mail has run, so it comes back only within the deduplication
+            // window, with a deadline inside it. The connection timeout is subtracted because the courier
+            // does not know that this is a repeat.
             let spare = self.day.settings.connection_timeout;
-            m.due = m.due.min((m.born + set.dedup_window).saturating_sub(spare));
+            m.deadline = m.deadline.min((m.created_at + set.dedup_window).saturating_sub(spare));
         }
-        if usize::from(m.tries) <= self.day.mails.retries && now + pause < m.due {
-            m.stage = Stage::Outside;
-            self.agenda.put(now + pause, Event::Again { mail });
+        if usize::from(m.tries) <= self.day.mails.retries && now + pause < m.deadline {
+            m.stage = Stage::WithClient;
+            self.event_queue.schedule(now + pause, Event::Resubmit { mail });
         }
     }
 
-    /// What a dead courier held without a journal comes again, unless it may have run and may not be repeated.
-    pub fn outlive(&mut self, now: Time, mail: u32) {
+    /// Mails that a crashed courier held without a journal are handed in again, unless they may have run and
+    /// must not be repeated.
+    pub fn resubmit_after_crash(&mut self, now: Time, mail: u32) {
         let pause = self.day.mails.after_death;
         let m = &mut self.mails[mail as usize];
         let effect = self.day.classes[usize::from(m.class)].settings.effect;
-        m.stage = Stage::Over;
-        if m.ran.is_none() || effect == Effect::Redeliverable {
-            m.stage = Stage::Outside;
+        m.stage = Stage::Closed;
+        if m.first_run.is_none() || effect == Effect::Redeliverable {
+            m.stage = Stage::WithClient;
             m.answers = 0;
-            self.agenda.put(now + pause, Event::Again { mail });
+            self.event_queue.schedule(now + pause, Event::Resubmit { mail });
         }
     }
 
-    /// At the end of the day each mail that was taken must be over.
-    pub fn close(&mut self) {
-        let now = self.agenda.now();
+    /// At the end of the day every accepted mail must be closed.
+    pub fn check_all_closed(&mut self) {
+        let now = self.event_queue.now();
         for mail in 0..self.mails.len() as u32 {
             let m = &self.mails[mail as usize];
-            if m.stage == Stage::Taken && self.couriers[m.courier as usize].alive {
+            if m.stage == Stage::Accepted && self.couriers[m.courier as usize].alive {
                 let words = "it never got its final answer".to_string();
-                self.judge.breaks(Rule::NoMailLost, now, mail, m.courier, words);
+                self.judge.record_violation(Rule::NoMailLost, now, mail, m.courier, words);
             }
         }
     }
--- a/crates/emulator/src/figures.rs
+++ b/crates/emulator/src/figures.rs
@@ -1,5 +1,5 @@
-//! What a day was worth: importance delivered in time over importance asked for, on the whole, in the worst ten seconds
-//! and in the worst queue class, less the prices; beside it what capacity alone would allow.
+//! The score of a day: importance delivered in time over importance asked for (over the whole day, in the
+//! worst ten seconds and in the worst queue class), less the prices. Also the bound that capacity alone sets.
 
 use hdrhistogram::Histogram;
 use meadowhold::interface::{Time, SECOND};
@@ -8,9 +8,9 @@
 use crate::day::Day;
 use crate::judge::Broken;
 use crate::parts::Mail;
-use crate::world::Ended;
+use crate::world::RunResult;
 
-/// Length of the window whose worst counts.
+/// Length of the window of which the worst is scored.
 const WINDOW: Time = 10 * SECOND;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -19,7 +19,7 @@
     pub mails: u64,
     pub relayed: u64,
     pub service: f64,
-    /// Milliseconds from the client's first try to the answer, of what was relayed.
+    /// Milliseconds from the client's first try to the answer, for relayed mails.
     pub p50_ms: u64,
     pub p90_ms: u64,
     pub p99_ms: u64,
@@ -33,7 +33,7 @@
     pub endpoints: usize,
     pub mails: u64,
     pub relayed: u64,
-    /// Service: the goal's mix less the prices.
+    /// The score: the weighted service less the prices.
     pub g: f64,
     pub whole: f64,
     pub worst_window: f64,
@@ -41,7 +41,8 @@
     pub worst_at_s: f64,
     pub worst_class: f64,
     pub classes: Vec<ClassFigures>,
-    /// Work whose answer nobody heard, over the work asked for; handshakes and refusals over the mails.
+    /// Work whose answer reached nobody, over the work asked for; then handshakes and refusals over the
+    /// number of mails.
     pub waste: f64,
     pub handshakes: f64,
     pub refused: f64,
@@ -56,21 +57,21 @@
     pub fallen: u64,
     pub over_slots: u64,
     pub peak_out: usize,
-    /// What capacity alone would allow, whoever decides; see `capacity_bound`.
+    /// Upper bound of the service for any decider; see `capacity_bound`.
     pub bound: f64,
     pub rules_broken: usize,
     pub broken: Vec<Broken>,
-    /// Fingerprint of all that happened, in hexadecimal.
+    /// Hash of all events, in hexadecimal.
     pub trace: String,
     pub events: u64,
     pub turns: u64,
 }
 
-/// Importance that a mail earns when it is relayed so late after the client's first try.
+/// Importance that a mail earns when it is relayed at this time.
 pub fn worth(day: &Day, mail: &Mail, at: Time) -> f64 {
     let set = &day.classes[usize::from(mail.class)].settings;
     let late = at.saturating_sub(mail.target) as f64;
-    if at > mail.due + day.answer_grace {
+    if at > mail.deadline + day.answer_grace {
         return 0.0;
     }
     if late <= 0.0 {
@@ -93,19 +94,19 @@
     }
 }
 
-/// Importance asked for and earned by tenths of a second of the client's first try.
-pub fn by_birth(day: &Day, mails: &[Mail]) -> Vec<(f64, f64)> {
+/// Importance asked for and earned, in bins of a tenth of a second by the client's first try.
+pub fn importance_by_arrival(day: &Day, mails: &[Mail]) -> Vec<(f64, f64)> {
     let step = SECOND / 10;
     let mut bins = vec![(0.0, 0.0); (day.length / step) as usize + 1];
     for mail in mails {
-        let bin = &mut bins[(mail.born / step) as usize];
+        let bin = &mut bins[(mail.created_at / step) as usize];
         bin.0 += day.classes[usize::from(mail.class)].settings.importance;
         bin.1 += mail.relayed_at.map_or(0.0, |at| worth(day, mail, at));
     }
     bins
 }
 
-/// The window of ten seconds with the least service: its service and its start in seconds.
+/// The ten-second window with the least service: that service, and the window's start in seconds.
 fn worst(bins: &[(f64, f64)]) -> (f64, f64) {
     let width = ((WINDOW / (SECOND / 10)) as usize).min(bins.len().max(1));
     let windows = bins.windows(width).enumerate().map(|(start, window)| {
@@ -115,29 +116,31 @@
     windows.fold((1.0, 0.0), |worst, next| if next.0 < worst.0 { next } else { worst })
 }
 
-/// Service that capacity alone allows: at each partner, as much work as it could do in the whole day and the longest
-/// lifetime after it, well and warm all along, goes to the mails that earn most for their work. Whoever decides, with
-/// whatever foresight, earns no more; troubles are not counted, so that it is the same for all deciders.
+/// The service that capacity alone allows. Each destination does as much work as it could if healthy and warm
+/// for the whole day and the longest lifetime after it, and spends it on the mails that earn most for their
+/// work. No decider can earn more. Troubles are left out, so that the bound is the same for all deciders.
 fn capacity_bound(day: &Day, mails: &[Mail]) -> f64 {
     let mut asked = 0.0;
-    let mut wanted: Vec<Vec<(f64, f64)>> = vec![Vec::new(); day.partners.len()];
+    let mut wanted: Vec<Vec<(f64, f64)>> = vec![Vec::new(); day.destinations.len()];
     for mail in mails {
         let class = &day.classes[usize::from(mail.class)];
         asked += class.settings.importance;
-        let p = mail.dest as usize;
-        let work = class.service * day.partners[p].pace / 1000.0;
+        let p = mail.destination as usize;
+        let work = class.service * day.destinations[p].pace / 1000.0;
         wanted[p].push((class.settings.importance, work));
     }
     let longest = day.classes.iter().map(|c| c.settings.lifetime).max().unwrap_or(0);
     let time = (day.length + longest) as f64 / SECOND as f64;
     let mut earned = 0.0;
     for (p, mails) in wanted.iter_mut().enumerate() {
-        let partner = &day.partners[p];
-        let slots: usize =
-            day.endpoints[partner.first..partner.first + partner.count].iter().map(|e| e.slots).sum();
-        // A batch does the work of its longest mail and some for each further one.
-        let batch = partner.batch as f64;
-        let ease = batch / (1.0 + partner.item_work * (batch - 1.0));
+        let destination = &day.destinations[p];
+        let slots: usize = day.endpoints[destination.first..destination.first + destination.count]
+            .iter()
+            .map(|e| e.slots)
+            .sum();
+        // A batch takes the work of its longest mail plus a part for each further one.
+        let batch = destination.batch as f64;
+        let ease = batch / (1.0 + destination.item_work * (batch - 1.0));
         let mut room = slots as f64 * time * ease;
         mails.sort_by(|a, b| (b.0 / b.1).total_cmp(&(a.0 / a.1)));
         for &(importance, work) in mails.iter() {
@@ -150,9 +153,9 @@
 }
 
 impl Figures {
-    pub fn of(ended: &Ended) -> Figures {
+    pub fn of(ended: &RunResult) -> Figures {
         let (day, mails, counts) = (&ended.day, &ended.mails, &ended.counts);
-        let bins = by_birth(day, mails);
+        let bins = importance_by_arrival(day, mails);
         let (asked, earned) = bins.iter().fold((0.0, 0.0), |sum, bin| (sum.0 + bin.0, sum.1 + bin.1));
         let classes: Vec<ClassFigures> =
             (0..day.classes.len()).map(|c| class_figures(day, mails, c)).collect();
@@ -160,7 +163,7 @@
         let worst_class = classes.iter().map(|c| c.service).fold(1.0, f64::min);
         let whole = ratio(earned, asked);
         let count = mails.len().max(1) as f64;
-        let work_asked: f64 = mails.iter().map(|m| day.mean_service(m.dest as usize)).sum();
+        let work_asked: f64 = mails.iter().map(|m| day.mean_service(m.destination as usize)).sum();
         let waste = (counts.work - counts.heard_work).max(0.0) / work_asked.max(1.0);
         let (handshakes, refused) = (counts.handshakes as f64 / count, counts.refused as f64 / count);
         let prices = day.prices[0] * waste + day.prices[1] * handshakes + day.prices[2] * refused;
@@ -202,12 +205,12 @@
     }
 }
 
-/// Milliseconds from birth to answer of what was relayed of a queue class.
+/// Milliseconds from arrival to answer for the relayed mails of a queue class.
 pub fn latencies(mails: &[Mail], class: usize) -> Histogram<u64> {
-    // Two digits of each figure, whatever its size: it grows by itself and never refuses a value.
-    let mut histogram = Histogram::new(2).expect("two digits are within what the library takes");
+    // Two significant digits; the histogram resizes itself and accepts any value.
+    let mut histogram = Histogram::new(2).expect("2 is a valid number of significant digits");
     let own = mails.iter().filter(|m| usize::from(m.class) == class);
-    for took in own.filter_map(|m| m.relayed_at.map(|at| at - m.born)) {
+    for took in own.filter_map(|m| m.relayed_at.map(|at| at - m.created_at)) {
         histogram.saturating_record(took / (SECOND / 1000));
     }
     histogram
--- a/crates/emulator/src/listing.rs
+++ b/crates/emulator/src/listing.rs
@@ -1,5 +1,5 @@
-//! The list of endpoints: what is true gets on it late, couriers hear of it later still, and troubles make it lag,
-//! stall, lie or come empty.
+//! The list of endpoints. Changes are published after a lag, and couriers receive them later still. Troubles
+//! delay, stall, falsify or empty the list.
 
 use meadowhold::interface::{EndpointStatus, Input, ListEntry, Time, SECOND};
 
@@ -10,54 +10,54 @@
 
 #[derive(Default)]
 pub struct List {
-    /// True changes, in order, and those that wait for the list to go on.
+    /// Actual changes in order, and the indices of those held back by a stall.
     changes: Vec<(usize, EndpointStatus)>,
     waiting: Vec<usize>,
-    /// What was published, in order; couriers hear of it up to a point.
+    /// Published changes in order; each courier has received a prefix of them.
     log: Vec<(usize, EndpointStatus)>,
-    /// Troubles under way: further seconds behind, and stalls.
+    /// Sum of the delays, and number of the stalls, of active troubles.
     pub lag: Time,
     pub stalls: u16,
 }
 
 impl World<'_> {
-    fn entry(&self, endpoint: usize, life: EndpointStatus) -> Input {
+    fn entry(&self, endpoint: usize, status: EndpointStatus) -> Input {
         let e = &self.day.endpoints[endpoint];
-        let p = &self.day.partners[e.partner];
+        let p = &self.day.destinations[e.destination];
         Input::ListEntry(ListEntry {
             endpoint,
-            destination: e.partner,
-            zone: e.hall,
+            destination: e.destination,
+            zone: e.zone,
             kind: p.kind,
-            status: life,
+            status,
             rate: p.listed_rate,
         })
     }
 
-    /// What is published of each endpoint just now, in the order of the endpoints.
-    pub fn whole(&self) -> Vec<Input> {
-        let mut lives: Vec<Option<EndpointStatus>> =
+    /// The complete list as published now, in the order of the endpoints.
+    pub fn full_list(&self) -> Vec<Input> {
+        let mut statuses: Vec<Option<EndpointStatus>> =
             self.day.endpoints.iter().map(|e| (!e.newcomer).then_some(EndpointStatus::Ready)).collect();
-        self.list.log.iter().for_each(|&(endpoint, life)| lives[endpoint] = Some(life));
-        let named = lives.iter().enumerate().filter_map(|(e, life)| life.map(|life| (e, life)));
-        let named = named.filter(|(_, life)| *life != EndpointStatus::Removed);
-        let entries = named.map(|(endpoint, life)| self.entry(endpoint, life));
+        self.list.log.iter().for_each(|&(endpoint, status)| statuses[endpoint] = Some(status));
+        let named = statuses.iter().enumerate().filter_map(|(e, status)| status.map(|status| (e, status)));
+        let named = named.filter(|(_, status)| *status != EndpointStatus::Removed);
+        let entries = named.map(|(endpoint, status)| self.entry(endpoint, status));
         let begin = std::iter::once(Input::ListBegin { complete: true });
         begin.chain(entries).chain(std::iter::once(Input::ListEnd)).collect()
     }
 
-    /// A new process hears the list first, unless it has to ask.
-    pub fn first_list(&mut self, courier: usize) {
-        self.couriers[courier].heard = self.list.log.len();
-        self.couriers[courier].list_due = self.day.list_mode == ListMode::Push;
+    /// Sends the list to a new process, unless it has to request it.
+    pub fn queue_first_list(&mut self, courier: usize) {
+        self.couriers[courier].list_position = self.list.log.len();
+        self.couriers[courier].full_list_due = self.day.list_mode == ListMode::Push;
     }
 
-    /// An endpoint's life has changed: it will be on the list.
-    pub fn change(&mut self, now: Time, endpoint: usize, life: EndpointStatus) {
-        self.list.changes.push((endpoint, life));
+    /// The status of an endpoint has changed; the list will show it after its lag.
+    pub fn record_change(&mut self, now: Time, endpoint: usize, status: EndpointStatus) {
+        self.list.changes.push((endpoint, status));
         let change = self.list.changes.len() as u32 - 1;
         let at = now + self.day.list_lag + self.list.lag;
-        self.agenda.put(at, Event::Publish { change });
+        self.event_queue.schedule(at, Event::Publish { change });
     }
 
     pub fn publish(&mut self, now: Time, change: usize) {
@@ -65,93 +65,102 @@
             self.list.waiting.push(change);
             return;
         }
-        let (endpoint, life) = self.list.changes[change];
-        self.spread(now, endpoint, life);
+        let (endpoint, status) = self.list.changes[change];
+        self.announce(now, endpoint, status);
     }
 
-    /// Something stands on the list, true or not, and couriers hear of it one after the other.
-    pub fn spread(&mut self, now: Time, endpoint: usize, life: EndpointStatus) {
-        self.list.log.push((endpoint, life));
-        let upto = self.list.log.len() as u32;
+    /// Publishes a status, true or not; couriers receive it one after the other.
+    pub fn announce(&mut self, now: Time, endpoint: usize, status: EndpointStatus) {
+        self.list.log.push((endpoint, status));
+        let position = self.list.log.len() as u32;
         for courier in 0..self.couriers.len() {
             let c = &self.couriers[courier];
-            if !c.alive || (self.day.list_mode == ListMode::Ask && !c.watches) {
+            if !c.alive || (self.day.list_mode == ListMode::Ask && !c.watching_list) {
                 continue;
             }
-            let index = (courier as u64) << 32 | u64::from(upto);
+            let index = (courier as u64) << 32 | u64::from(position);
             let part = Stream::new(self.day.seed, Purpose::List, index).unit();
             let at = now + (self.day.list_spread as f64 * part) as Time + 1;
-            self.agenda.put(at, Event::Hear { courier: courier as u32, process: c.process, upto });
+            self.event_queue
+                .schedule(at, Event::ListUpdate { courier: courier as u32, process: c.process, position });
         }
     }
 
-    pub fn hear(&mut self, now: Time, courier: usize, process: u32, upto: usize) {
+    pub fn deliver_list_update(&mut self, now: Time, courier: usize, process: u32, position: usize) {
         let c = &self.couriers[courier];
-        if !c.alive || c.process != process || c.heard >= upto {
+        if !c.alive || c.process != process || c.list_position >= position {
             return;
         }
         if self.list.stalls > 0 {
-            // It was on its way when the list fell silent: it comes once that is over.
-            self.agenda
-                .put(now + SECOND / 2, Event::Hear { courier: courier as u32, process, upto: upto as u32 });
+            // The update was in flight when the list stalled; it is delivered after the stall.
+            self.event_queue.schedule(
+                now + SECOND / 2,
+                Event::ListUpdate { courier: courier as u32, process, position: position as u32 },
+            );
             return;
         }
-        let news: Vec<Input> =
-            self.list.log[c.heard..upto].iter().map(|&(endpoint, life)| self.entry(endpoint, life)).collect();
+        let updates: Vec<Input> = self.list.log[c.list_position..position]
+            .iter()
+            .map(|&(endpoint, status)| self.entry(endpoint, status))
+            .collect();
         let c = &mut self.couriers[courier];
-        c.heard = upto;
+        c.list_position = position;
         c.inputs.push(Input::ListBegin { complete: false });
-        c.inputs.extend(news);
-        self.tell(courier, Input::ListEnd);
+        c.inputs.extend(updates);
+        self.push_input(courier, Input::ListEnd);
     }
 
-    pub fn ask_list(&mut self, now: Time, courier: usize) {
+    pub fn request_list(&mut self, now: Time, courier: usize) {
         let process = self.couriers[courier].process;
         let at = now + SECOND / 20;
-        self.agenda.put(at, Event::Asked { courier: courier as u32, process });
+        self.event_queue.schedule(at, Event::ListResponse { courier: courier as u32, process });
     }
 
-    pub fn asked(&mut self, now: Time, courier: usize, process: u32) {
+    pub fn list_response(&mut self, now: Time, courier: usize, process: u32) {
         if !self.couriers[courier].alive || self.couriers[courier].process != process {
             return;
         }
         if self.list.stalls > 0 {
-            self.tell(courier, Input::ListFailed);
+            self.push_input(courier, Input::ListFailed);
             return;
         }
-        let whole = self.whole();
+        let whole = self.full_list();
         let c = &mut self.couriers[courier];
-        (c.heard, c.watches) = (self.list.log.len(), true);
+        (c.list_position, c.watching_list) = (self.list.log.len(), true);
         c.inputs.extend(whole);
-        self.wake(courier, now);
+        self.schedule_turn(courier, now);
     }
 
-    /// The list goes on after a stall.
-    pub fn list_goes_on(&mut self, now: Time) {
+    /// Publishes what a stall held back.
+    pub fn resume_list(&mut self, now: Time) {
         for change in std::mem::take(&mut self.list.waiting) {
             self.publish(now, change);
         }
     }
 
-    /// All couriers are told that the list is empty, or all of it anew.
-    pub fn retell(&mut self, now: Time, empty: bool) {
+    /// Sends all couriers an empty list, or the complete one.
+    pub fn resend_list(&mut self, now: Time, empty: bool) {
         for courier in 0..self.couriers.len() {
             if !self.couriers[courier].alive {
                 continue;
             }
-            let told =
-                if empty { vec![Input::ListBegin { complete: true }, Input::ListEnd] } else { self.whole() };
-            self.couriers[courier].heard = self.list.log.len();
-            self.couriers[courier].inputs.extend(told);
-            self.wake(courier, now);
+            let list = if empty {
+                vec![Input::ListBegin { complete: true }, Input::ListEnd]
+            } else {
+                self.full_list()
+            };
+            self.couriers[courier].list_position = self.list.log.len();
+            self.couriers[courier].inputs.extend(list);
+            self.schedule_turn(courier, now);
         }
     }
 
-    /// A whole list leaves out what is gone: the judge holds the courier to that too.
-    pub fn judge_unnamed(&mut self, now: Time, courier: usize, inputs: &[Input]) {
+    /// Endpoints missing from a complete list count as removed; the judge records that the courier has read
+    /// it.
+    pub fn record_missing_entries(&mut self, now: Time, courier: usize, inputs: &[Input]) {
         let begin =
             inputs.iter().rposition(|i| matches!(i, Input::ListBegin { complete: true })).unwrap_or(0);
-        let mut named = vec![false; self.sites.len()];
+        let mut named = vec![false; self.endpoint_states.len()];
         for input in &inputs[begin..] {
             if let Input::ListEntry(entry) = input {
                 named[entry.endpoint] = true;
@@ -159,7 +168,7 @@
         }
         let process = self.couriers[courier].process;
         for (endpoint, _) in named.iter().enumerate().filter(|(_, named)| !**named) {
-            self.judge.told_life(courier as u32, process, endpoint, false, now);
+            self.judge.status_read(courier as u32, process, endpoint, false, now);
         }
     }
 }
--- a/crates/emulator/src/parts.rs
+++ b/crates/emulator/src/parts.rs
@@ -1,4 +1,4 @@
-//! What the world is made of while a day runs: mails, calls, sites, units, couriers, events. Nothing happens here.
+//! The data types of a running day: mails, calls, endpoint states, limit scopes, couriers and events.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -6,10 +6,11 @@
 
 use crate::decider::Decider;
 
-/// An endpoint's process at work, and what troubles do to it just now. Troubles add up, so each is a count or a factor.
+/// The process behind an endpoint and the troubles that affect it. Troubles overlap, so each is a count or a
+/// factor.
 #[derive(Debug)]
-pub struct Site {
-    pub unit: usize,
+pub struct EndpointState {
+    pub scope: usize,
     pub down: u16,
     pub hung: u16,
     pub paused: u16,
@@ -22,27 +23,27 @@
     pub resets: f64,
     pub lost: f64,
     pub idle_close: Option<Time>,
-    /// Left for good: drained, or replaced.
-    pub gone: bool,
-    /// Pushed over: it stays down.
-    pub fallen: bool,
-    /// Since when it warms up.
-    pub cold_since: Option<Time>,
-    /// Calls that are being served, that wait, and that stand still.
+    /// Permanently gone: drained or replaced.
+    pub removed: bool,
+    /// Overloaded while cold; it stays down.
+    pub overloaded: bool,
+    /// When its warm-up started.
+    pub warming_since: Option<Time>,
+    /// Calls being served, queued, and finished but stalled.
     pub active: Vec<u32>,
     pub queue: VecDeque<u32>,
-    pub stuck: Vec<u32>,
-    /// Calls on their way here.
-    pub coming: usize,
+    pub stalled_calls: Vec<u32>,
+    /// Calls on their way to this endpoint.
+    pub in_transit: usize,
     pub connections: usize,
-    /// The process's number: connections to an earlier one are closed.
-    pub place: u32,
+    /// Number of the process; connections to an earlier one are closed.
+    pub incarnation: u32,
 }
 
-impl Site {
-    pub fn new(unit: usize) -> Site {
-        Site {
-            unit,
+impl EndpointState {
+    pub fn new(scope: usize) -> EndpointState {
+        EndpointState {
+            scope,
             down: 0,
             hung: 0,
             paused: 0,
@@ -55,29 +56,30 @@
             resets: 0.0,
             lost: 0.0,
             idle_close: None,
-            gone: false,
-            fallen: false,
-            cold_since: None,
+            removed: false,
+            overloaded: false,
+            warming_since: None,
             active: Vec::new(),
             queue: VecDeque::new(),
-            stuck: Vec::new(),
-            coming: 0,
+            stalled_calls: Vec::new(),
+            in_transit: 0,
             connections: 0,
-            place: 0,
+            incarnation: 0,
         }
     }
 
-    /// It refuses connections.
+    /// Whether it refuses connections.
     pub fn is_down(&self) -> bool {
-        self.down > 0 || self.gone || self.fallen
+        self.down > 0 || self.removed || self.overloaded
     }
 
-    /// It takes calls and goes on with none.
-    pub fn stands_still(&self) -> bool {
+    /// Whether it accepts calls without making progress.
+    pub fn is_stalled(&self) -> bool {
         self.hung > 0 || self.paused > 0
     }
 
-    /// In the words of the rule on returning destinations: down, silent, hung, shut, or most calls failing.
+    /// Whether the rule on returning destinations counts it as out: down, silent, hung, shut, or with most
+    /// calls failing.
     pub fn is_out(&self) -> bool {
         self.is_down()
             || self.hung > 0
@@ -88,36 +90,37 @@
     }
 }
 
-/// What is limited, has outages and tells waits on its own: a partner, or a route apart.
+/// The unit to which limits, outages and told waits apply: a destination, or a single endpoint where limits
+/// are per endpoint.
 #[derive(Debug, Default)]
-pub struct Unit {
-    pub partner: usize,
+pub struct LimitScope {
+    pub destination: usize,
     pub endpoints: Vec<usize>,
-    /// What is left of a plain rate, and when that was reckoned.
+    /// Tokens left under a limit of kind `Rate`, and when they were computed.
     pub tokens: f64,
-    pub at: Time,
-    /// The present span, and the calls that count in it.
+    pub tokens_at: Time,
+    /// The current span, and the calls counted in it.
     pub span: Time,
     pub used: f64,
     pub throttle: f64,
-    pub out: bool,
-    /// End of the last outage, its number, and which couriers saw a call fail or be refused in it.
+    pub in_outage: bool,
+    /// End of the last outage, and its number.
     pub returned_at: Option<Time>,
     pub outage: u32,
-    /// Work sent to it of late while cold: when, how much, by a courier that had seen the outage.
-    pub recent: VecDeque<(Time, f64, bool)>,
-    pub work: f64,
-    pub warned_work: f64,
+    /// Recent load while cold: time, amount, and whether its courier had seen the outage.
+    pub recent_load: VecDeque<(Time, f64, bool)>,
+    pub recent_work: f64,
+    pub informed_work: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Its client waits to hand it in (again).
-    Outside,
-    /// A courier has taken it on.
-    Taken,
-    /// It will not come again.
-    Over,
+    /// With its client, waiting to be handed in (again).
+    WithClient,
+    /// Accepted by a courier.
+    Accepted,
+    /// Will not be handed in again.
+    Closed,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -125,70 +128,71 @@
     Relayed,
     Deferred,
     Bounced,
-    /// The client hung up: nothing more is owed.
+    /// The client hung up; no answer is owed any more.
     HungUp,
 }
 
 #[derive(Clone, Debug)]
 pub struct Mail {
-    pub dest: u32,
+    pub destination: u32,
     pub class: u16,
-    pub hall: u16,
+    pub zone: u16,
     pub key: Option<u32>,
-    pub born: Time,
-    pub due: Time,
+    pub created_at: Time,
+    pub deadline: Time,
     pub target: Time,
     pub stage: Stage,
     pub courier: u32,
     /// Its index at the courier.
     pub index: u32,
-    pub since: Time,
-    /// Times handed in, and times that a dead courier was found instead.
+    pub accepted_at: Time,
+    /// Number of times handed in, and number of times a dead courier was found instead.
     pub tries: u8,
     pub misses: u8,
-    /// Connects of this taking, and send and hall of the first that may have run.
+    /// Connects since it was accepted, and send time and zone of the first that may have run.
     pub connects: u16,
-    pub ran: Option<(Time, u16)>,
-    /// The call that is out for it.
-    pub out: Option<u32>,
-    /// Its place in the order of its key.
-    pub turn: u64,
-    /// Effects at the partner, for what must not have two.
+    pub first_run: Option<(Time, u16)>,
+    /// The call in flight for it.
+    pub active_call: Option<u32>,
+    /// Its position in the order of acceptance, which is the order within its key.
+    pub accept_number: u64,
+    /// Effects at the destination, for mails that must have at most one.
     pub effects: u8,
-    /// Final answers of this taking.
+    /// Final answers since it was accepted.
     pub answers: u8,
     pub relayed_at: Option<Time>,
 }
 
 /// A mail in a call.
 #[derive(Clone, Copy, Debug)]
-pub struct Rider {
+pub struct Connect {
     pub mail: u32,
-    /// When its courier gives the answer up.
-    pub end: Time,
-    /// The courier has its outcome.
-    pub told: bool,
-    /// How often the partner had forgotten its key when it came: what falls within one time is one effect.
-    pub era: u8,
-    /// The partner knew it when it came.
+    /// When the courier stops waiting for the answer.
+    pub timeout_at: Time,
+    /// Whether the courier has been given the outcome.
+    pub reported: bool,
+    /// Number of the deduplication window in which it arrived; effects within one window count once.
+    pub window: u8,
+    /// Whether the destination recognized it as a repeat.
     pub repeat: bool,
 }
 
-/// What a partner knows of a key: when it came first in this era, and the eras that had their effect, a bit each.
+/// A destination's memory of an idempotency key: start of its present window, number of that window, and a
+/// bit for each window in which it had its effect.
 #[derive(Clone, Copy, Debug)]
-pub struct Known {
-    pub since: Time,
-    pub era: u8,
-    pub done: u32,
+pub struct DedupEntry {
+    pub window_start: Time,
+    pub window: u8,
+    pub effects: u32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     Connecting,
-    Going,
+    InTransit,
     Waiting,
     Served,
-    /// Broken or lost on the far side.
+    /// Broken, or lost at the endpoint.
     Lost,
     Ended,
 }
@@ -198,25 +202,25 @@
     pub courier: u32,
     pub process: u32,
     pub endpoint: u32,
-    pub riders: Vec<Rider>,
+    pub connects: Vec<Connect>,
     pub started: Time,
-    pub kept: bool,
-    /// The courier still waits for something of it.
+    pub reused: bool,
+    /// Whether the courier still waits for an outcome.
     pub open: bool,
     pub phase: Phase,
-    /// Journeys there and back.
-    pub way: [Time; 2],
-    /// Number of the site's process that it was connected to, and whether its connection counts there.
-    pub place: u32,
+    /// Network latency to the endpoint and back.
+    pub latency: [Time; 2],
+    /// Number of the endpoint's process that it is connected to, and whether its connection counts there.
+    pub incarnation: u32,
     pub connected: bool,
-    /// It is on its way, connecting included.
-    pub coming: bool,
-    /// Since when its kept connection had been idle.
+    /// Whether it is on its way, including the making of the connection.
+    pub in_transit: bool,
+    /// When the reused connection became idle.
     pub idle_since: Time,
     pub work: f64,
 }
 
-/// What comes back to a courier.
+/// What an endpoint sends back to a courier.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reply {
     pub outcome: Outcome,
@@ -225,7 +229,7 @@
 }
 
 impl Reply {
-    pub fn only(outcome: Outcome) -> Reply {
+    pub fn with_outcome(outcome: Outcome) -> Reply {
         Reply { outcome, wait: 0, report: None }
     }
 }
@@ -234,69 +238,70 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Idle {
     pub since: Time,
-    pub place: u32,
+    pub incarnation: u32,
 }
 
 pub struct Courier {
-    pub hall: usize,
+    pub zone: usize,
     pub alive: bool,
     /// Number of its process, from 0.
     pub process: u32,
-    /// When that began.
+    /// When that process started.
     pub started: Time,
     pub decider: Option<Box<dyn Decider>>,
     pub inputs: Vec<Input>,
-    /// Its next turn begins with the whole list; made only then, for a list to each courier of thousands fills memory.
-    pub list_due: bool,
+    /// The next turn starts with the complete list. It is built only then, because a list for each of
+    /// thousands of couriers would take too much memory.
+    pub full_list_due: bool,
     pub turn_at: Option<Time>,
     pub last_turn: Option<Time>,
-    /// Mails by index, and indices that are free.
+    /// Mails by index, and free indices.
     pub mails: Vec<u32>,
     pub free: Vec<u32>,
-    /// Mails owed an answer, and calls out.
-    pub open: usize,
-    pub out: usize,
+    /// Mails without a final answer, and calls in flight.
+    pub mails_held: usize,
+    pub calls_in_flight: usize,
     pub idle: HashMap<u32, Vec<Idle>>,
-    /// Owed mails of a dead process, in the order in which they were taken.
-    pub owed: Vec<u32>,
-    /// Keys whose connects may be running on, and since when, as the journal has them.
-    pub rests: Vec<(u32, Time)>,
-    /// No turn before this: its clock stands still.
-    pub still_until: Time,
-    /// Changes of the list that it has heard of.
-    pub heard: usize,
-    pub watches: bool,
+    /// Mails of an ended process that its successor takes over, in the order of acceptance.
+    pub owed_mails: Vec<u32>,
+    /// Keys whose connects may still be running, and since when, as recorded in the journal.
+    pub held_keys: Vec<(u32, Time)>,
+    /// No turns before this time, because the courier's clock stands still.
+    pub paused_until: Time,
+    /// Number of published list changes that it has received.
+    pub list_position: usize,
+    pub watching_list: bool,
     pub peak_out: usize,
 }
 
 impl Courier {
-    pub fn new(hall: usize) -> Courier {
+    pub fn new(zone: usize) -> Courier {
         Courier {
-            hall,
+            zone,
             alive: true,
             process: 0,
             started: 0,
             decider: None,
             inputs: Vec::new(),
-            list_due: false,
+            full_list_due: false,
             turn_at: None,
             last_turn: None,
             mails: Vec::new(),
             free: Vec::new(),
-            open: 0,
-            out: 0,
+            mails_held: 0,
+            calls_in_flight: 0,
             idle: HashMap::new(),
-            owed: Vec::new(),
-            rests: Vec::new(),
-            still_until: 0,
-            heard: 0,
-            watches: false,
+            owed_mails: Vec::new(),
+            held_keys: Vec::new(),
+            paused_until: 0,
+            list_position: 0,
+            watching_list: false,
             peak_out: 0,
         }
     }
 
-    /// The index that a mail gets here.
-    pub fn enter(&mut self, mail: u32) -> u32 {
+    /// Assigns an index to a mail.
+    pub fn assign_index(&mut self, mail: u32) -> u32 {
         if let Some(index) = self.free.pop() {
             self.mails[index as usize] = mail;
             return index;
@@ -306,22 +311,22 @@
     }
 }
 
-pub const NOBODY: u32 = u32::MAX;
+pub const NO_COURIER: u32 = u32::MAX;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
-    /// The next mail of the day's stream.
-    Next,
-    /// A mail of a clump.
+    /// The next arrival of the day's random stream.
+    NextArrival,
+    /// A further mail of a clump.
     Clump {
-        dest: u32,
+        destination: u32,
         left: u32,
     },
     HandIn {
         mail: u32,
         courier: u32,
     },
-    Again {
+    Resubmit {
         mail: u32,
     },
     HangUp {
@@ -338,20 +343,20 @@
     Unreached {
         call: u32,
     },
-    Reach {
+    CallArrives {
         call: u32,
     },
-    Done {
+    ServiceDone {
         call: u32,
     },
     Answer {
         call: u32,
         reply: Reply,
     },
-    Expire {
+    Timeout {
         call: u32,
     },
-    Sweep {
+    CloseIdle {
         courier: u32,
         endpoint: u32,
     },
@@ -359,36 +364,36 @@
         index: u32,
         on: bool,
     },
-    Pulse {
+    TroublePulse {
         index: u32,
         on: bool,
     },
     Publish {
         change: u32,
     },
-    Hear {
+    ListUpdate {
         courier: u32,
         process: u32,
-        upto: u32,
+        position: u32,
     },
-    Asked {
+    ListResponse {
         courier: u32,
         process: u32,
     },
-    Die {
+    CourierCrash {
         courier: u32,
     },
-    Rise {
+    CourierRestart {
         courier: u32,
     },
-    Notice {
+    FrontNotice {
         courier: u32,
         alive: bool,
     },
     Sample,
 }
 
-/// What a courier is told at its next turn of one rider's connect.
+/// The input that tells a courier the outcome of one connect.
 pub fn ended(index: usize, reply: &Reply, over: bool, took: Time, kept: bool) -> Input {
     Input::ConnectResult(ConnectResult {
         mail: index,
--- a/crates/emulator/src/serving.rs
+++ b/crates/emulator/src/serving.rs
@@ -1,104 +1,105 @@
-//! What a partner does with a call: takes it on, lets it wait, refuses it, fails it, loses it; serves it and counts the
-//! effects. What is sent to one that is back from an outage is weighed here, and may push it over.
+//! How a destination handles a call: serve, queue, refuse, fail or lose it, and count its effects. The load
+//! on a destination that returns from an outage is measured here and can overload it.
 
 use meadowhold::interface::{Effect, LimitReport, Outcome, Time, SECOND};
 
 use crate::chance::{Purpose, Stream};
 use crate::judge::Rule;
-use crate::parts::{Event, Known, Phase, Reply};
+use crate::parts::{DedupEntry, Event, Phase, Reply};
 use crate::scenario::Limit;
 use crate::world::World;
 
-/// Time of a call that fails quickly, and of an answer that refuses one.
-const QUICK: Time = SECOND / 50;
-/// Share of quick failures that come after the effect.
-const FAILED_AFTER: f64 = 0.1;
-/// Share of the work that knowing a repeat takes.
+/// Time until a call fails quickly; a refusal takes a quarter of it.
+const QUICK_ANSWER: Time = SECOND / 50;
+/// Share of quick failures that happen after the effect.
+const FAILED_AFTER_EFFECT: f64 = 0.1;
+/// Work of a recognized repeat relative to a first delivery.
 const REPEAT_WORK: f64 = 0.05;
-/// Ratio of deviation to mean of the time that one mail takes from connect to connect.
+/// Coefficient of variation of the service time between connects of one mail.
 const CONNECT_NOISE: f64 = 0.25;
-/// Calls by which chance may pass the bound on what a cold unit is sent.
-const SLACK: f64 = 2.0;
-/// Part of the pushing load that must come from couriers that had seen the outage, for the rule to be broken.
-const SEEN_PART: f64 = 2.0 / 3.0;
+/// Calls by which the load on a cold scope may exceed its bound by chance.
+const OVERLOAD_SLACK: f64 = 2.0;
+/// The rule counts as broken only if at least this part of the load came from couriers that had seen the
+/// outage.
+const MIN_INFORMED_PART: f64 = 2.0 / 3.0;
 
 impl World<'_> {
-    fn chance_of(&self, call: u32, purpose: Purpose) -> Stream {
+    fn call_stream(&self, call: u32, purpose: Purpose) -> Stream {
         let c = &self.calls[call as usize];
-        let mail = c.riders[0].mail;
+        let mail = c.connects[0].mail;
         let connects = u64::from(self.mails[mail as usize].connects);
         let tries = u64::from(self.mails[mail as usize].tries);
         Stream::new(self.day.seed, purpose, u64::from(mail) << 16 | connects << 8 | tries)
     }
 
-    /// A call arrives.
-    pub fn reach(&mut self, now: Time, call: u32) {
+    /// A call arrives at its endpoint.
+    pub fn call_arrives(&mut self, now: Time, call: u32) {
         let endpoint = self.calls[call as usize].endpoint as usize;
-        self.no_longer_coming(call);
-        let site = &self.sites[endpoint];
+        self.leave_transit(call);
+        let state = &self.endpoint_states[endpoint];
         let c = &self.calls[call as usize];
-        let closed = site.idle_close.is_some_and(|idle| c.kept && now >= c.idle_since + idle);
-        if site.is_down() || c.place != site.place || closed {
+        let closed = state.idle_close.is_some_and(|idle| c.reused && now >= c.idle_since + idle);
+        if state.is_down() || c.incarnation != state.incarnation || closed {
             self.calls[call as usize].phase = Phase::Lost;
-            self.send_back(now, call, Reply::only(Outcome::Broken), 0);
+            self.send_reply(now, call, Reply::with_outcome(Outcome::Broken), 0);
             return;
         }
-        if site.half_open > 0 {
+        if state.half_open > 0 {
             self.calls[call as usize].phase = Phase::Lost;
             return;
         }
-        let p = &self.day.partners[self.day.endpoints[endpoint].partner];
-        let further = (self.calls[call as usize].riders.len() - 1) as f64;
+        let p = &self.day.destinations[self.day.endpoints[endpoint].destination];
+        let further = (self.calls[call as usize].connects.len() - 1) as f64;
         let load = 1.0 + p.item_work * further;
-        self.weigh(now, call, endpoint, load);
-        if self.sites[endpoint].is_down() {
+        self.check_overload(now, call, endpoint, load);
+        if self.endpoint_states[endpoint].is_down() {
             self.calls[call as usize].phase = Phase::Lost;
-            self.send_back(now, call, Reply::only(Outcome::Broken), 0);
+            self.send_reply(now, call, Reply::with_outcome(Outcome::Broken), 0);
             return;
         }
-        if self.sites[endpoint].stands_still() {
-            self.wait_or_refuse(now, call, endpoint, true);
-        } else if self.sites[endpoint].shut > 0 {
-            let until = self.sites[endpoint].shut_until;
+        if self.endpoint_states[endpoint].is_stalled() {
+            self.serve_or_queue(now, call, endpoint, true);
+        } else if self.endpoint_states[endpoint].shut > 0 {
+            let until = self.endpoint_states[endpoint].shut_until;
             self.refuse(now, call, until.saturating_sub(now));
         } else if !self.admit(now, endpoint) {
-            let wait = self.told_wait(now, endpoint);
+            let wait = self.retry_after(now, endpoint);
             self.refuse(now, call, wait);
-        } else if !self.spoil(now, call, endpoint) {
-            self.wait_or_refuse(now, call, endpoint, false);
+        } else if !self.inject_failure(now, call, endpoint) {
+            self.serve_or_queue(now, call, endpoint, false);
         }
     }
 
-    fn wait_or_refuse(&mut self, now: Time, call: u32, endpoint: usize, still: bool) {
+    fn serve_or_queue(&mut self, now: Time, call: u32, endpoint: usize, stalled: bool) {
         let (slots, depth) = (self.day.endpoints[endpoint].slots, self.day.endpoints[endpoint].queue);
-        if !still && self.sites[endpoint].active.len() < slots {
-            self.receive(now, call);
-            self.serve(now, call);
+        if !stalled && self.endpoint_states[endpoint].active.len() < slots {
+            self.mark_repeats(now, call);
+            self.start_service(now, call);
             return;
         }
-        let site = &mut self.sites[endpoint];
-        if site.queue.len() < depth + if still { slots } else { 0 } {
+        let state = &mut self.endpoint_states[endpoint];
+        if state.queue.len() < depth + if stalled { slots } else { 0 } {
             self.calls[call as usize].phase = Phase::Waiting;
-            site.queue.push_back(call);
-            self.receive(now, call);
-        } else if still {
-            // It hears nobody: what finds no room is dropped, and nobody is told.
+            state.queue.push_back(call);
+            self.mark_repeats(now, call);
+        } else if stalled {
+            // A stalled endpoint sends no refusal: a call that finds no room is dropped silently.
             self.calls[call as usize].phase = Phase::Lost;
         } else {
             self.refuse(now, call, 0);
         }
     }
 
-    /// The limit's word on one call; refused calls may use it up too.
+    /// Whether the limit admits one call; refused calls may count against it too.
     fn admit(&mut self, now: Time, endpoint: usize) -> bool {
-        let unit = self.sites[endpoint].unit;
-        let (rate, tokens, allowed) = (self.rate(unit), self.tokens(unit, now), self.span_allows(unit));
-        let u = &mut self.units[unit];
-        let p = &self.day.partners[u.partner];
+        let scope = self.endpoint_states[endpoint].scope;
+        let (rate, tokens, allowed) = (self.rate(scope), self.tokens(scope, now), self.span_allows(scope));
+        let u = &mut self.scopes[scope];
+        let p = &self.day.destinations[u.destination];
         match p.limit {
             Limit::None => true,
             Limit::Rate => {
-                (u.tokens, u.at) = (tokens, now);
+                (u.tokens, u.tokens_at) = (tokens, now);
                 let room = u.tokens >= 1.0;
                 if room || p.refused_count {
                     u.tokens = (u.tokens - 1.0).max(-rate);
@@ -108,7 +109,7 @@
             Limit::Span => {
                 let span = now / p.span;
                 if span != u.span {
-                    // Refused calls are carried over into the next span, up to half of what it allows.
+                    // Refused calls carry over into the next span, up to half of its allowance.
                     let over = if span == u.span + 1 { (u.used - allowed).max(0.0) } else { 0.0 };
                     (u.span, u.used) = (span, over.min(allowed / 2.0));
                 }
@@ -119,14 +120,14 @@
         }
     }
 
-    /// Time until the limit has room again, as a refusal would tell it.
-    fn told_wait(&self, now: Time, endpoint: usize) -> Time {
-        let unit = self.sites[endpoint].unit;
-        let p = &self.day.partners[self.units[unit].partner];
+    /// Time until the limit has room again, as told in a refusal.
+    fn retry_after(&self, now: Time, endpoint: usize) -> Time {
+        let scope = self.endpoint_states[endpoint].scope;
+        let p = &self.day.destinations[self.scopes[scope].destination];
         match p.limit {
             Limit::None => 0,
             Limit::Rate => {
-                let lacks = (1.0 - self.units[unit].tokens).max(0.0) / self.rate(unit).max(1e-6);
+                let lacks = (1.0 - self.scopes[scope].tokens).max(0.0) / self.rate(scope).max(1e-6);
                 p.wait.max((lacks * SECOND as f64) as Time)
             }
             Limit::Span => (now / p.span + 1) * p.span - now,
@@ -135,157 +136,164 @@
 
     fn refuse(&mut self, now: Time, call: u32, wait: Time) {
         let endpoint = self.calls[call as usize].endpoint as usize;
-        let p = &self.day.partners[self.day.endpoints[endpoint].partner];
-        let tells = self.chance_of(call, Purpose::Answer).chance(p.tells_wait);
+        let p = &self.day.destinations[self.day.endpoints[endpoint].destination];
+        let tells = self.call_stream(call, Purpose::Answer).chance(p.tells_wait);
         self.calls[call as usize].phase = Phase::Lost;
         let wait = if tells { wait } else { 0 };
-        let report = self.report(now, endpoint);
-        self.send_back(now, call, Reply { outcome: Outcome::Refused, wait, report }, QUICK / 4);
+        let report = self.limit_report(now, endpoint);
+        self.send_reply(now, call, Reply { outcome: Outcome::Refused, wait, report }, QUICK_ANSWER / 4);
     }
 
-    fn report(&self, now: Time, endpoint: usize) -> Option<LimitReport> {
-        let unit = self.sites[endpoint].unit;
-        let (p, limit) = (&self.day.partners[self.units[unit].partner], self.rate(unit));
+    fn limit_report(&self, now: Time, endpoint: usize) -> Option<LimitReport> {
+        let scope = self.endpoint_states[endpoint].scope;
+        let (p, limit) = (&self.day.destinations[self.scopes[scope].destination], self.rate(scope));
         let left = match p.limit {
-            Limit::Rate => (self.units[unit].tokens / limit.max(1.0)).clamp(0.0, 1.0),
-            _ => (1.0 - self.span_used(unit, now) / self.span_allows(unit)).clamp(0.0, 1.0),
+            Limit::Rate => (self.scopes[scope].tokens / limit.max(1.0)).clamp(0.0, 1.0),
+            _ => (1.0 - self.span_used(scope, now) / self.span_allows(scope)).clamp(0.0, 1.0),
         };
         (self.day.told_limits && p.limit != Limit::None).then_some(LimitReport { remaining: left, limit })
     }
 
-    /// Troubles that fail a call or break it; whether one did.
-    fn spoil(&mut self, now: Time, call: u32, endpoint: usize) -> bool {
-        let d = &mut self.chance_of(call, Purpose::Answer);
-        d.unit(); // the draw that `refuse` would have taken
-        let p = &self.day.partners[self.day.endpoints[endpoint].partner];
-        let site = &self.sites[endpoint];
-        let strikes = |class: usize| {
-            let riders = &self.calls[call as usize].riders;
-            riders.iter().any(|r| usize::from(self.mails[r.mail as usize].class) == class)
+    /// Fails or breaks a call as active troubles demand; returns whether it did.
+    fn inject_failure(&mut self, now: Time, call: u32, endpoint: usize) -> bool {
+        let d = &mut self.call_stream(call, Purpose::Answer);
+        d.unit(); // skips the draw that `refuse` takes from the same stream
+        let p = &self.day.destinations[self.day.endpoints[endpoint].destination];
+        let state = &self.endpoint_states[endpoint];
+        let affected = |class: usize| {
+            let connects = &self.calls[call as usize].connects;
+            connects.iter().any(|r| usize::from(self.mails[r.mail as usize].class) == class)
         };
-        let of_class = site.class_errors.iter().filter(|(class, _)| strikes(*class));
+        let of_class = state.class_errors.iter().filter(|(class, _)| affected(*class));
         let well =
-            of_class.fold((1.0 - p.error_share) * (1.0 - site.errors.min(1.0)), |w, (_, e)| w * (1.0 - e));
-        let (fails, breaks) = (d.chance(1.0 - well), d.chance(site.resets));
-        let after = d.chance(if fails { FAILED_AFTER } else { 0.5 });
+            of_class.fold((1.0 - p.error_share) * (1.0 - state.errors.min(1.0)), |w, (_, e)| w * (1.0 - e));
+        let (fails, breaks) = (d.chance(1.0 - well), d.chance(state.resets));
+        let after = d.chance(if fails { FAILED_AFTER_EFFECT } else { 0.5 });
         if !fails && !breaks {
             return false;
         }
         self.calls[call as usize].phase = Phase::Lost;
         if after {
-            self.receive(now, call);
-            self.effects(now, call);
+            self.mark_repeats(now, call);
+            self.apply_effects(now, call);
         }
         let outcome = if fails { Outcome::Error } else { Outcome::Broken };
-        self.counts.work += QUICK as f64;
-        self.send_back(now, call, Reply::only(outcome), QUICK);
+        self.counts.work += QUICK_ANSWER as f64;
+        self.send_reply(now, call, Reply::with_outcome(outcome), QUICK_ANSWER);
         true
     }
 
-    /// The partner looks which of a call's mails it knows, as the call comes in: a repeat within the window is dropped.
-    fn receive(&mut self, now: Time, call: u32) {
-        let hall = self.day.endpoints[self.calls[call as usize].endpoint as usize].hall;
-        for i in 0..self.calls[call as usize].riders.len() {
-            let mail = self.calls[call as usize].riders[i].mail;
+    /// Marks those mails of an arriving call that the destination recognizes as repeats within the
+    /// deduplication window.
+    fn mark_repeats(&mut self, now: Time, call: u32) {
+        let zone = self.day.endpoints[self.calls[call as usize].endpoint as usize].zone;
+        for i in 0..self.calls[call as usize].connects.len() {
+            let mail = self.calls[call as usize].connects[i].mail;
             let set = &self.day.classes[usize::from(self.mails[mail as usize].class)].settings;
             if set.effect != Effect::Tagged {
                 continue;
             }
-            let place = (mail, if set.dedup_by_zone { hall } else { 0 });
-            let known = self.known.entry(place).or_insert(Known { since: now, era: 0, done: 0 });
-            // Its first connect finds it new; what comes after the window finds it forgotten.
-            let repeat = known.since < now && now <= known.since + set.dedup_window;
-            if now > known.since + set.dedup_window {
-                (known.since, known.era) = (now, (known.era + 1).min(31));
+            let dedup_key = (mail, if set.dedup_by_zone { zone } else { 0 });
+            let known = self.dedup.entry(dedup_key).or_insert(DedupEntry {
+                window_start: now,
+                window: 0,
+                effects: 0,
+            });
+            // The first connect creates the entry; after the window the entry starts anew.
+            let repeat = known.window_start < now && now <= known.window_start + set.dedup_window;
+            if now > known.window_start + set.dedup_window {
+                (known.window_start, known.window) = (now, (known.window + 1).min(31));
             }
-            let era = known.era;
-            let rider = &mut self.calls[call as usize].riders[i];
-            (rider.era, rider.repeat) = (era, repeat);
+            let window = known.window;
+            let connect = &mut self.calls[call as usize].connects[i];
+            (connect.window, connect.repeat) = (window, repeat);
             self.counts.repeats_dropped += u64::from(repeat);
         }
     }
 
-    fn serve(&mut self, now: Time, call: u32) {
+    fn start_service(&mut self, now: Time, call: u32) {
         let c = &self.calls[call as usize];
         let endpoint = c.endpoint as usize;
-        let p = &self.day.partners[self.day.endpoints[endpoint].partner];
-        let d = &mut self.chance_of(call, Purpose::Service);
-        let noise = d.spread(CONNECT_NOISE);
+        let p = &self.day.destinations[self.day.endpoints[endpoint].destination];
+        let d = &mut self.call_stream(call, Purpose::Service);
+        let noise = d.lognormal(CONNECT_NOISE);
         let (mut longest, mut repeats) = (0.0f64, 0);
-        for rider in &c.riders {
-            let class = &self.day.classes[usize::from(self.mails[rider.mail as usize].class)];
+        for connect in &c.connects {
+            let class = &self.day.classes[usize::from(self.mails[connect.mail as usize].class)];
             let own =
-                Stream::new(self.day.seed, Purpose::Service, u64::from(rider.mail)).spread(class.spread);
+                Stream::new(self.day.seed, Purpose::Service, u64::from(connect.mail)).lognormal(class.spread);
             longest = longest.max(class.service * own);
-            repeats += usize::from(rider.repeat && self.has_effect(rider.mail, endpoint));
+            repeats += usize::from(connect.repeat && self.has_effect(connect.mail, endpoint));
         }
-        let further = (c.riders.len() - 1) as f64;
-        let known = if repeats == c.riders.len() { REPEAT_WORK } else { 1.0 };
-        let pace = p.pace * self.sites[endpoint].slow / self.warmth(endpoint, now);
+        let further = (c.connects.len() - 1) as f64;
+        let known = if repeats == c.connects.len() { REPEAT_WORK } else { 1.0 };
+        let pace = p.pace * self.endpoint_states[endpoint].slow / self.warmth(endpoint, now);
         let took = longest * noise * known * (1.0 + p.item_work * further) * pace * (SECOND / 1000) as f64;
         let took = took.max(1.0);
         let c = &mut self.calls[call as usize];
         (c.phase, c.work) = (Phase::Served, took);
-        self.sites[endpoint].active.push(call);
-        self.agenda.put(now + took as Time, Event::Done { call });
+        self.endpoint_states[endpoint].active.push(call);
+        self.event_queue.schedule(now + took as Time, Event::ServiceDone { call });
     }
 
-    pub fn done(&mut self, now: Time, call: u32) {
+    pub fn service_done(&mut self, now: Time, call: u32) {
         let c = &self.calls[call as usize];
         let (phase, endpoint, work) = (c.phase, c.endpoint as usize, c.work);
         let awaited = self.is_awaited(call);
         if phase != Phase::Served {
             return;
         }
-        if self.sites[endpoint].stands_still() {
-            self.sites[endpoint].stuck.push(call);
+        if self.endpoint_states[endpoint].is_stalled() {
+            self.endpoint_states[endpoint].stalled_calls.push(call);
             return;
         }
-        let site = &mut self.sites[endpoint];
-        let Some(at) = site.active.iter().position(|&a| a == call) else { return };
-        site.active.swap_remove(at);
-        let lost = site.lost;
+        let state = &mut self.endpoint_states[endpoint];
+        let Some(at) = state.active.iter().position(|&a| a == call) else { return };
+        state.active.swap_remove(at);
+        let lost = state.lost;
         self.counts.work += work;
-        self.effects(now, call);
-        self.trace.mark(now, 12, [call, endpoint as u32]);
-        let gone = self.chance_of(call, Purpose::List).chance(lost);
-        if awaited && !gone {
-            let report = self.report(now, endpoint);
-            self.send_back(now, call, Reply { outcome: Outcome::Relayed, wait: 0, report }, 0);
+        self.apply_effects(now, call);
+        self.trace.record_event(now, 12, [call, endpoint as u32]);
+        let answer_lost = self.call_stream(call, Purpose::List).chance(lost);
+        if awaited && !answer_lost {
+            let report = self.limit_report(now, endpoint);
+            self.send_reply(now, call, Reply { outcome: Outcome::Relayed, wait: 0, report }, 0);
         }
         self.next_in_queue(now, endpoint);
     }
 
     pub fn next_in_queue(&mut self, now: Time, endpoint: usize) {
         let slots = self.day.endpoints[endpoint].slots;
-        while self.sites[endpoint].active.len() < slots && !self.sites[endpoint].stands_still() {
-            let Some(call) = self.sites[endpoint].queue.pop_front() else { break };
-            self.serve(now, call);
+        while self.endpoint_states[endpoint].active.len() < slots
+            && !self.endpoint_states[endpoint].is_stalled()
+        {
+            let Some(call) = self.endpoint_states[endpoint].queue.pop_front() else { break };
+            self.start_service(now, call);
         }
     }
 
-    /// Whether a tagged mail has had its effect in the present era of its key: then a repeat costs next to nothing.
+    /// Whether a tagged mail has already had its effect in the present window, which makes a repeat cheap.
     fn has_effect(&self, mail: u32, endpoint: usize) -> bool {
         let set = &self.day.classes[usize::from(self.mails[mail as usize].class)].settings;
-        let place = (mail, if set.dedup_by_zone { self.day.endpoints[endpoint].hall } else { 0 });
-        self.known.get(&place).is_some_and(|known| known.done >> known.era & 1 == 1)
+        let dedup_key = (mail, if set.dedup_by_zone { self.day.endpoints[endpoint].zone } else { 0 });
+        self.dedup.get(&dedup_key).is_some_and(|known| known.effects >> known.window & 1 == 1)
     }
 
-    /// The effects of a served call, counted at the partner and not believed of anybody.
-    pub fn effects(&mut self, now: Time, call: u32) {
-        let hall = self.day.endpoints[self.calls[call as usize].endpoint as usize].hall;
-        for i in 0..self.calls[call as usize].riders.len() {
-            let rider = self.calls[call as usize].riders[i];
-            let m = &mut self.mails[rider.mail as usize];
+    /// Counts the effects of a served call at the destination, independent of what couriers report.
+    pub fn apply_effects(&mut self, now: Time, call: u32) {
+        let zone = self.day.endpoints[self.calls[call as usize].endpoint as usize].zone;
+        for i in 0..self.calls[call as usize].connects.len() {
+            let connect = self.calls[call as usize].connects[i];
+            let m = &mut self.mails[connect.mail as usize];
             let class = &self.day.classes[usize::from(m.class)];
             let counts = match class.settings.effect {
                 Effect::Redeliverable => false,
                 Effect::Tagged => {
-                    let place = (rider.mail, if class.settings.dedup_by_zone { hall } else { 0 });
-                    let known = self.known.get_mut(&place);
+                    let dedup_key = (connect.mail, if class.settings.dedup_by_zone { zone } else { 0 });
+                    let known = self.dedup.get_mut(&dedup_key);
                     known.is_none_or(|known| {
-                        let new = known.done >> rider.era & 1 == 0;
-                        known.done |= 1 << rider.era;
+                        let new = known.effects >> connect.window & 1 == 0;
+                        known.effects |= 1 << connect.window;
                         new
                     })
                 }
@@ -296,68 +304,71 @@
             }
             m.effects = m.effects.saturating_add(1);
             let effects = m.effects;
-            self.trace.note(now, rider.mail, || format!("takes effect, for the {effects}. time"));
+            self.trace.record_history(now, connect.mail, || format!("takes effect, for the {effects}. time"));
             if effects > 1 {
                 let courier = self.calls[call as usize].courier;
                 let words = format!("queue class {} took effect {effects} times", class.name);
-                self.judge.breaks(Rule::NoEffectTwice, now, rider.mail, courier, words);
+                self.judge.record_violation(Rule::NoEffectTwice, now, connect.mail, courier, words);
             }
         }
     }
 
-    /// Weighs what is sent to a unit that is back from an outage and not warm yet.
-    fn weigh(&mut self, now: Time, call: u32, endpoint: usize, load: f64) {
-        let unit = self.sites[endpoint].unit;
-        let u = &self.units[unit];
-        let cold = self.day.partners[u.partner].cold;
-        let Some(back) = u.returned_at.filter(|&back| !u.out && now < back + cold) else { return };
+    /// Measures the load sent to a scope that is back from an outage but still cold, and overloads it above
+    /// the bound.
+    fn check_overload(&mut self, now: Time, call: u32, endpoint: usize, load: f64) {
+        let scope = self.endpoint_states[endpoint].scope;
+        let u = &self.scopes[scope];
+        let cold = self.day.destinations[u.destination].cold;
+        let Some(back) = u.returned_at.filter(|&back| !u.in_outage && now < back + cold) else { return };
         let courier = self.calls[call as usize].courier;
-        let seen = self.judge.has_seen(courier, unit, u.outage);
+        let seen = self.judge.saw_this_outage(courier, scope, u.outage);
         let (length, multiple) = (self.day.settings.overload_duration, self.day.settings.overload_multiple);
-        let u = &mut self.units[unit];
-        u.recent.push_back((now, load, seen));
-        u.work += load;
-        u.warned_work += if seen { load } else { 0.0 };
-        while let Some(&(at, load, seen)) = u.recent.front().filter(|w| w.0 + length < now || w.0 < back) {
-            u.recent.pop_front();
-            u.work -= load;
-            u.warned_work -= if seen { load } else { 0.0 };
+        let u = &mut self.scopes[scope];
+        u.recent_load.push_back((now, load, seen));
+        u.recent_work += load;
+        u.informed_work += if seen { load } else { 0.0 };
+        while let Some(&(at, load, seen)) = u.recent_load.front().filter(|w| w.0 + length < now || w.0 < back)
+        {
+            u.recent_load.pop_front();
+            u.recent_work -= load;
+            u.informed_work -= if seen { load } else { 0.0 };
             debug_assert!(at <= now);
         }
-        let (work, warned) = (u.work, u.warned_work);
-        let capacity = self.present_capacity(unit, now) * length as f64 / SECOND as f64;
-        if work <= multiple * capacity + SLACK {
+        let (work, warned) = (u.recent_work, u.informed_work);
+        let capacity = self.current_capacity(scope, now) * length as f64 / SECOND as f64;
+        if work <= multiple * capacity + OVERLOAD_SLACK {
             return;
         }
         self.counts.fallen += 1;
-        for i in 0..self.units[unit].endpoints.len() {
-            let endpoint = self.units[unit].endpoints[i];
-            self.sites[endpoint].fallen = true;
-            self.crash(now, endpoint);
+        for i in 0..self.scopes[scope].endpoints.len() {
+            let endpoint = self.scopes[scope].endpoints[i];
+            self.endpoint_states[endpoint].overloaded = true;
+            self.crash_endpoint(now, endpoint);
         }
-        self.look_at_unit(now, unit);
-        if warned >= SEEN_PART * work {
+        self.update_outage(now, scope);
+        if warned >= MIN_INFORMED_PART * work {
             let words = format!(
                 "partner {} was pushed over: {work:.1} calls in {} ms where it can do {capacity:.1}, {warned:.1} of them by couriers that had seen its outage",
-                self.units[unit].partner,
+                self.scopes[scope].destination,
                 length / 10,
             );
-            let mail = self.calls[call as usize].riders[0].mail;
-            self.judge.breaks(Rule::NotPushedOver, now, mail, courier, words);
+            let mail = self.calls[call as usize].connects[0].mail;
+            self.judge.record_violation(Rule::NotPushedOver, now, mail, courier, words);
         }
     }
 
-    /// A process ends: what it was at is broken off, half of what was being served after its effect.
-    pub fn crash(&mut self, now: Time, endpoint: usize) {
-        let site = &mut self.sites[endpoint];
-        site.place += 1;
-        site.connections = 0;
-        site.stuck.clear();
-        let active = std::mem::take(&mut site.active);
-        let queue = std::mem::take(&mut site.queue);
+    /// The endpoint's process ends: its calls are broken off, about half of those being served after their
+    /// effect.
+    pub fn crash_endpoint(&mut self, now: Time, endpoint: usize) {
+        let state = &mut self.endpoint_states[endpoint];
+        state.incarnation += 1;
+        state.connections = 0;
+        state.stalled_calls.clear();
+        let active = std::mem::take(&mut state.active);
+        let queue = std::mem::take(&mut state.queue);
         for &call in &active {
-            if self.chance_of(call, Purpose::List).chance(0.5) {
-                self.effects(now, call);
+            if self.call_stream(call, Purpose::List).chance(0.5) {
+                self.apply_effects(now, call);
             }
         }
         for call in active.into_iter().chain(queue) {
@@ -365,7 +376,7 @@
             self.counts.work += self.calls[call as usize].work / 2.0;
             if self.calls[call as usize].phase != Phase::Ended {
                 self.calls[call as usize].phase = Phase::Lost;
-                self.send_back(now, call, Reply::only(Outcome::Broken), 0);
+                self.send_reply(now, call, Reply::with_outcome(Outcome::Broken), 0);
             }
         }
     }
--- a/crates/emulator/src/slots.rs
+++ b/crates/emulator/src/slots.rs
@@ -1,19 +1,20 @@
-//! What baselines and the oracle have in common: call slots (connects of one turn to one endpoint travel as one call),
-//! and the rules' word on what may be repeated.
+//! Shared by the baselines and the oracle: call slots (connects of one turn to one endpoint form one call),
+//! and the rules on what may be repeated.
 
 use meadowhold::interface::{Effect, Settings, Time};
 
-/// The place of an index in a list that grows with its indices.
-pub fn grow<T: Default>(list: &mut Vec<T>, index: usize) -> &mut T {
+/// The element at an index; the list grows as needed.
+pub fn entry_mut<T: Default>(list: &mut Vec<T>, index: usize) -> &mut T {
     if index >= list.len() {
         list.resize_with(index + 1, T::default);
     }
     &mut list[index]
 }
 
-/// Whether a mail may go again, and whether its client may be told that trying again is harmless. `ran`: send and hall of
-/// the first connect that may have run. A repeat leaves the time that a connect may take to the end of its window.
-pub fn may(set: &Settings, now: Time, class: usize, ran: Option<(Time, usize)>) -> (bool, bool) {
+/// Whether a mail may be sent again, and whether its client may be told that a retry is harmless. `ran` holds
+/// the send time and zone of the first connect that may have run. A repeat must start early enough to connect
+/// within the deduplication window.
+pub fn may_retry(set: &Settings, now: Time, class: usize, ran: Option<(Time, usize)>) -> (bool, bool) {
     let c = &set.classes[class];
     match (ran, c.effect) {
         (None, _) | (_, Effect::Redeliverable) => (true, true),
@@ -25,17 +26,17 @@
 }
 
 #[derive(Default)]
-pub struct Slots {
-    /// Riders without an outcome of each call; 0: the place is free.
+pub struct CallSlots {
+    /// Connects without an outcome, by call; 0 marks a free entry.
     calls: Vec<usize>,
     free: Vec<usize>,
     out: usize,
     turn: u64,
-    /// By endpoint: the turn of its latest call, that call and its riders.
+    /// By endpoint: turn and index of its latest call, and the number of connects in it.
     latest: Vec<(u64, usize, usize)>,
 }
 
-impl Slots {
+impl CallSlots {
     pub fn next_turn(&mut self) {
         self.turn += 1;
     }
@@ -44,23 +45,23 @@
         self.out
     }
 
-    /// Riders that this turn has put into the latest call to an endpoint.
-    pub fn riders(&self, endpoint: usize) -> usize {
+    /// Connects that this turn has added to the latest call to an endpoint.
+    pub fn connects(&self, endpoint: usize) -> usize {
         self.latest.get(endpoint).filter(|l| l.0 == self.turn).map_or(0, |l| l.2)
     }
 
-    /// Whether one more mail could go to an endpoint: along with others, or in a slot that is free.
+    /// Whether one more mail could go to an endpoint, in a call of this turn or in a free slot.
     pub fn has_room(&self, endpoint: usize, batch: usize, most: usize) -> bool {
-        (1..batch).contains(&self.riders(endpoint)) || self.out < most
+        (1..batch).contains(&self.connects(endpoint)) || self.out < most
     }
 
-    /// A mail goes to an endpoint; the number of its call.
+    /// Adds a mail to a call to an endpoint; returns the index of the call.
     pub fn take(&mut self, endpoint: usize, batch: usize) -> usize {
         if endpoint >= self.latest.len() {
             self.latest.resize(endpoint + 1, (0, 0, 0));
         }
-        let (turn, call, riders) = self.latest[endpoint];
-        if turn == self.turn && riders < batch {
+        let (turn, call, connects) = self.latest[endpoint];
+        if turn == self.turn && connects < batch {
             self.latest[endpoint].2 += 1;
             self.calls[call] += 1;
             return call;
@@ -75,8 +76,8 @@
         call
     }
 
-    /// A rider has its outcome; whether its call was the last to wait for it.
-    pub fn give_back(&mut self, call: usize) -> bool {
+    /// Records the outcome of a connect; returns whether its call has ended.
+    pub fn finish_connect(&mut self, call: usize) -> bool {
         self.calls[call] -= 1;
         let ended = self.calls[call] == 0;
         if ended {
@@ -92,13 +93,13 @@
     use super::*;
 
     #[test]
-    fn riders_of_a_turn_share_a_slot_up_to_the_batch() {
-        let mut slots = Slots::default();
+    fn connects_of_a_turn_share_a_slot_up_to_the_batch() {
+        let mut slots = CallSlots::default();
         slots.next_turn();
         let calls = [slots.take(3, 2), slots.take(3, 2), slots.take(3, 2), slots.take(4, 2)];
         assert_eq!((calls, slots.out()), ([0, 0, 1, 2], 3));
         assert!(slots.has_room(4, 2, 3) && !slots.has_room(5, 2, 3));
-        assert_eq!([slots.give_back(0), slots.give_back(0)], [false, true]);
+        assert_eq!([slots.finish_connect(0), slots.finish_connect(0)], [false, true]);
         slots.next_turn();
         assert_eq!((slots.take(3, 2), slots.out()), (0, 3));
     }
--- a/crates/emulator/src/troubles.rs
+++ b/crates/emulator/src/troubles.rs
@@ -1,4 +1,4 @@
-//! Troubles begin and end. Each takes back exactly what it did, so that any number of them may overlap.
+//! Applies and ends troubles. Each one undoes exactly what it applied, so any number of them may overlap.
 
 use meadowhold::interface::{EndpointStatus, Time, SECOND};
 
@@ -6,15 +6,15 @@
 use crate::scenario::What;
 use crate::world::World;
 
-/// Pauses come this often.
+/// Interval between pauses.
 const PAUSE_EVERY: Time = SECOND;
 
 impl World<'_> {
-    pub fn trouble(&mut self, now: Time, index: usize, on: bool) {
+    pub fn switch_trouble(&mut self, now: Time, index: usize, on: bool) {
         let day = self.day.clone();
         let t = &day.troubles[index];
-        self.trace.mark(now, 30, [index as u32, u32::from(on)]);
-        let step = |count: &mut u16| *count = if on { *count + 1 } else { count.saturating_sub(1) };
+        self.trace.record_event(now, 30, [index as u32, u32::from(on)]);
+        let adjust = |count: &mut u16| *count = if on { *count + 1 } else { count.saturating_sub(1) };
         match t.what {
             What::Flap | What::Pauses => {
                 if on {
@@ -24,181 +24,183 @@
             What::Kill | What::Roll if on => {
                 let apart = if t.what == What::Roll { (t.size * SECOND as f64) as Time } else { 0 };
                 for (i, &courier) in t.couriers.iter().enumerate() {
-                    self.agenda.put(now + apart * i as Time, Event::Die { courier: courier as u32 });
+                    self.event_queue
+                        .schedule(now + apart * i as Time, Event::CourierCrash { courier: courier as u32 });
                 }
             }
             What::ClockStep if on => {
                 for &courier in &t.couriers {
                     let until = now + (t.size * (SECOND / 1000) as f64) as Time;
-                    self.couriers[courier].still_until = until;
+                    self.couriers[courier].paused_until = until;
                 }
             }
             What::Kill | What::Roll | What::ClockStep => {}
-            What::HotCaller if on => self.hot.push(index),
-            What::HotCaller => self.hot.retain(|&i| i != index),
-            What::HallShift if on => self.shift.push(index),
-            What::HallShift => self.shift.retain(|&i| i != index),
+            What::HotCaller if on => self.hot_troubles.push(index),
+            What::HotCaller => self.hot_troubles.retain(|&i| i != index),
+            What::HallShift if on => self.zone_shifts.push(index),
+            What::HallShift => self.zone_shifts.retain(|&i| i != index),
             What::Burst => self.burst *= if on { t.size } else { 1.0 / t.size },
             What::ListLag => {
                 let further = (t.size * SECOND as f64) as Time;
                 self.list.lag = if on { self.list.lag + further } else { self.list.lag - further };
             }
             What::ListStall => {
-                step(&mut self.list.stalls);
+                adjust(&mut self.list.stalls);
                 if !on && self.list.stalls == 0 {
-                    self.list_goes_on(now);
+                    self.resume_list(now);
                 }
             }
-            What::ListEmpty => self.retell(now, on),
+            What::ListEmpty => self.resend_list(now, on),
             What::ListLies => {
-                let life = if on { EndpointStatus::Draining } else { EndpointStatus::Ready };
+                let status = if on { EndpointStatus::Draining } else { EndpointStatus::Ready };
                 for &endpoint in &t.endpoints {
-                    if !self.sites[endpoint].gone {
-                        self.spread(now, endpoint, life);
+                    if !self.endpoint_states[endpoint].removed {
+                        self.announce(now, endpoint, status);
                     }
                 }
             }
             What::LinkCut | What::LinkOneWay => {
-                for other in (0..day.halls.len()).filter(|&other| other != t.hall) {
-                    step(&mut self.cut[other][t.hall]);
+                for other in (0..day.zones.len()).filter(|&other| other != t.zone) {
+                    adjust(&mut self.cut_links[other][t.zone]);
                     if t.what == What::LinkCut {
-                        step(&mut self.cut[t.hall][other]);
+                        adjust(&mut self.cut_links[t.zone][other]);
                     }
                 }
             }
             What::Drain | What::Replace => self.replace(now, index, on),
-            _ => t.endpoints.iter().for_each(|&endpoint| self.strike(now, index, endpoint, on)),
+            _ => t.endpoints.iter().for_each(|&endpoint| self.apply_to_endpoint(now, index, endpoint, on)),
         }
     }
 
-    /// What a trouble does to one endpoint.
-    fn strike(&mut self, now: Time, index: usize, endpoint: usize, on: bool) {
+    /// Applies a trouble to one endpoint, or ends it there.
+    fn apply_to_endpoint(&mut self, now: Time, index: usize, endpoint: usize, on: bool) {
         let day = self.day.clone();
         let t = &day.troubles[index];
-        let site = &mut self.sites[endpoint];
-        let step = |count: &mut u16| *count = if on { *count + 1 } else { count.saturating_sub(1) };
+        let state = &mut self.endpoint_states[endpoint];
+        let adjust = |count: &mut u16| *count = if on { *count + 1 } else { count.saturating_sub(1) };
         let add = |share: &mut f64| *share = (*share + if on { t.size } else { -t.size }).max(0.0);
         match t.what {
             What::Crash | What::Flap => {
-                step(&mut site.down);
+                adjust(&mut state.down);
                 if on {
-                    self.crash(now, endpoint);
+                    self.crash_endpoint(now, endpoint);
                 }
             }
-            What::Hang => step(&mut site.hung),
-            What::Pauses => step(&mut site.paused),
-            What::Slow => site.slow *= if on { t.size } else { 1.0 / t.size },
-            What::Errors => add(&mut site.errors),
-            What::ClassErrors if on => site.class_errors.push((t.class.unwrap_or(0), t.size)),
+            What::Hang => adjust(&mut state.hung),
+            What::Pauses => adjust(&mut state.paused),
+            What::Slow => state.slow *= if on { t.size } else { 1.0 / t.size },
+            What::Errors => add(&mut state.errors),
+            What::ClassErrors if on => state.class_errors.push((t.class.unwrap_or(0), t.size)),
             What::ClassErrors => {
                 let mine = (t.class.unwrap_or(0), t.size);
-                let at = site.class_errors.iter().position(|&e| e == mine);
+                let at = state.class_errors.iter().position(|&e| e == mine);
                 if let Some(at) = at {
-                    site.class_errors.swap_remove(at);
+                    state.class_errors.swap_remove(at);
                 }
             }
             What::Shut => {
-                step(&mut site.shut);
-                site.shut_until = t.until;
+                adjust(&mut state.shut);
+                state.shut_until = t.until;
             }
-            What::Resets => add(&mut site.resets),
-            What::LostAnswers => add(&mut site.lost),
-            What::HalfOpen => step(&mut site.half_open),
-            What::IdleClose => site.idle_close = on.then_some((t.size * SECOND as f64) as Time),
+            What::Resets => add(&mut state.resets),
+            What::LostAnswers => add(&mut state.lost),
+            What::HalfOpen => adjust(&mut state.half_open),
+            What::IdleClose => state.idle_close = on.then_some((t.size * SECOND as f64) as Time),
             What::Throttle => {
-                // Once for each unit, however many of its endpoints are struck.
-                let unit = site.unit;
-                let first = t.endpoints.iter().find(|&&e| self.sites[e].unit == unit);
+                // Once for each scope, however many of its endpoints are affected.
+                let scope = state.scope;
+                let first = t.endpoints.iter().find(|&&e| self.endpoint_states[e].scope == scope);
                 if first == Some(&endpoint) {
                     let size = t.size.max(1e-3);
-                    self.units[unit].throttle *= if on { size } else { 1.0 / size };
+                    self.scopes[scope].throttle *= if on { size } else { 1.0 / size };
                 }
             }
             _ => {}
         }
-        if !on && !self.sites[endpoint].stands_still() && !self.sites[endpoint].is_down() {
-            self.goes_on(now, endpoint);
+        if !on && !self.endpoint_states[endpoint].is_stalled() && !self.endpoint_states[endpoint].is_down() {
+            self.resume_endpoint(now, endpoint);
         }
         if !on && matches!(t.what, What::Crash | What::Flap | What::Hang) {
-            self.sites[endpoint].cold_since = Some(now);
+            self.endpoint_states[endpoint].warming_since = Some(now);
         }
-        let unit = self.sites[endpoint].unit;
-        self.look_at_unit(now, unit);
+        let scope = self.endpoint_states[endpoint].scope;
+        self.update_outage(now, scope);
     }
 
-    /// What stood still is done now, and what waited begins.
-    fn goes_on(&mut self, now: Time, endpoint: usize) {
-        for call in std::mem::take(&mut self.sites[endpoint].stuck) {
-            self.done(now, call);
+    /// Finishes calls that were stalled and starts queued ones.
+    fn resume_endpoint(&mut self, now: Time, endpoint: usize) {
+        for call in std::mem::take(&mut self.endpoint_states[endpoint].stalled_calls) {
+            self.service_done(now, call);
         }
         self.next_in_queue(now, endpoint);
     }
 
-    /// Whether a unit is out, in the words of the rule; once it is back it is cold.
-    pub fn look_at_unit(&mut self, now: Time, unit: usize) {
-        let there = self.units[unit].endpoints.iter().filter(|&&e| !self.sites[e].gone);
+    /// Updates whether a scope is in an outage as the rule defines it; a scope that returns is cold.
+    pub fn update_outage(&mut self, now: Time, scope: usize) {
+        let there = self.scopes[scope].endpoints.iter().filter(|&&e| !self.endpoint_states[e].removed);
         let (mut all, mut out) = (0, 0);
         for &endpoint in there {
             all += 1;
-            out += usize::from(self.sites[endpoint].is_out());
+            out += usize::from(self.endpoint_states[endpoint].is_out());
         }
         let is_out = all > 0 && out == all;
-        let u = &mut self.units[unit];
-        if is_out == u.out {
+        let u = &mut self.scopes[scope];
+        if is_out == u.in_outage {
             return;
         }
-        u.out = is_out;
+        u.in_outage = is_out;
         if is_out {
             u.outage += 1;
         } else {
             u.returned_at = Some(now);
-            (u.work, u.warned_work) = (0.0, 0.0);
-            u.recent.clear();
+            (u.recent_work, u.informed_work) = (0.0, 0.0);
+            u.recent_load.clear();
             for endpoint in u.endpoints.clone() {
-                self.sites[endpoint].cold_since = Some(now);
+                self.endpoint_states[endpoint].warming_since = Some(now);
             }
         }
-        self.trace.mark(now, 31, [unit as u32, u32::from(is_out)]);
+        self.trace.record_event(now, 31, [scope as u32, u32::from(is_out)]);
     }
 
-    /// Troubles that come and go by themselves while they last.
+    /// Troubles that start and stop repeatedly while they last.
     pub fn pulse(&mut self, now: Time, index: usize, on: bool) {
         let day = self.day.clone();
         let t = &day.troubles[index];
         if on && now >= t.until {
             return;
         }
-        t.endpoints.iter().for_each(|&endpoint| self.strike(now, index, endpoint, on));
+        t.endpoints.iter().for_each(|&endpoint| self.apply_to_endpoint(now, index, endpoint, on));
         let next = match (t.what, on) {
             (What::Pauses, true) => (t.size * (SECOND / 1000) as f64) as Time,
             (What::Pauses, false) => PAUSE_EVERY,
             _ => (t.size * SECOND as f64) as Time,
         };
         let at = if on { (now + next).min(t.until.max(now + 1)) } else { now + next };
-        self.agenda.put(at.max(now + 1), Event::Pulse { index: index as u32, on: !on });
+        self.event_queue.schedule(at.max(now + 1), Event::TroublePulse { index: index as u32, on: !on });
     }
 
-    /// Endpoints drain and then go; where they are replaced, newcomers stand beside them, cold.
+    /// Endpoints drain and are then removed; with `Replace`, cold replacements are added at the same time.
     fn replace(&mut self, now: Time, index: usize, on: bool) {
         let day = self.day.clone();
         let t = &day.troubles[index];
         for (i, &endpoint) in t.endpoints.iter().enumerate() {
-            if self.sites[endpoint].gone {
+            if self.endpoint_states[endpoint].removed {
                 continue;
             }
             if on {
-                self.change(now, endpoint, EndpointStatus::Draining);
+                self.record_change(now, endpoint, EndpointStatus::Draining);
                 if let Some(&newcomer) = t.newcomers.get(i) {
-                    (self.sites[newcomer].gone, self.sites[newcomer].cold_since) = (false, Some(now));
-                    self.change(now, newcomer, EndpointStatus::Ready);
+                    (self.endpoint_states[newcomer].removed, self.endpoint_states[newcomer].warming_since) =
+                        (false, Some(now));
+                    self.record_change(now, newcomer, EndpointStatus::Ready);
                 }
             } else {
-                self.sites[endpoint].gone = true;
-                self.crash(now, endpoint);
-                self.change(now, endpoint, EndpointStatus::Removed);
+                self.endpoint_states[endpoint].removed = true;
+                self.crash_endpoint(now, endpoint);
+                self.record_change(now, endpoint, EndpointStatus::Removed);
             }
-            let unit = self.sites[endpoint].unit;
-            self.look_at_unit(now, unit);
+            let scope = self.endpoint_states[endpoint].scope;
+            self.update_outage(now, scope);
         }
     }
 }
--- a/crates/emulator/src/turns.rs
+++ b/crates/emulator/src/turns.rs
@@ -1,17 +1,17 @@
-//! A courier's turn: what came in goes to its decider, what that wants is carried out as a real courier would. Here a
-//! courier also dies, and comes back with its journal or without.
+//! A courier's turn: its inputs go to its decider, and the resulting actions are carried out as a real
+//! courier would. Also crashes of couriers and their restart, with or without a journal.
 
 use meadowhold::interface::{Action, Input, Outcome, Time};
 
 use crate::chance::{Purpose, Stream};
 use crate::judge::Rule;
-use crate::parts::{Answer, Call, Event, Idle, Phase, Reply, Rider, Stage};
+use crate::parts::{Answer, Call, Connect, Event, Idle, Phase, Reply, Stage};
 use crate::world::World;
 
-/// Room for inputs that a courier keeps from turn to turn.
-const KEPT_INPUTS: usize = 256;
-/// Idle connections of a courier to one endpoint, at most.
-const IDLE_KEPT: usize = 64;
+/// Capacity of the input buffer that a courier keeps between turns.
+const KEPT_INPUT_CAPACITY: usize = 256;
+/// Maximum number of idle connections of a courier to one endpoint.
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
 impl World<'_> {
     pub fn turn(&mut self, now: Time, courier: usize, at: Time) {
@@ -19,405 +19,416 @@
         if !c.alive || c.turn_at != Some(at) {
             return;
         }
-        if now < c.still_until {
+        if now < c.paused_until {
             c.turn_at = None;
-            let until = c.still_until;
-            self.wake(courier, until);
+            let until = c.paused_until;
+            self.schedule_turn(courier, until);
             return;
         }
         (c.turn_at, c.last_turn) = (None, Some(now));
         let Some(mut decider) = c.decider.take() else { return };
         let mut inputs = std::mem::take(&mut c.inputs);
-        if std::mem::take(&mut c.list_due) {
-            let mut first = self.whole();
+        if std::mem::take(&mut c.full_list_due) {
+            let mut first = self.full_list();
             first.append(&mut inputs);
             inputs = first;
         }
         self.counts.turns += 1;
-        self.read_along(now, courier, &inputs);
+        self.record_inputs(now, courier, &inputs);
         let mut actions = std::mem::take(&mut self.actions);
-        let wake = decider.round(now, &inputs, &mut actions, self);
+        let wake = decider.step(now, &inputs, &mut actions, self);
         inputs.clear();
-        inputs.shrink_to(KEPT_INPUTS);
+        inputs.shrink_to(KEPT_INPUT_CAPACITY);
         self.couriers[courier].inputs = inputs;
         self.couriers[courier].decider = Some(decider);
-        self.trace.mark(now, 9, [courier as u32, actions.len() as u32]);
+        self.trace.record_event(now, 9, [courier as u32, actions.len() as u32]);
         let first = self.calls.len();
         for action in actions.drain(..) {
-            self.carry_out(now, courier, first, action);
+            self.apply_action(now, courier, first, action);
         }
         self.actions = actions;
         for call in first..self.calls.len() {
-            self.go_out(now, call as u32);
+            self.start_call(now, call as u32);
         }
         if let Some(at) = wake {
-            self.wake(courier, at.max(now + 1));
+            self.schedule_turn(courier, at.max(now + 1));
         }
     }
 
-    /// What the courier is told from here on, as the judge has to know it.
-    fn read_along(&mut self, now: Time, courier: usize, inputs: &[Input]) {
+    /// Tells the judge what the courier knows from this turn on.
+    fn record_inputs(&mut self, now: Time, courier: usize, inputs: &[Input]) {
         let process = self.couriers[courier].process;
         let mut whole = false;
         for input in inputs {
             match input {
                 Input::ListBegin { complete: all } => whole = *all,
-                Input::ListEnd if whole => self.judge_unnamed(now, courier, inputs),
+                Input::ListEnd if whole => self.record_missing_entries(now, courier, inputs),
                 Input::ListEntry(entry) => {
                     let ready = entry.status == meadowhold::interface::EndpointStatus::Ready;
-                    self.judge.told_life(courier as u32, process, entry.endpoint, ready, now);
+                    self.judge.status_read(courier as u32, process, entry.endpoint, ready, now);
                 }
-                Input::ConnectResult(ended) => self.read_outcome(now, courier, ended),
+                Input::ConnectResult(ended) => self.record_outcome(now, courier, ended),
                 _ => {}
             }
         }
     }
 
-    fn read_outcome(&mut self, now: Time, courier: usize, ended: &meadowhold::interface::ConnectResult) {
+    fn record_outcome(&mut self, now: Time, courier: usize, ended: &meadowhold::interface::ConnectResult) {
         let process = self.couriers[courier].process;
         let mail = self.couriers[courier].mails[ended.mail];
         let m = &self.mails[mail as usize];
-        let Some(endpoint) = m.out.map(|call| self.calls[call as usize].endpoint as usize) else { return };
-        let unit = self.sites[endpoint].unit;
+        let Some(endpoint) = m.active_call.map(|call| self.calls[call as usize].endpoint as usize) else {
+            return;
+        };
+        let scope = self.endpoint_states[endpoint].scope;
         if ended.retry_after > 0 {
-            self.judge.told_wait(courier as u32, process, unit, now + ended.retry_after);
+            self.judge.wait_read(courier as u32, process, scope, now + ended.retry_after);
         }
         if let Some(key) = m.key.filter(|_| ended.outcome.may_still_run()) {
-            self.judge.rests(courier as u32, key, now + self.day.settings.ordering_gap);
+            self.judge.hold_key(courier as u32, key, now + self.day.settings.ordering_gap);
         }
         let (outcome, wait) = (ended.outcome, ended.retry_after);
-        self.trace.note(now, mail, || {
+        self.trace.record_history(now, mail, || {
             format!("courier {courier} reads {outcome:?}, told to wait {} ms", wait / 10)
         });
-        self.mails[mail as usize].out = None;
-        self.leave_line(mail);
+        self.mails[mail as usize].active_call = None;
+        self.leave_key_queue(mail);
     }
 
-    fn carry_out(&mut self, now: Time, courier: usize, first: usize, action: Action) {
+    fn apply_action(&mut self, now: Time, courier: usize, first: usize, action: Action) {
         match action {
-            Action::Connect { mail, endpoint, timeout, new_connection: fresh } => {
+            Action::Connect { mail, endpoint, timeout, new_connection } => {
                 let mail = self.couriers[courier].mails[mail];
-                self.ride(now, courier, first, (mail, endpoint, timeout, fresh));
+                self.add_to_call(now, courier, first, (mail, endpoint, timeout, new_connection));
             }
             Action::Defer { mail, retry_after: pause } => {
                 let mail = self.couriers[courier].mails[mail];
-                if self.is_held(courier, mail, now) {
+                if self.check_held(courier, mail, now) {
                     self.finish(now, mail, Answer::Deferred);
-                    self.come_again(now, mail, pause);
+                    self.schedule_retry(now, mail, pause);
                 }
             }
             Action::Bounce { mail } => {
                 let mail = self.couriers[courier].mails[mail];
-                if self.is_held(courier, mail, now) {
+                if self.check_held(courier, mail, now) {
                     self.finish(now, mail, Answer::Bounced);
                 }
             }
-            Action::RequestList => self.ask_list(now, courier),
+            Action::RequestList => self.request_list(now, courier),
             Action::SendNote { .. } => {}
-            Action::CloseIdle(endpoint) => self.let_go(courier, endpoint as u32),
+            Action::CloseIdle(endpoint) => self.close_idle_connections(courier, endpoint as u32),
             Action::FreeMail(index) => self.couriers[courier].free.push(index as u32),
             Action::FreeKey(_) | Action::FreeEndpoint(_) => {}
         }
     }
 
-    /// Guards the judge against answers for mails that are with somebody else by now: a second answer is a broken rule.
-    fn is_held(&mut self, courier: usize, mail: u32, now: Time) -> bool {
+    /// Whether the courier holds this mail. An answer for any other mail would be a second one, which breaks
+    /// a rule.
+    fn check_held(&mut self, courier: usize, mail: u32, now: Time) -> bool {
         let m = &self.mails[mail as usize];
-        let held = m.stage == Stage::Taken && m.courier == courier as u32;
+        let held = m.stage == Stage::Accepted && m.courier == courier as u32;
         if !held {
             let words = "a final answer for a mail that has one".to_string();
-            self.judge.breaks(Rule::NoMailLost, now, mail, courier as u32, words);
+            self.judge.record_violation(Rule::NoMailLost, now, mail, courier as u32, words);
         }
         held
     }
 
-    /// Puts a mail into a call of this turn to the endpoint, or begins one.
-    fn ride(&mut self, now: Time, courier: usize, first: usize, order: (u32, usize, Time, bool)) {
-        let (mail, endpoint, timeout, fresh) = order;
+    /// Adds a mail to a call to the endpoint that was started in this turn, or starts one.
+    fn add_to_call(&mut self, now: Time, courier: usize, first: usize, order: (u32, usize, Time, bool)) {
+        let (mail, endpoint, timeout, new_connection) = order;
         let m = &self.mails[mail as usize];
-        if m.stage != Stage::Taken || m.courier != courier as u32 || m.out.is_some() {
+        if m.stage != Stage::Accepted || m.courier != courier as u32 || m.active_call.is_some() {
             let words = "a connect after its final answer, or beside another".to_string();
-            self.judge.breaks(Rule::NoMailLost, now, mail, courier as u32, words);
+            self.judge.record_violation(Rule::NoMailLost, now, mail, courier as u32, words);
             return;
         }
         let e = &self.day.endpoints[endpoint];
-        let batch = self.day.partners[e.partner].batch;
-        let rider = Rider { mail, end: now + timeout, told: false, era: 0, repeat: false };
-        let fits = |c: &Call| c.endpoint == endpoint as u32 && c.riders.len() < batch;
+        let batch = self.day.destinations[e.destination].batch;
+        let connect = Connect { mail, timeout_at: now + timeout, reported: false, window: 0, repeat: false };
+        let fits = |c: &Call| c.endpoint == endpoint as u32 && c.connects.len() < batch;
         let open = (first..self.calls.len()).find(|&i| fits(&self.calls[i]));
         let call = open.unwrap_or(self.calls.len());
         if open.is_none() {
             let c = &mut self.couriers[courier];
-            c.out += 1;
-            c.peak_out = c.peak_out.max(c.out);
-            self.counts.over_slots += u64::from(c.out > self.day.settings.slots);
+            c.calls_in_flight += 1;
+            c.peak_out = c.peak_out.max(c.calls_in_flight);
+            self.counts.over_slots += u64::from(c.calls_in_flight > self.day.settings.slots);
             let index = u64::from(mail) << 16 | u64::from(m.connects) << 8 | u64::from(m.tries);
             let d = &mut Stream::new(self.day.seed, Purpose::Network, index);
-            let journey = self.day.journey[c.hall][e.hall] as f64;
-            let way = [0, 1].map(|_| (journey * d.spread(self.day.jitter)) as Time + 1);
-            self.sites[endpoint].coming += 1;
+            let zone_latency = self.day.zone_latency[c.zone][e.zone] as f64;
+            let latency = [0, 1].map(|_| (zone_latency * d.lognormal(self.day.jitter)) as Time + 1);
+            self.endpoint_states[endpoint].in_transit += 1;
             self.calls.push(Call {
                 courier: courier as u32,
                 process: c.process,
                 endpoint: endpoint as u32,
-                riders: Vec::new(),
+                connects: Vec::new(),
                 started: now,
-                kept: true, // until a connection is found: whether a kept one may be used
+                reused: true, // until a connection is chosen: whether an idle one may be used
                 open: true,
                 phase: Phase::Connecting,
-                way,
-                place: 0,
+                latency,
+                incarnation: 0,
                 connected: false,
-                coming: true,
+                in_transit: true,
                 idle_since: 0,
                 work: 0.0,
             });
         }
-        // One rider that must not go on a kept connection has its whole call go on a new one.
-        self.calls[call].kept &= !fresh;
-        self.calls[call].riders.push(rider);
-        self.mails[mail as usize].out = Some(call as u32);
-        self.trace.mark(now, 10, [mail, endpoint as u32]);
-        self.trace
-            .note(now, mail, || format!("courier {courier} decides on a connect to endpoint {endpoint}"));
+        // If one connect requires a new connection, the whole call uses a new one.
+        self.calls[call].reused &= !new_connection;
+        self.calls[call].connects.push(connect);
+        self.mails[mail as usize].active_call = Some(call as u32);
+        self.trace.record_event(now, 10, [mail, endpoint as u32]);
+        self.trace.record_history(now, mail, || {
+            format!("courier {courier} decides on a connect to endpoint {endpoint}")
+        });
     }
 
-    /// A call finds a kept connection, or begins to make one.
-    fn go_out(&mut self, now: Time, call: u32) {
+    /// Uses an idle connection for a call, or opens a new one.
+    fn start_call(&mut self, now: Time, call: u32) {
         self.counts.calls += 1;
         let c = &self.calls[call as usize];
-        let (courier, endpoint, may_keep, way) = (c.courier as usize, c.endpoint, c.kept, c.way);
-        // All riders wait for the longest of them, each to the end of its own time at most.
-        let longest = c.riders.iter().map(|r| r.end).max().unwrap_or(now);
-        for i in 0..self.calls[call as usize].riders.len() {
-            let rider = self.calls[call as usize].riders[i];
-            let end = longest.min(self.mails[rider.mail as usize].due.max(now + 1));
-            let rider = &mut self.calls[call as usize].riders[i];
-            rider.end = end;
-            let again = self.calls[call as usize].riders[..i].iter().any(|r| r.end == end);
+        let (courier, endpoint, may_reuse, latency) = (c.courier as usize, c.endpoint, c.reused, c.latency);
+        // All connects wait for the one with the longest timeout, but each no longer than its own deadline.
+        let longest = c.connects.iter().map(|r| r.timeout_at).max().unwrap_or(now);
+        for i in 0..self.calls[call as usize].connects.len() {
+            let connect = self.calls[call as usize].connects[i];
+            let end = longest.min(self.mails[connect.mail as usize].deadline.max(now + 1));
+            let connect = &mut self.calls[call as usize].connects[i];
+            connect.timeout_at = end;
+            let again = self.calls[call as usize].connects[..i].iter().any(|r| r.timeout_at == end);
             if !again {
-                self.agenda.put(end, Event::Expire { call });
+                self.event_queue.schedule(end, Event::Timeout { call });
             }
         }
-        if may_keep {
-            if let Some(idle) = self.kept_connection(now, courier, endpoint) {
+        if may_reuse {
+            if let Some(idle) = self.reusable_connection(now, courier, endpoint) {
                 let c = &mut self.calls[call as usize];
-                (c.place, c.connected, c.idle_since) = (idle.place, true, idle.since);
+                (c.incarnation, c.connected, c.idle_since) = (idle.incarnation, true, idle.since);
                 self.connected(now, call);
                 return;
             }
         }
-        self.calls[call as usize].kept = false;
+        self.calls[call as usize].reused = false;
         self.counts.handshakes += 1;
-        let hall = self.day.endpoints[endpoint as usize].hall;
-        let there =
-            self.passes(self.couriers[courier].hall, hall) && self.passes(hall, self.couriers[courier].hall);
-        let turns = (way[0] + way[1]) as f64;
-        let site = &self.sites[endpoint as usize];
-        let table = self.day.endpoints[endpoint as usize].connections;
-        if !there {
+        let zone = self.day.endpoints[endpoint as usize].zone;
+        let reachable = self.link_open(self.couriers[courier].zone, zone)
+            && self.link_open(zone, self.couriers[courier].zone);
+        let round_trip = (latency[0] + latency[1]) as f64;
+        let state = &self.endpoint_states[endpoint as usize];
+        let max_connections = self.day.endpoints[endpoint as usize].connections;
+        if !reachable {
             let at = now + self.day.settings.connection_timeout;
-            self.agenda.put(at, Event::Unreached { call });
-        } else if site.is_down() || (table > 0 && site.connections >= table) {
-            self.agenda.put(now + turns as Time, Event::Unreached { call });
+            self.event_queue.schedule(at, Event::Unreached { call });
+        } else if state.is_down() || (max_connections > 0 && state.connections >= max_connections) {
+            self.event_queue.schedule(now + round_trip as Time, Event::Unreached { call });
         } else {
-            let at = now + (turns * self.day.handshake_turns) as Time;
-            let site = &mut self.sites[endpoint as usize];
-            site.connections += 1;
+            let at = now + (round_trip * self.day.handshake_turns) as Time;
+            let state = &mut self.endpoint_states[endpoint as usize];
+            state.connections += 1;
             let c = &mut self.calls[call as usize];
-            (c.place, c.connected) = (site.place, true);
-            self.agenda.put(at, Event::Connected { call });
+            (c.incarnation, c.connected) = (state.incarnation, true);
+            self.event_queue.schedule(at, Event::Connected { call });
         }
     }
 
-    /// The connection used last that is not known to be closed.
-    fn kept_connection(&mut self, now: Time, courier: usize, endpoint: u32) -> Option<Idle> {
-        let keep = self.day.kept_for();
-        let site = &mut self.sites[endpoint as usize];
-        let far = site.idle_close.unwrap_or(Time::MAX);
-        let way = self.day.journey[self.couriers[courier].hall][self.day.endpoints[endpoint as usize].hall];
+    /// The most recently used idle connection that is not known to be closed.
+    fn reusable_connection(&mut self, now: Time, courier: usize, endpoint: u32) -> Option<Idle> {
+        let keep = self.day.client_idle_timeout();
+        let state = &mut self.endpoint_states[endpoint as usize];
+        let far_timeout = state.idle_close.unwrap_or(Time::MAX);
+        let latency =
+            self.day.zone_latency[self.couriers[courier].zone][self.day.endpoints[endpoint as usize].zone];
         let idle = self.couriers[courier].idle.get_mut(&endpoint)?;
-        while let Some(Idle { since, place }) = idle.pop() {
-            // The far side's close is heard of after one way.
-            let closed = now >= since + keep || now >= since.saturating_add(far).saturating_add(way);
-            if !closed && place == site.place {
-                return Some(Idle { since, place });
+        while let Some(Idle { since, incarnation }) = idle.pop() {
+            // The courier learns that the endpoint closed a connection one network latency later.
+            let closed =
+                now >= since + keep || now >= since.saturating_add(far_timeout).saturating_add(latency);
+            if !closed && incarnation == state.incarnation {
+                return Some(Idle { since, incarnation });
             }
-            site.connections -= usize::from(place == site.place);
+            state.connections -= usize::from(incarnation == state.incarnation);
         }
         None
     }
 
-    /// A connection is free again: it is kept for the next call.
-    pub fn keep(&mut self, now: Time, courier: usize, endpoint: u32, place: u32) {
+    /// Keeps a connection for the next call.
+    pub fn keep_connection(&mut self, now: Time, courier: usize, endpoint: u32, incarnation: u32) {
         let limited = self.day.endpoints[endpoint as usize].connections > 0;
         let idle = self.couriers[courier].idle.entry(endpoint).or_default();
-        if idle.len() >= IDLE_KEPT {
+        if idle.len() >= MAX_IDLE_CONNECTIONS {
             let old = idle.remove(0);
-            let site = &mut self.sites[endpoint as usize];
-            site.connections -= usize::from(old.place == site.place);
+            let state = &mut self.endpoint_states[endpoint as usize];
+            state.connections -= usize::from(old.incarnation == state.incarnation);
         }
-        idle.push(Idle { since: now, place });
+        idle.push(Idle { since: now, incarnation });
         if limited {
-            let at = now + self.day.kept_for();
-            self.agenda.put(at, Event::Sweep { courier: courier as u32, endpoint });
+            let at = now + self.day.client_idle_timeout();
+            self.event_queue.schedule(at, Event::CloseIdle { courier: courier as u32, endpoint });
         }
     }
 
-    /// Connections that were idle for too long are closed.
-    pub fn sweep(&mut self, now: Time, courier: usize, endpoint: u32) {
-        let keep = self.day.kept_for();
-        let site = &mut self.sites[endpoint as usize];
+    /// Closes connections that have been idle for too long.
+    pub fn close_expired(&mut self, now: Time, courier: usize, endpoint: u32) {
+        let keep = self.day.client_idle_timeout();
+        let state = &mut self.endpoint_states[endpoint as usize];
         if let Some(idle) = self.couriers[courier].idle.get_mut(&endpoint) {
             idle.retain(|i| {
                 let old = now >= i.since + keep;
-                site.connections -= usize::from(old && i.place == site.place);
+                state.connections -= usize::from(old && i.incarnation == state.incarnation);
                 !old
             });
         }
     }
 
-    fn let_go(&mut self, courier: usize, endpoint: u32) {
-        let site = &mut self.sites[endpoint as usize];
+    fn close_idle_connections(&mut self, courier: usize, endpoint: u32) {
+        let state = &mut self.endpoint_states[endpoint as usize];
         if let Some(idle) = self.couriers[courier].idle.get_mut(&endpoint) {
-            let open = idle.drain(..).filter(|i| i.place == site.place).count();
-            site.connections -= open;
+            let open = idle.drain(..).filter(|i| i.incarnation == state.incarnation).count();
+            state.connections -= open;
         }
     }
 
-    /// SIGKILL: what its calls do at the partners goes on, what it held is on file, or its clients'.
-    pub fn die(&mut self, now: Time, courier: usize) {
+    /// Kills a courier (SIGKILL). Its calls continue at the destinations; the mails it held are in its
+    /// journal, or back with their clients.
+    pub fn crash_courier(&mut self, now: Time, courier: usize) {
         if !self.couriers[courier].alive {
             return;
         }
-        self.trace.mark(now, 20, [courier as u32, 0]);
+        self.trace.record_event(now, 20, [courier as u32, 0]);
         let held = |m: &u32| {
             let m = &self.mails[*m as usize];
-            m.stage == Stage::Taken && m.courier == courier as u32
+            m.stage == Stage::Accepted && m.courier == courier as u32
         };
         let mut owed: Vec<u32> = self.couriers[courier].mails.iter().copied().filter(held).collect();
-        owed.sort_unstable_by_key(|&m| self.mails[m as usize].turn);
+        owed.sort_unstable_by_key(|&m| self.mails[m as usize].accept_number);
         owed.dedup();
         for call in 0..self.calls.len() {
             if self.calls[call].courier == courier as u32 && self.is_awaited(call as u32) {
                 self.calls[call].open = false;
                 if self.calls[call].phase == Phase::Connecting {
-                    self.no_longer_coming(call as u32);
+                    self.leave_transit(call as u32);
                 }
-                self.hang_up_call(call as u32);
+                self.close_connection(call as u32);
             }
         }
-        for endpoint in 0..self.sites.len() as u32 {
-            self.let_go(courier, endpoint);
+        for endpoint in 0..self.endpoint_states.len() as u32 {
+            self.close_idle_connections(courier, endpoint);
         }
         for &mail in &owed {
-            let hall = |c: &Call| self.day.endpoints[c.endpoint as usize].hall as u16;
+            let zone = |c: &Call| self.day.endpoints[c.endpoint as usize].zone as u16;
             let m = &self.mails[mail as usize];
-            let sent = m.out.map(|call| &self.calls[call as usize]).filter(|c| c.phase != Phase::Connecting);
-            let ran = m.ran.or(sent.map(|c| (c.started, hall(c))));
-            self.trace.note(now, mail, || format!("courier {courier} dies; may have run: {}", ran.is_some()));
+            let sent =
+                m.active_call.map(|call| &self.calls[call as usize]).filter(|c| c.phase != Phase::Connecting);
+            let ran = m.first_run.or(sent.map(|c| (c.started, zone(c))));
+            self.trace.record_history(now, mail, || {
+                format!("courier {courier} dies; may have run: {}", ran.is_some())
+            });
             let m = &mut self.mails[mail as usize];
-            (m.ran, m.out) = (ran, None);
+            (m.first_run, m.active_call) = (ran, None);
         }
-        // The judge's lines begin anew, with those too whose answer was given and not read; what was out rests.
+        // The judge's queues start anew, including mails whose answer was given but not read; keys with
+        // connects in flight are held.
         for i in 0..self.couriers[courier].mails.len() {
             let m = &mut self.mails[self.couriers[courier].mails[i] as usize];
             if m.courier != courier as u32 {
                 continue;
             }
-            m.out = None;
+            m.active_call = None;
             if let Some(key) = m.key {
-                self.judge.forgets(courier as u32, key);
-                if m.ran.is_some() && m.stage == Stage::Taken {
-                    self.judge.rests(courier as u32, key, now + self.day.settings.ordering_gap);
-                    self.couriers[courier].rests.push((key, now));
+                self.judge.clear_key(courier as u32, key);
+                if m.first_run.is_some() && m.stage == Stage::Accepted {
+                    self.judge.hold_key(courier as u32, key, now + self.day.settings.ordering_gap);
+                    self.couriers[courier].held_keys.push((key, now));
                 }
             }
         }
         let journal = self.day.journal;
         let c = &mut self.couriers[courier];
-        (c.alive, c.decider, c.out, c.open) = (false, None, 0, 0);
+        (c.alive, c.decider, c.calls_in_flight, c.mails_held) = (false, None, 0, 0);
         c.process += 1;
         c.inputs.clear();
         c.mails.clear();
         c.free.clear();
         c.idle.clear();
         if journal {
-            c.owed = owed;
+            c.owed_mails = owed;
         } else {
-            owed.into_iter().for_each(|mail| self.outlive(now, mail));
+            owed.into_iter().for_each(|mail| self.resubmit_after_crash(now, mail));
         }
         let notice = now + self.day.mails.front_notice;
-        self.agenda.put(notice, Event::Notice { courier: courier as u32, alive: false });
-        self.agenda.put(now + self.day.down, Event::Rise { courier: courier as u32 });
+        self.event_queue.schedule(notice, Event::FrontNotice { courier: courier as u32, alive: false });
+        self.event_queue.schedule(now + self.day.down, Event::CourierRestart { courier: courier as u32 });
     }
 
-    pub fn rise(&mut self, now: Time, courier: usize) {
+    pub fn restart_courier(&mut self, now: Time, courier: usize) {
         if self.couriers[courier].alive {
             return;
         }
-        self.trace.mark(now, 21, [courier as u32, 0]);
+        self.trace.record_event(now, 21, [courier as u32, 0]);
         self.couriers[courier].started = now;
         self.start_process(courier);
         let notice = now + self.day.mails.front_notice.min(self.day.down.max(1));
-        self.agenda.put(notice, Event::Notice { courier: courier as u32, alive: true });
+        self.event_queue.schedule(notice, Event::FrontNotice { courier: courier as u32, alive: true });
         let gap = self.day.settings.ordering_gap;
-        for (key, since) in std::mem::take(&mut self.couriers[courier].rests) {
+        for (key, since) in std::mem::take(&mut self.couriers[courier].held_keys) {
             if self.day.journal && since + gap > now {
-                self.tell(courier, Input::KeyInFlight { key: key as usize, at: since });
+                self.push_input(courier, Input::KeyInFlight { key: key as usize, at: since });
             }
         }
-        for mail in std::mem::take(&mut self.couriers[courier].owed) {
-            if self.mails[mail as usize].stage != Stage::Taken {
+        for mail in std::mem::take(&mut self.couriers[courier].owed_mails) {
+            if self.mails[mail as usize].stage != Stage::Accepted {
                 continue;
             }
             let c = &mut self.couriers[courier];
-            let index = c.enter(mail);
-            c.open += 1;
+            let index = c.assign_index(mail);
+            c.mails_held += 1;
             self.mails[mail as usize].index = index;
-            self.take_on(courier, mail);
+            self.give_to_decider(courier, mail);
         }
     }
 
-    /// What a courier sees of a call's riders whose outcome is not told yet.
-    pub fn tell_outcome(&mut self, now: Time, call: u32, reply: Reply, only: impl Fn(&Rider) -> bool) {
+    /// Reports an outcome to the courier for those connects of a call that have none yet.
+    pub fn report_outcome(&mut self, now: Time, call: u32, reply: Reply, only: impl Fn(&Connect) -> bool) {
         let c = &self.calls[call as usize];
-        let (courier, took, kept) = (c.courier as usize, now - c.started.min(now), c.kept);
+        let (courier, took, kept) = (c.courier as usize, now - c.started.min(now), c.reused);
         let (endpoint, started) = (c.endpoint as usize, c.started);
-        let (unit, hall) = (self.sites[endpoint].unit, self.day.endpoints[endpoint].hall as u16);
+        let (scope, zone) = (self.endpoint_states[endpoint].scope, self.day.endpoints[endpoint].zone as u16);
         let bad = !matches!(reply.outcome, Outcome::Relayed | Outcome::Unsent | Outcome::CalledOff);
-        if bad && self.units[unit].out {
-            let outage = self.units[unit].outage;
-            self.judge.saw_outage(courier as u32, unit, outage);
+        if bad && self.scopes[scope].in_outage {
+            let outage = self.scopes[scope].outage;
+            self.judge.saw_outage(courier as u32, scope, outage);
         }
-        for i in 0..self.calls[call as usize].riders.len() {
-            let rider = self.calls[call as usize].riders[i];
-            if rider.told || !only(&rider) {
+        for i in 0..self.calls[call as usize].connects.len() {
+            let connect = self.calls[call as usize].connects[i];
+            if connect.reported || !only(&connect) {
                 continue;
             }
-            self.calls[call as usize].riders[i].told = true;
-            let m = &mut self.mails[rider.mail as usize];
+            self.calls[call as usize].connects[i].reported = true;
+            let m = &mut self.mails[connect.mail as usize];
             if !reply.outcome.never_ran() {
-                m.ran = m.ran.or(Some((started, hall)));
+                m.first_run = m.first_run.or(Some((started, zone)));
             }
             if let Some(key) = m.key.filter(|_| reply.outcome.may_still_run()) {
-                let rests = &mut self.couriers[courier].rests;
+                let rests = &mut self.couriers[courier].held_keys;
                 rests.retain(|rest| rest.0 != key);
                 rests.push((key, now));
             }
-            let (index, held) = (m.index as usize, m.stage == Stage::Taken);
+            let (index, held) = (m.index as usize, m.stage == Stage::Accepted);
             let over = reply.outcome == Outcome::Relayed;
             if over && held {
-                self.finish(now, rider.mail, Answer::Relayed);
+                self.finish(now, connect.mail, Answer::Relayed);
             }
-            self.tell(courier, crate::parts::ended(index, &reply, over, took, kept));
+            self.push_input(courier, crate::parts::ended(index, &reply, over, took, kept));
         }
-        if self.calls[call as usize].riders.iter().all(|r| r.told) {
+        if self.calls[call as usize].connects.iter().all(|r| r.reported) {
             if self.calls[call as usize].phase == Phase::Connecting {
-                self.no_longer_coming(call);
+                self.leave_transit(call);
             }
             self.calls[call as usize].open = false;
-            self.couriers[courier].out -= 1;
+            self.couriers[courier].calls_in_flight -= 1;
         }
     }
 }
--- a/crates/emulator/tests/judge.rs
+++ b/crates/emulator/tests/judge.rs
@@ -1,7 +1,8 @@
-//! Each rule's check can fail: a decider that breaks one rule on purpose is caught, with the mail's whole history.
+//! Each rule's check can fail: a decider that breaks one rule on purpose is detected, with the mail's full
+//! history.
 
 use meadowhold::interface::Settings;
-use meadowhold_emulator::baselines::{Plain, Style, Wrong};
+use meadowhold_emulator::baselines::{Baseline, InjectedFault, Style};
 use meadowhold_emulator::decider::Decider;
 use meadowhold_emulator::judge::Rule;
 use meadowhold_emulator::scenario::{Figure, Limit, Scenario, Trouble, What};
@@ -12,7 +13,7 @@
     Trouble { whole: one(1.0), ..Trouble::new(what, one(5.0), one(8.0), one(part), one(size)) }
 }
 
-/// The day on which a rule is most at stake.
+/// A day that puts the rule under stress.
 fn day(rule: Rule) -> Scenario {
     let mut s = Scenario { seconds: Figure::One(20.0), ..Scenario::default() };
     s.mails.load = Figure::One(0.7);
@@ -38,23 +39,23 @@
 #[test]
 fn each_rule_is_caught_when_it_is_broken_on_purpose() {
     let cases = [
-        (Rule::NoMailLost, Wrong::Loses, "never got its final answer"),
-        (Rule::NoEffectTwice, Wrong::Repeats, "took effect 2 times"),
-        (Rule::DrainsKept, Wrong::IgnoresDrains, "after it was told of as leaving"),
-        (Rule::NotPushedOver, Wrong::Floods, "was pushed over"),
-        (Rule::OrderKept, Wrong::IgnoresOrder, "taken earlier, is not over"),
-        (Rule::WaitsHeeded, Wrong::IgnoresWaits, "before the end of a told wait"),
+        (Rule::NoMailLost, InjectedFault::Loses, "never got its final answer"),
+        (Rule::NoEffectTwice, InjectedFault::Repeats, "took effect 2 times"),
+        (Rule::DrainsKept, InjectedFault::IgnoresDrains, "after it was told of as leaving"),
+        (Rule::NotPushedOver, InjectedFault::Floods, "was pushed over"),
+        (Rule::OrderKept, InjectedFault::IgnoresOrder, "taken earlier, is not over"),
+        (Rule::WaitsHeeded, InjectedFault::IgnoresWaits, "before the end of a told wait"),
     ];
     for (rule, wrong, words) in cases {
         let scenario = day(rule);
-        let maker = move |_: usize, set: Settings| -> Box<dyn Decider> {
-            Box::new(Plain::new(set, Style::Gradient, wrong))
+        let factory = move |_: usize, set: Settings| -> Box<dyn Decider> {
+            Box::new(Baseline::new(set, Style::Gradient, wrong))
         };
-        let found = figures(&scenario, 1, &maker);
+        let found = figures(&scenario, 1, &factory);
         let broken = found.broken.iter().find(|b| b.rule == rule);
-        let broken = broken.unwrap_or_else(|| panic!("{wrong:?} was not caught: {:?}", found.broken));
+        let broken = broken.unwrap_or_else(|| panic!("{wrong:?} was not detected: {:?}", found.broken));
         assert!(broken.words.contains(words), "{}", broken.words);
-        let told = history(&scenario, 1, &maker, broken.mail);
+        let told = history(&scenario, 1, &factory, broken.mail);
         assert!(told.iter().any(|line| line.contains("taken on by courier")), "{told:?}");
     }
 }
--- a/crates/emulator/tests/same.rs
+++ b/crates/emulator/tests/same.rs
@@ -1,9 +1,9 @@
-//! One seed is one day and one run of it, whatever runs beside it.
+//! A seed determines the day and its run, whatever runs beside it.
 
 use meadowhold::interface::Settings;
-use meadowhold_emulator::baselines::{Plain, Style, Wrong};
+use meadowhold_emulator::baselines::{Baseline, InjectedFault, Style};
 use meadowhold_emulator::day::Day;
-use meadowhold_emulator::decider::{control, Decider, Maker};
+use meadowhold_emulator::decider::{control, Decider, DeciderFactory};
 use meadowhold_emulator::figures::Figures;
 use meadowhold_emulator::oracle::Oracle;
 use meadowhold_emulator::scenario::{Figure, Scenario, Shape, Trouble, What};
@@ -24,7 +24,7 @@
         let alone = figures(&scenario, 3, &control);
         let beside: Vec<Figures> = std::thread::scope(|scope| {
             let runs: Vec<_> = (0..4).map(|_| scope.spawn(|| figures(&scenario, 3, &control))).collect();
-            runs.into_iter().map(|run| run.join().expect("a run ended in a panic")).collect()
+            runs.into_iter().map(|run| run.join().expect("a run panicked")).collect()
         });
         assert!(beside.iter().all(|other| *other == alone), "{}", alone.trace);
         assert_ne!(alone.trace, figures(&scenario, 4, &control).trace);
@@ -35,11 +35,11 @@
 fn what_a_decider_does_moves_no_draw_of_the_day() {
     let scenario = troubled(What::Errors, 0.8);
     let shared = |_: usize, set: Settings| -> Box<dyn Decider> {
-        Box::new(Plain::new(set, Style::SharedPool, Wrong::Nothing))
+        Box::new(Baseline::new(set, Style::SharedPool, InjectedFault::Nothing))
     };
-    let asked = |maker: &Maker| -> Vec<(u64, u32, u16)> {
-        let ended = run(&scenario, 5, maker, Options::default());
-        ended.mails.iter().map(|m| (m.born, m.dest, m.class)).collect()
+    let asked = |factory: &DeciderFactory| -> Vec<(u64, u32, u16)> {
+        let ended = run(&scenario, 5, factory, Options::default());
+        ended.mails.iter().map(|m| (m.created_at, m.destination, m.class)).collect()
     };
     assert_eq!(asked(&control), asked(&shared));
 }
@@ -89,21 +89,23 @@
     let quiet = figures(&Scenario { seconds: Figure::One(15.0), ..Scenario::default() }, 2, &control);
     for (what, size) in troubles {
         let found = figures(&troubled(what, size), 2, &control);
-        assert_ne!(found.trace, quiet.trace, "{what:?} struck nobody");
+        assert_ne!(found.trace, quiet.trace, "{what:?} had no effect");
         assert!(found.relayed * 2 > found.mails, "{what:?}: {} of {}", found.relayed, found.mails);
         assert_eq!(found.over_slots, 0, "{what:?}");
     }
 }
 
 #[test]
-fn who_sees_all_does_no_worse_than_who_does_not() {
+fn the_oracle_does_no_worse_than_the_module() {
     for (what, size) in [(What::Hang, 1.0), (What::Crash, 1.0), (What::Slow, 8.0), (What::Burst, 2.0)] {
         let scenario = troubled(what, size);
-        let mean = |maker: &Maker| (1..=4).map(|seed| figures(&scenario, seed, maker).whole).sum::<f64>();
+        let mean = |factory: &DeciderFactory| {
+            (1..=4).map(|seed| figures(&scenario, seed, factory).whole).sum::<f64>()
+        };
         let oracle = mean(&|courier, set| Box::new(Oracle::new(set, courier)));
         let module = mean(&control);
-        assert!(oracle + 0.04 > module, "{what:?}: {oracle} and {module} in four days");
+        assert!(oracle + 0.04 > module, "{what:?}: oracle {oracle}, module {module}, summed over four days");
         let found = figures(&scenario, 1, &control);
-        assert!(found.whole <= found.bound + 1e-9, "{} over {}", found.whole, found.bound);
+        assert!(found.whole <= found.bound + 1e-9, "service {} above the bound {}", found.whole, found.bound);
     }
 }
--- a/crates/emulator/tests/thin.rs
+++ b/crates/emulator/tests/thin.rs
@@ -1,7 +1,8 @@
-//! What one courier learns of destinations that it seldom calls: figures for `docs/results.md`, printed by
-//! `cargo test --release -p meadowhold-emulator --test thin -- --ignored --nocapture`. The slice is one courier of
-//! 1,300 with a part of its traffic; the ratio of destinations to messages a second, which is the mean time between its
-//! calls at one of them, is kept. Destinations go out and come back each by itself, minutes at a time.
+//! How fast one courier learns about destinations that it seldom calls. Figures for `docs/results.md` are
+//! printed by `cargo test --release -p meadowhold-emulator --test thin -- --ignored --nocapture`. The
+//! scenario is one courier of 1,300 with a part of its traffic. It keeps the ratio of destinations to
+//! messages a second, which is the mean time between the courier's calls to one destination. Destinations
+//! fail independently, for minutes at a time.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -11,38 +12,39 @@
 use meadowhold::interface::{Action, Input, Outcome, Settings, Time, SECOND};
 use meadowhold_emulator::check;
 use meadowhold_emulator::day::Day;
-use meadowhold_emulator::decider::{control, Decider, Sight};
+use meadowhold_emulator::decider::{control, Decider, WorldView};
 use meadowhold_emulator::oracle::Oracle;
 use meadowhold_emulator::scenario::{Class, Effect, Figure, Kind, Limit, Scenario, Trouble, What};
 use meadowhold_emulator::world::{Options, World};
 
 const COMMAND: &str = "cargo test --release -p meadowhold-emulator --test thin -- --ignored --nocapture";
-/// Where the slopes are written to, if it is set.
+/// Environment variable that names the file to write the slopes to.
 const SLOPES: &str = "MEADOWHOLD_SLOPES";
-/// Messages a second of the slice, and its couriers by their settings.
+/// Messages a second in the scenario, and the number of couriers in its settings.
 const RATE: f64 = 10.0;
 const COURIERS: usize = 1_300;
-/// Part of the destinations that is out at any time, and how long an outage lasts.
-const OUT: f64 = 0.023;
-const LASTS_S: (f64, f64) = (60.0, 540.0);
+/// Part of the destinations that is out at any time, and the range of an outage's length.
+const OUT_SHARE: f64 = 0.023;
+const OUTAGE_S: (f64, f64) = (60.0, 540.0);
 const DAY_S: f64 = 3_600.0;
-/// Seconds between two calls at a destination, and seeds: with few destinations there are few outages in a day.
+/// Seconds between two calls to a destination, and number of seeds: more seeds where few destinations give
+/// few outages.
 const SIZES: [(f64, u64); 4] = [(1.0, 20), (10.0, 6), (100.0, 2), (720.0, 1)];
 
-/// Seconds that this thread has had a processor: on a shared machine the time on the wall says little.
-fn busy() -> f64 {
+/// Processor time of this thread in seconds; wall time says little on a shared machine.
+fn thread_cpu_s() -> f64 {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::ThreadCPUTime);
     time.tv_sec as f64 + time.tv_nsec as f64 / 1e9
 }
 
-/// A day with no trouble but the outages, which a generator of its own draws.
-fn thin(rate: f64, between_s: f64, what: Option<What>, long: bool, seed: u64) -> Scenario {
+/// A day whose only troubles are outages, drawn by a generator of its own.
+fn rarely_called(rate: f64, between_s: f64, what: Option<What>, long: bool, seed: u64) -> Scenario {
     let one = Figure::One;
     let mut s = Scenario { seconds: one(DAY_S), couriers: one(1.0), ..Scenario::default() };
     let destinations = (rate * between_s) as usize;
     s.partners = one(destinations as f64);
     (s.mails.full_rate, s.mails.load, s.mails.uneven) = (one(rate), one(1.0), one(0.0));
-    // A message is handed in once, and stays: what becomes of it is the courier's doing.
+    // A message is handed in only once, so its outcome depends on the courier alone.
     (s.mails.clumps, s.mails.retries, s.mails.hang_up, s.mails.short_lived) =
         (one(0.0), one(0.0), one(0.0), one(0.0));
     s.kind = vec![Kind {
@@ -67,16 +69,16 @@
     s.list.rates = false;
     let Some(what) = what else { return s };
     let mut chance = fastrand::Rng::with_seed(seed);
-    let mean = (LASTS_S.0 + LASTS_S.1) / 2.0;
-    let up = mean * (1.0 - OUT) / OUT;
-    let between = |chance: &mut fastrand::Rng| LASTS_S.0 + (LASTS_S.1 - LASTS_S.0) * chance.f64();
-    for partner in 0..destinations {
+    let mean = (OUTAGE_S.0 + OUTAGE_S.1) / 2.0;
+    let up = mean * (1.0 - OUT_SHARE) / OUT_SHARE;
+    let between = |chance: &mut fastrand::Rng| OUTAGE_S.0 + (OUTAGE_S.1 - OUTAGE_S.0) * chance.f64();
+    for destination in 0..destinations {
         let wait = |chance: &mut fastrand::Rng| -up * (1.0 - chance.f64()).ln();
-        let mut at = if chance.f64() < OUT { 0.0 } else { wait(&mut chance) };
+        let mut at = if chance.f64() < OUT_SHARE { 0.0 } else { wait(&mut chance) };
         while at < DAY_S {
             let lasts = between(&mut chance);
             let mut trouble = Trouble::new(what, one(at), one(lasts), one(0.0), one(1.0));
-            (trouble.partners, trouble.whole) = (vec![partner], one(1.0));
+            (trouble.partners, trouble.whole) = (vec![destination], one(1.0));
             s.trouble.push(trouble);
             at += lasts + wait(&mut chance);
         }
@@ -89,8 +91,8 @@
     from: Time,
     until: Time,
     endpoint: usize,
-    /// When the courier first doubted the endpoint in it, and first held it to be down.
-    doubted: Option<Time>,
+    /// When the courier first suspected the endpoint in this outage, and first held it to be down.
+    suspected: Option<Time>,
     known: Option<Time>,
 }
 
@@ -100,16 +102,16 @@
     }
 }
 
-/// What one courier did, seen from beside its decisions.
+/// What one courier did, recorded outside its decider.
 #[derive(Default)]
-struct Seen {
+struct Observations {
     outages: Vec<Outage>,
-    /// Of each endpoint, in order of time.
-    of: HashMap<usize, Vec<usize>>,
+    /// Indices of the outages of each endpoint, in order of time.
+    by_endpoint: HashMap<usize, Vec<usize>>,
     attempts: u64,
     wasted: u64,
     out: HashMap<usize, (usize, Time)>,
-    /// Slot time in all, and of calls while their endpoint was out.
+    /// Total slot time, and the part used by calls while their endpoint was out.
     held: Time,
     held_by_out: Time,
     begun: usize,
@@ -117,8 +119,8 @@
     deciding_s: f64,
 }
 
-impl Seen {
-    fn new(day: &Day) -> Seen {
+impl Observations {
+    fn new(day: &Day) -> Observations {
         let mut outages: Vec<Outage> = day
             .troubles
             .iter()
@@ -126,21 +128,24 @@
                 from: t.from,
                 until: t.until,
                 endpoint: t.endpoints[0],
-                doubted: None,
+                suspected: None,
                 known: None,
             })
             .collect();
         outages.sort_by_key(|outage| outage.from);
-        let mut of: HashMap<usize, Vec<usize>> = HashMap::new();
-        outages.iter().enumerate().for_each(|(i, outage)| of.entry(outage.endpoint).or_default().push(i));
-        Seen { outages, of, ..Seen::default() }
+        let mut by_endpoint: HashMap<usize, Vec<usize>> = HashMap::new();
+        outages
+            .iter()
+            .enumerate()
+            .for_each(|(i, outage)| by_endpoint.entry(outage.endpoint).or_default().push(i));
+        Observations { outages, by_endpoint, ..Observations::default() }
     }
 
     fn outages_of(&self, endpoint: usize) -> impl Iterator<Item = &Outage> {
-        self.of.get(&endpoint).into_iter().flatten().map(|&i| &self.outages[i])
+        self.by_endpoint.get(&endpoint).into_iter().flatten().map(|&i| &self.outages[i])
     }
 
-    fn ended(&mut self, now: Time, mail: usize, outcome: Outcome) {
+    fn connect_ended(&mut self, now: Time, mail: usize, outcome: Outcome) {
         let Some((endpoint, begun)) = self.out.remove(&mail) else { return };
         if outcome == Outcome::Unsent {
             return;
@@ -153,7 +158,7 @@
         self.wasted += u64::from(then_out && outcome != Outcome::Relayed);
     }
 
-    fn look(&mut self, now: Time, standing: impl Fn(usize) -> Option<Health>) {
+    fn observe_health(&mut self, now: Time, standing: impl Fn(usize) -> Option<Health>) {
         while self.outages.get(self.begun).is_some_and(|outage| outage.from <= now) {
             self.now_out.push(self.begun);
             self.begun += 1;
@@ -166,7 +171,7 @@
             }
             let held = standing(outage.endpoint);
             if matches!(held, Some(Health::Suspect | Health::Down)) {
-                outage.doubted.get_or_insert(now - outage.from);
+                outage.suspected.get_or_insert(now - outage.from);
             }
             if held == Some(Health::Down) {
                 outage.known.get_or_insert(now - outage.from);
@@ -176,56 +181,56 @@
     }
 }
 
-struct Watched {
+struct ObservedDecider {
     inner: Box<dyn Decider>,
-    seen: Arc<Mutex<Seen>>,
+    seen: Arc<Mutex<Observations>>,
 }
 
-impl Decider for Watched {
-    fn round(
+impl Decider for ObservedDecider {
+    fn step(
         &mut self,
         now: Time,
         inputs: &[Input],
         out: &mut Vec<Action>,
-        sight: &dyn Sight,
+        view: &dyn WorldView,
     ) -> Option<Time> {
-        let mut seen = self.seen.lock().expect("one courier");
+        let mut seen = self.seen.lock().expect("a courier's turn panicked");
         for input in inputs {
             if let Input::ConnectResult(ended) = input {
-                seen.ended(now, ended.mail, ended.outcome);
+                seen.connect_ended(now, ended.mail, ended.outcome);
             }
         }
         let before = out.len();
-        let began = busy();
-        let next = self.inner.round(now, inputs, out, sight);
-        seen.deciding_s += busy() - began;
+        let began = thread_cpu_s();
+        let next = self.inner.step(now, inputs, out, view);
+        seen.deciding_s += thread_cpu_s() - began;
         for action in &out[before..] {
             if let Action::Connect { mail, endpoint, .. } = *action {
-                // A call that is over for the courier though nothing came of it.
-                seen.ended(now, mail, Outcome::Silent);
+                // A call that the courier dropped without an outcome.
+                seen.connect_ended(now, mail, Outcome::Silent);
                 seen.out.insert(mail, (endpoint, now));
             }
         }
-        seen.look(now, |endpoint| self.inner.standing(endpoint));
+        seen.observe_health(now, |endpoint| self.inner.health(endpoint));
         next
     }
 
-    fn may_begin(&self, endpoint: usize, now: Time) -> bool {
-        self.inner.may_begin(endpoint, now)
+    fn may_call(&self, endpoint: usize, now: Time) -> bool {
+        self.inner.may_call(endpoint, now)
     }
 
-    fn standing(&self, endpoint: usize) -> Option<Health> {
-        self.inner.standing(endpoint)
+    fn health(&self, endpoint: usize) -> Option<Health> {
+        self.inner.health(endpoint)
     }
 }
 
-/// Sums over the seeds of one line.
+/// Sums over the seeds of one line of the table.
 #[derive(Default)]
-struct Line {
+struct Totals {
     messages: u64,
-    /// Handed in while their destination was out.
+    /// Handed in while the destination was out.
     at_out: u64,
-    /// Not delivered, of all; and of those whose destination was well for all of their time.
+    /// Not delivered, of all messages, and of those whose destination was well throughout their lifetime.
     failed: u64,
     well: u64,
     well_failed: u64,
@@ -236,34 +241,36 @@
     held_by_out: Time,
     capacity: f64,
     outages: usize,
-    doubted: Vec<f64>,
+    suspected: Vec<f64>,
     known: Vec<f64>,
     deciding_s: f64,
     turns: u64,
 }
 
-impl Line {
-    fn play(&mut self, scenario: &Scenario, seed: u64, oracle: bool) {
-        assert_eq!(check::faults(scenario), [], "a day that can be drawn");
+impl Totals {
+    fn add_day(&mut self, scenario: &Scenario, seed: u64, oracle: bool) {
+        assert_eq!(check::faults(scenario), [], "the scenario is invalid");
         let mut day = Day::draw(scenario, seed);
         day.settings.couriers = COURIERS;
-        let seen = Arc::new(Mutex::new(Seen::new(&day)));
+        let seen = Arc::new(Mutex::new(Observations::new(&day)));
         let watched = seen.clone();
-        let maker = move |courier: usize, set: Settings| -> Box<dyn Decider> {
+        let factory = move |courier: usize, set: Settings| -> Box<dyn Decider> {
             let inner: Box<dyn Decider> =
                 if oracle { Box::new(Oracle::new(set, courier)) } else { control(courier, set) };
-            Box::new(Watched { inner, seen: watched.clone() })
+            Box::new(ObservedDecider { inner, seen: watched.clone() })
         };
         let day = Rc::new(day);
-        let ended = World::new(day.clone(), &maker, Options::default()).run();
-        let seen = seen.lock().expect("the day is over");
+        let ended = World::new(day.clone(), &factory, Options::default()).run();
+        let seen = seen.lock().expect("a courier's turn panicked");
         for mail in &ended.mails {
-            let outages = || seen.outages_of(mail.dest as usize);
+            let outages = || seen.outages_of(mail.destination as usize);
             let failed = mail.relayed_at.is_none();
             self.messages += 1;
             self.failed += u64::from(failed);
-            self.at_out += u64::from(outages().any(|o| (o.from..o.until).contains(&mail.born)));
-            if outages().all(|outage| outage.overlap(mail.born.saturating_sub(600 * SECOND), mail.due) == 0) {
+            self.at_out += u64::from(outages().any(|o| (o.from..o.until).contains(&mail.created_at)));
+            if outages().all(|outage| {
+                outage.overlap(mail.created_at.saturating_sub(600 * SECOND), mail.deadline) == 0
+            }) {
                 self.well += 1;
                 self.well_failed += u64::from(failed);
                 self.well_late += u64::from(mail.relayed_at.is_some_and(|at| at > mail.target));
@@ -276,14 +283,14 @@
         self.capacity += day.settings.slots as f64 * day.length as f64;
         self.outages += seen.outages.len();
         let seconds = |time: Time| time as f64 / SECOND as f64;
-        self.doubted.extend(seen.outages.iter().filter_map(|outage| outage.doubted.map(seconds)));
+        self.suspected.extend(seen.outages.iter().filter_map(|outage| outage.suspected.map(seconds)));
         self.known.extend(seen.outages.iter().filter_map(|outage| outage.known.map(seconds)));
         self.deciding_s += seen.deciding_s;
         self.turns += ended.counts.turns;
     }
 }
 
-fn middle(values: &mut [f64]) -> f64 {
+fn median(values: &mut [f64]) -> f64 {
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied().unwrap_or(f64::NAN)
 }
@@ -291,8 +298,8 @@
 /// A figure's name, its unit, and its value at each size.
 type Points = (String, &'static str, Vec<(f64, f64)>);
 
-/// A straight line or a power law through points, whichever leaves the smaller part of each value unexplained (root
-/// of the mean square): its kind, its slope, its intercept or exponent, and that part.
+/// Fits a line and a power law, and returns the one with the smaller relative error (root mean square): its
+/// kind, slope, intercept or exponent, and that error.
 fn fit(points: &[(f64, f64)]) -> (&'static str, f64, f64, f64) {
     let line = |points: &[(f64, f64)]| {
         let n = points.len() as f64;
@@ -321,16 +328,16 @@
 #[test]
 fn one_second_between_calls_is_enough_to_learn_of_each_outage() {
     for what in [What::Crash, What::Hang] {
-        let scenario = thin(RATE, 1.0, Some(what), false, 1);
-        let (mut present, mut oracle) = (Line::default(), Line::default());
-        present.play(&scenario, 1, false);
-        oracle.play(&scenario, 1, true);
-        assert!(present.outages > 0 && present.at_out > 0, "nothing was out");
+        let scenario = rarely_called(RATE, 1.0, Some(what), false, 1);
+        let (mut present, mut oracle) = (Totals::default(), Totals::default());
+        present.add_day(&scenario, 1, false);
+        oracle.add_day(&scenario, 1, true);
+        assert!(present.outages > 0 && present.at_out > 0, "no destination was out");
         assert_eq!((present.messages, present.at_out), (oracle.messages, oracle.at_out));
         assert_eq!(present.known.len(), present.outages, "{what:?}");
-        assert!(middle(&mut present.known) < LASTS_S.0, "{what:?}: {:?}", present.known);
+        assert!(median(&mut present.known) < OUTAGE_S.0, "{what:?}: {:?}", present.known);
         assert!(present.wasted > 0 && present.held_by_out > 0, "{what:?}");
-        // It sees an outage, not its beginning: a call on its way then is lost at either.
+        // The oracle sees an outage only once it has begun, so calls already on their way are lost there too.
         assert!(oracle.wasted <= oracle.outages as u64, "{what:?}: {}", oracle.wasted);
         let out: usize = scenario.trouble.len();
         assert_eq!(out, present.outages);
@@ -350,16 +357,16 @@
         for (long, lives) in [(false, "seconds"), (true, "an hour")] {
             for (between_s, seeds) in SIZES {
                 for oracle in [false, true] {
-                    let mut line = Line::default();
+                    let mut line = Totals::default();
                     for seed in 0..seeds {
-                        line.play(&thin(RATE, between_s, what, long, seed), seed, oracle);
+                        line.add_day(&rarely_called(RATE, between_s, what, long, seed), seed, oracle);
                     }
                     let part = |part: u64, whole: u64| part as f64 / whole.max(1) as f64;
                     let wasted = part(line.wasted, line.attempts);
                     let held = line.held_by_out as f64 / line.capacity;
-                    let (doubted, known) = (line.doubted.len(), line.known.len());
+                    let (suspected, known) = (line.suspected.len(), line.known.len());
                     let of_outages = |many: usize| many as f64 / line.outages.max(1) as f64;
-                    let until = (middle(&mut line.doubted), middle(&mut line.known));
+                    let until = (median(&mut line.suspected), median(&mut line.known));
                     let us = line.deciding_s / line.messages as f64 * 1e6;
                     let turn_s = line.deciding_s / line.turns as f64;
                     let name = if oracle { "oracle" } else { "present" };
@@ -372,7 +379,7 @@
                         part(line.well_failed, line.well),
                         part(line.well_late, line.well),
                         line.outages,
-                        of_outages(doubted),
+                        of_outages(suspected),
                         of_outages(known),
                         until.0,
                         until.1,
@@ -425,7 +432,7 @@
         })
         .collect();
     if let Ok(file) = std::env::var(SLOPES) {
-        let text = serde_json::to_string_pretty(&slopes).expect("plain values");
+        let text = serde_json::to_string_pretty(&slopes).expect("the slopes cannot be written as JSON");
         std::fs::write(&file, text + "\n").unwrap_or_else(|error| panic!("{file}: {error}"));
     }
 }
@@ -437,9 +444,9 @@
     let parts: Vec<[f64; 4]> = [RATE, 4.0 * RATE]
         .into_iter()
         .map(|rate| {
-            let mut line = Line::default();
+            let mut line = Totals::default();
             for seed in 0..2 {
-                line.play(&thin(rate, 100.0, Some(What::Hang), false, seed), seed, false);
+                line.add_day(&rarely_called(rate, 100.0, Some(What::Hang), false, seed), seed, false);
             }
             let part = |part: u64, whole: u64| part as f64 / whole as f64;
             let parts = [
@@ -452,7 +459,8 @@
             parts
         })
         .collect();
-    // What fails at well destinations comes of full slots, of which the larger slice has more: less of it there.
+    // Failures at well destinations come from full slots. The larger slice has more slots and so fewer such
+    // failures, which is why that figure is not compared.
     for (small, large) in parts[0].iter().zip(parts[1]).take(3) {
         assert!((small / large).ln().abs() < 1.5f64.ln(), "{small} and {large}");
     }
--- a/crates/lab/src/charts.rs
+++ b/crates/lab/src/charts.rs
@@ -3,10 +3,10 @@
 use std::path::Path;
 use std::sync::Once;
 
-use meadowhold_emulator::figures::{by_birth, latencies};
+use meadowhold_emulator::figures::{importance_by_arrival, latencies};
 use meadowhold_emulator::scenario::What;
 use meadowhold_emulator::series::Sample;
-use meadowhold_emulator::world::Ended;
+use meadowhold_emulator::world::RunResult;
 use plotters::coord::Shift;
 use plotters::prelude::*;
 
@@ -66,7 +66,7 @@
     });
 }
 
-pub fn svg(chart: Chart, ended: &Ended) -> Result<String, CommandError> {
+pub fn svg(chart: Chart, ended: &RunResult) -> Result<String, CommandError> {
     register_font();
     let mut text = String::new();
     {
@@ -76,7 +76,7 @@
     Ok(text)
 }
 
-pub fn png(chart: Chart, ended: &Ended, path: &Path) -> Result<(), CommandError> {
+pub fn png(chart: Chart, ended: &RunResult, path: &Path) -> Result<(), CommandError> {
     register_font();
     let area = BitMapBackend::new(path, SIZE).into_drawing_area();
     draw(chart, ended, &area).map_err(|e| CommandError::new(format!("{}: {e}", path.display())))
@@ -84,7 +84,7 @@
 
 fn draw<B: DrawingBackend>(
     chart: Chart,
-    ended: &Ended,
+    ended: &RunResult,
     area: &DrawingArea<B, Shift>,
 ) -> Result<(), ChartError>
 where
@@ -102,12 +102,12 @@
     Ok(())
 }
 
-fn day_seconds(ended: &Ended) -> f64 {
+fn day_seconds(ended: &RunResult) -> f64 {
     ended.day.length as f64 / 10_000.0
 }
 
 /// Returns start and end in seconds, and the name, of each trouble.
-fn trouble_spans(ended: &Ended) -> Vec<(f64, f64, String)> {
+fn trouble_spans(ended: &RunResult) -> Vec<(f64, f64, String)> {
     let name = |what: What| format!("{what:?}").to_lowercase();
     let seconds = |t: u64| t as f64 / 10_000.0;
     ended.day.troubles.iter().map(|t| (seconds(t.from), seconds(t.until), name(t.what))).collect()
@@ -120,7 +120,7 @@
 }
 
 fn time_chart<B: DrawingBackend>(
-    ended: &Ended,
+    ended: &RunResult,
     area: &DrawingArea<B, Shift>,
     (title, unit): (&str, &str),
     lines: &[Line],
@@ -161,11 +161,11 @@
     Ok(())
 }
 
-fn importance<B: DrawingBackend>(ended: &Ended, area: &DrawingArea<B, Shift>) -> Result<(), ChartError>
+fn importance<B: DrawingBackend>(ended: &RunResult, area: &DrawingArea<B, Shift>) -> Result<(), ChartError>
 where
     B::ErrorType: 'static,
 {
-    let bins = by_birth(&ended.day, &ended.mails);
+    let bins = importance_by_arrival(&ended.day, &ended.mails);
     let seconds: Vec<(f64, f64)> = bins
         .chunks_exact(10)
         .map(|second| second.iter().fold((0.0, 0.0), |sum, bin| (sum.0 + bin.0, sum.1 + bin.1)))
@@ -178,12 +178,12 @@
     time_chart(ended, area, (Chart::Importance.title(), "importance a second"), &lines)
 }
 
-fn sampled_line(ended: &Ended, name: &str, of: impl Fn(&Sample) -> f64) -> Line {
+fn sampled_line(ended: &RunResult, name: &str, of: impl Fn(&Sample) -> f64) -> Line {
     let points = ended.samples.iter().map(|s| (s.at as f64 / 10_000.0, of(s))).collect();
     Line { name: name.to_string(), points }
 }
 
-fn holds<B: DrawingBackend>(ended: &Ended, area: &DrawingArea<B, Shift>) -> Result<(), ChartError>
+fn holds<B: DrawingBackend>(ended: &RunResult, area: &DrawingArea<B, Shift>) -> Result<(), ChartError>
 where
     B::ErrorType: 'static,
 {
@@ -195,15 +195,15 @@
     time_chart(ended, area, (Chart::Holds.title(), "count"), &lines)
 }
 
-fn caps<B: DrawingBackend>(ended: &Ended, area: &DrawingArea<B, Shift>) -> Result<(), ChartError>
+fn caps<B: DrawingBackend>(ended: &RunResult, area: &DrawingArea<B, Shift>) -> Result<(), ChartError>
 where
     B::ErrorType: 'static,
 {
-    let shown = ended.day.partners.len().min(2);
+    let shown = ended.day.destinations.len().min(2);
     let mut lines = Vec::new();
     for destination in 0..shown {
         let mean = ended.day.mean_service(destination) / 10_000.0;
-        let of = |s: &Sample, get: &dyn Fn(&meadowhold_emulator::series::Dest) -> f64| {
+        let of = |s: &Sample, get: &dyn Fn(&meadowhold_emulator::series::DestinationSample) -> f64| {
             s.dests.get(destination).map_or(0.0, get)
         };
         lines.push(sampled_line(ended, &format!("partner {destination}: out"), |s| of(s, &|d| d.out as f64)));
@@ -219,7 +219,7 @@
     time_chart(ended, area, (Chart::Caps.title(), "calls, mails"), &lines)
 }
 
-fn standings<B: DrawingBackend>(ended: &Ended, area: &DrawingArea<B, Shift>) -> Result<(), ChartError>
+fn standings<B: DrawingBackend>(ended: &RunResult, area: &DrawingArea<B, Shift>) -> Result<(), ChartError>
 where
     B::ErrorType: 'static,
 {
@@ -265,7 +265,7 @@
     Ok(())
 }
 
-fn latency<B: DrawingBackend>(ended: &Ended, area: &DrawingArea<B, Shift>) -> Result<(), ChartError>
+fn latency<B: DrawingBackend>(ended: &RunResult, area: &DrawingArea<B, Shift>) -> Result<(), ChartError>
 where
     B::ErrorType: 'static,
 {
--- a/crates/lab/src/deciders.rs
+++ b/crates/lab/src/deciders.rs
@@ -1,8 +1,8 @@
 //! Deciders by name: the control module, the oracle and the baselines.
 
 use meadowhold::interface::Settings;
-use meadowhold_emulator::baselines::{Plain, Style, Wrong};
-use meadowhold_emulator::decider::{control, Decider, Maker};
+use meadowhold_emulator::baselines::{Baseline, InjectedFault, Style};
+use meadowhold_emulator::decider::{control, Decider, DeciderFactory};
 use meadowhold_emulator::oracle::Oracle;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -28,7 +28,7 @@
     all
 }
 
-pub fn maker(name: &str) -> Result<Box<Maker>, String> {
+pub fn maker(name: &str) -> Result<Box<DeciderFactory>, String> {
     if name == CONTROL {
         return Ok(Box::new(control));
     }
@@ -43,7 +43,7 @@
         format!("unknown decider {name:?}; known deciders are {}", names.join(", "))
     })?;
     Ok(Box::new(move |_: usize, set: Settings| -> Box<dyn Decider> {
-        Box::new(Plain::new(set, style, Wrong::Nothing))
+        Box::new(Baseline::new(set, style, InjectedFault::Nothing))
     }))
 }
 
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -2,10 +2,10 @@
 
 use std::fmt::Write;
 
-use meadowhold_emulator::decider::Maker;
+use meadowhold_emulator::decider::DeciderFactory;
 use meadowhold_emulator::figures::{worth, Figures};
 use meadowhold_emulator::history;
-use meadowhold_emulator::world::Ended;
+use meadowhold_emulator::world::RunResult;
 
 use crate::charts::{svg, Chart};
 use crate::load::{CommandError, NamedScenario};
@@ -18,7 +18,7 @@
 }
 
 /// Selects the mails whose history is shown: those of broken rules, or else those that lost most importance.
-fn mails_to_show(ended: &Ended) -> Vec<u32> {
+fn mails_to_show(ended: &RunResult) -> Vec<u32> {
     let mut shown: Vec<u32> = ended.judge.broken.iter().map(|b| b.mail).collect();
     shown.dedup();
     if shown.is_empty() {
@@ -40,8 +40,8 @@
 pub fn page(
     named: &NamedScenario,
     decider: &str,
-    maker: &Maker,
-    ended: &Ended,
+    maker: &DeciderFactory,
+    ended: &RunResult,
 ) -> Result<String, CommandError> {
     let f = Figures::of(ended);
     let mut page = String::new();
