--- a/crates/courier/src/command.rs
+++ b/crates/courier/src/command.rs
@@ -180,7 +180,7 @@
 }
 
 fn relay_status(address: SocketAddr) -> Result<(), String> {
-    let asked = tokio::task::LocalSet::new().block_on(&runtime()?, relay::status::ask(address));
+    let asked = tokio::task::LocalSet::new().block_on(&runtime()?, relay::status::fetch(address));
     print!("{}", asked.map_err(|e| format!("the relay at {address}: {e}"))?);
     Ok(())
 }
--- a/crates/courier/src/config.rs
+++ b/crates/courier/src/config.rs
@@ -16,7 +16,7 @@
 use crate::discovery::List;
 use crate::members::{Members, MOST_MEMBERS};
 use crate::reader;
-use crate::relays::MOST_RELAYS;
+use crate::relays::MAX_RELAYS;
 use crate::version::{Faults, Whole};
 
 pub struct Config {
@@ -67,7 +67,7 @@
     settings: Value,
     #[garde(dive)]
     peers: Option<PeersText>,
-    #[garde(inner(length(min = 1, max = MOST_RELAYS)), custom(many_addresses))]
+    #[garde(inner(length(min = 1, max = MAX_RELAYS)), custom(many_addresses))]
     relays: Option<Vec<String>>,
     #[garde(custom(counted))]
     version: Option<u64>,
--- a/crates/courier/src/hollow.rs
+++ b/crates/courier/src/hollow.rs
@@ -25,26 +25,26 @@
 
 /// A real courier writes its file at the end of a turn. Here that waits, so that those who share the process have
 /// their turns first: guards against a time in force that is the neighbours' writing.
-const WRITES_AFTER: Duration = Duration::from_millis(50);
+const SAVE_DELAY: Duration = Duration::from_millis(50);
 /// A list that came just after the file was written is on file so much later: the keeper writes once a second.
-const WRITES_AGAIN: Time = SECOND + SECOND / 50;
+const SECOND_SAVE_DELAY: Time = SECOND + SECOND / 50;
 
 /// What hears of the list in the place of an exchange.
 pub struct Hollow {
     name: String,
     clock: Clock,
-    keeper: ListStore,
+    store: ListStore,
     /// Version of the list that was taken up last, and the last by which a turn was taken.
     index: u64,
-    in_force: u64,
-    held: bool,
+    index_in_force: u64,
+    calls_held: bool,
     notify: Rc<Notify>,
 }
 
 impl Hollow {
     /// A turn: what was taken up is in force from here on.
     fn turn(&mut self) {
-        if !self.held && self.index != std::mem::replace(&mut self.in_force, self.index) {
+        if !self.calls_held && self.index != std::mem::replace(&mut self.index_in_force, self.index) {
             log::trace!(target: IN_FORCE, "list {} is in force at {}", self.index, self.name);
         }
     }
@@ -53,20 +53,20 @@
 impl Listener for Hollow {
     fn apply_update(&mut self, list: &Update) {
         self.index = list.index;
-        self.keeper.apply(list);
+        self.store.apply(list);
         self.notify.notify_one();
     }
 
     fn count_after(&self, changes: &Update) -> usize {
-        self.keeper.count_after(changes)
+        self.store.count_after(changes)
     }
 
     fn hold_calls(&mut self) {
-        self.held = true;
+        self.calls_held = true;
     }
 
     fn release_calls(&mut self) {
-        if std::mem::take(&mut self.held) {
+        if std::mem::take(&mut self.calls_held) {
             self.notify.notify_one();
         }
     }
@@ -81,35 +81,36 @@
     config: Config,
     discovery: watch::Receiver<SocketAddr>,
     stop: impl Future<Output = ()>,
-    before: impl FnOnce(Rc<RefCell<Hollow>>) -> Rc<RefCell<L>>,
+    wrap_listener: impl FnOnce(Rc<RefCell<Hollow>>) -> Rc<RefCell<L>>,
 ) -> io::Result<()> {
     let Config { name, state, disk, list, known, decoded, peers, relays, .. } = config;
     let fleet = members::start(&name, peers.as_ref())?;
     fs::create_dir_all(&state)?;
     let clock = Clock::new();
-    let mut keeper = ListStore::new(&state, disk, deployment(&decoded));
+    let mut store = ListStore::new(&state, disk, deployment(&decoded));
     // As a real one: the configuration's version, and not the kept one.
     let index = known.index;
-    let begun = keeper.recall(known, clock.now(), |_| false);
+    let initial = store.recall(known, clock.now(), |_| false);
     let notify = Rc::new(Notify::new());
-    let hollow = Hollow { name: name.clone(), clock, keeper, index: 0, in_force: 0, held: false, notify };
+    let hollow =
+        Hollow { name: name.clone(), clock, store, index: 0, index_in_force: 0, calls_held: false, notify };
     let hollow = Rc::new(RefCell::new(hollow));
     let (push, seed) = (!decoded.settings.poll_list, decoded.settings.seed);
-    hollow.borrow_mut().apply_update(&begun);
-    let mut parts = JoinSet::new();
-    parts.spawn_local(drive(hollow.clone(), duration(decoded.settings.timer_resolution)));
-    let (listener, limits) = (before(hollow), (list, seed));
+    hollow.borrow_mut().apply_update(&initial);
+    let mut tasks = JoinSet::new();
+    tasks.spawn_local(run_turns(hollow.clone(), duration(decoded.settings.timer_resolution)));
+    let (listener, limits) = (wrap_listener(hollow), (list, seed));
     match relays {
-        None => parts.spawn_local(discovery::follow(listener, clock, discovery, index, push, limits)),
-        Some(relays) => parts.spawn_local(relays::follow_for(listener, clock, name, relays, index, limits)),
+        None => tasks.spawn_local(discovery::follow(listener, clock, discovery, index, push, limits)),
+        Some(relays) => tasks.spawn_local(relays::follow_for(listener, clock, name, relays, index, limits)),
     };
     if let Some(fleet) = &fleet {
-        parts.spawn_local(fleet.clone().follow());
+        tasks.spawn_local(fleet.clone().follow());
     }
     tokio::select! {
         () = stop => {}
         // Guards against a courier that seems to run with a part of it gone.
-        _ = parts.join_next() => return Err(io::Error::other("a part of the courier has failed")),
+        _ = tasks.join_next() => return Err(io::Error::other("a part of the courier has failed")),
     }
     if let Some(fleet) = fleet {
         fleet.leave().await;
@@ -118,13 +119,13 @@
 }
 
 /// A turn when something was told, no more often than the settings say, and then the file.
-async fn drive(hollow: Rc<RefCell<Hollow>>, resolution: Duration) {
+async fn run_turns(hollow: Rc<RefCell<Hollow>>, resolution: Duration) {
     let notify = hollow.borrow().notify.clone();
     loop {
         notify.notified().await;
         sleep(resolution).await;
         hollow.borrow_mut().turn();
-        let mut write_at = Instant::now() + WRITES_AFTER;
+        let mut write_at = Instant::now() + SAVE_DELAY;
         // Twice, for the keeper may just have written; what is told meanwhile has its turn at once.
         for _ in 0..2 {
             loop {
@@ -138,8 +139,8 @@
             }
             let mut hollow = hollow.borrow_mut();
             let now = hollow.clock.now();
-            hollow.keeper.save(now);
-            write_at = Instant::now() + duration(WRITES_AGAIN);
+            hollow.store.save(now);
+            write_at = Instant::now() + duration(SECOND_SAVE_DELAY);
         }
     }
 }
--- a/crates/courier/src/relay/config.rs
+++ b/crates/courier/src/relay/config.rs
@@ -4,12 +4,12 @@
 use std::path::{Path, PathBuf};
 
 use garde::Validate;
-use meadowhold_catalog::store::{Bounds as Held, MAX_PARTITIONS};
+use meadowhold_catalog::store::{Bounds as StoreBounds, MAX_PARTITIONS};
 use serde::Deserialize;
 
 use crate::config::{self, many_addresses, one_address, Refused};
 use crate::reader::Limits;
-use crate::relays::MOST_RELAYS;
+use crate::relays::MAX_RELAYS;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Config {
@@ -54,17 +54,17 @@
 }
 
 impl Bounds {
-    pub fn held(&self) -> Held {
-        Held { entries: self.entries, bytes: self.list_mb << 20, window: self.window }
+    pub fn store(&self) -> StoreBounds {
+        StoreBounds { entries: self.entries, bytes: self.list_mb << 20, window: self.window }
     }
 
     /// What a list that comes may be.
-    pub fn read(&self) -> Limits {
+    pub fn list_limits(&self) -> Limits {
         Limits { entries: self.entries, bytes: self.list_mb << 20 }
     }
 
     /// Bytes that the file may take: what is held, and some more for what stands round it.
-    pub fn file(&self) -> u64 {
+    pub fn max_file_bytes(&self) -> u64 {
         (self.list_mb as u64 + 1) << 20
     }
 }
@@ -79,7 +79,7 @@
     listen: Option<String>,
     #[garde(custom(one_address))]
     source: Option<String>,
-    #[garde(inner(length(min = 1, max = MOST_RELAYS)), custom(many_addresses))]
+    #[garde(inner(length(min = 1, max = MAX_RELAYS)), custom(many_addresses))]
     relays: Option<Vec<String>>,
     #[garde(required)]
     state: Option<PathBuf>,
@@ -112,8 +112,8 @@
                 faults.entry(place.to_string()).or_insert_with(|| error.to_string());
             }
         }
-        let told = |name: &str| faults.contains_key(name);
-        if file.source.is_some() == file.relays.is_some() && !told("source") && !told("relays") {
+        let has_fault = |name: &str| faults.contains_key(name);
+        if file.source.is_some() == file.relays.is_some() && !has_fault("source") && !has_fault("relays") {
             let words =
                 if file.source.is_some() { "is named beside relays" } else { "is missing, and relays too" };
             faults.insert("source".to_string(), words.to_string());
--- a/crates/courier/src/relay/hub.rs
+++ b/crates/courier/src/relay/hub.rs
@@ -17,21 +17,21 @@
 use crate::entries::{EntryRef, Update};
 use crate::exchange::Clock;
 use crate::memory::KeptEntry;
-use crate::relays::{Heard, Held, Holder};
+use crate::relays::{Held, SourceState, VersionedListener};
 
 use super::config::Bounds;
 
 /// A follower that has not said what it holds for so long is not counted.
-const FORGOTTEN: Time = 10 * SECOND;
-const LONGEST_NAME: usize = 128;
+const REPORT_LIFETIME: Time = 10 * SECOND;
+const MAX_NAME_BYTES: usize = 128;
 /// Lines of one version that are shared; beyond them each follower's is its own, and no longer than this, in
 /// bytes.
-const MOST_LINES: usize = 16;
-const LONG: usize = 64 * 1024;
+const MAX_SHARED_LINES: usize = 16;
+const MAX_UNSHARED_BYTES: usize = 64 * 1024;
 
 /// What a follower said that it holds.
 #[derive(Clone, Debug)]
-pub struct Stated {
+pub struct FollowerReport {
     pub version: Version,
     pub at: Time,
     pub from: IpAddr,
@@ -44,22 +44,22 @@
 pub struct Watch {
     pub from: IpAddr,
     /// The version that it asked after.
-    pub asked: u64,
+    pub asked_after: u64,
     /// The last that was written to it, as far as its connection took it.
-    pub told: u64,
+    pub sent: u64,
     pub since: Time,
 }
 
 /// What a follower is given next.
 pub enum Next {
     /// One line, whole: of this index.
-    Line(Bytes, u64),
+    Changes(Bytes, u64),
     /// All of it, of this index.
-    Whole(Vec<Bytes>, u64),
+    Snapshot(Vec<Bytes>, u64),
     /// Nothing that it asked for has changed.
     Nothing,
     /// It must ask anew: on an open watch so few entries for so many versions would look like a gap.
-    Anew,
+    Reconnect,
 }
 
 pub struct Hub {
@@ -67,22 +67,22 @@
     pub clock: Clock,
     /// Told of each step; watches wait on it.
     pub step: watch::Sender<u64>,
-    heard: Heard,
+    source: SourceState,
     /// The list is from the file still.
-    kept: bool,
-    pub taken_at: Time,
-    pub stated: BTreeMap<String, Stated>,
+    from_file: bool,
+    pub applied_at: Time,
+    pub reports: BTreeMap<String, FollowerReport>,
     pub watches: BTreeMap<u64, Watch>,
     pub connections: usize,
-    bound: usize,
+    max_followers: usize,
     next_watch: u64,
     /// Lines of this step, by the step that they come after.
     lines: HashMap<u64, Bytes>,
     /// Words on what was not taken have been logged.
-    refused: bool,
+    rejection_logged: bool,
 }
 
-fn item(entry: EntryRef) -> CatalogEntry {
+fn catalog_entry(entry: EntryRef) -> CatalogEntry {
     let text = KeptEntry::from(&entry).to_json();
     let gone = entry.endpoint_status() == EndpointStatus::Removed;
     CatalogEntry { name: entry.name.to_string(), destination: entry.group, text: text.into(), removed: gone }
@@ -91,69 +91,72 @@
 impl Hub {
     pub fn new(clock: Clock, partitions: u32, bounds: Bounds) -> Hub {
         Hub {
-            store: Store::new(partitions, bounds.held()),
+            store: Store::new(partitions, bounds.store()),
             clock,
             step: watch::Sender::new(0),
-            heard: Heard::default(),
-            kept: false,
-            taken_at: clock.now(),
-            stated: BTreeMap::new(),
+            source: SourceState::default(),
+            from_file: false,
+            applied_at: clock.now(),
+            reports: BTreeMap::new(),
             watches: BTreeMap::new(),
             connections: 0,
-            bound: bounds.followers,
+            max_followers: bounds.followers,
             next_watch: 0,
             lines: HashMap::new(),
-            refused: false,
+            rejection_logged: false,
         }
     }
 
     /// Begins with what was on file.
-    pub fn begin(&mut self, version: Version, entries: &[Entry], saved_at: Time) {
-        self.heard.epoch = self.heard.epoch.max(version.epoch);
-        self.put(Offer { version, after: None }, entries.iter().map(|entry| item(entry.into())).collect());
-        (self.kept, self.taken_at) = (true, saved_at.min(self.taken_at));
+    pub fn restore(&mut self, version: Version, entries: &[Entry], saved_at: Time) {
+        self.source.epoch = self.source.epoch.max(version.epoch);
+        self.apply(
+            Offer { version, after: None },
+            entries.iter().map(|entry| catalog_entry(entry.into())).collect(),
+        );
+        (self.from_file, self.applied_at) = (true, saved_at.min(self.applied_at));
     }
 
     /// Lists that come are of this epoch from here on, unless a newer one was held.
-    pub fn raise(&mut self, epoch: u64) {
-        if epoch > self.heard.epoch {
+    pub fn raise_epoch(&mut self, epoch: u64) {
+        if epoch > self.source.epoch {
             // What comes next must be whole.
-            self.heard.comes(epoch, None);
-            self.heard.wants_whole = true;
+            self.source.reset(epoch, None);
+            self.source.needs_snapshot = true;
         }
     }
 
-    fn put(&mut self, offer: Offer, items: Vec<CatalogEntry>) {
+    fn apply(&mut self, offer: Offer, items: Vec<CatalogEntry>) {
         let before = self.store.version();
         match self.store.apply(&offer, items) {
             Verdict::Apply => {
                 let now = self.clock.now();
                 if before != Some(offer.version) {
-                    self.taken_at = now;
-                    let behind = |stated: &&mut Stated| stated.version < offer.version;
-                    for stated in self.stated.values_mut().filter(behind) {
-                        stated.behind.get_or_insert((offer.version, now));
+                    self.applied_at = now;
+                    let behind = |report: &&mut FollowerReport| report.version < offer.version;
+                    for report in self.reports.values_mut().filter(behind) {
+                        report.behind.get_or_insert((offer.version, now));
                     }
                 }
-                (self.kept, self.refused) = (false, false);
+                (self.from_file, self.rejection_logged) = (false, false);
                 self.lines.clear();
                 self.step.send_replace(self.store.step());
             }
-            Verdict::RequestSnapshot => self.heard.wants_whole = true,
+            Verdict::RequestSnapshot => self.source.needs_snapshot = true,
             // One line for as long as it lasts.
-            Verdict::Ignore => self.refuse(format!(
+            Verdict::Ignore => self.log_rejection(format!(
                 "the source tells {:?}, from before {before:?}; if it counts anew, raise epoch",
                 offer.version
             )),
             Verdict::Reject(faults) => {
                 let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
-                self.refuse(format!("a list is turned down: {}", faults.join("; ")));
+                self.log_rejection(format!("a list is turned down: {}", faults.join("; ")));
             }
         }
     }
 
-    fn refuse(&mut self, words: String) {
-        if !std::mem::replace(&mut self.refused, true) {
+    fn log_rejection(&mut self, words: String) {
+        if !std::mem::replace(&mut self.rejection_logged, true) {
             log::error!("{words}");
         }
     }
@@ -165,7 +168,7 @@
             epoch,
             index,
             hash: format!("{:016x}", self.store.hash()),
-            kept: self.kept,
+            kept: self.from_file,
             age_ms,
             resumes: true,
         })
@@ -173,83 +176,83 @@
 
     /// How long ago what is held was taken up; by the file's time if it comes from there.
     pub fn age(&self) -> Time {
-        self.clock.now().saturating_sub(self.taken_at)
+        self.clock.now().saturating_sub(self.applied_at)
     }
 
     /// A follower says what it holds.
-    pub fn state(&mut self, name: &str, version: Version, from: IpAddr) {
+    pub fn record_report(&mut self, name: &str, version: Version, from: IpAddr) {
         let (now, held) = (self.clock.now(), self.store.version());
-        if self.stated.len() >= self.bound {
-            self.stated.retain(|_, stated| now < stated.at + FORGOTTEN);
+        if self.reports.len() >= self.max_followers {
+            self.reports.retain(|_, report| now < report.at + REPORT_LIFETIME);
         }
-        if name.is_empty() || name.len() > LONGEST_NAME {
+        if name.is_empty() || name.len() > MAX_NAME_BYTES {
             return;
         }
-        let before = self.stated.get(name).and_then(|stated| stated.behind);
+        let before = self.reports.get(name).and_then(|report| report.behind);
         // Guards against names without end.
-        if self.stated.len() >= self.bound && !self.stated.contains_key(name) {
+        if self.reports.len() >= self.max_followers && !self.reports.contains_key(name) {
             return;
         }
         let behind = match (held, before) {
             (Some(held), _) if version >= held => None,
             (Some(_), Some(before)) if version < before.0 => Some(before),
             // Past the first that it lacked.
-            (Some(held), Some(_)) => Some((held, self.taken_at)),
+            (Some(held), Some(_)) => Some((held, self.applied_at)),
             (Some(held), None) => Some((held, now)),
             (None, _) => None,
         };
-        self.stated.insert(name.to_string(), Stated { version, at: now, from, behind });
+        self.reports.insert(name.to_string(), FollowerReport { version, at: now, from, behind });
     }
 
     /// Those who said what they hold lately.
-    pub fn stated(&self) -> impl Iterator<Item = (&String, &Stated)> {
+    pub fn recent_reports(&self) -> impl Iterator<Item = (&String, &FollowerReport)> {
         let now = self.clock.now();
-        self.stated.iter().filter(move |(_, stated)| now < stated.at + FORGOTTEN)
+        self.reports.iter().filter(move |(_, report)| now < report.at + REPORT_LIFETIME)
     }
 
     /// `None`: there are as many as may be.
-    pub fn open_watch(&mut self, from: IpAddr, asked: u64) -> Option<u64> {
-        if self.watches.len() >= self.bound {
+    pub fn open_watch(&mut self, from: IpAddr, asked_after: u64) -> Option<u64> {
+        if self.watches.len() >= self.max_followers {
             return None;
         }
         self.next_watch += 1;
-        let watch = Watch { from, asked, told: asked, since: self.clock.now() };
+        let watch = Watch { from, asked_after, sent: asked_after, since: self.clock.now() };
         self.watches.insert(self.next_watch, watch);
         Some(self.next_watch)
     }
 
     /// The whole list, or these partitions of it. `None`: nothing is held.
-    pub fn whole(&mut self, of: Option<&HashSet<u32>>) -> Option<(Vec<Bytes>, u64)> {
+    pub fn snapshot(&mut self, selected: Option<&HashSet<u32>>) -> Option<(Vec<Bytes>, u64)> {
         let Snapshot { version, texts } = self.store.snapshot()?;
-        let mut pieces = Vec::with_capacity(texts.len() + 2);
-        pieces.push(self.head(version, true, of, None).into());
-        let asked = |p: usize| of.is_none_or(|of| of.contains(&(p as u32)));
+        let mut chunks = Vec::with_capacity(texts.len() + 2);
+        chunks.push(self.line_head(version, true, selected, None).into());
+        let asked = |p: usize| selected.is_none_or(|selected| selected.contains(&(p as u32)));
         let mut first = true;
         for (_, text) in texts.iter().enumerate().filter(|(p, text)| asked(*p) && !text.is_empty()) {
             // Each begins with a comma.
-            pieces.push(if std::mem::take(&mut first) { text.slice(1..) } else { text.clone() });
+            chunks.push(if std::mem::take(&mut first) { text.slice(1..) } else { text.clone() });
         }
-        pieces.push(Bytes::from_static(b"]}\n"));
-        Some((pieces, version.index))
+        chunks.push(Bytes::from_static(b"]}\n"));
+        Some((chunks, version.index))
     }
 
     /// All that stands before the entries. Who names partitions is told of epoch, versions and hashes.
-    fn head(
+    fn line_head(
         &self,
         version: Version,
         snapshot: bool,
-        of: Option<&HashSet<u32>>,
+        selected: Option<&HashSet<u32>>,
         after: Option<Version>,
     ) -> String {
         let Version { epoch, index } = version;
         let mut head = format!("{{\"index\":{index},\"snapshot\":{snapshot},");
-        if let Some(of) = of {
+        if let Some(selected) = selected {
             let parts = self.store.partitions();
             let _ = write!(head, "\"epoch\":{epoch},\"partitions\":{},\"parts\":[", parts.len());
-            let mut of: Vec<u32> = of.iter().copied().collect();
-            of.sort_unstable();
+            let mut selected: Vec<u32> = selected.iter().copied().collect();
+            selected.sort_unstable();
             let mut comma = "";
-            for p in of {
+            for p in selected {
                 let Some(part) = parts.get(p as usize) else { continue };
                 // Of changes: of what has changed alone.
                 if after.is_some_and(|after| part.version <= after) {
@@ -270,51 +273,61 @@
     }
 
     /// What comes for one who has been told up to `step`, when `index` was held; `first`: on this watch.
-    pub fn next(&mut self, step: Option<u64>, index: u64, first: bool, of: Option<&HashSet<u32>>) -> Next {
+    pub fn next_update(
+        &mut self,
+        step: Option<u64>,
+        index: u64,
+        first: bool,
+        selected: Option<&HashSet<u32>>,
+    ) -> Next {
         let Some(version) = self.store.version() else { return Next::Nothing };
-        let fold = step.and_then(|step| Some((step, self.store.changes_since(step, of)?)));
-        let Some((step, fold)) = fold else {
-            return self.whole(of).map_or(Next::Nothing, |(pieces, index)| Next::Whole(pieces, index));
+        let changes = step.and_then(|step| Some((step, self.store.changes_since(step, selected)?)));
+        let Some((step, changes)) = changes else {
+            return self
+                .snapshot(selected)
+                .map_or(Next::Nothing, |(chunks, index)| Next::Snapshot(chunks, index));
         };
-        if of.is_some() && fold.entries == 0 {
+        if selected.is_some() && changes.entries == 0 {
             return Next::Nothing;
         }
         let versions = version.index.saturating_sub(index);
-        if of.is_none() && !first && versions > (fold.entries as u64).max(1) {
-            return Next::Anew;
+        if selected.is_none() && !first && versions > (changes.entries as u64).max(1) {
+            return Next::Reconnect;
         }
-        let make = |hub: &Hub| {
+        let build_line = |hub: &Hub| {
             let after = Version { epoch: version.epoch, index };
-            let head = hub.head(version, false, of, Some(after));
-            let mut line = BytesMut::with_capacity(head.len() + fold.text.len() + 3);
+            let head = hub.line_head(version, false, selected, Some(after));
+            let mut line = BytesMut::with_capacity(head.len() + changes.text.len() + 3);
             line.extend_from_slice(head.as_bytes());
-            line.extend_from_slice(&fold.text);
+            line.extend_from_slice(&changes.text);
             line.extend_from_slice(b"]}\n");
             line.freeze()
         };
-        if of.is_some() {
-            return Next::Line(make(self), version.index);
+        if selected.is_some() {
+            return Next::Changes(build_line(self), version.index);
         }
         if let Some(line) = self.lines.get(&step) {
-            return Next::Line(line.clone(), version.index);
+            return Next::Changes(line.clone(), version.index);
         }
         // Guards against long differences, one for each of many followers: the whole is shared by all.
-        if self.lines.len() >= MOST_LINES {
-            if fold.text.len() > LONG {
-                return self.whole(of).map_or(Next::Nothing, |(pieces, index)| Next::Whole(pieces, index));
+        if self.lines.len() >= MAX_SHARED_LINES {
+            if changes.text.len() > MAX_UNSHARED_BYTES {
+                return self
+                    .snapshot(selected)
+                    .map_or(Next::Nothing, |(chunks, index)| Next::Snapshot(chunks, index));
             }
-            return Next::Line(make(self), version.index);
+            return Next::Changes(build_line(self), version.index);
         }
-        let line = make(self);
+        let line = build_line(self);
         self.lines.insert(step, line.clone());
-        Next::Line(line, version.index)
+        Next::Changes(line, version.index)
     }
 }
 
 impl Listener for Hub {
     fn apply_update(&mut self, list: &Update) {
-        let offer = self.heard.offer(list);
-        self.put(offer, list.entries.iter().map(item).collect());
+        let offer = self.source.offer(list);
+        self.apply(offer, list.entries.iter().map(catalog_entry).collect());
     }
 
     fn count_after(&self, changes: &Update) -> usize {
@@ -332,16 +345,16 @@
     }
 }
 
-impl Holder for Hub {
+impl VersionedListener for Hub {
     fn held(&self) -> Option<Version> {
         self.store.version()
     }
 
-    fn comes(&mut self, epoch: u64, after: Option<u64>) {
-        self.heard.comes(epoch, after);
+    fn set_source(&mut self, epoch: u64, after: Option<u64>) {
+        self.source.reset(epoch, after);
     }
 
-    fn wants_whole(&mut self) -> bool {
-        std::mem::take(&mut self.heard.wants_whole)
+    fn take_snapshot_request(&mut self) -> bool {
+        std::mem::take(&mut self.source.needs_snapshot)
     }
 }
--- a/crates/courier/src/relay/serve.rs
+++ b/crates/courier/src/relay/serve.rs
@@ -1,5 +1,5 @@
 //! Answers a relay's followers: the whole list, watches on it, what it holds, and who follows. A watch holds
-//! a place in the changes and one piece that is on its way; whoever does not take that for `STALL` is closed.
+//! a place in the changes and one piece that is on its way; whoever does not take that for `STALL_TIMEOUT` is closed.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashSet, VecDeque};
@@ -26,39 +26,39 @@
 use tokio::time::{sleep, timeout};
 
 use super::hub::{Hub, Next};
-use super::paced::{Paced, STALL};
+use super::stall_timeout::{StallTimeout, STALL_TIMEOUT};
 use super::status;
-use crate::relays::HELD;
+use crate::relays::HELD_PATH;
 
-pub type Shared = Rc<RefCell<Hub>>;
+pub type SharedHub = Rc<RefCell<Hub>>;
 
 /// An empty line comes so often where nothing changes: the agent's turn.
-const TURN: Duration = Duration::from_secs(2);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 /// For a request's head, and between two on one connection.
-const HEAD: Duration = Duration::from_secs(10);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// Of a request's head, and what is written at once, in bytes.
-const BUFFER: usize = 16 * 1024;
+const BUFFER_BYTES: usize = 16 * 1024;
 /// Kept by the system for a connection, in bytes each way.
-const SYSTEM: usize = 128 * 1024;
+const SOCKET_BUFFER_BYTES: usize = 128 * 1024;
 /// Connections that have asked nothing yet; one more closes the oldest of them.
-const UNHEARD: usize = 256;
+const MAX_AWAITING_REQUEST: usize = 256;
 
 type Reply = Response<BoxBody<Bytes, Infallible>>;
 
 /// A body of pieces that others share.
-struct Pieces {
-    left: VecDeque<Bytes>,
+struct SharedChunks {
+    remaining: VecDeque<Bytes>,
     length: u64,
 }
 
-impl Pieces {
-    fn new(pieces: Vec<Bytes>) -> Pieces {
-        let length = pieces.iter().map(|piece| piece.len() as u64).sum();
-        Pieces { left: pieces.into(), length }
+impl SharedChunks {
+    fn new(chunks: Vec<Bytes>) -> SharedChunks {
+        let length = chunks.iter().map(|chunk| chunk.len() as u64).sum();
+        SharedChunks { remaining: chunks.into(), length }
     }
 }
 
-impl Body for Pieces {
+impl Body for SharedChunks {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -66,13 +66,13 @@
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        let piece = self.left.pop_front();
-        self.length -= piece.as_ref().map_or(0, |piece| piece.len() as u64);
-        Poll::Ready(piece.map(|piece| Ok(Frame::data(piece))))
+        let chunk = self.remaining.pop_front();
+        self.length -= chunk.as_ref().map_or(0, |chunk| chunk.len() as u64);
+        Poll::Ready(chunk.map(|chunk| Ok(Frame::data(chunk))))
     }
 
     fn is_end_stream(&self) -> bool {
-        self.left.is_empty()
+        self.remaining.is_empty()
     }
 
     fn size_hint(&self) -> SizeHint {
@@ -82,14 +82,14 @@
 
 /// Connections that have asked nothing, oldest first.
 #[derive(Default)]
-struct Unheard(BTreeMap<u64, AbortHandle>);
+struct AwaitingRequest(BTreeMap<u64, AbortHandle>);
 
 /// Serves who connects, for good.
-pub async fn listen(hub: Shared, listener: TcpListener, followers: usize) {
+pub async fn listen(hub: SharedHub, listener: TcpListener, followers: usize) {
     // A follower has one connection for its watch and one for what it says, and asks for the whole over a
     // third.
-    let most = followers.saturating_mul(3).saturating_add(UNHEARD);
-    let unheard: Rc<RefCell<Unheard>> = Rc::default();
+    let max_connections = followers.saturating_mul(3).saturating_add(MAX_AWAITING_REQUEST);
+    let awaiting: Rc<RefCell<AwaitingRequest>> = Rc::default();
     let mut open = JoinSet::new();
     let mut next = 0_u64;
     loop {
@@ -97,19 +97,19 @@
             accepted = listener.accept() => match accepted {
                 Ok((stream, from)) => {
                     // Guards against thousands that connect and ask nothing.
-                    let full = unheard.borrow().0.len() >= UNHEARD || open.len() >= most;
+                    let full = awaiting.borrow().0.len() >= MAX_AWAITING_REQUEST || open.len() >= max_connections;
                     if full {
-                        if let Some((_, oldest)) = unheard.borrow_mut().0.pop_first() {
+                        if let Some((_, oldest)) = awaiting.borrow_mut().0.pop_first() {
                             oldest.abort();
                         }
                     }
-                    if open.len() >= most + UNHEARD {
+                    if open.len() >= max_connections + MAX_AWAITING_REQUEST {
                         continue;
                     }
                     next += 1;
-                    let task = connection(hub.clone(), unheard.clone(), next, stream, from.ip());
+                    let task = connection(hub.clone(), awaiting.clone(), next, stream, from.ip());
                     let task = open.spawn_local(task);
-                    unheard.borrow_mut().0.insert(next, task);
+                    awaiting.borrow_mut().0.insert(next, task);
                 }
                 Err(_) => sleep(Duration::from_millis(10)).await,
             },
@@ -119,10 +119,16 @@
     }
 }
 
-async fn connection(hub: Shared, unheard: Rc<RefCell<Unheard>>, id: u64, stream: TcpStream, from: IpAddr) {
-    struct Gone(Rc<RefCell<Unheard>>, u64);
+async fn connection(
+    hub: SharedHub,
+    awaiting: Rc<RefCell<AwaitingRequest>>,
+    id: u64,
+    stream: TcpStream,
+    from: IpAddr,
+) {
+    struct RemoveOnDrop(Rc<RefCell<AwaitingRequest>>, u64);
 
-    impl Drop for Gone {
+    impl Drop for RemoveOnDrop {
         fn drop(&mut self) {
             self.0.borrow_mut().0.remove(&self.1);
         }
@@ -130,42 +136,42 @@
 
     let _ = stream.set_nodelay(true);
     let socket = socket2::SockRef::from(&stream);
-    let _ = socket.set_send_buffer_size(SYSTEM);
-    let gone = Gone(unheard, id);
+    let _ = socket.set_send_buffer_size(SOCKET_BUFFER_BYTES);
+    let guard = RemoveOnDrop(awaiting, id);
     // Its watches end with it.
     let watches: Rc<RefCell<JoinSet<()>>> = Rc::default();
     let service = service_fn(|request| {
-        gone.0.borrow_mut().0.remove(&id);
-        let reply = answer(&hub, &watches, from, &request);
+        guard.0.borrow_mut().0.remove(&id);
+        let reply = handle_request(&hub, &watches, from, &request);
         async move { Ok::<_, Infallible>(reply) }
     });
     let mut server = http1::Builder::new();
-    server.timer(TokioTimer::new()).header_read_timeout(HEAD).max_buf_size(BUFFER);
-    let _ = server.serve_connection(TokioIo::new(Paced::new(stream)), service).await;
+    server.timer(TokioTimer::new()).header_read_timeout(HEAD_TIMEOUT).max_buf_size(BUFFER_BYTES);
+    let _ = server.serve_connection(TokioIo::new(StallTimeout::new(stream)), service).await;
 }
 
-fn plain(status: StatusCode, body: impl Into<Bytes>) -> Reply {
+fn respond(status: StatusCode, body: impl Into<Bytes>) -> Reply {
     let mut reply = Response::new(Full::new(body.into()).boxed());
     *reply.status_mut() = status;
     reply
 }
 
 /// A word of the query, as it stands.
-fn word<'a>(query: &'a str, name: &str) -> Option<&'a str> {
+fn query_param<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
 }
 
 /// The content hash of a query, as it is written there: in hexadecimal digits.
 fn content_hash(query: &str) -> Option<u64> {
-    u64::from_str_radix(word(query, "hash")?, 16).ok()
+    u64::from_str_radix(query_param(query, "hash")?, 16).ok()
 }
 
-fn number(query: &str, name: &str) -> Option<u64> {
-    word(query, name)?.parse().ok()
+fn numeric_param(query: &str, name: &str) -> Option<u64> {
+    query_param(query, name)?.parse().ok()
 }
 
 /// Text of a query as it was before it was quoted; `None`: it was not, or is no text.
-fn unquoted(word: &str) -> Option<String> {
+fn percent_decode(word: &str) -> Option<String> {
     let (mut bytes, mut rest) = (Vec::new(), word.as_bytes());
     while let Some((&first, after)) = rest.split_first() {
         rest = after;
@@ -181,7 +187,7 @@
 }
 
 /// Partition numbers and ranges with a comma between: `3,5-9`. Errors: what is wrong, in words.
-fn partitions(text: &str, count: u32) -> Result<HashSet<u32>, String> {
+fn parse_partitions(text: &str, count: u32) -> Result<HashSet<u32>, String> {
     let mut asked = HashSet::new();
     for piece in text.split(',') {
         let one = |text: &str| text.parse::<u32>().ok().filter(|&p| p < count);
@@ -197,54 +203,55 @@
     Ok(asked)
 }
 
-fn answer(
-    hub: &Shared,
+fn handle_request(
+    hub: &SharedHub,
     watches: &Rc<RefCell<JoinSet<()>>>,
     from: IpAddr,
     request: &Request<Incoming>,
 ) -> Reply {
     let query = request.uri().query().unwrap_or_default();
     if request.method() != Method::GET {
-        return plain(StatusCode::METHOD_NOT_ALLOWED, "");
+        return respond(StatusCode::METHOD_NOT_ALLOWED, "");
     }
     match request.uri().path() {
-        "/catalog/members" => list(hub, watches, from, query),
-        HELD => {
+        "/catalog/members" => serve_list(hub, watches, from, query),
+        HELD_PATH => {
             let mut hub = hub.borrow_mut();
-            let name = word(query, "name").and_then(unquoted).unwrap_or_default();
+            let name = query_param(query, "name").and_then(percent_decode).unwrap_or_default();
             let version = Version {
-                epoch: number(query, "epoch").unwrap_or(0),
-                index: number(query, "index").unwrap_or(0),
+                epoch: numeric_param(query, "epoch").unwrap_or(0),
+                index: numeric_param(query, "index").unwrap_or(0),
             };
-            hub.state(&name, version, from);
+            hub.record_report(&name, version, from);
             match hub.held() {
-                Some(held) => plain(StatusCode::OK, serde_json::to_vec(&held).unwrap_or_default()),
-                None => plain(StatusCode::SERVICE_UNAVAILABLE, "no list is held yet\n"),
+                Some(held) => respond(StatusCode::OK, serde_json::to_vec(&held).unwrap_or_default()),
+                None => respond(StatusCode::SERVICE_UNAVAILABLE, "no list is held yet\n"),
             }
         }
         status::PATH => {
             let status = status::Status::of(&hub.borrow());
-            plain(StatusCode::OK, serde_json::to_vec(&status).unwrap_or_default())
+            respond(StatusCode::OK, serde_json::to_vec(&status).unwrap_or_default())
         }
-        _ => plain(StatusCode::NOT_FOUND, ""),
+        _ => respond(StatusCode::NOT_FOUND, ""),
     }
 }
 
-fn list(hub: &Shared, watches: &Rc<RefCell<JoinSet<()>>>, from: IpAddr, query: &str) -> Reply {
-    let mut held = hub.borrow_mut();
-    let count = held.store.partitions().len() as u32;
-    let of = match word(query, "partition").map(|text| partitions(text, count)).transpose() {
-        Ok(of) => of,
-        Err(words) => return plain(StatusCode::BAD_REQUEST, words),
+fn serve_list(hub: &SharedHub, watches: &Rc<RefCell<JoinSet<()>>>, from: IpAddr, query: &str) -> Reply {
+    let mut state = hub.borrow_mut();
+    let count = state.store.partitions().len() as u32;
+    let selected = match query_param(query, "partition").map(|text| parse_partitions(text, count)).transpose()
+    {
+        Ok(selected) => selected,
+        Err(words) => return respond(StatusCode::BAD_REQUEST, words),
     };
-    if held.store.version().is_none() {
-        return plain(StatusCode::SERVICE_UNAVAILABLE, "no list is held yet\n");
+    if state.store.version().is_none() {
+        return respond(StatusCode::SERVICE_UNAVAILABLE, "no list is held yet\n");
     }
-    let age = held.age() / 10_000;
-    let mut reply = if word(query, "watch") == Some("1") {
-        let after = number(query, "after").unwrap_or(0);
-        let Some(id) = held.open_watch(from, after) else {
-            return plain(StatusCode::SERVICE_UNAVAILABLE, "too many follow already\n");
+    let age = state.age() / 10_000;
+    let mut reply = if query_param(query, "watch") == Some("1") {
+        let after = numeric_param(query, "after").unwrap_or(0);
+        let Some(id) = state.open_watch(from, after) else {
+            return respond(StatusCode::SERVICE_UNAVAILABLE, "too many follow already\n");
         };
         let (lines, body) = Channel::new(1);
         let mut watches = watches.borrow_mut();
@@ -252,27 +259,29 @@
         while watches.try_join_next().is_some() {}
         // Who says what it holds is told only what has changed since, or else all of it.
         let position = match content_hash(query) {
-            Some(hash) => held.store.step_at_content(after, hash),
-            None => held.store.step_at_index(after),
+            Some(hash) => state.store.step_at_content(after, hash),
+            None => state.store.step_at_index(after),
         };
-        let open = Open { hub: hub.clone(), id };
-        watches.spawn_local(watch(open, (after, position), of, lines));
+        let open = OpenWatch { hub: hub.clone(), id };
+        watches.spawn_local(run_watch(open, (after, position), selected, lines));
         Response::new(body.boxed())
     } else {
-        let Some((pieces, _)) = held.whole(of.as_ref()) else { return plain(StatusCode::NOT_FOUND, "") };
-        Response::new(Pieces::new(pieces).boxed())
+        let Some((chunks, _)) = state.snapshot(selected.as_ref()) else {
+            return respond(StatusCode::NOT_FOUND, "");
+        };
+        Response::new(SharedChunks::new(chunks).boxed())
     };
     reply.headers_mut().insert(AGE, age.into());
     reply
 }
 
 /// A watch, counted for as long as it lasts.
-struct Open {
-    hub: Shared,
+struct OpenWatch {
+    hub: SharedHub,
     id: u64,
 }
 
-impl Drop for Open {
+impl Drop for OpenWatch {
     fn drop(&mut self) {
         self.hub.borrow_mut().watches.remove(&self.id);
     }
@@ -280,7 +289,12 @@
 
 /// `after`: the index that the follower holds, and the step at which it was held here. As the agent does: who is up to
 /// date is told nothing, who knows another truth all of it.
-async fn watch(open: Open, after: (u64, Option<u64>), of: Option<HashSet<u32>>, mut lines: Sender<Bytes>) {
+async fn run_watch(
+    open: OpenWatch,
+    after: (u64, Option<u64>),
+    selected: Option<HashSet<u32>>,
+    mut lines: Sender<Bytes>,
+) {
     let mut steps = open.hub.borrow().step.subscribe();
     let ((mut index, mut at), mut first) = (after, true);
     loop {
@@ -289,31 +303,31 @@
             let mut hub = open.hub.borrow_mut();
             let step = hub.store.step();
             let nothing = at == Some(step);
-            (if nothing { Next::Nothing } else { hub.next(at, index, first, of.as_ref()) }, step)
+            (if nothing { Next::Nothing } else { hub.next_update(at, index, first, selected.as_ref()) }, step)
         };
-        let (pieces, told) = match next {
+        let (chunks, sent) = match next {
             Next::Nothing => (Vec::new(), None),
-            Next::Anew => return,
-            Next::Line(line, told) => (vec![line], Some(told)),
-            Next::Whole(pieces, told) => (pieces, Some(told)),
+            Next::Reconnect => return,
+            Next::Changes(line, sent) => (vec![line], Some(sent)),
+            Next::Snapshot(chunks, sent) => (chunks, Some(sent)),
         };
-        for piece in pieces {
-            if !matches!(timeout(STALL, lines.send_data(piece)).await, Ok(Ok(()))) {
+        for chunk in chunks {
+            if !matches!(timeout(STALL_TIMEOUT, lines.send_data(chunk)).await, Ok(Ok(()))) {
                 return;
             }
         }
         at = Some(step);
-        if let Some(told) = told {
-            (index, first) = (told, false);
+        if let Some(sent) = sent {
+            (index, first) = (sent, false);
             if let Some(watch) = open.hub.borrow_mut().watches.get_mut(&open.id) {
-                watch.told = told;
+                watch.sent = sent;
             }
         }
         tokio::select! {
             changed = steps.changed() => if changed.is_err() { return },
-            () = sleep(TURN) => {
+            () = sleep(KEEPALIVE_INTERVAL) => {
                 let line = Bytes::from_static(b"\n");
-                if !matches!(timeout(STALL, lines.send_data(line)).await, Ok(Ok(()))) {
+                if !matches!(timeout(STALL_TIMEOUT, lines.send_data(line)).await, Ok(Ok(()))) {
                     return;
                 }
             }
--- a/crates/courier/src/relay/paced.rs
+++ b/crates/courier/src/relay/stall_timeout.rs
@@ -9,40 +9,40 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{sleep, Sleep};
 
-/// For so long a connection with something to take may take less than `ENOUGH`.
-pub const STALL: Duration = Duration::from_secs(10);
-const ENOUGH: usize = 64 * 1024;
+/// For so long a connection with something to take may take less than `MIN_PROGRESS_BYTES`.
+pub const STALL_TIMEOUT: Duration = Duration::from_secs(10);
+const MIN_PROGRESS_BYTES: usize = 64 * 1024;
 
-pub struct Paced<S> {
+pub struct StallTimeout<S> {
     inner: S,
     /// Runs while something waits to be taken.
-    stalls: Option<Pin<Box<Sleep>>>,
-    taken: usize,
+    deadline: Option<Pin<Box<Sleep>>>,
+    written: usize,
 }
 
-impl<S> Paced<S> {
-    pub fn new(inner: S) -> Paced<S> {
-        Paced { inner, stalls: None, taken: 0 }
+impl<S> StallTimeout<S> {
+    pub fn new(inner: S) -> StallTimeout<S> {
+        StallTimeout { inner, deadline: None, written: 0 }
     }
 
-    fn judge(
+    fn check_progress(
         &mut self,
         cx: &mut Context<'_>,
-        wrote: Poll<io::Result<usize>>,
-        wanted: usize,
+        result: Poll<io::Result<usize>>,
+        offered: usize,
     ) -> Poll<io::Result<usize>> {
-        match wrote {
+        match result {
             Poll::Ready(Ok(count)) => {
-                self.taken += count;
-                if count == wanted || self.taken >= ENOUGH {
-                    (self.stalls, self.taken) = (None, 0);
+                self.written += count;
+                if count == offered || self.written >= MIN_PROGRESS_BYTES {
+                    (self.deadline, self.written) = (None, 0);
                 }
                 Poll::Ready(Ok(count))
             }
             Poll::Ready(Err(e)) => Poll::Ready(Err(e)),
             Poll::Pending => {
-                let stalls = self.stalls.get_or_insert_with(|| Box::pin(sleep(STALL)));
-                match stalls.as_mut().poll(cx) {
+                let deadline = self.deadline.get_or_insert_with(|| Box::pin(sleep(STALL_TIMEOUT)));
+                match deadline.as_mut().poll(cx) {
                     Poll::Ready(()) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
                     Poll::Pending => Poll::Pending,
                 }
@@ -51,7 +51,7 @@
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Paced<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for StallTimeout<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -61,10 +61,10 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Paced<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for StallTimeout<S> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        let wrote = Pin::new(&mut self.inner).poll_write(cx, bytes);
-        self.judge(cx, wrote, bytes.len())
+        let result = Pin::new(&mut self.inner).poll_write(cx, bytes);
+        self.check_progress(cx, result, bytes.len())
     }
 
     fn poll_write_vectored(
@@ -72,8 +72,8 @@
         cx: &mut Context<'_>,
         pieces: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let wrote = Pin::new(&mut self.inner).poll_write_vectored(cx, pieces);
-        self.judge(cx, wrote, pieces.iter().map(|piece| piece.len()).sum())
+        let result = Pin::new(&mut self.inner).poll_write_vectored(cx, pieces);
+        self.check_progress(cx, result, pieces.iter().map(|piece| piece.len()).sum())
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/courier/src/relay/status.rs
+++ b/crates/courier/src/relay/status.rs
@@ -17,10 +17,10 @@
 
 pub const PATH: &str = "/relay/status";
 /// An answer may take so long, and so many bytes.
-const PATIENCE: Duration = Duration::from_secs(5);
-const MOST: usize = 32 << 20;
+const QUERY_TIMEOUT: Duration = Duration::from_secs(5);
+const MAX_RESPONSE_BYTES: usize = 32 << 20;
 /// Of those who are behind so many are named.
-const NAMED: usize = 20;
+const MAX_LISTED: usize = 20;
 
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Status {
@@ -61,18 +61,18 @@
     pub fn of(hub: &Hub) -> Status {
         let now = hub.clock.now();
         let ms = |at| now.saturating_sub(at) / 10;
-        let followers = hub.stated().map(|(name, stated)| Follower {
+        let followers = hub.recent_reports().map(|(name, report)| Follower {
             name: name.clone(),
-            from: stated.from.to_string(),
-            epoch: stated.version.epoch,
-            index: stated.version.index,
-            behind_ms: stated.behind.map(|(_, since)| ms(since)),
-            said_ms: ms(stated.at),
+            from: report.from.to_string(),
+            epoch: report.version.epoch,
+            index: report.version.index,
+            behind_ms: report.behind.map(|(_, since)| ms(since)),
+            said_ms: ms(report.at),
         });
         let watches = hub.watches.values().map(|watch| Watch {
             from: watch.from.to_string(),
-            asked_after: watch.asked,
-            told: watch.told,
+            asked_after: watch.asked_after,
+            told: watch.sent,
             open_ms: ms(watch.since),
         });
         Status {
@@ -104,13 +104,13 @@
         behind.sort_by_key(|follower| std::cmp::Reverse(follower.behind_ms));
         let (m, n) = (self.followers.len(), self.followers.len() - behind.len());
         writeln!(f, "in force at {n} of {m} that state what they hold")?;
-        for follower in behind.iter().take(NAMED) {
+        for follower in behind.iter().take(MAX_LISTED) {
             let since = follower.behind_ms.unwrap_or_default() as f64 / 1000.0;
             let Follower { name, from, epoch, index, .. } = follower;
             writeln!(f, "  {name} at {from} holds epoch {epoch} index {index}, behind for {since:.1} s")?;
         }
-        if behind.len() > NAMED {
-            writeln!(f, "  and {} more", behind.len() - NAMED)?;
+        if behind.len() > MAX_LISTED {
+            writeln!(f, "  and {} more", behind.len() - MAX_LISTED)?;
         }
         let told = self.watches.iter().filter(|watch| watch.told == held.index).count();
         writeln!(
@@ -119,7 +119,7 @@
             self.watches.len()
         )?;
         let late = self.watches.iter().filter(|watch| watch.told != held.index);
-        for watch in late.take(NAMED) {
+        for watch in late.take(MAX_LISTED) {
             let (since, Watch { from, asked_after, told, .. }) = (watch.open_ms as f64 / 1000.0, watch);
             writeln!(f, "  {from} asked after {asked_after} {since:.1} s ago, written up to {told}")?;
         }
@@ -131,16 +131,19 @@
 ///
 /// # Errors
 /// Nobody is there, or what answers is no relay.
-pub async fn ask(address: SocketAddr) -> io::Result<Status> {
-    let asked = async {
+pub async fn fetch(address: SocketAddr) -> io::Result<Status> {
+    let response = async {
         let mut connection = Connection::open(address).await?;
         let request = Request::get(PATH).body(Full::default()).map_err(io::Error::other)?;
-        let answer = connection.send(request).await?;
-        if answer.status() != StatusCode::OK {
-            return Err(io::Error::other(format!("it answers {}", answer.status().as_u16())));
+        let response = connection.send(request).await?;
+        if response.status() != StatusCode::OK {
+            return Err(io::Error::other(format!("it answers {}", response.status().as_u16())));
         }
-        let body = Limited::new(answer.into_body(), MOST).collect().await.map_err(io::Error::other)?;
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
+            .collect()
+            .await
+            .map_err(io::Error::other)?;
         Ok(serde_json::from_slice(&body.to_bytes())?)
     };
-    timeout(PATIENCE, asked).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
+    timeout(QUERY_TIMEOUT, response).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
--- a/crates/courier/src/relays.rs
+++ b/crates/courier/src/relays.rs
@@ -29,10 +29,10 @@
 use crate::reader::Limits;
 
 /// Relays that a configuration may name.
-pub const MOST_RELAYS: usize = 64;
+pub const MAX_RELAYS: usize = 64;
 /// Of a relay's answer on what it holds, in bytes.
-const MOST_ANSWER: usize = 4096;
-pub const HELD: &str = "/relay/held";
+const MAX_RESPONSE_BYTES: usize = 4096;
+pub const HELD_PATH: &str = "/relay/held";
 
 /// What a relay says that it holds. Fields that are not known are passed over.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
@@ -55,64 +55,64 @@
 }
 
 /// Who holds a list that comes by relays.
-pub trait Holder: Listener {
+pub trait VersionedListener: Listener {
     /// The version that is held.
     fn held(&self) -> Option<Version>;
 
     /// From here on lists come from another relay, or under another epoch: what changes after this index, or whole.
-    fn comes(&mut self, epoch: u64, after: Option<u64>);
+    fn set_source(&mut self, epoch: u64, after: Option<u64>);
 
     /// Whether something is missing that only a whole list brings; asked once.
-    fn wants_whole(&mut self) -> bool;
+    fn take_snapshot_request(&mut self) -> bool;
 }
 
 /// What was heard of the list since it comes from where it does, for whoever holds it by versions.
 #[derive(Debug, Default)]
-pub struct Heard {
+pub struct SourceState {
     pub epoch: u64,
     /// The version last heard from there.
-    index: Option<u64>,
-    pub wants_whole: bool,
+    last_index: Option<u64>,
+    pub needs_snapshot: bool,
 }
 
-impl Heard {
+impl SourceState {
     /// Lists come from elsewhere, or under another epoch: what changes after this index, or whole.
-    pub fn comes(&mut self, epoch: u64, after: Option<u64>) {
-        *self = Heard { epoch, index: after, wants_whole: false };
+    pub fn reset(&mut self, epoch: u64, after: Option<u64>) {
+        *self = SourceState { epoch, last_index: after, needs_snapshot: false };
     }
 
     /// What a list offers that has come.
     pub fn offer(&mut self, list: &Update) -> Offer {
-        let heard = self.index.replace(list.index);
+        let last = self.last_index.replace(list.index);
         let version = Version { epoch: self.epoch, index: list.index };
         // Changes of which nothing went before cannot be told from a part of them.
-        let after = if list.whole { None } else { Some(heard.unwrap_or(list.index)) };
+        let after = if list.whole { None } else { Some(last.unwrap_or(list.index)) };
         Offer { version, after }
     }
 }
 
 /// Stands before a courier's exchange, and passes on what is no older than what was held.
-pub struct Guard<L> {
+pub struct VersionFilter<L> {
     inner: Rc<RefCell<L>>,
     versions: Versions,
-    heard: Heard,
+    source: SourceState,
     content: ContentHash,
     /// A whole list was taken, so that the content hash is that of all that is held.
-    is_whole: bool,
+    has_snapshot: bool,
 }
 
-impl<L: Listener> Guard<L> {
+impl<L: Listener> VersionFilter<L> {
     /// `index`: the version held at the start, 0: none.
-    pub fn new(inner: Rc<RefCell<L>>, index: u64) -> Guard<L> {
+    pub fn new(inner: Rc<RefCell<L>>, index: u64) -> VersionFilter<L> {
         let held = (index > 0).then_some(Version { epoch: 0, index });
-        let (heard, content) = (Heard::default(), ContentHash::default());
-        Guard { inner, versions: Versions::new(held), heard, content, is_whole: false }
+        let (source, content) = (SourceState::default(), ContentHash::default());
+        VersionFilter { inner, versions: Versions::new(held), source, content, has_snapshot: false }
     }
 
-    fn note_content(&mut self, list: &Update) {
+    fn update_content_hash(&mut self, list: &Update) {
         if list.whole {
             self.content.clear();
-            self.is_whole = true;
+            self.has_snapshot = true;
         }
         for entry in list.entries.iter() {
             match entry.endpoint_status() {
@@ -125,15 +125,15 @@
     }
 }
 
-impl<L: Listener> Listener for Guard<L> {
+impl<L: Listener> Listener for VersionFilter<L> {
     fn apply_update(&mut self, list: &Update) {
-        let offer = self.heard.offer(list);
+        let offer = self.source.offer(list);
         match self.versions.apply(&offer, Vec::new()) {
             Verdict::Apply => {
-                self.note_content(list);
+                self.update_content_hash(list);
                 self.inner.borrow_mut().apply_update(list);
             }
-            Verdict::RequestSnapshot => self.heard.wants_whole = true,
+            Verdict::RequestSnapshot => self.source.needs_snapshot = true,
             Verdict::Ignore | Verdict::Reject(_) => {
                 let version = offer.version;
                 log::debug!("a relay's list {version:?} is from before {:?}", self.versions.held());
@@ -154,22 +154,22 @@
     }
 
     fn held_content(&self) -> Option<Content> {
-        let version = self.versions.held().filter(|_| self.is_whole)?;
+        let version = self.versions.held().filter(|_| self.has_snapshot)?;
         Some(Content { index: version.index, hash: self.content.value() })
     }
 }
 
-impl<L: Listener> Holder for Guard<L> {
+impl<L: Listener> VersionedListener for VersionFilter<L> {
     fn held(&self) -> Option<Version> {
         self.versions.held()
     }
 
-    fn comes(&mut self, epoch: u64, after: Option<u64>) {
-        self.heard.comes(epoch, after);
+    fn set_source(&mut self, epoch: u64, after: Option<u64>) {
+        self.source.reset(epoch, after);
     }
 
-    fn wants_whole(&mut self) -> bool {
-        std::mem::take(&mut self.heard.wants_whole)
+    fn take_snapshot_request(&mut self) -> bool {
+        std::mem::take(&mut self.source.needs_snapshot)
     }
 }
 
@@ -182,24 +182,24 @@
     index: u64,
     limits: (Limits, u64),
 ) -> impl Future<Output = ()> {
-    follow(Rc::new(RefCell::new(Guard::new(listener, index))), clock, name, relays, limits)
+    follow(Rc::new(RefCell::new(VersionFilter::new(listener, index))), clock, name, relays, limits)
 }
 
 /// Text as a word of a query.
-fn quoted(text: &str) -> String {
-    let mut quoted = String::new();
+fn percent_encode(text: &str) -> String {
+    let mut encoded = String::new();
     for byte in text.bytes() {
         if byte.is_ascii_alphanumeric() || b"-._".contains(&byte) {
-            quoted.push(char::from(byte));
+            encoded.push(char::from(byte));
         } else {
-            let _ = write!(quoted, "%{byte:02x}");
+            let _ = write!(encoded, "%{byte:02x}");
         }
     }
-    quoted
+    encoded
 }
 
 /// Asks one relay once, over the connection that is there if it can be used.
-async fn ask(
+async fn query(
     connection: Option<Connection>,
     address: SocketAddr,
     path: String,
@@ -209,36 +209,37 @@
         None => Connection::open(address).await?,
     };
     let request = Request::get(path).body(Full::default()).map_err(io::Error::other)?;
-    let answer = connection.send(request).await?;
-    if answer.status() != StatusCode::OK {
-        return Err(io::Error::other(format!("the relay answers {}", answer.status().as_u16())));
+    let response = connection.send(request).await?;
+    if response.status() != StatusCode::OK {
+        return Err(io::Error::other(format!("the relay answers {}", response.status().as_u16())));
     }
-    let body = Limited::new(answer.into_body(), MOST_ANSWER).collect().await.map_err(io::Error::other)?;
+    let body =
+        Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await.map_err(io::Error::other)?;
     let held = serde_json::from_slice(&body.to_bytes())?;
     Ok((connection, held))
 }
 
-type Asking = Pin<Box<dyn Future<Output = io::Result<(Connection, Held)>>>>;
+type PendingQuery = Pin<Box<dyn Future<Output = io::Result<(Connection, Held)>>>>;
 
-struct Feeder<H> {
-    holder: Rc<RefCell<H>>,
+struct RelayFollower<H> {
+    listener: Rc<RefCell<H>>,
     clock: Clock,
     name: String,
     relays: Vec<SocketAddr>,
     choice: Choice,
-    chance: fastrand::Rng,
+    rng: fastrand::Rng,
     /// The relay that is asked now, and its answer to come.
-    asking: Option<(usize, Asking)>,
+    pending: Option<(usize, PendingQuery)>,
     /// A connection to the one that was asked last and answered.
-    kept: Option<(usize, Connection)>,
+    idle_connection: Option<(usize, Connection)>,
     /// What is followed now, and when something of it was heard last.
-    route: Option<Route>,
+    subscription: Option<Subscription>,
     last_heard: LastHeard,
 }
 
 /// Where the list is followed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Route {
+struct Subscription {
     relay: usize,
     /// What the relay was said to speak of.
     epoch: u64,
@@ -246,27 +247,31 @@
     from: Option<Content>,
 }
 
-impl<H: Holder> Feeder<H> {
-    fn ask(&mut self, relay: usize) {
-        let held = self.holder.borrow().held();
-        let mut path = format!("{HELD}?name={}", quoted(&self.name));
+impl<H: VersionedListener> RelayFollower<H> {
+    fn query(&mut self, relay: usize) {
+        let held = self.listener.borrow().held();
+        let mut path = format!("{HELD_PATH}?name={}", percent_encode(&self.name));
         if let Some(Version { epoch, index }) = held {
             let _ = write!(path, "&epoch={epoch}&index={index}");
         }
         // A try at another relay leaves the connection to the one that is followed.
-        let kept = match self.kept.take() {
+        let reusable = match self.idle_connection.take() {
             Some((of, connection)) if of == relay => Some(connection),
             other => {
-                self.kept = other;
+                self.idle_connection = other;
                 None
             }
         };
-        self.asking = Some((relay, Box::pin(ask(kept, self.relays[relay], path))));
+        self.pending = Some((relay, Box::pin(query(reusable, self.relays[relay], path))));
     }
 
     /// What an answer means to the choice.
-    fn read(&mut self, relay: usize, answer: io::Result<(Connection, Held)>) -> (Input, Option<Held>) {
-        let (connection, held) = match answer {
+    fn handle_response(
+        &mut self,
+        relay: usize,
+        response: io::Result<(Connection, Held)>,
+    ) -> (Input, Option<Held>) {
+        let (connection, held) = match response {
             Ok(answered) => answered,
             Err(e) => {
                 log::debug!("relay {}: {e}", self.relays[relay]);
@@ -274,45 +279,49 @@
             }
         };
         let version = Version { epoch: held.epoch, index: held.index };
-        self.kept = Some((relay, connection));
+        self.idle_connection = Some((relay, connection));
         (Input::Answered(version), Some(held))
     }
 
     /// Follows the list at a relay that has said what it holds, from the held content if that can be checked there.
-    fn move_to(&mut self, relay: usize, said: &Held) -> Option<Route> {
-        let version = Version { epoch: said.epoch, index: said.index };
-        let held = self.holder.borrow().held();
+    fn subscribe_after_query(&mut self, relay: usize, reported: &Held) -> Option<Subscription> {
+        let version = Version { epoch: reported.epoch, index: reported.index };
+        let held = self.listener.borrow().held();
         // A relay that is behind, or of another epoch, has nothing to go on from.
-        let resumes = said.resumes
+        let resumes = reported.resumes
             && held.is_some_and(|held| held.epoch == version.epoch && held.index <= version.index);
-        let from = self.holder.borrow().held_content().filter(|_| resumes);
-        self.follow_at(Route { relay, epoch: said.epoch, from })
+        let from = self.listener.borrow().held_content().filter(|_| resumes);
+        self.subscribe(Subscription { relay, epoch: reported.epoch, from })
     }
 
-    fn follow_at(&mut self, route: Route) -> Option<Route> {
+    fn subscribe(&mut self, subscription: Subscription) -> Option<Subscription> {
         self.last_heard = LastHeard::default();
-        self.holder.borrow_mut().comes(route.epoch, route.from.map(|content| content.index));
-        self.route = Some(route);
-        self.route
+        self.listener
+            .borrow_mut()
+            .set_source(subscription.epoch, subscription.from.map(|content| content.index));
+        self.subscription = Some(subscription);
+        self.subscription
     }
 
     /// Whether this is followed already, and heard.
-    fn is_heard_from(&self, relay: usize, epoch: u64) -> bool {
-        let same = self.route.is_some_and(|route| route.relay == relay && route.epoch == epoch);
+    fn is_subscribed(&self, relay: usize, epoch: u64) -> bool {
+        let same = self
+            .subscription
+            .is_some_and(|subscription| subscription.relay == relay && subscription.epoch == epoch);
         same && self.last_heard.is_recent(self.clock.now())
     }
 
     /// One input to the choice; says where the list is to be followed anew, if it is.
-    async fn turn(&mut self) -> Option<Route> {
+    async fn next_subscription(&mut self) -> Option<Subscription> {
         let due = self.clock.instant(self.choice.due());
-        let (input, said, asked) = match &mut self.asking {
-            Some((relay, asking)) => {
+        let (input, reported, queried) = match &mut self.pending {
+            Some((relay, pending)) => {
                 let relay = *relay;
                 tokio::select! {
-                    answer = asking => {
-                        self.asking = None;
-                        let (input, said) = self.read(relay, answer);
-                        (input, said, relay)
+                    response = pending => {
+                        self.pending = None;
+                        let (input, reported) = self.handle_response(relay, response);
+                        (input, reported, relay)
                     }
                     () = sleep_until(due.into()) => (Input::Due, None, relay),
                 }
@@ -322,32 +331,37 @@
                 (Input::Due, None, 0)
             }
         };
-        let (now, held) = (self.clock.now(), self.holder.borrow().held());
+        let (now, held) = (self.clock.now(), self.listener.borrow().held());
         if input == Input::Due && now >= self.choice.due() {
             // Where one is out its time is up.
-            self.asking = None;
+            self.pending = None;
         }
         let before = self.choice.followed();
         let is_unanswered = matches!(input, Input::Due | Input::Failed) && self.choice.is_checking();
         let input =
             if is_unanswered && self.last_heard.is_recent(now) { Input::FailedButAlive } else { input };
-        let effect = self.choice.handle(now, input, held, self.chance.f64());
+        let effect = self.choice.handle(now, input, held, self.rng.f64());
         let followed = self.choice.followed();
         if let (Some(relay), None) = (before, followed) {
             log::warn!("relay {} is lost or behind: another is asked", self.relays[relay]);
         }
-        match (effect, said) {
-            (Effect::Query(relay), _) => self.ask(relay),
-            (Effect::Follow(relay), Some(said)) if !self.is_heard_from(relay, said.epoch) => {
+        match (effect, reported) {
+            (Effect::Query(relay), _) => self.query(relay),
+            (Effect::Follow(relay), Some(reported)) if !self.is_subscribed(relay, reported.epoch) => {
                 log::info!("the list is followed at relay {}", self.relays[relay]);
-                return self.move_to(relay, &said);
+                return self.subscribe_after_query(relay, &reported);
             }
             // The same relay counts anew, or a part is missing: all of it again.
-            (_, Some(said)) if followed == Some(asked) => {
-                let wants = self.holder.borrow_mut().wants_whole();
-                let is_other = self.route.is_none_or(|route| route.epoch != said.epoch);
-                if is_other || wants {
-                    return self.follow_at(Route { relay: asked, epoch: said.epoch, from: None });
+            (_, Some(reported)) if followed == Some(queried) => {
+                let needs_snapshot = self.listener.borrow_mut().take_snapshot_request();
+                let is_new_epoch =
+                    self.subscription.is_none_or(|subscription| subscription.epoch != reported.epoch);
+                if is_new_epoch || needs_snapshot {
+                    return self.subscribe(Subscription {
+                        relay: queried,
+                        epoch: reported.epoch,
+                        from: None,
+                    });
                 }
             }
             _ => {}
@@ -357,8 +371,8 @@
 }
 
 /// Follows the list at the relay that the choice names, for good.
-pub async fn follow<H: Holder + 'static>(
-    holder: Rc<RefCell<H>>,
+pub async fn follow<H: VersionedListener + 'static>(
+    listener: Rc<RefCell<H>>,
     clock: Clock,
     name: String,
     relays: Vec<SocketAddr>,
@@ -368,23 +382,23 @@
     let seed = seed ^ u64::from(crc32fast::hash(name.as_bytes()));
     let by_address: Vec<(String, f64)> = relays.iter().map(|relay| (relay.to_string(), 1.0)).collect();
     let choice = Choice::new(rank_relays(&name, &by_address), clock.now());
-    let mut feeder = Feeder {
-        holder: holder.clone(),
+    let mut relay_follower = RelayFollower {
+        listener: listener.clone(),
         clock,
         name,
         relays,
         choice,
-        chance: fastrand::Rng::with_seed(seed ^ 0x5eed),
-        asking: None,
-        kept: None,
-        route: None,
+        rng: fastrand::Rng::with_seed(seed ^ 0x5eed),
+        pending: None,
+        idle_connection: None,
+        subscription: None,
         last_heard: LastHeard::default(),
     };
     // Asked for as where asks are priced: many follow one relay. Begun anew with each relay and epoch.
     let mut following: Option<Pin<Box<dyn Future<Output = ()>>>> = None;
     loop {
         let to = {
-            let turn = feeder.turn();
+            let next_subscription = relay_follower.next_subscription();
             let followed = async {
                 match &mut following {
                     Some(following) => following.await,
@@ -392,17 +406,17 @@
                 }
             };
             tokio::select! {
-                to = turn => to,
+                to = next_subscription => to,
                 // It never ends.
                 () = followed => return,
             }
         };
-        if let Some(Route { relay, from, .. }) = to {
-            let (_, address) = watch::channel(feeder.relays[relay]);
-            let last_heard = feeder.last_heard.clone();
-            let follower =
-                discovery::follow_relay(holder.clone(), clock, address, from, last_heard, (limits, seed));
-            following = Some(Box::pin(follower));
+        if let Some(Subscription { relay, from, .. }) = to {
+            let (_, address) = watch::channel(relay_follower.relays[relay]);
+            let last_heard = relay_follower.last_heard.clone();
+            let list_follower =
+                discovery::follow_relay(listener.clone(), clock, address, from, last_heard, (limits, seed));
+            following = Some(Box::pin(list_follower));
         }
     }
 }
--- a/crates/courier/tests/relay.rs
+++ b/crates/courier/tests/relay.rs
@@ -19,7 +19,7 @@
 use serde_json::{json, Value};
 
 /// A change is in force everywhere within this.
-const IN_FORCE: Duration = Duration::from_secs(7);
+const IN_FORCE_LIMIT: Duration = Duration::from_secs(7);
 const LATE: &str = "d=4000";
 
 fn entry(name: &str, address: SocketAddr, destination: u64, status: &str) -> Value {
@@ -27,7 +27,7 @@
         "status": status, "weight": 1000.0, "since_ms": 0})
 }
 
-struct Book {
+struct SourceList {
     index: u64,
     /// Entries, and the version at which each last changed.
     entries: Vec<(Value, u64)>,
@@ -38,7 +38,7 @@
 /// A source that tells the published form as the platform's agent does.
 struct Source {
     address: SocketAddr,
-    book: Arc<Mutex<Book>>,
+    list: Arc<Mutex<SourceList>>,
 }
 
 impl Source {
@@ -46,8 +46,8 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let entries = entries.into_iter().map(|entry| (entry, index)).collect();
-        let book = Arc::new(Mutex::new(Book { index, entries, frozen: false }));
-        let held = book.clone();
+        let list = Arc::new(Mutex::new(SourceList { index, entries, frozen: false }));
+        let held = list.clone();
         serve(listener, move |request, out| {
             if request.target.contains("watch=1") {
                 let after =
@@ -55,48 +55,48 @@
                 return watch_source(&held, after, out);
             }
             let (status, text) = match request.target.as_str() {
-                "/catalog/members" => (200, told(&held.lock().unwrap(), None)),
+                "/catalog/members" => (200, list_json(&held.lock().unwrap(), None)),
                 _ => (404, String::new()),
             };
             write!(out, "HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n{text}", text.len()).is_ok()
         });
-        Source { address, book }
+        Source { address, list }
     }
 
     fn put(&self, entry: Value) -> u64 {
-        let mut book = self.book.lock().unwrap();
-        book.index += 1;
-        let index = book.index;
-        let gone = book.entries.iter().position(|(old, _)| old["name"] == entry["name"]);
-        match gone {
-            Some(at) => book.entries[at] = (entry, index),
-            None => book.entries.push((entry, index)),
+        let mut list = self.list.lock().unwrap();
+        list.index += 1;
+        let index = list.index;
+        let position = list.entries.iter().position(|(old, _)| old["name"] == entry["name"]);
+        match position {
+            Some(at) => list.entries[at] = (entry, index),
+            None => list.entries.push((entry, index)),
         }
         index
     }
 }
 
-fn told(book: &Book, after: Option<u64>) -> String {
+fn list_json(list: &SourceList, after: Option<u64>) -> String {
     let is_told = |(entry, changed): &&(Value, u64)| match after {
         Some(after) => *changed > after,
         None => entry["status"] != "DELETED",
     };
-    let entries: Vec<&Value> = book.entries.iter().filter(is_told).map(|(entry, _)| entry).collect();
-    json!({"index": book.index, "snapshot": after.is_none(), "endpoints": entries}).to_string()
+    let entries: Vec<&Value> = list.entries.iter().filter(is_told).map(|(entry, _)| entry).collect();
+    json!({"index": list.index, "snapshot": after.is_none(), "endpoints": entries}).to_string()
 }
 
-fn watch_source(book: &Mutex<Book>, mut after: u64, out: &mut TcpStream) -> bool {
+fn watch_source(list: &Mutex<SourceList>, mut after: u64, out: &mut TcpStream) -> bool {
     if write!(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").is_err() {
         return false;
     }
     let mut quiet = Instant::now();
     loop {
         let line = {
-            let book = book.lock().unwrap();
-            let known = Some(after).filter(|&after| after > 0 && after < book.index);
-            let news = !book.frozen && book.index != after;
-            let line = news.then(|| told(&book, known) + "\n");
-            after = if news { book.index } else { after };
+            let list = list.lock().unwrap();
+            let known = Some(after).filter(|&after| after > 0 && after < list.index);
+            let has_changed = !list.frozen && list.index != after;
+            let line = has_changed.then(|| list_json(&list, known) + "\n");
+            after = if has_changed { list.index } else { after };
             line
         };
         let line = line.or_else(|| (quiet.elapsed() > Duration::from_secs(2)).then(|| "\n".to_string()));
@@ -119,7 +119,7 @@
 }
 
 impl Relay {
-    fn configured(change: impl FnOnce(&mut Value)) -> Relay {
+    fn with_config(change: impl FnOnce(&mut Value)) -> Relay {
         let (address, folder) = (own_address(), Folder::new());
         let state = folder.path.join("state");
         let mut config =
@@ -127,12 +127,12 @@
         change(&mut config);
         let child = Relay::spawn(&folder, &config);
         let relay = Relay { address, folder, config, child };
-        relay.answers();
+        relay.wait_until_listening();
         relay
     }
 
-    fn of(source: SocketAddr) -> Relay {
-        Relay::configured(|config| config["source"] = json!(source.to_string()))
+    fn following(source: SocketAddr) -> Relay {
+        Relay::with_config(|config| config["source"] = json!(source.to_string()))
     }
 
     fn command(folder: &Folder, config: &Value) -> Command {
@@ -147,13 +147,13 @@
         Relay::command(folder, config).spawn().unwrap()
     }
 
-    fn answers(&self) {
+    fn wait_until_listening(&self) {
         until("the relay's first answer", || TcpStream::connect(self.address).is_ok());
     }
 
     fn restart(&mut self) {
         self.child = Relay::spawn(&self.folder, &self.config);
-        self.answers();
+        self.wait_until_listening();
     }
 
     fn kill(&mut self) {
@@ -166,7 +166,7 @@
     }
 
     /// Ends as planned, with its list on file.
-    fn end(&mut self) -> ExitStatus {
+    fn terminate(&mut self) -> ExitStatus {
         self.signal(Signal::TERM);
         let start = Instant::now();
         until("the relay's end", || self.child.try_wait().unwrap().is_some());
@@ -185,12 +185,12 @@
         self.status()["held"]["index"].as_u64().unwrap_or(0)
     }
 
-    fn holds(&self, index: u64) {
+    fn wait_for_index(&self, index: u64) {
         until("the relay holds it", || self.index() == index);
     }
 
     /// What followers state that they hold.
-    fn stated(&self) -> Vec<(String, u64, u64)> {
+    fn reported(&self) -> Vec<(String, u64, u64)> {
         let number = |value: &Value| value.as_u64().unwrap();
         let status = self.status();
         let of =
@@ -205,7 +205,7 @@
         line.split_whitespace().nth(1).unwrap().parse().unwrap()
     }
 
-    fn sockets(&self) -> usize {
+    fn open_files(&self) -> usize {
         fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 }
@@ -289,23 +289,23 @@
 }
 
 /// Two endpoints of one destination, of which one serves.
-struct Pair {
+struct EndpointPair {
     first: Endpoint,
     second: Endpoint,
 }
 
-impl Pair {
-    fn new() -> Pair {
-        Pair { first: Endpoint::new(&[]), second: Endpoint::new(&[]) }
+impl EndpointPair {
+    fn new() -> EndpointPair {
+        EndpointPair { first: Endpoint::new(&[]), second: Endpoint::new(&[]) }
     }
 
-    fn first(&self) -> Vec<Value> {
+    fn initial_list(&self) -> Vec<Value> {
         let (first, second) = (self.first.address, self.second.address);
         vec![entry("e1", first, 7, "SERVING"), entry("e2", second, 7, "DRAINING")]
     }
 
     /// The second takes the first's place.
-    fn second(&self) -> Vec<Value> {
+    fn swapped_list(&self) -> Vec<Value> {
         let (first, second) = (self.first.address, self.second.address);
         vec![entry("e2", second, 7, "SERVING"), entry("e1", first, 7, "DRAINING")]
     }
@@ -320,29 +320,29 @@
 }
 
 /// Attempts go to this endpoint, before long.
-fn delivers(courier: &Courier, id: &str, endpoint: &Endpoint) {
+fn assert_delivers_to(courier: &Courier, id: &str, endpoint: &Endpoint) {
     assert_eq!(courier.client().put(id, "again", LATE), "+OK");
     until("the delivery", || endpoint.ids().iter().any(|seen| seen.contains(id)));
 }
 
 /// All of these state that they hold this version, at one relay or another; says how long that took.
-fn in_force(relays: &[&Relay], names: &[&str], index: u64, longest: Duration) -> Duration {
+fn wait_in_force(relays: &[&Relay], names: &[&str], index: u64, longest: Duration) -> Duration {
     let start = Instant::now();
     until_for(longest, "in force everywhere", || {
-        let stated: Vec<_> = relays.iter().flat_map(|relay| relay.stated()).collect();
-        names.iter().all(|name| stated.iter().any(|(by, _, at)| by == name && *at == index))
+        let reported: Vec<_> = relays.iter().flat_map(|relay| relay.reported()).collect();
+        names.iter().all(|name| reported.iter().any(|(by, _, at)| by == name && *at == index))
     });
     start.elapsed()
 }
 
 #[test]
 fn a_courier_behind_a_relay_delivers() {
-    let (platform, pair) = (Platform::new(), Pair::new());
-    let source = Source::new(5, pair.first());
-    let relay = Relay::of(source.address);
+    let (platform, pair) = (Platform::new(), EndpointPair::new());
+    let source = Source::new(5, pair.initial_list());
+    let relay = Relay::following(source.address);
     let courier = courier(&platform, "c1", &[&relay]);
-    in_force(&[&relay], &["c1"], 5, IN_FORCE);
-    delivers(&courier, "01", &pair.first);
+    wait_in_force(&[&relay], &["c1"], 5, IN_FORCE_LIMIT);
+    assert_delivers_to(&courier, "01", &pair.first);
     assert!(pair.second.ids().is_empty());
     // Notices go to the platform all the same: what can't be delivered is told there.
     assert_eq!(courier.client().say(&common::put("0000000000000000", "02", "again", "d=50", b"x")), "+OK");
@@ -351,104 +351,104 @@
 
 #[test]
 fn a_change_is_in_force_at_a_courier_behind_two_relays_in_a_row() {
-    let (platform, pair) = (Platform::new(), Pair::new());
-    let source = Source::new(5, pair.first());
-    let first = Relay::of(source.address);
-    let second = Relay::configured(|config| {
+    let (platform, pair) = (Platform::new(), EndpointPair::new());
+    let source = Source::new(5, pair.initial_list());
+    let first = Relay::following(source.address);
+    let second = Relay::with_config(|config| {
         config["name"] = json!("r2");
         config["relays"] = json!([first.address.to_string()]);
     });
     let courier = courier(&platform, "c1", &[&second]);
-    in_force(&[&second], &["c1"], 5, IN_FORCE);
-    delivers(&courier, "01", &pair.first);
+    wait_in_force(&[&second], &["c1"], 5, IN_FORCE_LIMIT);
+    assert_delivers_to(&courier, "01", &pair.first);
     let mut index = 0;
-    pair.second().into_iter().for_each(|entry| index = source.put(entry));
-    let took = in_force(&[&second], &["c1"], index, IN_FORCE);
+    pair.swapped_list().into_iter().for_each(|entry| index = source.put(entry));
+    let took = wait_in_force(&[&second], &["c1"], index, IN_FORCE_LIMIT);
     println!("in force behind two relays after {took:?}, as stated once a second");
-    delivers(&courier, "02", &pair.second);
+    assert_delivers_to(&courier, "02", &pair.second);
     // The relay behind states what it holds as well.
-    in_force(&[&first], &["r2"], index, IN_FORCE);
+    wait_in_force(&[&first], &["r2"], index, IN_FORCE_LIMIT);
 }
 
 #[test]
-fn couriers_of_a_relay_that_is_killed_move_on_and_hear_the_next_change_in_time() {
-    let (platform, pair) = (Platform::new(), Pair::new());
-    let source = Source::new(5, pair.first());
-    let mut relays = [Relay::of(source.address), Relay::of(source.address), Relay::of(source.address)];
+fn couriers_of_a_killed_relay_move_to_another_and_get_the_next_change_in_time() {
+    let (platform, pair) = (Platform::new(), EndpointPair::new());
+    let source = Source::new(5, pair.initial_list());
+    let mut relays = [
+        Relay::following(source.address),
+        Relay::following(source.address),
+        Relay::following(source.address),
+    ];
     let names = ["c1", "c2", "c3", "c4"];
     let couriers: Vec<Courier> = {
         let all: Vec<&Relay> = relays.iter().collect();
         names.iter().map(|name| courier(&platform, name, &all)).collect()
     };
     let all: Vec<&Relay> = relays.iter().collect();
-    in_force(&all, &names, 5, IN_FORCE);
+    wait_in_force(&all, &names, 5, IN_FORCE_LIMIT);
     // The one with the most followers, as the rendezvous has it.
     let addresses: Vec<(String, f64)> = relays.iter().map(|relay| (relay.address.to_string(), 1.0)).collect();
     let own = |relay: usize| -> Vec<&str> {
         names.into_iter().filter(|name| rank_relays(name, &addresses)[0] == relay).collect()
     };
-    let lost = (0..3).max_by_key(|&relay| own(relay).len()).unwrap();
-    let orphans = own(lost);
-    in_force(&[&relays[lost]], &orphans, 5, IN_FORCE);
-    relays[lost].kill();
+    let killed = (0..3).max_by_key(|&relay| own(relay).len()).unwrap();
+    let moved = own(killed);
+    wait_in_force(&[&relays[killed]], &moved, 5, IN_FORCE_LIMIT);
+    relays[killed].kill();
     let (start, mut index) = (Instant::now(), 0);
-    pair.second().into_iter().for_each(|entry| index = source.put(entry));
-    let left: Vec<&Relay> = relays.iter().enumerate().filter(|(i, _)| *i != lost).map(|(_, r)| r).collect();
-    in_force(&left, &names, index, IN_FORCE);
-    println!(
-        "{} of 4 lost their relay; the change in force at all after {:?}",
-        orphans.len(),
-        start.elapsed()
-    );
+    pair.swapped_list().into_iter().for_each(|entry| index = source.put(entry));
+    let left: Vec<&Relay> = relays.iter().enumerate().filter(|(i, _)| *i != killed).map(|(_, r)| r).collect();
+    wait_in_force(&left, &names, index, IN_FORCE_LIMIT);
+    println!("{} of 4 lost their relay; the change in force at all after {:?}", moved.len(), start.elapsed());
     for (i, courier) in couriers.iter().enumerate() {
-        delivers(courier, &format!("0{i}"), &pair.second);
+        assert_delivers_to(courier, &format!("0{i}"), &pair.second);
     }
     // It is back: they return, each after a delay of its own.
-    relays[lost].restart();
-    in_force(&[&relays[lost]], &orphans, index, Duration::from_secs(90));
+    relays[killed].restart();
+    wait_in_force(&[&relays[killed]], &moved, index, Duration::from_secs(90));
 }
 
 #[test]
-fn a_relay_that_stands_still_is_left_and_catches_up_when_it_goes_on() {
-    let (platform, pair) = (Platform::new(), Pair::new());
-    let source = Source::new(5, pair.first());
-    let relays = [Relay::of(source.address), Relay::of(source.address)];
+fn a_stopped_relay_is_left_and_catches_up_when_it_continues() {
+    let (platform, pair) = (Platform::new(), EndpointPair::new());
+    let source = Source::new(5, pair.initial_list());
+    let relays = [Relay::following(source.address), Relay::following(source.address)];
     let all: Vec<&Relay> = relays.iter().collect();
     let names = ["c1", "c2", "c3"];
     let couriers: Vec<Courier> = names.iter().map(|name| courier(&platform, name, &all)).collect();
-    in_force(&all, &names, 5, IN_FORCE);
-    let still = usize::from(relays[1].stated().len() > relays[0].stated().len());
+    wait_in_force(&all, &names, 5, IN_FORCE_LIMIT);
+    let stopped = usize::from(relays[1].reported().len() > relays[0].reported().len());
     let start = Instant::now();
-    relays[still].signal(Signal::STOP);
+    relays[stopped].signal(Signal::STOP);
     let mut index = 0;
-    pair.second().into_iter().for_each(|entry| index = source.put(entry));
-    let runs = &relays[1 - still];
-    in_force(&[runs], &names, index, IN_FORCE);
+    pair.swapped_list().into_iter().for_each(|entry| index = source.put(entry));
+    let running = &relays[1 - stopped];
+    wait_in_force(&[running], &names, index, IN_FORCE_LIMIT);
     println!("a relay stands still: the change in force at all after {:?}", start.elapsed());
     for (i, courier) in couriers.iter().enumerate() {
-        delivers(courier, &format!("0{i}"), &pair.second);
+        assert_delivers_to(courier, &format!("0{i}"), &pair.second);
     }
     thread::sleep(Duration::from_secs(10).saturating_sub(start.elapsed()));
-    relays[still].signal(Signal::CONT);
-    relays[still].holds(index);
+    relays[stopped].signal(Signal::CONT);
+    relays[stopped].wait_for_index(index);
     // Whoever goes back to it holds what it held.
     let index = source.put(entry("e3", pair.first.address, 9, "SERVING"));
-    in_force(&all, &names, index, IN_FORCE);
+    wait_in_force(&all, &names, index, IN_FORCE_LIMIT);
 }
 
 #[test]
-fn a_kept_list_serves_without_a_source_and_one_that_is_cut_anywhere_is_passed_over() {
-    let pair = Pair::new();
-    let source = Source::new(5, pair.first());
-    let mut relay = Relay::of(source.address);
-    relay.holds(5);
+fn a_saved_list_is_served_without_a_source_and_a_truncated_one_is_ignored() {
+    let pair = EndpointPair::new();
+    let source = Source::new(5, pair.initial_list());
+    let mut relay = Relay::following(source.address);
+    relay.wait_for_index(5);
     let whole = get_list(relay.address, "/catalog/members");
-    assert!(relay.end().success());
+    assert!(relay.terminate().success());
     let path = relay.folder.path.join("state/memory");
     let kept = fs::read(&path).unwrap();
     // Nobody listens there any more.
-    let gone = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    relay.config["source"] = json!(gone.to_string());
+    let unused = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    relay.config["source"] = json!(unused.to_string());
     relay.restart();
     let (status, head, body) = get(relay.address, "/catalog/members");
     assert_eq!((status, serde_json::from_slice::<Value>(&body).unwrap()), (200, whole.clone()));
@@ -464,8 +464,8 @@
             && words.contains("in force at 0 of 0")
     );
     relay.kill();
-    let mut chance = fastrand::Rng::with_seed(11);
-    let mut places: Vec<usize> = (0..10).map(|_| chance.usize(..kept.len())).collect();
+    let mut rng = fastrand::Rng::with_seed(11);
+    let mut places: Vec<usize> = (0..10).map(|_| rng.usize(..kept.len())).collect();
     places.extend([0, 1, kept.len() - 1]);
     for place in places {
         fs::write(&path, &kept[..place]).unwrap();
@@ -481,96 +481,96 @@
     fs::write(&path, &other).unwrap();
     relay.config["source"] = json!(source.address.to_string());
     relay.restart();
-    relay.holds(5);
+    relay.wait_for_index(5);
     assert_eq!(get_list(relay.address, "/catalog/members"), whole);
     // Another number of partitions is another state.
-    assert!(relay.end().success());
+    assert!(relay.terminate().success());
     relay.config["partitions"] = json!(17);
     let (success, words) = output(Relay::command(&relay.folder, &relay.config));
     assert!(!success && words.contains("holds 16 partitions, and 17 are configured"), "{words}");
 }
 
 #[test]
-fn between_two_relays_that_disagree_a_courier_never_goes_back() {
-    let (platform, pair) = (Platform::new(), Pair::new());
-    let (fresh, stale) = (Source::new(5, pair.first()), Source::new(5, pair.first()));
-    let (mut ahead, behind) = (Relay::of(fresh.address), Relay::of(stale.address));
+fn between_two_relays_that_disagree_a_courier_never_takes_an_older_list() {
+    let (platform, pair) = (Platform::new(), EndpointPair::new());
+    let (fresh, stale) = (Source::new(5, pair.initial_list()), Source::new(5, pair.initial_list()));
+    let (mut ahead, behind) = (Relay::following(fresh.address), Relay::following(stale.address));
     let courier = courier(&platform, "c1", &[&ahead, &behind]);
-    in_force(&[&ahead, &behind], &["c1"], 5, IN_FORCE);
+    wait_in_force(&[&ahead, &behind], &["c1"], 5, IN_FORCE_LIMIT);
     let mut index = 0;
-    pair.second().into_iter().for_each(|entry| index = fresh.put(entry));
+    pair.swapped_list().into_iter().for_each(|entry| index = fresh.put(entry));
     // Wherever it was: the other one holds nothing newer.
-    in_force(&[&ahead, &behind], &["c1"], index, Duration::from_secs(45));
-    delivers(&courier, "01", &pair.second);
+    wait_in_force(&[&ahead, &behind], &["c1"], index, Duration::from_secs(45));
+    assert_delivers_to(&courier, "01", &pair.second);
     ahead.kill();
     // At the stale one for longer than a lower list is waited for after a move.
-    let there = || behind.stated().iter().any(|(name, _, at)| name == "c1" && *at == index);
+    let there = || behind.reported().iter().any(|(name, _, at)| name == "c1" && *at == index);
     until("it turns to the other", there);
     let start = Instant::now();
     while start.elapsed() < Duration::from_secs(6) {
-        let stated = behind.stated();
-        assert!(stated.iter().all(|(_, _, at)| *at == index), "went back: {stated:?}");
+        let reported = behind.reported();
+        assert!(reported.iter().all(|(_, _, at)| *at == index), "went back: {reported:?}");
         thread::sleep(Duration::from_millis(100));
     }
-    delivers(&courier, "02", &pair.second);
+    assert_delivers_to(&courier, "02", &pair.second);
     assert!(pair.first.ids().is_empty());
     // The stale one catches up, past what was held: it is followed from there.
-    pair.second().into_iter().for_each(|entry| {
+    pair.swapped_list().into_iter().for_each(|entry| {
         stale.put(entry);
     });
     let index = stale.put(entry("e1", pair.first.address, 7, "SERVING"));
     stale.put(entry("e2", pair.second.address, 7, "DRAINING"));
-    in_force(&[&behind], &["c1"], index + 1, IN_FORCE);
-    delivers(&courier, "03", &pair.first);
+    wait_in_force(&[&behind], &["c1"], index + 1, IN_FORCE_LIMIT);
+    assert_delivers_to(&courier, "03", &pair.first);
 }
 
 #[test]
-fn a_relay_from_an_old_file_takes_nobody_back() {
-    let (platform, pair) = (Platform::new(), Pair::new());
-    let source = Source::new(5, pair.first());
-    let mut relay = Relay::of(source.address);
-    relay.holds(5);
-    assert!(relay.end().success());
+fn a_relay_restarted_with_an_old_file_takes_no_follower_back() {
+    let (platform, pair) = (Platform::new(), EndpointPair::new());
+    let source = Source::new(5, pair.initial_list());
+    let mut relay = Relay::following(source.address);
+    relay.wait_for_index(5);
+    assert!(relay.terminate().success());
     let path = relay.folder.path.join("state/memory");
     let old = fs::read(&path).unwrap();
     relay.restart();
     let courier = courier(&platform, "c1", &[&relay]);
     let mut index = 0;
-    pair.second().into_iter().for_each(|entry| index = source.put(entry));
-    in_force(&[&relay], &["c1"], index, IN_FORCE);
+    pair.swapped_list().into_iter().for_each(|entry| index = source.put(entry));
+    wait_in_force(&[&relay], &["c1"], index, IN_FORCE_LIMIT);
     // Back with the file from before, and no source: it serves what it has, and the courier keeps what it
     // held.
     relay.kill();
     // For long enough that the courier gives it up, and begins anew with whatever is there.
     thread::sleep(Duration::from_millis(2500));
     fs::write(&path, &old).unwrap();
-    let gone = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    relay.config["source"] = json!(gone.to_string());
+    let unused = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    relay.config["source"] = json!(unused.to_string());
     relay.restart();
     assert_eq!(relay.index(), 5);
-    until("it is back", || relay.stated().iter().any(|(name, _, at)| name == "c1" && *at == index));
+    until("it is back", || relay.reported().iter().any(|(name, _, at)| name == "c1" && *at == index));
     let start = Instant::now();
     while start.elapsed() < Duration::from_secs(5) {
-        assert!(relay.stated().iter().all(|(_, _, at)| *at == index));
+        assert!(relay.reported().iter().all(|(_, _, at)| *at == index));
         thread::sleep(Duration::from_millis(100));
     }
-    delivers(&courier, "01", &pair.second);
+    assert_delivers_to(&courier, "01", &pair.second);
     assert!(pair.first.ids().is_empty());
 }
 
 #[test]
-fn a_source_that_counts_anew_is_followed_under_a_newer_epoch_and_not_before() {
-    let (platform, pair) = (Platform::new(), Pair::new());
-    let source = Source::new(50, pair.first());
-    let mut first = Relay::of(source.address);
-    let second = Relay::configured(|config| {
+fn a_source_that_restarts_its_index_is_followed_only_under_a_newer_epoch() {
+    let (platform, pair) = (Platform::new(), EndpointPair::new());
+    let source = Source::new(50, pair.initial_list());
+    let mut first = Relay::following(source.address);
+    let second = Relay::with_config(|config| {
         config["name"] = json!("r2");
         config["relays"] = json!([first.address.to_string()]);
     });
     let courier = courier(&platform, "c1", &[&second]);
-    in_force(&[&second], &["c1"], 50, IN_FORCE);
+    wait_in_force(&[&second], &["c1"], 50, IN_FORCE_LIMIT);
     // Another process of the source, which counts from the beginning; its list is another one too.
-    let anew = Source::new(3, pair.second());
+    let anew = Source::new(3, pair.swapped_list());
     first.config["source"] = json!(anew.address.to_string());
     let reconfigure = |relay: &Relay| {
         fs::write(relay.folder.path.join("relay.json"), relay.config.to_string()).unwrap();
@@ -582,44 +582,44 @@
     first.config["epoch"] = json!(1);
     let start = Instant::now();
     reconfigure(&first);
-    let there = || second.stated() == [("c1".to_string(), 1, 3)];
+    let there = || second.reported() == [("c1".to_string(), 1, 3)];
     until_for(Duration::from_secs(20), "it is followed", there);
     println!("a source that counts anew is in force behind two relays after {:?}", start.elapsed());
-    delivers(&courier, "01", &pair.second);
+    assert_delivers_to(&courier, "01", &pair.second);
     // And what it tells from there on.
     let index = anew.put(entry("e1", pair.first.address, 7, "SERVING"));
-    in_force(&[&second], &["c1"], index, IN_FORCE);
+    wait_in_force(&[&second], &["c1"], index, IN_FORCE_LIMIT);
     // The epoch outlasts the process, whatever the file of configuration says.
-    assert!(first.end().success());
+    assert!(first.terminate().success());
     first.config["epoch"] = json!(0);
     first.restart();
     assert_eq!(first.status()["held"]["epoch"], json!(1));
     let index = anew.put(entry("e1", pair.first.address, 7, "DRAINING"));
-    in_force(&[&second], &["c1"], index, IN_FORCE);
+    wait_in_force(&[&second], &["c1"], index, IN_FORCE_LIMIT);
 }
 
 #[test]
-fn a_source_from_before_the_kept_list_is_followed_once_it_has_passed_it() {
-    let pair = Pair::new();
-    let (first, other) = (Source::new(5, pair.first()), Source::new(5, pair.first()));
-    let mut relay = Relay::of(first.address);
-    pair.second().into_iter().for_each(|entry| {
+fn a_source_behind_the_saved_list_is_followed_once_it_is_ahead() {
+    let pair = EndpointPair::new();
+    let (first, other) = (Source::new(5, pair.initial_list()), Source::new(5, pair.initial_list()));
+    let mut relay = Relay::following(first.address);
+    pair.swapped_list().into_iter().for_each(|entry| {
         first.put(entry);
     });
-    relay.holds(7);
+    relay.wait_for_index(7);
     let held = get_list(relay.address, "/catalog/members");
-    assert!(relay.end().success());
+    assert!(relay.terminate().success());
     relay.config["source"] = json!(other.address.to_string());
     relay.restart();
     // It goes past 7 in one line, and what it tells then is as it was at 5: nothing of it is to be missed.
     thread::sleep(Duration::from_secs(1));
     assert_eq!(get_list(relay.address, "/catalog/members"), held);
     {
-        let mut book = other.book.lock().unwrap();
-        book.index = 9;
-        book.entries.iter_mut().for_each(|(_, changed)| *changed = 9);
+        let mut list = other.list.lock().unwrap();
+        list.index = 9;
+        list.entries.iter_mut().for_each(|(_, changed)| *changed = 9);
     }
-    relay.holds(9);
+    relay.wait_for_index(9);
     let sorted = |mut list: Value| {
         let entries = list["endpoints"].as_array_mut().unwrap();
         entries.sort_by_key(|entry| entry["name"].to_string());
@@ -631,11 +631,11 @@
 }
 
 /// Entries of destinations of their own, with long names.
-fn many(count: u64) -> Vec<Value> {
-    many_from(0, count)
+fn distinct_entries(count: u64) -> Vec<Value> {
+    distinct_entries_from(0, count)
 }
 
-fn many_from(first: u64, count: u64) -> Vec<Value> {
+fn distinct_entries_from(first: u64, count: u64) -> Vec<Value> {
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
     (first..first + count)
         .map(|i| entry(&format!("endpoint-with-a-long-name-{i}"), address, i, "SERVING"))
@@ -643,13 +643,13 @@
 }
 
 #[test]
-fn who_reads_a_byte_a_second_slows_nobody_and_costs_no_memory_without_end() {
-    let source = Source::new(5, many(8000));
-    let relay = Relay::configured(|config| {
+fn a_slow_reader_delays_no_other_follower_and_takes_bounded_memory() {
+    let source = Source::new(5, distinct_entries(8000));
+    let relay = Relay::with_config(|config| {
         config["source"] = json!(source.address.to_string());
         config["bounds"] = json!({"followers": 64});
     });
-    relay.holds(5);
+    relay.wait_for_index(5);
     let mut reader = Watch::open(relay.address, "/catalog/members?watch=1&after=5");
     let at_rest = relay.resident();
     // Forty that ask for all of it and hardly read, and forty watches from no version on that do the same.
@@ -669,7 +669,7 @@
         }
         let index = source.put(entry(
             &format!("endpoint-with-a-long-name-{}", change * 97),
-            reader_address(),
+            unused_address(),
             1,
             "SERVING",
         ));
@@ -687,36 +687,36 @@
     println!(
         "80 hardly read: a change came to another within {latest:?}; {at_rest} kB at rest, {most} at most"
     );
-    assert!(latest < IN_FORCE, "{latest:?}");
+    assert!(latest < IN_FORCE_LIMIT, "{latest:?}");
     assert!(most < at_rest + 24_000, "{at_rest} kB at rest, and then {most}");
     // They are closed in the end; who reads is not.
-    until_for(Duration::from_secs(20), "they are closed", || relay.sockets() < 30);
-    let index = source.put(entry("last", reader_address(), 1, "SERVING"));
+    until_for(Duration::from_secs(20), "they are closed", || relay.open_files() < 30);
+    let index = source.put(entry("last", unused_address(), 1, "SERVING"));
     assert_eq!(reader.next().unwrap()["index"], json!(index));
 }
 
-fn reader_address() -> SocketAddr {
+fn unused_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 10))
 }
 
 #[test]
-fn three_hundred_changes_come_to_each_watch_and_leave_all_with_the_same_list() {
-    let source = Source::new(5, many(200));
-    let first = Relay::of(source.address);
-    let second = Relay::configured(|config| config["relays"] = json!([first.address.to_string()]));
-    second.holds(5);
+fn three_hundred_changes_reach_every_watch_and_leave_all_lists_equal() {
+    let source = Source::new(5, distinct_entries(200));
+    let first = Relay::following(source.address);
+    let second = Relay::with_config(|config| config["relays"] = json!([first.address.to_string()]));
+    second.wait_for_index(5);
     let mut watch = Watch::open(second.address, "/catalog/members?watch=1&after=5");
-    let mut chance = fastrand::Rng::with_seed(3);
+    let mut rng = fastrand::Rng::with_seed(3);
     let writer = thread::spawn({
-        let (book, address) = (source.book.clone(), source.address);
+        let (list, address) = (source.list.clone(), source.address);
         move || {
-            let source = Source { address, book };
+            let source = Source { address, list };
             let mut index = 0;
             for _ in 0..300 {
-                let name = format!("endpoint-with-a-long-name-{}", chance.u64(..250));
-                let status = ["SERVING", "DRAINING", "DELETED"][chance.usize(..3)];
-                index = source.put(entry(&name, reader_address(), chance.u64(..50), status));
-                thread::sleep(Duration::from_millis(chance.u64(..20)));
+                let name = format!("endpoint-with-a-long-name-{}", rng.u64(..250));
+                let status = ["SERVING", "DRAINING", "DELETED"][rng.usize(..3)];
+                index = source.put(entry(&name, unused_address(), rng.u64(..50), status));
+                thread::sleep(Duration::from_millis(rng.u64(..20)));
             }
             index
         }
@@ -728,7 +728,7 @@
     };
     let mut index = 0;
     let mut last = 5;
-    for entry in many(200) {
+    for entry in distinct_entries(200) {
         held.insert(entry["name"].as_str().unwrap().to_string(), entry);
     }
     while index < 305 {
@@ -753,18 +753,18 @@
         }
     }
     assert_eq!(writer.join().unwrap(), 305);
-    let truth = whole(&get_list(source.address, "/catalog/members"));
-    assert_eq!(held, truth);
-    assert_eq!(whole(&get_list(first.address, "/catalog/members")), truth);
-    assert_eq!(whole(&get_list(second.address, "/catalog/members")), truth);
+    let expected = whole(&get_list(source.address, "/catalog/members"));
+    assert_eq!(held, expected);
+    assert_eq!(whole(&get_list(first.address, "/catalog/members")), expected);
+    assert_eq!(whole(&get_list(second.address, "/catalog/members")), expected);
 }
 
 #[test]
-fn who_knows_the_published_form_alone_is_served_as_by_the_agent() {
-    let pair = Pair::new();
-    let source = Source::new(5, pair.first());
-    let relay = Relay::of(source.address);
-    relay.holds(5);
+fn a_client_of_the_agents_protocol_gets_the_same_answers_from_a_relay() {
+    let pair = EndpointPair::new();
+    let source = Source::new(5, pair.initial_list());
+    let relay = Relay::following(source.address);
+    relay.wait_for_index(5);
     let sorted = |list: &Value| {
         let mut entries = list["endpoints"].as_array().unwrap().clone();
         entries.sort_by_key(|entry| entry["name"].to_string());
@@ -777,19 +777,19 @@
     // Words that it does not know change nothing.
     assert_eq!(get_list(relay.address, "/catalog/members?x=1"), get_list(relay.address, "/catalog/members"));
     source.put(entry("e3", pair.first.address, 8, "SERVING"));
-    relay.holds(6);
+    relay.wait_for_index(6);
     source.put(entry("e1", pair.first.address, 7, "DELETED"));
-    relay.holds(7);
+    relay.wait_for_index(7);
     same("/catalog/members");
     // From each version on, from none, and from one that is not there yet.
     for after in [0, 5, 6, 99] {
         let path = format!("/catalog/members?watch=1&after={after}");
-        let told = |address| sorted(&Watch::open(address, &path).next().unwrap());
+        let first_line = |address| sorted(&Watch::open(address, &path).next().unwrap());
         if after == 5 || after == 6 {
-            assert_eq!(told(relay.address), told(source.address), "{after}");
+            assert_eq!(first_line(relay.address), first_line(source.address), "{after}");
         } else {
-            assert_eq!(told(relay.address).1, json!(true), "{after}");
-            assert_eq!(told(relay.address), told(source.address), "{after}");
+            assert_eq!(first_line(relay.address).1, json!(true), "{after}");
+            assert_eq!(first_line(relay.address), first_line(source.address), "{after}");
         }
     }
     // An empty line comes every two seconds: silence would be that of a dead one.
@@ -801,10 +801,10 @@
 }
 
 #[test]
-fn parts_are_given_alone_and_together_make_the_whole() {
-    let source = Source::new(5, many(300));
-    let relay = Relay::of(source.address);
-    relay.holds(5);
+fn partitions_are_served_singly_and_together_make_up_the_list() {
+    let source = Source::new(5, distinct_entries(300));
+    let relay = Relay::following(source.address);
+    relay.wait_for_index(5);
     let whole = get_list(relay.address, "/catalog/members");
     let mut names: Vec<String> = Vec::new();
     let mut hashes = 0_u64;
@@ -838,13 +838,13 @@
     let part = meadowhold_catalog::store::partition(3, 16);
     let elsewhere = (0..).find(|&d| meadowhold_catalog::store::partition(d, 16) != part).unwrap();
     let mut watch = Watch::open(relay.address, &format!("/catalog/members?watch=1&after=5&partition={part}"));
-    source.put(entry("new", reader_address(), elsewhere, "SERVING"));
-    source.put(entry("mine", reader_address(), 3, "SERVING"));
+    source.put(entry("new", unused_address(), elsewhere, "SERVING"));
+    source.put(entry("mine", unused_address(), 3, "SERVING"));
     let line = watch.next().unwrap();
     assert_eq!((&line["index"], &line["endpoints"][0]["name"]), (&json!(7), &json!("mine")));
     assert_eq!((&line["parts"][0]["partition"], &line["parts"][0]["version"]), (&json!(part), &json!(7)));
     assert_eq!(line["endpoints"].as_array().unwrap().len(), 1);
-    source.put(entry("mine", reader_address(), elsewhere, "SERVING"));
+    source.put(entry("mine", unused_address(), elsewhere, "SERVING"));
     let line = watch.next().unwrap();
     assert_eq!(
         (&line["endpoints"][0]["name"], &line["endpoints"][0]["status"]),
@@ -853,13 +853,13 @@
 }
 
 #[test]
-fn bad_input_is_closed_and_bounded_and_others_are_served_on() {
-    let source = Source::new(5, many(50));
-    let relay = Relay::configured(|config| {
+fn bad_input_is_closed_and_bounded_while_others_are_served() {
+    let source = Source::new(5, distinct_entries(50));
+    let relay = Relay::with_config(|config| {
         config["source"] = json!(source.address.to_string());
         config["bounds"] = json!({"followers": 8});
     });
-    relay.holds(5);
+    relay.wait_for_index(5);
     let before = relay.resident();
     let mut watch = Watch::open(relay.address, "/catalog/members?watch=1&after=5");
     // Thousands that connect and say nothing, 600 of them at one time.
@@ -873,15 +873,15 @@
         }
     }
     assert_eq!(get_list(relay.address, "/catalog/members")["index"], json!(5));
-    until("the rest is closed", || relay.sockets() < 8 * 3 + 256 + 40);
-    let mut chance = fastrand::Rng::with_seed(5);
-    let garbage = |chance: &mut fastrand::Rng| (0..2000).map(|_| chance.u8(..)).collect::<Vec<u8>>();
+    until("the rest is closed", || relay.open_files() < 8 * 3 + 256 + 40);
+    let mut rng = fastrand::Rng::with_seed(5);
+    let garbage = |rng: &mut fastrand::Rng| (0..2000).map(|_| rng.u8(..)).collect::<Vec<u8>>();
     let huge = format!("GET /catalog/members HTTP/1.1\r\nHost: {}\r\n", "x".repeat(200_000)).into_bytes();
     let fields = format!("GET / HTTP/1.1\r\n{}", "a: b\r\n".repeat(20_000)).into_bytes();
     let long = format!("GET /{} HTTP/1.1\r\n\r\n", "y".repeat(100_000)).into_bytes();
     let post = b"POST /catalog/members HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999999\r\n\r\n".to_vec();
     let mut bad = vec![huge, fields, long, post, b"\0\0\0\0\r\n\r\n".to_vec()];
-    bad.extend((0..20).map(|_| [&garbage(&mut chance)[..], b"\r\n\r\n"].concat()));
+    bad.extend((0..20).map(|_| [&garbage(&mut rng)[..], b"\r\n\r\n"].concat()));
     for bytes in bad {
         let mut stream = TcpStream::connect(relay.address).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(15))).unwrap();
@@ -904,10 +904,10 @@
             200
         );
     }
-    assert!(relay.stated().len() <= 8);
+    assert!(relay.reported().len() <= 8);
     assert_eq!(get(relay.address, "/elsewhere").0, 404);
     drop(more);
-    let index = source.put(entry("last", reader_address(), 1, "SERVING"));
+    let index = source.put(entry("last", unused_address(), 1, "SERVING"));
     assert_eq!(watch.next().unwrap()["index"], json!(index));
     let after = relay.resident();
     println!("{before} kB before, {after} after");
@@ -915,19 +915,19 @@
 }
 
 #[test]
-fn a_list_that_cannot_be_is_turned_down_and_what_was_held_serves_on() {
-    let source = Source::new(5, many(20));
-    let relay = Relay::configured(|config| {
+fn a_list_over_its_limit_is_rejected_and_the_held_list_is_still_served() {
+    let source = Source::new(5, distinct_entries(20));
+    let relay = Relay::with_config(|config| {
         config["source"] = json!(source.address.to_string());
         config["bounds"] = json!({"entries": 25});
     });
-    relay.holds(5);
+    relay.wait_for_index(5);
     let whole = get_list(relay.address, "/catalog/members");
     {
-        let mut book = source.book.lock().unwrap();
-        let index = book.index + 1;
-        book.entries.extend(many(40).into_iter().map(|entry| (entry, index)));
-        book.index = index;
+        let mut list = source.list.lock().unwrap();
+        let index = list.index + 1;
+        list.entries.extend(distinct_entries(40).into_iter().map(|entry| (entry, index)));
+        list.index = index;
     }
     let start = Instant::now();
     while start.elapsed() < Duration::from_secs(1) {
@@ -937,18 +937,18 @@
 }
 
 #[test]
-fn until_a_list_is_held_a_relay_says_so_and_it_ends_when_asked_to() {
-    let gone = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let mut relay = Relay::of(gone);
+fn a_relay_without_a_list_answers_503_and_terminates_on_request() {
+    let unused = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let mut relay = Relay::following(unused);
     for path in ["/catalog/members", "/catalog/members?watch=1&after=0", "/relay/held"] {
         assert_eq!(get(relay.address, path).0, 503);
     }
     assert_eq!(relay.status()["held"], Value::Null);
-    assert!(relay.end().success());
+    assert!(relay.terminate().success());
 }
 
 #[test]
-fn every_fault_of_a_relays_file_is_told_in_one_message() {
+fn all_faults_of_a_relay_configuration_are_reported_in_one_message() {
     let folder = Folder::new();
     let config = json!({"listen": "here", "source": "127.0.0.1:1", "relays": ["127.0.0.1:2", "there"],
         "partitions": 5000, "epoch": "x", "bounds": {"followers": 0, "entries": 1_000_001}, "odd": 1});
@@ -981,7 +981,7 @@
 }
 
 /// What a process has used so far: processor time, kilobytes resident now and at most.
-fn used(process: u32) -> (Duration, usize, usize) {
+fn usage(process: u32) -> (Duration, usize, usize) {
     let stat = fs::read_to_string(format!("/proc/{process}/stat")).unwrap();
     let fields: Vec<&str> = stat.rsplit_once(") ").unwrap().1.split(' ').collect();
     // In hundredths of a second, as on all that Linux runs on.
@@ -999,7 +999,7 @@
 }
 
 /// Followers as couriers are: each a watch, and an ask a second of what is held.
-struct Crowd {
+struct Followers {
     read: Arc<AtomicU64>,
     written: Arc<AtomicU64>,
     /// By the moment of a change, in milliseconds: how many heard of it, and the last after how long.
@@ -1007,16 +1007,17 @@
     ends: Arc<AtomicBool>,
 }
 
-impl Crowd {
-    fn new(address: SocketAddr, count: usize, after: u64) -> Crowd {
-        let crowd = Crowd {
+impl Followers {
+    fn new(address: SocketAddr, count: usize, after: u64) -> Followers {
+        let followers = Followers {
             read: Arc::default(),
             written: Arc::default(),
             heard: Arc::default(),
             ends: Arc::default(),
         };
         for follower in 0..count {
-            let (read, written, heard) = (crowd.read.clone(), crowd.written.clone(), crowd.heard.clone());
+            let (read, written, heard) =
+                (followers.read.clone(), followers.written.clone(), followers.heard.clone());
             let small = || thread::Builder::new().stack_size(256 * 1024);
             let watch = move || {
                 let mut stream = TcpStream::connect(address).unwrap();
@@ -1042,7 +1043,8 @@
                 }
             };
             small().spawn(watch).unwrap();
-            let (read, written, ends) = (crowd.read.clone(), crowd.written.clone(), crowd.ends.clone());
+            let (read, written, ends) =
+                (followers.read.clone(), followers.written.clone(), followers.ends.clone());
             let ask = move || {
                 let mut stream = TcpStream::connect(address).unwrap();
                 let ask = format!(
@@ -1057,17 +1059,17 @@
             };
             small().spawn(ask).unwrap();
         }
-        crowd
+        followers
     }
 
     /// Says what a process and its followers used in so long.
     fn measure(&self, what: &str, process: u32, count: usize, span: Duration) {
-        let (before, start) = (used(process).0, Instant::now());
+        let (before, start) = (usage(process).0, Instant::now());
         let bytes = || (self.read.load(Relaxed), self.written.load(Relaxed));
         let bytes_before = bytes();
         self.heard.lock().unwrap().clear();
         thread::sleep(span);
-        let (took, (now, resident, most)) = (start.elapsed().as_secs_f64(), used(process));
+        let (took, (now, resident, most)) = (start.elapsed().as_secs_f64(), usage(process));
         let after = bytes();
         let rate = |from: u64, to: u64| (to - from) as f64 / took / count as f64;
         let load = fs::read_to_string("/proc/loadavg").unwrap();
@@ -1090,13 +1092,13 @@
     }
 }
 
-impl Drop for Crowd {
+impl Drop for Followers {
     fn drop(&mut self) {
         self.ends.store(true, Relaxed);
     }
 }
 
-const CROWD: usize = 260;
+const FOLLOWERS: usize = 260;
 
 /// A relay's hub and server in a process of their own, which has 30,000 entries told by itself. It runs where `figures_at_30_000_entries` starts it, by the variable.
 #[test]
@@ -1119,7 +1121,8 @@
         // In pieces of one version, as a reader of fewer entries at once would tell them, and never all as
         // values.
         for piece in 0..30 {
-            let texts: Vec<String> = many_from(piece * 1000, 1000).iter().map(Value::to_string).collect();
+            let texts: Vec<String> =
+                distinct_entries_from(piece * 1000, 1000).iter().map(Value::to_string).collect();
             let text =
                 format!("{{\"index\":5,\"snapshot\":{},\"endpoints\":[{}]}}", piece == 0, texts.join(","));
             let list: List = serde_json::from_str(&text).unwrap();
@@ -1137,7 +1140,7 @@
         for change in 0.. {
             let mut one = entry(
                 &format!("endpoint-with-a-long-name-{}", change * 97 % 30_000),
-                reader_address(),
+                unused_address(),
                 7,
                 "SERVING",
             );
@@ -1164,21 +1167,21 @@
     let address = lines.find_map(|line| line.strip_prefix("at ")?.parse().ok()).unwrap();
     let (mut go, _) = back.accept().unwrap();
     let process = child.id();
-    println!("no follower: {:?} kB resident (at most)", (used(process).1, used(process).2));
-    let crowd = Crowd::new(address, CROWD, 5);
+    println!("no follower: {:?} kB resident (at most)", (usage(process).1, usage(process).2));
+    let followers = Followers::new(address, FOLLOWERS, 5);
     thread::sleep(Duration::from_secs(5));
-    crowd.measure("at rest, 30,000 entries", process, CROWD, Duration::from_secs(20));
+    followers.measure("at rest, 30,000 entries", process, FOLLOWERS, Duration::from_secs(20));
     go.write_all(b"go\n").unwrap();
     thread::sleep(Duration::from_secs(3));
-    crowd.measure("a change a second", process, CROWD, Duration::from_secs(30));
+    followers.measure("a change a second", process, FOLLOWERS, Duration::from_secs(30));
     // All ask for the whole at once, as after a relay was lost.
-    let (start, before) = (Instant::now(), used(process).0);
+    let (start, before) = (Instant::now(), usage(process).0);
     let whole: Vec<_> =
-        (0..CROWD).map(|_| thread::spawn(move || get(address, "/catalog/members").2.len())).collect();
+        (0..FOLLOWERS).map(|_| thread::spawn(move || get(address, "/catalog/members").2.len())).collect();
     let sizes: Vec<usize> = whole.into_iter().map(|one| one.join().unwrap()).collect();
-    let cost = used(process).0 - before;
-    println!("{CROWD} ask for the whole of {} bytes at once: the last has it after {:?}, for {cost:?} of processor \
-        time; {:?} kB resident (at most)", sizes[0], start.elapsed(), (used(process).1, used(process).2));
+    let cost = usage(process).0 - before;
+    println!("{FOLLOWERS} ask for the whole of {} bytes at once: the last has it after {:?}, for {cost:?} of processor \
+        time; {:?} kB resident (at most)", sizes[0], start.elapsed(), (usage(process).1, usage(process).2));
     let _ = child.kill();
     let _ = child.wait();
 }
@@ -1188,38 +1191,38 @@
 #[test]
 #[ignore = "a measurement of a minute and a half"]
 fn three_hundred_changes_in_a_minute_come_to_260_followers() {
-    let source = Source::new(5, many(8000));
-    let relay = Relay::of(source.address);
-    relay.holds(5);
+    let source = Source::new(5, distinct_entries(8000));
+    let relay = Relay::following(source.address);
+    relay.wait_for_index(5);
     let process = relay.child.id();
-    let crowd = Crowd::new(relay.address, CROWD, 5);
+    let followers = Followers::new(relay.address, FOLLOWERS, 5);
     thread::sleep(Duration::from_secs(5));
-    crowd.measure("at rest, 8,000 entries", process, CROWD, Duration::from_secs(20));
+    followers.measure("at rest, 8,000 entries", process, FOLLOWERS, Duration::from_secs(20));
     let writer = thread::spawn({
-        let (book, address) = (source.book.clone(), source.address);
+        let (list, address) = (source.list.clone(), source.address);
         move || {
-            let source = Source { address, book };
+            let source = Source { address, list };
             for change in 0..300_u64 {
                 let name = format!("endpoint-with-a-long-name-{}", change * 97 % 8000);
-                let mut one = entry(&name, reader_address(), 7, "SERVING");
+                let mut one = entry(&name, unused_address(), 7, "SERVING");
                 one["since_ms"] = json!(unix_ms());
                 source.put(one);
                 thread::sleep(Duration::from_millis(200));
             }
         }
     });
-    crowd.measure("300 changes in a minute", process, CROWD, Duration::from_secs(64));
+    followers.measure("300 changes in a minute", process, FOLLOWERS, Duration::from_secs(64));
     writer.join().unwrap();
-    assert_eq!(crowd.heard.lock().unwrap().len(), 300);
+    assert_eq!(followers.heard.lock().unwrap().len(), 300);
 }
 
 /// Guards against a difference from content that the follower does not hold.
 #[test]
-fn a_watch_that_names_its_content_is_told_what_changed_since_just_that_or_else_all() {
-    let pair = Pair::new();
-    let source = Source::new(5, pair.first());
-    let relay = Relay::of(source.address);
-    relay.holds(5);
+fn a_watch_with_a_content_hash_gets_the_changes_since_it_or_the_whole_list() {
+    let pair = EndpointPair::new();
+    let source = Source::new(5, pair.initial_list());
+    let relay = Relay::following(source.address);
+    relay.wait_for_index(5);
     let (_, _, held) = get(relay.address, "/relay/held?name=c");
     let held: Value = serde_json::from_slice(&held).unwrap();
     assert_eq!(held["resumes"], true);
--- a/crates/courier/tests/relays_anew.rs
+++ b/crates/courier/tests/relays_anew.rs
@@ -13,16 +13,16 @@
 use meadowhold_courier::entries::Update;
 use meadowhold_courier::exchange::Clock;
 use meadowhold_courier::reader::Limits;
-use meadowhold_courier::relays::{follow, Guard};
+use meadowhold_courier::relays::{follow, VersionFilter};
 
 #[derive(Default)]
-struct Heard {
-    lists: usize,
+struct SnapshotCounter {
+    snapshots: usize,
 }
 
-impl Listener for Heard {
+impl Listener for SnapshotCounter {
     fn apply_update(&mut self, list: &Update) {
-        self.lists += usize::from(list.whole);
+        self.snapshots += usize::from(list.whole);
     }
 
     fn count_after(&self, _: &Update) -> usize {
@@ -36,7 +36,7 @@
 
 /// Answers asks, the third a second late, and tells the list whole where all of it is asked for; a watch gets a line
 /// without a word ten times a second.
-fn serve(mut stream: TcpStream, asks: &AtomicUsize, wholes: &AtomicUsize) -> Option<()> {
+fn serve(mut stream: TcpStream, queries: &AtomicUsize, snapshot_requests: &AtomicUsize) -> Option<()> {
     let mut lines = BufReader::new(stream.try_clone().ok()?);
     loop {
         let mut head = String::new();
@@ -46,7 +46,7 @@
             }
         }
         let body = if head.starts_with("GET /relay/held") {
-            if asks.fetch_add(1, Ordering::SeqCst) == 2 {
+            if queries.fetch_add(1, Ordering::SeqCst) == 2 {
                 thread::sleep(Duration::from_secs(1));
             }
             "{\"epoch\":0,\"index\":1}"
@@ -57,7 +57,7 @@
                 thread::sleep(Duration::from_millis(100));
             }
         } else {
-            wholes.fetch_add(1, Ordering::SeqCst);
+            snapshot_requests.fetch_add(1, Ordering::SeqCst);
             "{\"index\":1,\"snapshot\":true,\"endpoints\":[]}\n"
         };
         let length = body.len();
@@ -66,33 +66,33 @@
 }
 
 #[test]
-fn a_late_answer_beside_a_watch_that_speaks_does_not_have_the_whole_list_told_anew() {
-    let (asks, wholes) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
+fn a_late_answer_does_not_fetch_the_list_again_while_the_watch_is_alive() {
+    let (queries, snapshot_requests) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at: SocketAddr = listener.local_addr().unwrap();
-    let counts = (asks.clone(), wholes.clone());
+    let address: SocketAddr = listener.local_addr().unwrap();
+    let counts = (queries.clone(), snapshot_requests.clone());
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let (asks, wholes) = counts.clone();
-            thread::spawn(move || serve(stream, &asks, &wholes));
+            let (queries, snapshot_requests) = counts.clone();
+            thread::spawn(move || serve(stream, &queries, &snapshot_requests));
         }
     });
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let heard = Rc::new(RefCell::new(Heard::default()));
+    let counter = Rc::new(RefCell::new(SnapshotCounter::default()));
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let guard = Rc::new(RefCell::new(Guard::new(heard.clone(), 0)));
+        let filter = Rc::new(RefCell::new(VersionFilter::new(counter.clone(), 0)));
         let limits = Limits { entries: 100, bytes: 1 << 20 };
-        let follows = follow(guard, Clock::new(), "c1".to_string(), vec![at], (limits, 1));
-        let eight = async {
-            while asks.load(Ordering::SeqCst) < 8 {
+        let following = follow(filter, Clock::new(), "c1".to_string(), vec![address], (limits, 1));
+        let eight_queries = async {
+            while queries.load(Ordering::SeqCst) < 8 {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        let longest = tokio::time::timeout(Duration::from_secs(30), eight);
+        let result = tokio::time::timeout(Duration::from_secs(30), eight_queries);
         tokio::select! {
-            () = follows => panic!("it ended"),
-            done = longest => done.expect("eight asks in time"),
+            () = following => panic!("it ended"),
+            done = result => done.expect("eight asks in time"),
         }
     });
-    assert_eq!((wholes.load(Ordering::SeqCst), heard.borrow().lists), (1, 1));
+    assert_eq!((snapshot_requests.load(Ordering::SeqCst), counter.borrow().snapshots), (1, 1));
 }
--- a/crates/courier/tests/relays_move.rs
+++ b/crates/courier/tests/relays_move.rs
@@ -16,14 +16,14 @@
 use meadowhold_courier::entries::Update;
 use meadowhold_courier::exchange::Clock;
 use meadowhold_courier::reader::Limits;
-use meadowhold_courier::relays::{follow, Guard};
+use meadowhold_courier::relays::{follow, VersionFilter};
 use serde_json::json;
 
 /// Versions as they were heard: index, and whether the whole list.
 #[derive(Default)]
-struct Lists(Vec<(u64, bool)>);
+struct ReceivedLists(Vec<(u64, bool)>);
 
-impl Listener for Lists {
+impl Listener for ReceivedLists {
     fn apply_update(&mut self, list: &Update) {
         self.0.push((list.index, list.whole));
     }
@@ -44,7 +44,7 @@
 }
 
 /// The entry as relays tell it and reckon its hash: with the fields in this order.
-fn text(weight: &str) -> String {
+fn relay_text(weight: &str) -> String {
     format!(
         "{{\"name\":\"e1\",\"address\":\"127.0.0.1:9\",\"zone\":\"a\",\"type\":\"single\",\"group\":7,\
          \"status\":\"SERVING\",\"weight\":{weight},\"since_ms\":0}}"
@@ -54,25 +54,25 @@
 struct Relay {
     address: SocketAddr,
     targets: Arc<Mutex<Vec<String>>>,
-    is_gone: Arc<Mutex<bool>>,
+    is_down: Arc<Mutex<bool>>,
 }
 
 impl Relay {
     /// Holds version 5 and says so; a watch from the content with which `knows` agrees is told version 6 alone, any
     /// other the whole list of it.
-    fn new(knows: &'static str) -> Relay {
+    fn new(known_weight: &'static str) -> Relay {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let targets: Arc<Mutex<Vec<String>>> = Arc::default();
-        let is_gone: Arc<Mutex<bool>> = Arc::default();
-        let (noted, gone) = (targets.clone(), is_gone.clone());
+        let is_down: Arc<Mutex<bool>> = Arc::default();
+        let (recorded, down) = (targets.clone(), is_down.clone());
         serve(listener, move |request, out| {
-            noted.lock().unwrap().push(request.target.clone());
-            if *gone.lock().unwrap() {
+            recorded.lock().unwrap().push(request.target.clone());
+            if *down.lock().unwrap() {
                 return false;
             }
             if request.target.contains("watch=1") {
-                return watch(&request.target, knows, &gone, out);
+                return watch(&request.target, known_weight, &down, out);
             }
             let body = match request.target.starts_with("/relay/held") {
                 true => "{\"epoch\":0,\"index\":5,\"resumes\":true}".to_string(),
@@ -80,10 +80,10 @@
             };
             write!(out, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).is_ok()
         });
-        Relay { address, targets, is_gone }
+        Relay { address, targets, is_down }
     }
 
-    fn wholes(&self) -> usize {
+    fn snapshot_requests(&self) -> usize {
         self.targets.lock().unwrap().iter().filter(|target| *target == "/catalog/members").count()
     }
 
@@ -93,18 +93,18 @@
     }
 }
 
-fn watch(target: &str, knows: &str, gone: &Mutex<bool>, out: &mut TcpStream) -> bool {
+fn watch(target: &str, known_weight: &str, down: &Mutex<bool>, out: &mut TcpStream) -> bool {
     let mut content = ContentHash::default();
-    content.insert("e1", text(knows).as_bytes());
+    content.insert("e1", relay_text(known_weight).as_bytes());
     let agrees = target.ends_with(&format!("after=5&hash={:016x}", content.value()));
     // The one that is followed first says nothing new.
-    let line = match (agrees, knows) {
+    let line = match (agrees, known_weight) {
         (true, _) => "\n".to_string(),
         (false, _) => format!("{{\"index\":6,\"snapshot\":true,\"endpoints\":[{}]}}\n", entry(2.0)),
     };
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let _ = write!(out, "{head}{:x}\r\n{line}\r\n", line.len());
-    while !*gone.lock().unwrap() {
+    while !*down.lock().unwrap() {
         if out.write_all(b"1\r\n\n\r\n").is_err() {
             return false;
         }
@@ -114,50 +114,50 @@
 }
 
 /// Follows at the first, which goes once it is followed; at the second until it has a watch open for half a second.
-fn moves(first: &Relay, second: &Relay) -> Vec<(u64, bool)> {
-    let lists = Rc::new(RefCell::new(Lists::default()));
+fn run_move(first: &Relay, second: &Relay) -> Vec<(u64, bool)> {
+    let lists = Rc::new(RefCell::new(ReceivedLists::default()));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let guard = Rc::new(RefCell::new(Guard::new(lists.clone(), 0)));
+        let filter = Rc::new(RefCell::new(VersionFilter::new(lists.clone(), 0)));
         let limits = Limits { entries: 100, bytes: 1 << 20 };
         // Whichever its name prefers, it begins at the first: the second is not there yet.
-        *second.is_gone.lock().unwrap() = true;
+        *second.is_down.lock().unwrap() = true;
         let relays = vec![first.address, second.address];
-        let follows = follow(guard, Clock::new(), "c1".to_string(), relays, (limits, 1));
+        let following = follow(filter, Clock::new(), "c1".to_string(), relays, (limits, 1));
         let moved = async {
             while first.watches().is_empty() {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
-            *second.is_gone.lock().unwrap() = false;
-            *first.is_gone.lock().unwrap() = true;
+            *second.is_down.lock().unwrap() = false;
+            *first.is_down.lock().unwrap() = true;
             while second.watches().is_empty() {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
             tokio::time::sleep(Duration::from_millis(500)).await;
         };
         tokio::select! {
-            () = follows => panic!("it ended"),
+            () = following => panic!("it ended"),
             done = tokio::time::timeout(Duration::from_secs(30), moved) => done.expect("a move in time"),
         }
     });
-    let heard = lists.borrow().0.clone();
-    heard
+    let received = lists.borrow().0.clone();
+    received
 }
 
 /// Guards against a move that costs a whole list though the same content is held.
 #[test]
-fn a_move_to_a_relay_that_held_the_same_content_asks_for_no_whole_list() {
+fn a_move_to_a_relay_with_the_same_content_requests_no_whole_list() {
     let (first, second) = (Relay::new("1.0"), Relay::new("1.0"));
-    let heard = moves(&first, &second);
-    assert_eq!((first.wholes(), second.wholes()), (1, 0));
-    assert_eq!(heard, [(5, true)]);
+    let received = run_move(&first, &second);
+    assert_eq!((first.snapshot_requests(), second.snapshot_requests()), (1, 0));
+    assert_eq!(received, [(5, true)]);
 }
 
 /// Guards against differences from content that is not held, as after a gap that one relay told in part.
 #[test]
-fn a_move_to_a_relay_that_held_other_content_under_the_same_index_has_the_whole_list_told() {
+fn a_move_to_a_relay_with_other_content_at_the_same_index_gets_the_whole_list() {
     let (first, second) = (Relay::new("1.0"), Relay::new("3.0"));
-    let heard = moves(&first, &second);
-    assert_eq!(heard, [(5, true), (6, true)]);
+    let received = run_move(&first, &second);
+    assert_eq!(received, [(5, true), (6, true)]);
     assert!(second.watches()[0].contains("after=5&hash="), "{:?}", second.watches());
 }
