--- a/crates/courier/src/hollow.rs
+++ b/crates/courier/src/hollow.rs
@@ -1,6 +1,6 @@
-//! A hollow courier: the control path of a real one, and nothing else. It follows the list and keeps it on file, takes
-//! it up at its start, and speaks membership; there are no clients, no calls and no journal. Many run in one process,
-//! each with an address and a folder of its own, for the scale run (`docs/scale.md`).
+//! A hollow courier: only the control path of a real one. It follows the list, saves it to disk, loads it at the start,
+//! and takes part in membership, but has no clients, calls or journal. For the scale run (`docs/scale.md`), many of
+//! them run in one process, each with its own address and folder.
 
 use std::cell::RefCell;
 use std::fs;
@@ -23,18 +23,19 @@
 use crate::memory::{deployment, ListStore};
 use crate::relays;
 
-/// A real courier writes its file at the end of a turn. Here that waits, so that those who share the process have
-/// their turns first: guards against a time in force that is the neighbours' writing.
+/// Delay between a turn and saving the list. A real courier saves at the end of a turn; here the other couriers in the
+/// process take their turns first, so that the measured time until a list is in force does not include their writes.
 const SAVE_DELAY: Duration = Duration::from_millis(50);
-/// A list that came just after the file was written is on file so much later: the keeper writes once a second.
+/// Delay of the second save, for a list that arrived just after the first one: `ListStore` writes at most once a
+/// second.
 const SECOND_SAVE_DELAY: Time = SECOND + SECOND / 50;
 
-/// What hears of the list in the place of an exchange.
+/// Receives the list in place of an exchange.
 pub struct Hollow {
     name: String,
     clock: Clock,
     store: ListStore,
-    /// Version of the list that was taken up last, and the last by which a turn was taken.
+    /// Version of the list that was applied last, and the version in force since the last turn.
     index: u64,
     index_in_force: u64,
     calls_held: bool,
@@ -42,7 +43,7 @@
 }
 
 impl Hollow {
-    /// A turn: what was taken up is in force from here on.
+    /// One turn: the applied list is in force from now on.
     fn turn(&mut self) {
         if !self.calls_held && self.index != std::mem::replace(&mut self.index_in_force, self.index) {
             log::trace!(target: IN_FORCE, "list {} is in force at {}", self.index, self.name);
@@ -72,11 +73,11 @@
     }
 }
 
-/// Runs a hollow courier within a `LocalSet` until `stop` is done. `before` puts whatever is to hear of the list in
-/// the place of the hollow courier itself, which is handed to it.
+/// Runs a hollow courier within a `LocalSet` until `stop` completes. `wrap_listener` is given the hollow courier and
+/// returns the listener that receives the list in its place.
 ///
 /// # Errors
-/// Where its folder cannot be had or its address for membership is taken.
+/// Fails if its folder cannot be created or its membership address is in use.
 pub async fn serve<L: Listener + 'static>(
     config: Config,
     discovery: watch::Receiver<SocketAddr>,
@@ -88,7 +89,7 @@
     fs::create_dir_all(&state)?;
     let clock = Clock::new();
     let mut store = ListStore::new(&state, disk, deployment(&decoded));
-    // As a real one: the configuration's version, and not the kept one.
+    // As in a real courier: the version in the configuration, not the saved one.
     let index = known.index;
     let initial = store.recall(known, clock.now(), |_| false);
     let notify = Rc::new(Notify::new());
@@ -109,8 +110,8 @@
     }
     tokio::select! {
         () = stop => {}
-        // Guards against a courier that seems to run with a part of it gone.
-        _ = tasks.join_next() => return Err(io::Error::other("a part of the courier has failed")),
+        // If one task ends, the courier must not appear to run on without it.
+        _ = tasks.join_next() => return Err(io::Error::other("a task of the courier ended unexpectedly")),
     }
     if let Some(fleet) = fleet {
         fleet.leave().await;
@@ -118,7 +119,7 @@
     Ok(())
 }
 
-/// A turn when something was told, no more often than the settings say, and then the file.
+/// Takes a turn after each notification, at the timer resolution of the settings at most, and then saves the list.
 async fn run_turns(hollow: Rc<RefCell<Hollow>>, resolution: Duration) {
     let notify = hollow.borrow().notify.clone();
     loop {
@@ -126,7 +127,8 @@
         sleep(resolution).await;
         hollow.borrow_mut().turn();
         let mut write_at = Instant::now() + SAVE_DELAY;
-        // Twice, for the keeper may just have written; what is told meanwhile has its turn at once.
+        // Saves twice, because the store skips a save within a second of the last one. Notifications that arrive
+        // meanwhile get their turn at once.
         for _ in 0..2 {
             loop {
                 tokio::select! {
--- a/crates/courier/src/relay.rs
+++ b/crates/courier/src/relay.rs
@@ -1,7 +1,7 @@
-//! A relay of the list: follows a source, or other relays, as a courier does, and serves what it holds to
-//! many in the same form. `hub` holds the list and its followers, `serve` answers them, `stall_timeout` closes who
-//! does not read, `status` says who holds what, `config` reads what a relay is told. `docs/relay.md` says
-//! what it promises.
+//! A relay of the endpoint list. It follows a source or other relays in the same way as a courier, and serves the list
+//! to many followers with the same protocol. `hub` holds the list and the state of its followers, `serve` is the HTTP
+//! server, `stall_timeout` closes connections that are not read, `status` reports which follower holds which version,
+//! and `config` reads the configuration. `docs/relay.md` describes what a relay guarantees.
 
 pub mod config;
 pub mod hub;
@@ -32,14 +32,15 @@
 use config::{Config, Source};
 use hub::Hub;
 
-/// The file is written no more often.
+/// Minimum time between two writes of the list to disk.
 const SAVE_INTERVAL: Duration = Duration::from_secs(5);
-/// Whether a whole list is wanted of the agent is looked at so often.
+/// How often to check whether the whole list has to be requested from the agent again.
 const SNAPSHOT_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// At its end a relay waits no longer for its file.
+/// How long a terminating relay waits for the last write of the list.
 const FINAL_SAVE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Whose file it is: the epoch and the partitions stand in the place of a deployment's name.
+/// Identifies the file as one of a relay. A courier stores its deployment in this field; a relay stores the number of
+/// partitions and the epoch.
 fn state_tag(partitions: u32, epoch: u64) -> String {
     format!("relay partitions={partitions} epoch={epoch}")
 }
@@ -49,12 +50,13 @@
     Some((partitions.parse().ok()?, epoch.parse().ok()?))
 }
 
-/// The folder's allowance, in bytes, of which `memory` grants a list this many.
+/// The disk quota, in bytes, of which the share that `memory` grants to the list has room for `list` bytes.
 fn disk_quota(list: u64) -> u64 {
     (list + 1024) / memory::SHARE_PERCENT * 100 + 100
 }
 
-/// What the folder keeps. Errors: it was cut into another number of partitions, or cannot be a relay's.
+/// Loads the list saved in the state folder. Fails if it was saved with a different number of partitions or not by a
+/// relay.
 fn load(config: &Config, now: Time) -> io::Result<Option<(Version, Vec<Entry>, Time)>> {
     let Some(kept) = memory::load(&config.state, disk_quota(config.bounds.max_file_bytes()), now) else {
         return Ok(None);
@@ -67,13 +69,15 @@
         }
         Some((partitions, _)) => {
             let (state, wanted) = (config.state.display(), config.partitions);
-            invalid(format!("state {state} holds {partitions} partitions, and {wanted} are configured"))
+            invalid(format!(
+                "state {state} was saved with {partitions} partitions, but {wanted} are configured"
+            ))
         }
-        None => invalid(format!("state {} is no relay's", config.state.display())),
+        None => invalid(format!("state {} was not saved by a relay", config.state.display())),
     }
 }
 
-/// Puts the list on file; on a thread of its own, since a long one takes a while.
+/// Writes the list to disk. Blocks for a while if the list is long, so it runs on a thread of its own.
 fn save(
     folder: &Path,
     max_bytes: u64,
@@ -84,7 +88,7 @@
 ) -> io::Result<()> {
     let mut list = Update { index: version.index, whole: true, ..Update::default() };
     for text in texts.iter().filter(|text| !text.is_empty()) {
-        // Each text of a partition begins with a comma.
+        // The text of each partition begins with a comma.
         let mut entries = vec![b'['];
         entries.extend_from_slice(&text[1..]);
         entries.push(b']');
@@ -98,10 +102,10 @@
     hub: Rc<RefCell<Hub>>,
     clock: Clock,
     folder: PathBuf,
-    /// Bytes that the file may take.
+    /// Maximum size of the file.
     max_bytes: u64,
     partitions: u32,
-    /// The step that is on file.
+    /// The store's step at the last successful write.
     saved_step: u64,
     save_failed: bool,
 }
@@ -110,7 +114,7 @@
     fn new(hub: Rc<RefCell<Hub>>, clock: Clock, config: &Config) -> ListSaver {
         let (folder, max_bytes, partitions) =
             (config.state.clone(), config.bounds.max_file_bytes(), config.partitions);
-        // What was read from there is on file.
+        // The list that was loaded at the start is already in the file.
         let saved_step = hub.borrow().store.step();
         ListSaver { hub, clock, folder, max_bytes, partitions, saved_step, save_failed: false }
     }
@@ -127,9 +131,9 @@
             save(&folder, max_bytes, tag, whole.version, &whole.texts, now)
         });
         let result = result.await.unwrap_or_else(|e| Err(io::Error::other(e)));
-        // One line for as long as it lasts.
+        // Repeated failures are logged once.
         match &result {
-            Err(e) if !self.save_failed => log::warn!("the list cannot be kept: {e}"),
+            Err(e) if !self.save_failed => log::warn!("cannot save the list: {e}"),
             _ => {}
         }
         self.save_failed = result.is_err();
@@ -146,8 +150,8 @@
     }
 }
 
-/// Runs a relay within a `LocalSet` until `stop` is done. A configuration that comes anew moves its source,
-/// and raises its epoch; what else has changed in it waits for the next start.
+/// Runs a relay within a `LocalSet` until `stop` completes. A reloaded configuration changes the agent's address and
+/// raises the epoch; any other change in it takes effect at the next start.
 pub async fn run(
     config: Config,
     mut reloaded: watch::Receiver<Option<Config>>,
@@ -196,7 +200,7 @@
     let at = listener.local_addr()?;
     tasks.spawn_local(serve::listen(hub.clone(), listener, config.bounds.followers));
     tasks.spawn_local(save_periodically(saver.clone()));
-    log::info!("{} relays the list at {at}", config.name);
+    log::info!("relay {} listens at {at}", config.name);
     let reconfigure = async {
         loop {
             tokio::select! {
@@ -212,7 +216,7 @@
                 }
                 () = sleep(SNAPSHOT_CHECK_INTERVAL) => {}
             }
-            // Of relays it is asked beside the list.
+            // A relay that follows other relays checks this in `relays::follow`.
             if let Some(source) = &source {
                 if hub.borrow_mut().take_snapshot_request() {
                     source.send_modify(|_| ());
@@ -222,14 +226,14 @@
     };
     let result = tokio::select! {
         () = stop => Ok(()),
-        // Guards against a relay that seems to run with a part of it gone.
-        _ = tasks.join_next() => Err(io::Error::other("a part of the relay has failed")),
+        // If one task ends, the relay must not appear to run on without it.
+        _ = tasks.join_next() => Err(io::Error::other("a task of the relay ended unexpectedly")),
         () = reconfigure => Ok(()),
     };
-    // After one that is out: both write under the same name.
+    // The lock waits for a write in progress, because both use the same file name.
     if timeout(FINAL_SAVE_TIMEOUT, async { saver.lock().await.save().await }).await.is_err() {
-        log::warn!("the list was not kept in time");
+        log::warn!("the last write of the list timed out");
     }
-    log::info!("{} has ended", config.name);
+    log::info!("relay {} has stopped", config.name);
     result
 }
--- a/crates/courier/src/relay/config.rs
+++ b/crates/courier/src/relay/config.rs
@@ -1,4 +1,4 @@
-//! What a relay is told: a file of JSON. All that is out of order is told at once, each fault with its place.
+//! The configuration of a relay, a JSON file. All faults are reported together, each with the place where it was found.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -24,25 +24,25 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// The platform's agent, or whatever tells the published form.
+    /// The platform's agent, or any other server of its published protocol.
     Agent(SocketAddr),
     Relays(Vec<SocketAddr>),
 }
 
-/// What a relay may take at most.
+/// Limits on the resources of a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct Bounds {
-    /// Watches that are served at one time.
+    /// Watches served at the same time.
     #[garde(range(min = 1, max = 100_000))]
     pub followers: usize,
     /// Entries of the list.
     #[garde(range(min = 1, max = 1_000_000))]
     pub entries: usize,
-    /// Of all entries' texts, in megabytes.
+    /// Total size of the text of all entries, in megabytes.
     #[garde(range(min = 1, max = 1024))]
     pub list_mb: usize,
-    /// Changes that are remembered for who is behind.
+    /// Changes remembered for followers that are behind.
     #[garde(range(max = 1_000_000))]
     pub window: usize,
 }
@@ -58,18 +58,18 @@
         StoreBounds { entries: self.entries, bytes: self.list_mb << 20, window: self.window }
     }
 
-    /// What a list that comes may be.
+    /// Limits on a received list.
     pub fn list_limits(&self) -> Limits {
         Limits { entries: self.entries, bytes: self.list_mb << 20 }
     }
 
-    /// Bytes that the file may take: what is held, and some more for what stands round it.
+    /// Maximum size of the saved list: the entries and a margin of one megabyte for the rest of the file.
     pub fn max_file_bytes(&self) -> u64 {
         (self.list_mb as u64 + 1) << 20
     }
 }
 
-/// A value that must be there is optional here, and its absence found afterwards: so it hides no other fault.
+/// Required values are optional here and checked after parsing, so that a missing one does not hide other faults.
 #[derive(Default, Deserialize, Validate)]
 #[serde(default, deny_unknown_fields)]
 #[garde(allow_unvalidated)]
@@ -92,7 +92,7 @@
 
 impl Config {
     /// # Errors
-    /// Every fault of the file, with its place.
+    /// Returns all faults of the file with their places.
     pub fn load(path: &Path) -> Result<Config, Refused> {
         let file = Some(path.display().to_string());
         let text = std::fs::read(path).map_err(|e| Refused {
@@ -103,19 +103,22 @@
     }
 
     /// # Errors
-    /// The same, of the file's text.
+    /// Returns all faults of the text with their places.
     pub fn read(text: &[u8]) -> Result<Config, Refused> {
         let (file, mut faults) = config::parse::<File>(text)?;
         if let Err(report) = file.validate() {
             for (place, error) in report.iter() {
-                // A place that cannot be read has been taken out, and is not missing.
+                // The parser has already reported and removed a value that it cannot read; that value is not missing.
                 faults.entry(place.to_string()).or_insert_with(|| error.to_string());
             }
         }
         let has_fault = |name: &str| faults.contains_key(name);
         if file.source.is_some() == file.relays.is_some() && !has_fault("source") && !has_fault("relays") {
-            let words =
-                if file.source.is_some() { "is named beside relays" } else { "is missing, and relays too" };
+            let words = if file.source.is_some() {
+                "must not be set together with relays"
+            } else {
+                "must be set if relays is not"
+            };
             faults.insert("source".to_string(), words.to_string());
         }
         let address = |text: &String| text.parse::<SocketAddr>().ok();
--- a/crates/courier/src/relay/hub.rs
+++ b/crates/courier/src/relay/hub.rs
@@ -1,6 +1,6 @@
-//! What a relay holds: the list, each text once, and who follows it. A follower costs its place in the
-//! changes, not the changes: what it is given next is made from that when it can take it, and shared with all
-//! at the same place.
+//! The state of a relay: the list, with the text of each entry stored once, and its followers. For each follower only
+//! its position in the sequence of changes is stored, not the changes themselves. The next line for it is built when it
+//! can receive one, and shared by all followers at the same position.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::fmt::Write;
@@ -21,54 +21,55 @@
 
 use super::config::Bounds;
 
-/// A follower that has not said what it holds for so long is not counted.
+/// A follower that has not reported its version for this long is no longer counted.
 const REPORT_LIFETIME: Time = 10 * SECOND;
 const MAX_NAME_BYTES: usize = 128;
-/// Lines of one version that are shared; beyond them each follower's is its own, and no longer than this, in
-/// bytes.
+/// Number of different lines of one version that are cached and shared between followers.
 const MAX_SHARED_LINES: usize = 16;
+/// Once that many are cached, further lines are built for one follower each; instead of one longer than
+/// this, the follower receives the whole list.
 const MAX_UNSHARED_BYTES: usize = 64 * 1024;
 
-/// What a follower said that it holds.
+/// The version that a follower reported.
 #[derive(Clone, Debug)]
 pub struct FollowerReport {
     pub version: Version,
     pub at: Time,
     pub from: IpAddr,
-    /// The version that it has lacked first, and since when.
+    /// The oldest version that the follower is missing, and since when.
     pub behind: Option<(Version, Time)>,
 }
 
-/// A watch that is open.
+/// An open watch.
 #[derive(Clone, Copy, Debug)]
 pub struct Watch {
     pub from: IpAddr,
-    /// The version that it asked after.
+    /// The version after which it requested changes.
     pub asked_after: u64,
-    /// The last that was written to it, as far as its connection took it.
+    /// The last version that was handed to its connection.
     pub sent: u64,
     pub since: Time,
 }
 
-/// What a follower is given next.
+/// The next data for a follower.
 pub enum Next {
-    /// One line, whole: of this index.
+    /// One complete line that brings the follower to this index.
     Changes(Bytes, u64),
-    /// All of it, of this index.
+    /// The whole list, at this index.
     Snapshot(Vec<Bytes>, u64),
-    /// Nothing that it asked for has changed.
+    /// Nothing that the follower requested has changed.
     Nothing,
-    /// It must ask anew: on an open watch so few entries for so many versions would look like a gap.
+    /// The follower must open a new watch: on the open one, fewer entries than versions would look like a gap.
     Reconnect,
 }
 
 pub struct Hub {
     pub store: Store,
     pub clock: Clock,
-    /// Told of each step; watches wait on it.
+    /// Notifies the watches of each new step of the store.
     pub step: watch::Sender<u64>,
     source: SourceState,
-    /// The list is from the file still.
+    /// The list was loaded from the file, and no source has confirmed it yet.
     from_file: bool,
     pub applied_at: Time,
     pub reports: BTreeMap<String, FollowerReport>,
@@ -76,9 +77,9 @@
     pub connections: usize,
     max_followers: usize,
     next_watch: u64,
-    /// Lines of this step, by the step that they come after.
+    /// Cached lines that lead to the current step, by the step from which they start.
     lines: HashMap<u64, Bytes>,
-    /// Words on what was not taken have been logged.
+    /// A rejected list has been logged; reset when a list is applied.
     rejection_logged: bool,
 }
 
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Begins with what was on file.
+    /// Starts with the list that was loaded from the file.
     pub fn restore(&mut self, version: Version, entries: &[Entry], saved_at: Time) {
         self.source.epoch = self.source.epoch.max(version.epoch);
         self.apply(
@@ -117,10 +118,10 @@
         (self.from_file, self.applied_at) = (true, saved_at.min(self.applied_at));
     }
 
-    /// Lists that come are of this epoch from here on, unless a newer one was held.
+    /// Assigns this epoch to the lists received from now on, unless the current epoch is newer.
     pub fn raise_epoch(&mut self, epoch: u64) {
         if epoch > self.source.epoch {
-            // What comes next must be whole.
+            // Changes cannot cross an epoch: the next list must be a whole one.
             self.source.reset(epoch, None);
             self.source.needs_snapshot = true;
         }
@@ -143,14 +144,14 @@
                 self.step.send_replace(self.store.step());
             }
             Verdict::RequestSnapshot => self.source.needs_snapshot = true,
-            // One line for as long as it lasts.
+            // Repeated rejections are logged once.
             Verdict::Ignore => self.log_rejection(format!(
-                "the source tells {:?}, from before {before:?}; if it counts anew, raise epoch",
+                "the source sent {:?}, which is older than {before:?}; if its index was reset, raise epoch",
                 offer.version
             )),
             Verdict::Reject(faults) => {
                 let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
-                self.log_rejection(format!("a list is turned down: {}", faults.join("; ")));
+                self.log_rejection(format!("a list was rejected: {}", faults.join("; ")));
             }
         }
     }
@@ -174,12 +175,12 @@
         })
     }
 
-    /// How long ago what is held was taken up; by the file's time if it comes from there.
+    /// Time since the held version was applied or, if it was loaded from the file, saved.
     pub fn age(&self) -> Time {
         self.clock.now().saturating_sub(self.applied_at)
     }
 
-    /// A follower says what it holds.
+    /// Records the version that a follower reports.
     pub fn record_report(&mut self, name: &str, version: Version, from: IpAddr) {
         let (now, held) = (self.clock.now(), self.store.version());
         if self.reports.len() >= self.max_followers {
@@ -189,14 +190,14 @@
             return;
         }
         let before = self.reports.get(name).and_then(|report| report.behind);
-        // Guards against names without end.
+        // Bounds memory against clients that keep reporting new names.
         if self.reports.len() >= self.max_followers && !self.reports.contains_key(name) {
             return;
         }
         let behind = match (held, before) {
             (Some(held), _) if version >= held => None,
             (Some(_), Some(before)) if version < before.0 => Some(before),
-            // Past the first that it lacked.
+            // It has caught up with the oldest version that it was missing, but not with the held one.
             (Some(held), Some(_)) => Some((held, self.applied_at)),
             (Some(held), None) => Some((held, now)),
             (None, _) => None,
@@ -204,13 +205,13 @@
         self.reports.insert(name.to_string(), FollowerReport { version, at: now, from, behind });
     }
 
-    /// Those who said what they hold lately.
+    /// The reports of followers that have reported recently.
     pub fn recent_reports(&self) -> impl Iterator<Item = (&String, &FollowerReport)> {
         let now = self.clock.now();
         self.reports.iter().filter(move |(_, report)| now < report.at + REPORT_LIFETIME)
     }
 
-    /// `None`: there are as many as may be.
+    /// Returns `None` if the maximum number of watches is open.
     pub fn open_watch(&mut self, from: IpAddr, asked_after: u64) -> Option<u64> {
         if self.watches.len() >= self.max_followers {
             return None;
@@ -221,7 +222,7 @@
         Some(self.next_watch)
     }
 
-    /// The whole list, or these partitions of it. `None`: nothing is held.
+    /// The whole list or the selected partitions of it, with its index. `None` if no list is held.
     pub fn snapshot(&mut self, selected: Option<&HashSet<u32>>) -> Option<(Vec<Bytes>, u64)> {
         let Snapshot { version, texts } = self.store.snapshot()?;
         let mut chunks = Vec::with_capacity(texts.len() + 2);
@@ -229,14 +230,15 @@
         let asked = |p: usize| selected.is_none_or(|selected| selected.contains(&(p as u32)));
         let mut first = true;
         for (_, text) in texts.iter().enumerate().filter(|(p, text)| asked(*p) && !text.is_empty()) {
-            // Each begins with a comma.
+            // The text of each partition begins with a comma.
             chunks.push(if std::mem::take(&mut first) { text.slice(1..) } else { text.clone() });
         }
         chunks.push(Bytes::from_static(b"]}\n"));
         Some((chunks, version.index))
     }
 
-    /// All that stands before the entries. Who names partitions is told of epoch, versions and hashes.
+    /// The part of a line before the entries. If partitions were selected, it includes the epoch and the version and
+    /// hash of each.
     fn line_head(
         &self,
         version: Version,
@@ -254,7 +256,7 @@
             let mut comma = "";
             for p in selected {
                 let Some(part) = parts.get(p as usize) else { continue };
-                // Of changes: of what has changed alone.
+                // A line of changes describes only the partitions that have changed.
                 if after.is_some_and(|after| part.version <= after) {
                     continue;
                 }
@@ -272,7 +274,8 @@
         head
     }
 
-    /// What comes for one who has been told up to `step`, when `index` was held; `first`: on this watch.
+    /// The next data for a follower that has received everything up to `step`, at which `index` was held. `first` is
+    /// true if nothing has been sent on this watch yet.
     pub fn next_update(
         &mut self,
         step: Option<u64>,
@@ -309,7 +312,7 @@
         if let Some(line) = self.lines.get(&step) {
             return Next::Changes(line.clone(), version.index);
         }
-        // Guards against long differences, one for each of many followers: the whole is shared by all.
+        // Bounds memory when many followers each need different long changes: the whole list is shared by all.
         if self.lines.len() >= MAX_SHARED_LINES {
             if changes.text.len() > MAX_UNSHARED_BYTES {
                 return self
@@ -334,7 +337,7 @@
         self.store.entries() + changes.count_added(|name| self.store.contains(name))
     }
 
-    /// Nothing begins here.
+    /// A relay makes no calls.
     fn hold_calls(&mut self) {}
 
     fn release_calls(&mut self) {}
--- a/crates/courier/src/relay/serve.rs
+++ b/crates/courier/src/relay/serve.rs
@@ -1,5 +1,6 @@
-//! Answers a relay's followers: the whole list, watches on it, what it holds, and who follows. A watch holds
-//! a place in the changes and one piece that is on its way; whoever does not take that for `STALL_TIMEOUT` is closed.
+//! The HTTP server of a relay: the whole list, watches on it, the held version, and the status. A watch holds a
+//! position in the sequence of changes and at most one chunk in flight; it is closed if the follower does not take that
+//! chunk within `STALL_TIMEOUT`.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashSet, VecDeque};
@@ -32,20 +33,20 @@
 
 pub type SharedHub = Rc<RefCell<Hub>>;
 
-/// An empty line comes so often where nothing changes: the agent's turn.
+/// How often an empty line is sent on a watch while nothing changes; the same interval as the agent's.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// For a request's head, and between two on one connection.
+/// Time limit for receiving a request's head, including the idle time before it on a kept-alive connection.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// Of a request's head, and what is written at once, in bytes.
+/// Maximum size of a request's head, and of one write.
 const BUFFER_BYTES: usize = 16 * 1024;
-/// Kept by the system for a connection, in bytes each way.
+/// Send buffer of a connection in the kernel.
 const SOCKET_BUFFER_BYTES: usize = 128 * 1024;
-/// Connections that have asked nothing yet; one more closes the oldest of them.
+/// Maximum number of connections that have not sent a request yet; one more closes the oldest of them.
 const MAX_AWAITING_REQUEST: usize = 256;
 
 type Reply = Response<BoxBody<Bytes, Infallible>>;
 
-/// A body of pieces that others share.
+/// A response body made of chunks that are shared with other responses.
 struct SharedChunks {
     remaining: VecDeque<Bytes>,
     length: u64,
@@ -80,14 +81,13 @@
     }
 }
 
-/// Connections that have asked nothing, oldest first.
+/// Connections that have not sent a request yet, oldest first.
 #[derive(Default)]
 struct AwaitingRequest(BTreeMap<u64, AbortHandle>);
 
-/// Serves who connects, for good.
+/// Accepts and serves connections; never returns.
 pub async fn listen(hub: SharedHub, listener: TcpListener, followers: usize) {
-    // A follower has one connection for its watch and one for what it says, and asks for the whole over a
-    // third.
+    // A follower has one connection for its watch, one for its reports, and a third to request the whole list.
     let max_connections = followers.saturating_mul(3).saturating_add(MAX_AWAITING_REQUEST);
     let awaiting: Rc<RefCell<AwaitingRequest>> = Rc::default();
     let mut open = JoinSet::new();
@@ -96,7 +96,7 @@
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, from)) => {
-                    // Guards against thousands that connect and ask nothing.
+                    // Bounds the number of connections that are opened and never used.
                     let full = awaiting.borrow().0.len() >= MAX_AWAITING_REQUEST || open.len() >= max_connections;
                     if full {
                         if let Some((_, oldest)) = awaiting.borrow_mut().0.pop_first() {
@@ -138,7 +138,7 @@
     let socket = socket2::SockRef::from(&stream);
     let _ = socket.set_send_buffer_size(SOCKET_BUFFER_BYTES);
     let guard = RemoveOnDrop(awaiting, id);
-    // Its watches end with it.
+    // The watches of a connection end with it.
     let watches: Rc<RefCell<JoinSet<()>>> = Rc::default();
     let service = service_fn(|request| {
         guard.0.borrow_mut().0.remove(&id);
@@ -156,12 +156,12 @@
     reply
 }
 
-/// A word of the query, as it stands.
+/// The raw value of a query parameter.
 fn query_param<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
 }
 
-/// The content hash of a query, as it is written there: in hexadecimal digits.
+/// The content hash in a query, written in hexadecimal digits.
 fn content_hash(query: &str) -> Option<u64> {
     u64::from_str_radix(query_param(query, "hash")?, 16).ok()
 }
@@ -170,7 +170,7 @@
     query_param(query, name)?.parse().ok()
 }
 
-/// Text of a query as it was before it was quoted; `None`: it was not, or is no text.
+/// Decodes percent-encoded text. `None` if the encoding is malformed or the result is not UTF-8.
 fn percent_decode(word: &str) -> Option<String> {
     let (mut bytes, mut rest) = (Vec::new(), word.as_bytes());
     while let Some((&first, after)) = rest.split_first() {
@@ -186,7 +186,7 @@
     String::from_utf8(bytes).ok()
 }
 
-/// Partition numbers and ranges with a comma between: `3,5-9`. Errors: what is wrong, in words.
+/// Parses partition numbers and ranges separated by commas, such as `3,5-9`. The error is the text of the response.
 fn parse_partitions(text: &str, count: u32) -> Result<HashSet<u32>, String> {
     let mut asked = HashSet::new();
     for piece in text.split(',') {
@@ -195,7 +195,7 @@
             Some((first, last)) => one(first).zip(one(last)).filter(|(first, last)| first <= last),
             None => one(piece).map(|p| (p, p)),
         };
-        // At most `count`: what comes twice is there once.
+        // The set holds at most `count` numbers, however often a range is repeated.
         let (first, last) =
             range.ok_or_else(|| format!("partition: what is {piece}? 0 to {}\n", count - 1))?;
         asked.extend(first..=last);
@@ -255,9 +255,10 @@
         };
         let (lines, body) = Channel::new(1);
         let mut watches = watches.borrow_mut();
-        // Those that have ended.
+        // Removes the watches that have ended.
         while watches.try_join_next().is_some() {}
-        // Who says what it holds is told only what has changed since, or else all of it.
+        // A follower that names the content it holds gets the changes since exactly that content, or else the whole
+        // list.
         let position = match content_hash(query) {
             Some(hash) => state.store.step_at_content(after, hash),
             None => state.store.step_at_index(after),
@@ -275,7 +276,7 @@
     reply
 }
 
-/// A watch, counted for as long as it lasts.
+/// Keeps a watch registered in the hub until it is dropped.
 struct OpenWatch {
     hub: SharedHub,
     id: u64,
@@ -287,8 +288,8 @@
     }
 }
 
-/// `after`: the index that the follower holds, and the step at which it was held here. As the agent does: who is up to
-/// date is told nothing, who knows another truth all of it.
+/// `after` is the index that the follower holds, and the step at which this relay held it. As with the agent, a
+/// follower that is up to date receives nothing, and one whose version is not known here receives the whole list.
 async fn run_watch(
     open: OpenWatch,
     after: (u64, Option<u64>),
--- a/crates/courier/src/relay/stall_timeout.rs
+++ b/crates/courier/src/relay/stall_timeout.rs
@@ -1,4 +1,4 @@
-//! A connection that must be read from: one that takes too little for too long is an error, and so closed.
+//! A connection that fails with a time-out, and so is closed, if the peer reads too little for too long.
 
 use std::future::Future;
 use std::io;
@@ -9,13 +9,13 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{sleep, Sleep};
 
-/// For so long a connection with something to take may take less than `MIN_PROGRESS_BYTES`.
+/// A connection with pending data fails if the peer takes less than `MIN_PROGRESS_BYTES` in this time.
 pub const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 const MIN_PROGRESS_BYTES: usize = 64 * 1024;
 
 pub struct StallTimeout<S> {
     inner: S,
-    /// Runs while something waits to be taken.
+    /// Set while data is pending.
     deadline: Option<Pin<Box<Sleep>>>,
     written: usize,
 }
--- a/crates/courier/src/relay/status.rs
+++ b/crates/courier/src/relay/status.rs
@@ -1,5 +1,5 @@
-//! Who follows a relay, and which version is in force where: what followers state, and for the others what
-//! they asked after and what was written to them.
+//! The status of a relay: its followers and the version in force at each. Followers that report their version are
+//! listed with it; for the others it is known only what they requested and what was written to them.
 
 use std::fmt;
 use std::io;
@@ -16,10 +16,10 @@
 use crate::relays::Held;
 
 pub const PATH: &str = "/relay/status";
-/// An answer may take so long, and so many bytes.
+/// Limits on the time and the size of a response.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(5);
 const MAX_RESPONSE_BYTES: usize = 32 << 20;
-/// Of those who are behind so many are named.
+/// Maximum number of lagging followers, and of watches, that are listed.
 const MAX_LISTED: usize = 20;
 
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
@@ -30,10 +30,9 @@
     pub bytes: usize,
     pub partitions: usize,
     pub connections: usize,
-    /// Those who state what they hold, each second; forgotten after ten without a word.
+    /// Followers that report their version each second; removed after ten seconds without a report.
     pub followers: Vec<Follower>,
-    /// Open watches. Of a follower in the old form it is known only what it asked after, and what was
-    /// written.
+    /// Open watches. For followers that do not report their version, they show what was requested and what was written.
     pub watches: Vec<Watch>,
 }
 
@@ -43,9 +42,9 @@
     pub from: String,
     pub epoch: u64,
     pub index: u64,
-    /// Milliseconds since it has lacked a version that is held here.
+    /// Milliseconds for which it has been missing a version that is held here.
     pub behind_ms: Option<u64>,
-    /// Milliseconds since it said so.
+    /// Milliseconds since its last report.
     pub said_ms: u64,
 }
 
@@ -87,7 +86,7 @@
     }
 }
 
-/// What the command prints.
+/// The output of the command `relay status`.
 impl fmt::Display for Status {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let Some(held) = &self.held else {
@@ -127,17 +126,20 @@
     }
 }
 
-/// Asks a relay, within a `LocalSet`.
+/// Fetches the status of a relay; must run within a `LocalSet`.
 ///
 /// # Errors
-/// Nobody is there, or what answers is no relay.
+/// Fails if the relay cannot be reached or the response is not a relay's status.
 pub async fn fetch(address: SocketAddr) -> io::Result<Status> {
     let response = async {
         let mut connection = Connection::open(address).await?;
         let request = Request::get(PATH).body(Full::default()).map_err(io::Error::other)?;
         let response = connection.send(request).await?;
         if response.status() != StatusCode::OK {
-            return Err(io::Error::other(format!("it answers {}", response.status().as_u16())));
+            return Err(io::Error::other(format!(
+                "the relay responded with status {}",
+                response.status().as_u16()
+            )));
         }
         let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
             .collect()
--- a/crates/courier/src/relays.rs
+++ b/crates/courier/src/relays.rs
@@ -1,7 +1,8 @@
-//! Follows the list at one of several relays: which one, the catalog's `choice` says; that no older list is
-//! taken than was held, its `versions`. The list itself is followed by `discovery` as ever; beside it goes an
-//! ask a second, by which the relay hears what is held here, and says what it holds. A list that is heard proves that
-//! its relay lives, whatever becomes of the asks; and a move to another relay goes on from the held content.
+//! Follows the list at one of several relays. `choice` of the catalog selects the relay, and `versions` ensures that no
+//! list older than the held one is applied. `discovery` receives the list itself. In addition, the followed relay is
+//! queried once a second: the query reports the version held here, and the response the version held there. Data of the
+//! list proves that the relay is alive even if queries fail. After a move to another relay, the list continues from the
+//! held content.
 
 use std::cell::RefCell;
 use std::fmt::Write;
@@ -28,81 +29,83 @@
 use crate::platform::Connection;
 use crate::reader::Limits;
 
-/// Relays that a configuration may name.
+/// Maximum number of relays in a configuration.
 pub const MAX_RELAYS: usize = 64;
-/// Of a relay's answer on what it holds, in bytes.
+/// Maximum size of a relay's response to a query.
 const MAX_RESPONSE_BYTES: usize = 4096;
 pub const HELD_PATH: &str = "/relay/held";
 
-/// What a relay says that it holds. Fields that are not known are passed over.
+/// The version that a relay holds, as its response to a query states it. Unknown fields are ignored.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub struct Held {
     pub epoch: u64,
     pub index: u64,
-    /// Of all names and entries, in whatever order.
+    /// Hash of all names and entries, independent of their order.
     #[serde(default)]
     pub hash: String,
-    /// It comes from the relay's file: no source has told a list since its process began.
+    /// The list was loaded from the relay's file, and no source has sent one since its process started.
     #[serde(default)]
     pub kept: bool,
-    /// Milliseconds since this version was taken up.
+    /// Milliseconds since this version was applied.
     #[serde(default)]
     pub age_ms: u64,
-    /// Its watches check the content hash that a follower names: they tell what has changed since just that content
-    /// was held there, and otherwise all of it.
+    /// Its watches check the content hash that a follower sends: they send the changes since exactly that content if
+    /// the relay has held it, and otherwise the whole list.
     #[serde(default)]
     pub resumes: bool,
 }
 
-/// Who holds a list that comes by relays.
+/// A listener that holds a list by its version, which includes the epoch.
 pub trait VersionedListener: Listener {
     /// The version that is held.
     fn held(&self) -> Option<Version>;
 
-    /// From here on lists come from another relay, or under another epoch: what changes after this index, or whole.
+    /// From now on lists come from another relay or under another epoch: changes after this index, or first a whole
+    /// list.
     fn set_source(&mut self, epoch: u64, after: Option<u64>);
 
-    /// Whether something is missing that only a whole list brings; asked once.
+    /// Whether a whole list is needed because changes are missing. Resets the request.
     fn take_snapshot_request(&mut self) -> bool;
 }
 
-/// What was heard of the list since it comes from where it does, for whoever holds it by versions.
+/// What has been received from the current source, to derive the version of each list from it.
 #[derive(Debug, Default)]
 pub struct SourceState {
     pub epoch: u64,
-    /// The version last heard from there.
+    /// The last version received from this source.
     last_index: Option<u64>,
     pub needs_snapshot: bool,
 }
 
 impl SourceState {
-    /// Lists come from elsewhere, or under another epoch: what changes after this index, or whole.
+    /// Starts with a new source or epoch, which sends changes after this index, or first a whole list.
     pub fn reset(&mut self, epoch: u64, after: Option<u64>) {
         *self = SourceState { epoch, last_index: after, needs_snapshot: false };
     }
 
-    /// What a list offers that has come.
+    /// The version of a received list, and the version that its changes follow.
     pub fn offer(&mut self, list: &Update) -> Offer {
         let last = self.last_index.replace(list.index);
         let version = Version { epoch: self.epoch, index: list.index };
-        // Changes of which nothing went before cannot be told from a part of them.
+        // The first changes from a source may be incomplete; an offer after its own index cannot be applied to an older
+        // list.
         let after = if list.whole { None } else { Some(last.unwrap_or(list.index)) };
         Offer { version, after }
     }
 }
 
-/// Stands before a courier's exchange, and passes on what is no older than what was held.
+/// Passes lists on to a courier's exchange unless they are older than the held one.
 pub struct VersionFilter<L> {
     inner: Rc<RefCell<L>>,
     versions: Versions,
     source: SourceState,
     content: ContentHash,
-    /// A whole list was taken, so that the content hash is that of all that is held.
+    /// A whole list has been applied, so the content hash covers everything that is held.
     has_snapshot: bool,
 }
 
 impl<L: Listener> VersionFilter<L> {
-    /// `index`: the version held at the start, 0: none.
+    /// `index` is the version held at the start, or 0 for none.
     pub fn new(inner: Rc<RefCell<L>>, index: u64) -> VersionFilter<L> {
         let held = (index > 0).then_some(Version { epoch: 0, index });
         let (source, content) = (SourceState::default(), ContentHash::default());
@@ -136,7 +139,7 @@
             Verdict::RequestSnapshot => self.source.needs_snapshot = true,
             Verdict::Ignore | Verdict::Reject(_) => {
                 let version = offer.version;
-                log::debug!("a relay's list {version:?} is from before {:?}", self.versions.held());
+                log::debug!("a relay sent list {version:?}, which is older than {:?}", self.versions.held());
             }
         }
     }
@@ -173,7 +176,7 @@
     }
 }
 
-/// A courier's listener follows the list at these relays; `index` is that of the list it begins with.
+/// Follows the list at these relays for a courier's listener, which starts with the list of version `index`.
 pub fn follow_for<L: Listener + 'static>(
     listener: Rc<RefCell<L>>,
     clock: Clock,
@@ -185,7 +188,7 @@
     follow(Rc::new(RefCell::new(VersionFilter::new(listener, index))), clock, name, relays, limits)
 }
 
-/// Text as a word of a query.
+/// Percent-encodes text for use in a query.
 fn percent_encode(text: &str) -> String {
     let mut encoded = String::new();
     for byte in text.bytes() {
@@ -198,7 +201,7 @@
     encoded
 }
 
-/// Asks one relay once, over the connection that is there if it can be used.
+/// Queries a relay once, over the given connection if it is still usable.
 async fn query(
     connection: Option<Connection>,
     address: SocketAddr,
@@ -211,7 +214,10 @@
     let request = Request::get(path).body(Full::default()).map_err(io::Error::other)?;
     let response = connection.send(request).await?;
     if response.status() != StatusCode::OK {
-        return Err(io::Error::other(format!("the relay answers {}", response.status().as_u16())));
+        return Err(io::Error::other(format!(
+            "the relay responded with status {}",
+            response.status().as_u16()
+        )));
     }
     let body =
         Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await.map_err(io::Error::other)?;
@@ -228,22 +234,22 @@
     relays: Vec<SocketAddr>,
     choice: Choice,
     rng: fastrand::Rng,
-    /// The relay that is asked now, and its answer to come.
+    /// The relay that is being queried, and the query.
     pending: Option<(usize, PendingQuery)>,
-    /// A connection to the one that was asked last and answered.
+    /// The connection to the relay that answered last.
     idle_connection: Option<(usize, Connection)>,
-    /// What is followed now, and when something of it was heard last.
+    /// The list that is followed, and when data of it last arrived.
     subscription: Option<Subscription>,
     last_heard: LastHeard,
 }
 
-/// Where the list is followed.
+/// Where and from which content the list is followed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Subscription {
     relay: usize,
-    /// What the relay was said to speak of.
+    /// The epoch that the relay reported.
     epoch: u64,
-    /// The content from which it goes on; without one it begins with the whole list.
+    /// The content after which changes are requested; without one the whole list is requested first.
     from: Option<Content>,
 }
 
@@ -254,7 +260,7 @@
         if let Some(Version { epoch, index }) = held {
             let _ = write!(path, "&epoch={epoch}&index={index}");
         }
-        // A try at another relay leaves the connection to the one that is followed.
+        // A query to another relay keeps the connection to the followed one open.
         let reusable = match self.idle_connection.take() {
             Some((of, connection)) if of == relay => Some(connection),
             other => {
@@ -265,7 +271,7 @@
         self.pending = Some((relay, Box::pin(query(reusable, self.relays[relay], path))));
     }
 
-    /// What an answer means to the choice.
+    /// Translates the result of a query into an input for the choice.
     fn handle_response(
         &mut self,
         relay: usize,
@@ -283,11 +289,11 @@
         (Input::Answered(version), Some(held))
     }
 
-    /// Follows the list at a relay that has said what it holds, from the held content if that can be checked there.
+    /// Follows the list at a relay that has reported its version; from the held content if the relay can check that.
     fn subscribe_after_query(&mut self, relay: usize, reported: &Held) -> Option<Subscription> {
         let version = Version { epoch: reported.epoch, index: reported.index };
         let held = self.listener.borrow().held();
-        // A relay that is behind, or of another epoch, has nothing to go on from.
+        // A relay that is behind or has another epoch cannot send changes to the held content.
         let resumes = reported.resumes
             && held.is_some_and(|held| held.epoch == version.epoch && held.index <= version.index);
         let from = self.listener.borrow().held_content().filter(|_| resumes);
@@ -303,7 +309,7 @@
         self.subscription
     }
 
-    /// Whether this is followed already, and heard.
+    /// Whether the list is already followed at this relay and epoch, and data still arrives.
     fn is_subscribed(&self, relay: usize, epoch: u64) -> bool {
         let same = self
             .subscription
@@ -311,7 +317,8 @@
         same && self.last_heard.is_recent(self.clock.now())
     }
 
-    /// One input to the choice; says where the list is to be followed anew, if it is.
+    /// Waits for one input to the choice and handles it. Returns a subscription if the list must be followed from a new
+    /// start.
     async fn next_subscription(&mut self) -> Option<Subscription> {
         let due = self.clock.instant(self.choice.due());
         let (input, reported, queried) = match &mut self.pending {
@@ -333,7 +340,7 @@
         };
         let (now, held) = (self.clock.now(), self.listener.borrow().held());
         if input == Input::Due && now >= self.choice.due() {
-            // Where one is out its time is up.
+            // A query in flight has timed out.
             self.pending = None;
         }
         let before = self.choice.followed();
@@ -343,15 +350,15 @@
         let effect = self.choice.handle(now, input, held, self.rng.f64());
         let followed = self.choice.followed();
         if let (Some(relay), None) = (before, followed) {
-            log::warn!("relay {} is lost or behind: another is asked", self.relays[relay]);
+            log::warn!("relay {} does not respond or is behind; querying another one", self.relays[relay]);
         }
         match (effect, reported) {
             (Effect::Query(relay), _) => self.query(relay),
             (Effect::Follow(relay), Some(reported)) if !self.is_subscribed(relay, reported.epoch) => {
-                log::info!("the list is followed at relay {}", self.relays[relay]);
+                log::info!("following the list at relay {}", self.relays[relay]);
                 return self.subscribe_after_query(relay, &reported);
             }
-            // The same relay counts anew, or a part is missing: all of it again.
+            // The relay has a new epoch, or changes are missing: the whole list is requested again.
             (_, Some(reported)) if followed == Some(queried) => {
                 let needs_snapshot = self.listener.borrow_mut().take_snapshot_request();
                 let is_new_epoch =
@@ -370,7 +377,7 @@
     }
 }
 
-/// Follows the list at the relay that the choice names, for good.
+/// Follows the list at the relay that the choice selects; does not return.
 pub async fn follow<H: VersionedListener + 'static>(
     listener: Rc<RefCell<H>>,
     clock: Clock,
@@ -378,7 +385,7 @@
     relays: Vec<SocketAddr>,
     (limits, seed): (Limits, u64),
 ) {
-    // Guards against couriers of one seed that would all draw the same.
+    // Couriers that share a seed must not draw the same random numbers.
     let seed = seed ^ u64::from(crc32fast::hash(name.as_bytes()));
     let by_address: Vec<(String, f64)> = relays.iter().map(|relay| (relay.to_string(), 1.0)).collect();
     let choice = Choice::new(rank_relays(&name, &by_address), clock.now());
@@ -394,7 +401,7 @@
         subscription: None,
         last_heard: LastHeard::default(),
     };
-    // Asked for as where asks are priced: many follow one relay. Begun anew with each relay and epoch.
+    // Lists are requested in ask mode, because many couriers follow one relay. Replaced for each new relay or epoch.
     let mut following: Option<Pin<Box<dyn Future<Output = ()>>>> = None;
     loop {
         let to = {
@@ -407,7 +414,7 @@
             };
             tokio::select! {
                 to = next_subscription => to,
-                // It never ends.
+                // The follower never returns.
                 () = followed => return,
             }
         };
--- a/crates/courier/tests/relay.rs
+++ b/crates/courier/tests/relay.rs
@@ -1,5 +1,5 @@
-//! Couriers behind relays behind a source that tells the published form: each a process on loopback. What a
-//! courier holds is seen by where it delivers, and by what it states to its relay.
+//! Couriers that follow relays, which follow a source of the agent's published protocol; couriers and relays are
+//! processes on loopback. The list that a courier holds shows in where it delivers and in what it reports to its relay.
 
 mod common;
 
@@ -18,7 +18,7 @@
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
 
-/// A change is in force everywhere within this.
+/// Maximum time until a change is in force everywhere.
 const IN_FORCE_LIMIT: Duration = Duration::from_secs(7);
 const LATE: &str = "d=4000";
 
@@ -29,13 +29,13 @@
 
 struct SourceList {
     index: u64,
-    /// Entries, and the version at which each last changed.
+    /// Entries, with the version at which each last changed.
     entries: Vec<(Value, u64)>,
-    /// Says nothing, and takes no change over.
+    /// Sends no changes to watches.
     frozen: bool,
 }
 
-/// A source that tells the published form as the platform's agent does.
+/// A source that serves the published protocol of the platform's agent.
 struct Source {
     address: SocketAddr,
     list: Arc<Mutex<SourceList>>,
@@ -110,7 +110,7 @@
     }
 }
 
-/// A relay's process, killed at the end of its test.
+/// A relay process, killed at the end of its test.
 struct Relay {
     address: SocketAddr,
     folder: Folder,
@@ -148,7 +148,7 @@
     }
 
     fn wait_until_listening(&self) {
-        until("the relay's first answer", || TcpStream::connect(self.address).is_ok());
+        until("the relay accepts connections", || TcpStream::connect(self.address).is_ok());
     }
 
     fn restart(&mut self) {
@@ -165,11 +165,11 @@
         kill_process(Pid::from_child(&self.child), signal).unwrap();
     }
 
-    /// Ends as planned, with its list on file.
+    /// Shuts down with SIGTERM, which saves the list.
     fn terminate(&mut self) -> ExitStatus {
         self.signal(Signal::TERM);
         let start = Instant::now();
-        until("the relay's end", || self.child.try_wait().unwrap().is_some());
+        until("the relay exits", || self.child.try_wait().unwrap().is_some());
         assert!(start.elapsed() < Duration::from_secs(4));
         self.child.wait().unwrap()
     }
@@ -180,16 +180,16 @@
         serde_json::from_slice(&body).unwrap()
     }
 
-    /// The index that is held, 0: none.
+    /// The held index, or 0 if no list is held.
     fn index(&self) -> u64 {
         self.status()["held"]["index"].as_u64().unwrap_or(0)
     }
 
     fn wait_for_index(&self, index: u64) {
-        until("the relay holds it", || self.index() == index);
+        until("the relay holds the version", || self.index() == index);
     }
 
-    /// What followers state that they hold.
+    /// The versions that followers report: name, epoch and index.
     fn reported(&self) -> Vec<(String, u64, u64)> {
         let number = |value: &Value| value.as_u64().unwrap();
         let status = self.status();
@@ -198,7 +198,7 @@
         status["followers"].as_array().unwrap().iter().map(of).collect()
     }
 
-    /// Kilobytes of memory that are its own now.
+    /// Resident memory in kilobytes.
     fn resident(&self) -> usize {
         let status = fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find(|line| line.starts_with("VmRSS")).unwrap();
@@ -217,7 +217,7 @@
     }
 }
 
-/// One answer, whole: status, fields, body.
+/// Sends one request and returns the status, the head and the body of the response.
 fn get(address: SocketAddr, path: &str) -> (u16, String, Vec<u8>) {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(7))).unwrap();
@@ -242,7 +242,7 @@
     serde_json::from_slice(&body).unwrap()
 }
 
-/// A watch by hand: the text that its chunks hold, a line at a time.
+/// A minimal client of a watch that reads its chunks line by line.
 struct Watch {
     stream: BufReader<TcpStream>,
     text: String,
@@ -264,7 +264,7 @@
         Watch { stream, text: String::new() }
     }
 
-    /// The next line that is not empty; `None`: the watch has ended.
+    /// The next line that is not empty, or `None` if the watch has ended.
     fn next(&mut self) -> Option<Value> {
         loop {
             if let Some((line, rest)) = self.text.split_once('\n') {
@@ -288,7 +288,7 @@
     }
 }
 
-/// Two endpoints of one destination, of which one serves.
+/// Two endpoints of one destination, one of which is serving.
 struct EndpointPair {
     first: Endpoint,
     second: Endpoint,
@@ -304,7 +304,7 @@
         vec![entry("e1", first, 7, "SERVING"), entry("e2", second, 7, "DRAINING")]
     }
 
-    /// The second takes the first's place.
+    /// The second endpoint replaces the first.
     fn swapped_list(&self) -> Vec<Value> {
         let (first, second) = (self.first.address, self.second.address);
         vec![entry("e2", second, 7, "SERVING"), entry("e1", first, 7, "DRAINING")]
@@ -319,13 +319,13 @@
     })
 }
 
-/// Attempts go to this endpoint, before long.
+/// Checks that a mail reaches this endpoint.
 fn assert_delivers_to(courier: &Courier, id: &str, endpoint: &Endpoint) {
     assert_eq!(courier.client().put(id, "again", LATE), "+OK");
-    until("the delivery", || endpoint.ids().iter().any(|seen| seen.contains(id)));
+    until("the mail reaches the endpoint", || endpoint.ids().iter().any(|seen| seen.contains(id)));
 }
 
-/// All of these state that they hold this version, at one relay or another; says how long that took.
+/// Waits until each of these couriers has reported this version to one of the relays. Returns how long that took.
 fn wait_in_force(relays: &[&Relay], names: &[&str], index: u64, longest: Duration) -> Duration {
     let start = Instant::now();
     until_for(longest, "in force everywhere", || {
@@ -344,9 +344,9 @@
     wait_in_force(&[&relay], &["c1"], 5, IN_FORCE_LIMIT);
     assert_delivers_to(&courier, "01", &pair.first);
     assert!(pair.second.ids().is_empty());
-    // Notices go to the platform all the same: what can't be delivered is told there.
+    // Notices of mails that were given up still go to the platform.
     assert_eq!(courier.client().say(&common::put("0000000000000000", "02", "again", "d=50", b"x")), "+OK");
-    assert_eq!(platform.told.lock().unwrap().watches, 0, "the platform's list is not followed");
+    assert_eq!(platform.told.lock().unwrap().watches, 0, "the platform's list must not be followed");
 }
 
 #[test]
@@ -366,7 +366,7 @@
     let took = wait_in_force(&[&second], &["c1"], index, IN_FORCE_LIMIT);
     println!("in force behind two relays after {took:?}, as stated once a second");
     assert_delivers_to(&courier, "02", &pair.second);
-    // The relay behind states what it holds as well.
+    // A relay that follows a relay reports its version too.
     wait_in_force(&[&first], &["r2"], index, IN_FORCE_LIMIT);
 }
 
@@ -386,7 +386,7 @@
     };
     let all: Vec<&Relay> = relays.iter().collect();
     wait_in_force(&all, &names, 5, IN_FORCE_LIMIT);
-    // The one with the most followers, as the rendezvous has it.
+    // The relay with the most followers, by rendezvous hashing.
     let addresses: Vec<(String, f64)> = relays.iter().map(|relay| (relay.address.to_string(), 1.0)).collect();
     let own = |relay: usize| -> Vec<&str> {
         names.into_iter().filter(|name| rank_relays(name, &addresses)[0] == relay).collect()
@@ -399,11 +399,15 @@
     pair.swapped_list().into_iter().for_each(|entry| index = source.put(entry));
     let left: Vec<&Relay> = relays.iter().enumerate().filter(|(i, _)| *i != killed).map(|(_, r)| r).collect();
     wait_in_force(&left, &names, index, IN_FORCE_LIMIT);
-    println!("{} of 4 lost their relay; the change in force at all after {:?}", moved.len(), start.elapsed());
+    println!(
+        "{} of 4 lost their relay; the change was in force at all after {:?}",
+        moved.len(),
+        start.elapsed()
+    );
     for (i, courier) in couriers.iter().enumerate() {
         assert_delivers_to(courier, &format!("0{i}"), &pair.second);
     }
-    // It is back: they return, each after a delay of its own.
+    // The relay is back: its couriers return, each after its own delay.
     relays[killed].restart();
     wait_in_force(&[&relays[killed]], &moved, index, Duration::from_secs(90));
 }
@@ -424,14 +428,14 @@
     pair.swapped_list().into_iter().for_each(|entry| index = source.put(entry));
     let running = &relays[1 - stopped];
     wait_in_force(&[running], &names, index, IN_FORCE_LIMIT);
-    println!("a relay stands still: the change in force at all after {:?}", start.elapsed());
+    println!("a relay was stopped: the change was in force at all after {:?}", start.elapsed());
     for (i, courier) in couriers.iter().enumerate() {
         assert_delivers_to(courier, &format!("0{i}"), &pair.second);
     }
     thread::sleep(Duration::from_secs(10).saturating_sub(start.elapsed()));
     relays[stopped].signal(Signal::CONT);
     relays[stopped].wait_for_index(index);
-    // Whoever goes back to it holds what it held.
+    // Couriers that go back to it hold the current version.
     let index = source.put(entry("e3", pair.first.address, 9, "SERVING"));
     wait_in_force(&all, &names, index, IN_FORCE_LIMIT);
 }
@@ -474,7 +478,7 @@
         assert_eq!(get(relay.address, "/relay/held?name=x").0, 503, "cut at {place}");
         relay.kill();
     }
-    // With a byte changed as well, and then a source is there again.
+    // A file with a changed byte is ignored too; now a source is available again.
     let mut other = kept.clone();
     let place = kept.len() / 2;
     other[place] ^= 1;
@@ -483,11 +487,11 @@
     relay.restart();
     relay.wait_for_index(5);
     assert_eq!(get_list(relay.address, "/catalog/members"), whole);
-    // Another number of partitions is another state.
+    // A different number of partitions cannot use the saved list.
     assert!(relay.terminate().success());
     relay.config["partitions"] = json!(17);
     let (success, words) = output(Relay::command(&relay.folder, &relay.config));
-    assert!(!success && words.contains("holds 16 partitions, and 17 are configured"), "{words}");
+    assert!(!success && words.contains("was saved with 16 partitions, but 17 are configured"), "{words}");
 }
 
 #[test]
@@ -499,22 +503,25 @@
     wait_in_force(&[&ahead, &behind], &["c1"], 5, IN_FORCE_LIMIT);
     let mut index = 0;
     pair.swapped_list().into_iter().for_each(|entry| index = fresh.put(entry));
-    // Wherever it was: the other one holds nothing newer.
+    // Whichever relay it followed, it ends at the one that is ahead.
     wait_in_force(&[&ahead, &behind], &["c1"], index, Duration::from_secs(45));
     assert_delivers_to(&courier, "01", &pair.second);
     ahead.kill();
-    // At the stale one for longer than a lower list is waited for after a move.
+    // Observe it at the stale relay for longer than lists of a lower version are ignored after an address change.
     let there = || behind.reported().iter().any(|(name, _, at)| name == "c1" && *at == index);
-    until("it turns to the other", there);
+    until("the courier follows the other relay", there);
     let start = Instant::now();
     while start.elapsed() < Duration::from_secs(6) {
         let reported = behind.reported();
-        assert!(reported.iter().all(|(_, _, at)| *at == index), "went back: {reported:?}");
+        assert!(
+            reported.iter().all(|(_, _, at)| *at == index),
+            "the courier took an older list: {reported:?}"
+        );
         thread::sleep(Duration::from_millis(100));
     }
     assert_delivers_to(&courier, "02", &pair.second);
     assert!(pair.first.ids().is_empty());
-    // The stale one catches up, past what was held: it is followed from there.
+    // Once the stale source is ahead of the held version, its list is applied again.
     pair.swapped_list().into_iter().for_each(|entry| {
         stale.put(entry);
     });
@@ -538,17 +545,18 @@
     let mut index = 0;
     pair.swapped_list().into_iter().for_each(|entry| index = source.put(entry));
     wait_in_force(&[&relay], &["c1"], index, IN_FORCE_LIMIT);
-    // Back with the file from before, and no source: it serves what it has, and the courier keeps what it
-    // held.
+    // The relay restarts with the old file and no source. It serves the old list, and the courier keeps its newer one.
     relay.kill();
-    // For long enough that the courier gives it up, and begins anew with whatever is there.
+    // Long enough for the courier to give up the relay and start over.
     thread::sleep(Duration::from_millis(2500));
     fs::write(&path, &old).unwrap();
     let unused = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     relay.config["source"] = json!(unused.to_string());
     relay.restart();
     assert_eq!(relay.index(), 5);
-    until("it is back", || relay.reported().iter().any(|(name, _, at)| name == "c1" && *at == index));
+    until("the courier reports to the restarted relay", || {
+        relay.reported().iter().any(|(name, _, at)| name == "c1" && *at == index)
+    });
     let start = Instant::now();
     while start.elapsed() < Duration::from_secs(5) {
         assert!(relay.reported().iter().all(|(_, _, at)| *at == index));
@@ -569,7 +577,7 @@
     });
     let courier = courier(&platform, "c1", &[&second]);
     wait_in_force(&[&second], &["c1"], 50, IN_FORCE_LIMIT);
-    // Another process of the source, which counts from the beginning; its list is another one too.
+    // Another source process, whose index starts over and whose list is different.
     let anew = Source::new(3, pair.swapped_list());
     first.config["source"] = json!(anew.address.to_string());
     let reconfigure = |relay: &Relay| {
@@ -578,18 +586,25 @@
     };
     reconfigure(&first);
     thread::sleep(Duration::from_secs(6));
-    assert_eq!((first.index(), second.index()), (50, 50), "a lower list alone may be a stale one");
+    assert_eq!(
+        (first.index(), second.index()),
+        (50, 50),
+        "without a newer epoch, a lower index may belong to a stale list"
+    );
     first.config["epoch"] = json!(1);
     let start = Instant::now();
     reconfigure(&first);
     let there = || second.reported() == [("c1".to_string(), 1, 3)];
-    until_for(Duration::from_secs(20), "it is followed", there);
-    println!("a source that counts anew is in force behind two relays after {:?}", start.elapsed());
+    until_for(Duration::from_secs(20), "the list under the new epoch is in force", there);
+    println!(
+        "the list of a source that restarted its index was in force behind two relays after {:?}",
+        start.elapsed()
+    );
     assert_delivers_to(&courier, "01", &pair.second);
-    // And what it tells from there on.
+    // Later changes are followed too.
     let index = anew.put(entry("e1", pair.first.address, 7, "SERVING"));
     wait_in_force(&[&second], &["c1"], index, IN_FORCE_LIMIT);
-    // The epoch outlasts the process, whatever the file of configuration says.
+    // The epoch survives a restart, even if the configuration has a lower one.
     assert!(first.terminate().success());
     first.config["epoch"] = json!(0);
     first.restart();
@@ -611,7 +626,7 @@
     assert!(relay.terminate().success());
     relay.config["source"] = json!(other.address.to_string());
     relay.restart();
-    // It goes past 7 in one line, and what it tells then is as it was at 5: nothing of it is to be missed.
+    // The source jumps past 7 in one line, with the content it had at 5. The relay must take over all of that content.
     thread::sleep(Duration::from_secs(1));
     assert_eq!(get_list(relay.address, "/catalog/members"), held);
     {
@@ -630,7 +645,7 @@
     assert_eq!(sorted(got), sorted(expected));
 }
 
-/// Entries of destinations of their own, with long names.
+/// Entries with long names, each of its own destination.
 fn distinct_entries(count: u64) -> Vec<Value> {
     distinct_entries_from(0, count)
 }
@@ -652,7 +667,7 @@
     relay.wait_for_index(5);
     let mut reader = Watch::open(relay.address, "/catalog/members?watch=1&after=5");
     let at_rest = relay.resident();
-    // Forty that ask for all of it and hardly read, and forty watches from no version on that do the same.
+    // Forty requests for the whole list and forty watches from version 0, all of which read very slowly.
     let slow: Vec<TcpStream> = (0..80)
         .map(|i| {
             let mut stream = TcpStream::connect(relay.address).unwrap();
@@ -685,12 +700,12 @@
         thread::sleep(Duration::from_millis(200));
     }
     println!(
-        "80 hardly read: a change came to another within {latest:?}; {at_rest} kB at rest, {most} at most"
+        "with 80 slow readers, a change reached another follower within {latest:?}; {at_rest} kB at rest, {most} at most"
     );
     assert!(latest < IN_FORCE_LIMIT, "{latest:?}");
-    assert!(most < at_rest + 24_000, "{at_rest} kB at rest, and then {most}");
-    // They are closed in the end; who reads is not.
-    until_for(Duration::from_secs(20), "they are closed", || relay.open_files() < 30);
+    assert!(most < at_rest + 24_000, "{at_rest} kB at rest, {most} kB with slow readers");
+    // The slow connections are closed in the end, and the one that reads is not.
+    until_for(Duration::from_secs(20), "the slow connections are closed", || relay.open_files() < 30);
     let index = source.put(entry("last", unused_address(), 1, "SERVING"));
     assert_eq!(reader.next().unwrap()["index"], json!(index));
 }
@@ -733,12 +748,12 @@
     }
     while index < 305 {
         let Some(line) = watch.next() else {
-            // Told to ask anew: from what is held.
+            // The relay closed the watch: open a new one from the held version.
             watch = Watch::open(second.address, &format!("/catalog/members?watch=1&after={last}"));
             continue;
         };
         index = line["index"].as_u64().unwrap();
-        assert!(index >= last, "went back from {last} to {index}");
+        assert!(index >= last, "the index went back from {last} to {index}");
         last = index;
         if line["snapshot"] == json!(true) {
             held = whole(&line);
@@ -774,14 +789,14 @@
         assert_eq!(sorted(&get_list(relay.address, path)), sorted(&get_list(source.address, path)));
     };
     same("/catalog/members");
-    // Words that it does not know change nothing.
+    // Unknown query parameters are ignored.
     assert_eq!(get_list(relay.address, "/catalog/members?x=1"), get_list(relay.address, "/catalog/members"));
     source.put(entry("e3", pair.first.address, 8, "SERVING"));
     relay.wait_for_index(6);
     source.put(entry("e1", pair.first.address, 7, "DELETED"));
     relay.wait_for_index(7);
     same("/catalog/members");
-    // From each version on, from none, and from one that is not there yet.
+    // Watches from each version, from none, and from one that does not exist yet.
     for after in [0, 5, 6, 99] {
         let path = format!("/catalog/members?watch=1&after={after}");
         let first_line = |address| sorted(&Watch::open(address, &path).next().unwrap());
@@ -792,7 +807,7 @@
             assert_eq!(first_line(relay.address), first_line(source.address), "{after}");
         }
     }
-    // An empty line comes every two seconds: silence would be that of a dead one.
+    // An empty line arrives every two seconds; without it, followers would take the relay for dead.
     let mut quiet = TcpStream::connect(relay.address).unwrap();
     write!(quiet, "GET /catalog/members?watch=1&after=7 HTTP/1.1\r\nHost: x\r\n\r\n").unwrap();
     let (mut lines, start) = (BufReader::new(quiet).lines(), Instant::now());
@@ -834,7 +849,8 @@
     for bad in ["16", "-1", "3-1", "x", "", "1,,2", "0-99999999999"] {
         assert_eq!(get(relay.address, &format!("/catalog/members?partition={bad}")).0, 400, "{bad}");
     }
-    // A watch on parts: what changes elsewhere is not told there, and what moves away is told as gone.
+    // A watch on some partitions: changes in others are not sent, and an entry that moves to another is sent as
+    // deleted.
     let part = meadowhold_catalog::store::partition(3, 16);
     let elsewhere = (0..).find(|&d| meadowhold_catalog::store::partition(d, 16) != part).unwrap();
     let mut watch = Watch::open(relay.address, &format!("/catalog/members?watch=1&after=5&partition={part}"));
@@ -862,7 +878,7 @@
     relay.wait_for_index(5);
     let before = relay.resident();
     let mut watch = Watch::open(relay.address, "/catalog/members?watch=1&after=5");
-    // Thousands that connect and say nothing, 600 of them at one time.
+    // Thousands of connections that send nothing, 600 of them at the same time.
     let mut idle: Vec<TcpStream> = Vec::new();
     for i in 0..3000 {
         let stream = TcpStream::connect(relay.address).unwrap();
@@ -873,7 +889,7 @@
         }
     }
     assert_eq!(get_list(relay.address, "/catalog/members")["index"], json!(5));
-    until("the rest is closed", || relay.open_files() < 8 * 3 + 256 + 40);
+    until("idle connections over the limit are closed", || relay.open_files() < 8 * 3 + 256 + 40);
     let mut rng = fastrand::Rng::with_seed(5);
     let garbage = |rng: &mut fastrand::Rng| (0..2000).map(|_| rng.u8(..)).collect::<Vec<u8>>();
     let huge = format!("GET /catalog/members HTTP/1.1\r\nHost: {}\r\n", "x".repeat(200_000)).into_bytes();
@@ -886,7 +902,7 @@
         let mut stream = TcpStream::connect(relay.address).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(15))).unwrap();
         let _ = stream.write_all(&bytes);
-        // Some words of what is wrong, or none, and the end.
+        // The relay may send an error first, and then closes the connection.
         let mut answer = Vec::new();
         match stream.read_to_end(&mut answer) {
             Ok(_) => {}
@@ -894,7 +910,7 @@
         }
         assert!(!answer.starts_with(b"HTTP/1.1 200"));
     }
-    // As many watches as may be, and no more; names without end are not kept.
+    // The numbers of watches and of reported names are limited.
     let more: Vec<Watch> =
         (0..7).map(|_| Watch::open(relay.address, "/catalog/members?watch=1&after=5")).collect();
     assert_eq!(get(relay.address, "/catalog/members?watch=1&after=5").0, 503);
@@ -961,11 +977,11 @@
     }
     let one = json!({"listen": "127.0.0.1:0", "state": "s"});
     let (success, words) = output(Relay::command(&folder, &one));
-    assert!(!success && words.contains("source is missing, and relays too"), "{words}");
-    // The worked file has none.
+    assert!(!success && words.contains("source must be set if relays is not"), "{words}");
+    // The example in `deploy` is valid.
     let worked = include_bytes!("../../../deploy/relay.json");
     assert!(meadowhold_courier::relay::config::Config::read(worked).is_ok());
-    // A courier's as well.
+    // The relays in a courier's configuration are checked too.
     let platform = Platform::new();
     let mut config = common::config(&platform, own_address());
     config["relays"] = json!(["127.0.0.1:1", "127.0.0.1:2"]);
@@ -980,11 +996,11 @@
     }
 }
 
-/// What a process has used so far: processor time, kilobytes resident now and at most.
+/// Resource usage of a process so far: processor time, and current and peak resident memory in kilobytes.
 fn usage(process: u32) -> (Duration, usize, usize) {
     let stat = fs::read_to_string(format!("/proc/{process}/stat")).unwrap();
     let fields: Vec<&str> = stat.rsplit_once(") ").unwrap().1.split(' ').collect();
-    // In hundredths of a second, as on all that Linux runs on.
+    // In hundredths of a second, the tick that Linux reports on all common platforms.
     let ticks: u64 = fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap();
     let status = fs::read_to_string(format!("/proc/{process}/status")).unwrap();
     let field = |name: &str| {
@@ -998,11 +1014,11 @@
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap().as_millis() as u64
 }
 
-/// Followers as couriers are: each a watch, and an ask a second of what is held.
+/// Followers that behave like couriers: each has a watch, and sends a query about once a second.
 struct Followers {
     read: Arc<AtomicU64>,
     written: Arc<AtomicU64>,
-    /// By the moment of a change, in milliseconds: how many heard of it, and the last after how long.
+    /// By the time of a change in Unix milliseconds: how many followers received it, and the longest delay.
     heard: Arc<Mutex<BTreeMap<u64, (usize, u64)>>>,
     ends: Arc<AtomicBool>,
 }
@@ -1062,7 +1078,7 @@
         followers
     }
 
-    /// Says what a process and its followers used in so long.
+    /// Prints what a process and its followers used during this time.
     fn measure(&self, what: &str, process: u32, count: usize, span: Duration) {
         let (before, start) = (usage(process).0, Instant::now());
         let bytes = || (self.read.load(Relaxed), self.written.load(Relaxed));
@@ -1088,7 +1104,7 @@
             all.iter().sum::<u64>() as f64 / all.len().max(1) as f64,
             load.split(' ').next().unwrap()
         );
-        assert!(all.len() + 1 >= heard.len(), "a change is not everywhere");
+        assert!(all.len() + 1 >= heard.len(), "a change did not reach every follower");
     }
 }
 
@@ -1100,7 +1116,8 @@
 
 const FOLLOWERS: usize = 260;
 
-/// A relay's hub and server in a process of their own, which has 30,000 entries told by itself. It runs where `figures_at_30_000_entries` starts it, by the variable.
+/// A relay's hub and server in their own process, with a list of 30,000 entries that it generates itself. Does nothing
+/// unless `figures_at_30_000_entries` starts it, which sets `RELAY_FIGURES`.
 #[test]
 #[ignore = "a part of figures_at_30_000_entries"]
 fn the_process_that_is_measured() {
@@ -1118,8 +1135,7 @@
             serde_json::from_value(json!({"index": index, "snapshot": snapshot, "endpoints": entries}))
                 .unwrap()
         };
-        // In pieces of one version, as a reader of fewer entries at once would tell them, and never all as
-        // values.
+        // The list is applied in pieces of one version, so that the entries are never all in memory as JSON values.
         for piece in 0..30 {
             let texts: Vec<String> =
                 distinct_entries_from(piece * 1000, 1000).iter().map(Value::to_string).collect();
@@ -1131,7 +1147,7 @@
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         println!("\nat {}", listener.local_addr().unwrap());
         tokio::task::spawn_local(serve::listen(hub.clone(), listener, 1024));
-        // The first line from outside starts the changes.
+        // The first line received from the test starts the changes.
         let mut commands = tokio::io::BufReader::new(
             tokio::net::TcpStream::connect(std::env::var("RELAY_FIGURES_AT").unwrap()).await.unwrap(),
         );
@@ -1174,7 +1190,7 @@
     go.write_all(b"go\n").unwrap();
     thread::sleep(Duration::from_secs(3));
     followers.measure("a change a second", process, FOLLOWERS, Duration::from_secs(30));
-    // All ask for the whole at once, as after a relay was lost.
+    // All followers request the whole list at once, as they do after the loss of a relay.
     let (start, before) = (Instant::now(), usage(process).0);
     let whole: Vec<_> =
         (0..FOLLOWERS).map(|_| thread::spawn(move || get(address, "/catalog/members").2.len())).collect();
@@ -1186,7 +1202,7 @@
     let _ = child.wait();
 }
 
-/// The program itself, from a source to 260 followers: `... --ignored --nocapture
+/// The relay program with a source and 260 followers: `... --ignored --nocapture
 /// three_hundred_changes_in_a_minute`
 #[test]
 #[ignore = "a measurement of a minute and a half"]
@@ -1216,7 +1232,7 @@
     assert_eq!(followers.heard.lock().unwrap().len(), 300);
 }
 
-/// Guards against a difference from content that the follower does not hold.
+/// Guards against sending changes to content that the follower does not hold.
 #[test]
 fn a_watch_with_a_content_hash_gets_the_changes_since_it_or_the_whole_list() {
     let pair = EndpointPair::new();
--- a/crates/courier/tests/relays_anew.rs
+++ b/crates/courier/tests/relays_anew.rs
@@ -1,4 +1,4 @@
-//! A courier whose ask is answered late once, while its relay's watch speaks on, keeps what it has.
+//! A courier keeps its list if one query is answered late while data still arrives on the relay's watch.
 
 use std::cell::RefCell;
 use std::io::{BufRead, BufReader, Write};
@@ -34,8 +34,8 @@
     fn release_calls(&mut self) {}
 }
 
-/// Answers asks, the third a second late, and tells the list whole where all of it is asked for; a watch gets a line
-/// without a word ten times a second.
+/// Answers queries, the third one a second late, and requests for the whole list. A watch receives an empty line ten
+/// times a second.
 fn serve(mut stream: TcpStream, queries: &AtomicUsize, snapshot_requests: &AtomicUsize) -> Option<()> {
     let mut lines = BufReader::new(stream.try_clone().ok()?);
     loop {
@@ -90,8 +90,8 @@
         };
         let result = tokio::time::timeout(Duration::from_secs(30), eight_queries);
         tokio::select! {
-            () = following => panic!("it ended"),
-            done = result => done.expect("eight asks in time"),
+            () = following => panic!("`follow` returned"),
+            done = result => done.expect("eight queries within 30 s"),
         }
     });
     assert_eq!((snapshot_requests.load(Ordering::SeqCst), counter.borrow().snapshots), (1, 1));
--- a/crates/courier/tests/relays_move.rs
+++ b/crates/courier/tests/relays_move.rs
@@ -1,4 +1,4 @@
-//! A courier that loses its relay goes on at another from the content that it holds, where that can be checked there.
+//! A courier that loses its relay continues at another one from the content that it holds, if that relay can check it.
 
 mod common;
 
@@ -19,7 +19,7 @@
 use meadowhold_courier::relays::{follow, VersionFilter};
 use serde_json::json;
 
-/// Versions as they were heard: index, and whether the whole list.
+/// Received lists: the index, and whether it was a whole list.
 #[derive(Default)]
 struct ReceivedLists(Vec<(u64, bool)>);
 
@@ -43,7 +43,7 @@
     .to_string()
 }
 
-/// The entry as relays tell it and reckon its hash: with the fields in this order.
+/// The entry as relays send and hash it, with the fields in this order.
 fn relay_text(weight: &str) -> String {
     format!(
         "{{\"name\":\"e1\",\"address\":\"127.0.0.1:9\",\"zone\":\"a\",\"type\":\"single\",\"group\":7,\
@@ -58,8 +58,8 @@
 }
 
 impl Relay {
-    /// Holds version 5 and says so; a watch from the content with which `knows` agrees is told version 6 alone, any
-    /// other the whole list of it.
+    /// Reports that it holds version 5. A watch from the content with the weight `known_weight` receives empty lines
+    /// only, any other the whole list of version 6.
     fn new(known_weight: &'static str) -> Relay {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -97,7 +97,7 @@
     let mut content = ContentHash::default();
     content.insert("e1", relay_text(known_weight).as_bytes());
     let agrees = target.ends_with(&format!("after=5&hash={:016x}", content.value()));
-    // The one that is followed first says nothing new.
+    // The relay that is followed first has no changes.
     let line = match (agrees, known_weight) {
         (true, _) => "\n".to_string(),
         (false, _) => format!("{{\"index\":6,\"snapshot\":true,\"endpoints\":[{}]}}\n", entry(2.0)),
@@ -113,14 +113,15 @@
     false
 }
 
-/// Follows at the first, which goes once it is followed; at the second until it has a watch open for half a second.
+/// Follows the list at the first relay, which goes down once it is followed, and then at the second until a watch there
+/// has been open for half a second.
 fn run_move(first: &Relay, second: &Relay) -> Vec<(u64, bool)> {
     let lists = Rc::new(RefCell::new(ReceivedLists::default()));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let filter = Rc::new(RefCell::new(VersionFilter::new(lists.clone(), 0)));
         let limits = Limits { entries: 100, bytes: 1 << 20 };
-        // Whichever its name prefers, it begins at the first: the second is not there yet.
+        // The second relay is down at first, so that the first is followed even if the second ranks higher.
         *second.is_down.lock().unwrap() = true;
         let relays = vec![first.address, second.address];
         let following = follow(filter, Clock::new(), "c1".to_string(), relays, (limits, 1));
@@ -136,15 +137,15 @@
             tokio::time::sleep(Duration::from_millis(500)).await;
         };
         tokio::select! {
-            () = following => panic!("it ended"),
-            done = tokio::time::timeout(Duration::from_secs(30), moved) => done.expect("a move in time"),
+            () = following => panic!("`follow` returned"),
+            done = tokio::time::timeout(Duration::from_secs(30), moved) => done.expect("a move within 30 s"),
         }
     });
     let received = lists.borrow().0.clone();
     received
 }
 
-/// Guards against a move that costs a whole list though the same content is held.
+/// Guards against fetching the whole list on a move although the new relay has held the same content.
 #[test]
 fn a_move_to_a_relay_with_the_same_content_requests_no_whole_list() {
     let (first, second) = (Relay::new("1.0"), Relay::new("1.0"));
@@ -153,7 +154,7 @@
     assert_eq!(received, [(5, true)]);
 }
 
-/// Guards against differences from content that is not held, as after a gap that one relay told in part.
+/// Guards against applying changes to content that is not held, as after a gap of which one relay sent only a part.
 #[test]
 fn a_move_to_a_relay_with_other_content_at_the_same_index_gets_the_whole_list() {
     let (first, second) = (Relay::new("1.0"), Relay::new("3.0"));
