--- a/crates/courier/src/relay.rs
+++ b/crates/courier/src/relay.rs
@@ -58,14 +58,14 @@
 /// Loads the list saved in the state folder. Fails if it was saved with a different number of partitions or not by a
 /// relay.
 fn load(config: &Config, now: Time) -> io::Result<Option<(Version, Vec<Entry>, Time)>> {
-    let Some(kept) = memory::load(&config.state, disk_quota(config.bounds.max_file_bytes()), now) else {
+    let Some(saved) = memory::load(&config.state, disk_quota(config.bounds.max_file_bytes()), now) else {
         return Ok(None);
     };
-    let invalid = |words: String| Err(io::Error::new(io::ErrorKind::InvalidData, words));
-    match parse_state_tag(&kept.deployment) {
+    let invalid = |message: String| Err(io::Error::new(io::ErrorKind::InvalidData, message));
+    match parse_state_tag(&saved.deployment) {
         Some((partitions, epoch)) if partitions == config.partitions => {
-            let version = Version { epoch, index: kept.index };
-            Ok(Some((version, kept.endpoints.into_iter().map(Entry::from).collect(), kept.saved_at)))
+            let version = Version { epoch, index: saved.index };
+            Ok(Some((version, saved.endpoints.into_iter().map(Entry::from).collect(), saved.saved_at)))
         }
         Some((partitions, _)) => {
             let (state, wanted) = (config.state.display(), config.partitions);
@@ -120,15 +120,15 @@
     }
 
     async fn save(&mut self) {
-        let (whole, step) = {
+        let (snapshot, step) = {
             let mut hub = self.hub.borrow_mut();
             (hub.store.snapshot(), hub.store.step())
         };
-        let Some(whole) = whole.filter(|_| step != self.saved_step) else { return };
+        let Some(snapshot) = snapshot.filter(|_| step != self.saved_step) else { return };
         let (folder, max_bytes, now) = (self.folder.clone(), self.max_bytes, self.clock.now());
-        let tag = state_tag(self.partitions, whole.version.epoch);
+        let tag = state_tag(self.partitions, snapshot.version.epoch);
         let result = tokio::task::spawn_blocking(move || {
-            save(&folder, max_bytes, tag, whole.version, &whole.texts, now)
+            save(&folder, max_bytes, tag, snapshot.version, &snapshot.texts, now)
         });
         let result = result.await.unwrap_or_else(|e| Err(io::Error::other(e)));
         // Repeated failures are logged once.
--- a/crates/courier/src/relay/config.rs
+++ b/crates/courier/src/relay/config.rs
@@ -114,12 +114,12 @@
         }
         let has_fault = |name: &str| faults.contains_key(name);
         if file.source.is_some() == file.relays.is_some() && !has_fault("source") && !has_fault("relays") {
-            let words = if file.source.is_some() {
+            let message = if file.source.is_some() {
                 "must not be set together with relays"
             } else {
                 "must be set if relays is not"
             };
-            faults.insert("source".to_string(), words.to_string());
+            faults.insert("source".to_string(), message.to_string());
         }
         let address = |text: &String| text.parse::<SocketAddr>().ok();
         let source = match (&file.source, &file.relays) {
--- a/crates/courier/src/relay/hub.rs
+++ b/crates/courier/src/relay/hub.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug)]
 pub struct FollowerReport {
     pub version: Version,
-    pub at: Time,
+    pub reported_at: Time,
     pub from: IpAddr,
     /// The oldest version that the follower is missing, and since when.
     pub behind: Option<(Version, Time)>,
@@ -48,7 +48,7 @@
     pub asked_after: u64,
     /// The last version that was handed to its connection.
     pub sent: u64,
-    pub since: Time,
+    pub opened_at: Time,
 }
 
 /// The next data for a follower.
@@ -127,9 +127,9 @@
         }
     }
 
-    fn apply(&mut self, offer: Offer, items: Vec<CatalogEntry>) {
+    fn apply(&mut self, offer: Offer, entries: Vec<CatalogEntry>) {
         let before = self.store.version();
-        match self.store.apply(&offer, items) {
+        match self.store.apply(&offer, entries) {
             Verdict::Apply => {
                 let now = self.clock.now();
                 if before != Some(offer.version) {
@@ -156,9 +156,9 @@
         }
     }
 
-    fn log_rejection(&mut self, words: String) {
+    fn log_rejection(&mut self, message: String) {
         if !std::mem::replace(&mut self.rejection_logged, true) {
-            log::error!("{words}");
+            log::error!("{message}");
         }
     }
 
@@ -184,7 +184,7 @@
     pub fn record_report(&mut self, name: &str, version: Version, from: IpAddr) {
         let (now, held) = (self.clock.now(), self.store.version());
         if self.reports.len() >= self.max_followers {
-            self.reports.retain(|_, report| now < report.at + REPORT_LIFETIME);
+            self.reports.retain(|_, report| now < report.reported_at + REPORT_LIFETIME);
         }
         if name.is_empty() || name.len() > MAX_NAME_BYTES {
             return;
@@ -202,13 +202,13 @@
             (Some(held), None) => Some((held, now)),
             (None, _) => None,
         };
-        self.reports.insert(name.to_string(), FollowerReport { version, at: now, from, behind });
+        self.reports.insert(name.to_string(), FollowerReport { version, reported_at: now, from, behind });
     }
 
     /// The reports of followers that have reported recently.
     pub fn recent_reports(&self) -> impl Iterator<Item = (&String, &FollowerReport)> {
         let now = self.clock.now();
-        self.reports.iter().filter(move |(_, report)| now < report.at + REPORT_LIFETIME)
+        self.reports.iter().filter(move |(_, report)| now < report.reported_at + REPORT_LIFETIME)
     }
 
     /// Returns `None` if the maximum number of watches is open.
@@ -217,7 +217,7 @@
             return None;
         }
         self.next_watch += 1;
-        let watch = Watch { from, asked_after, sent: asked_after, since: self.clock.now() };
+        let watch = Watch { from, asked_after, sent: asked_after, opened_at: self.clock.now() };
         self.watches.insert(self.next_watch, watch);
         Some(self.next_watch)
     }
--- a/crates/courier/src/relay/serve.rs
+++ b/crates/courier/src/relay/serve.rs
@@ -242,7 +242,7 @@
     let selected = match query_param(query, "partition").map(|text| parse_partitions(text, count)).transpose()
     {
         Ok(selected) => selected,
-        Err(words) => return respond(StatusCode::BAD_REQUEST, words),
+        Err(message) => return respond(StatusCode::BAD_REQUEST, message),
     };
     if state.store.version().is_none() {
         return respond(StatusCode::SERVICE_UNAVAILABLE, "no list is held yet\n");
--- a/crates/courier/src/relay/status.rs
+++ b/crates/courier/src/relay/status.rs
@@ -66,13 +66,13 @@
             epoch: report.version.epoch,
             index: report.version.index,
             behind_ms: report.behind.map(|(_, since)| ms(since)),
-            said_ms: ms(report.at),
+            said_ms: ms(report.reported_at),
         });
         let watches = hub.watches.values().map(|watch| Watch {
             from: watch.from.to_string(),
             asked_after: watch.asked_after,
             told: watch.sent,
-            open_ms: ms(watch.since),
+            open_ms: ms(watch.opened_at),
         });
         Status {
             held: hub.held(),
--- a/crates/courier/tests/relay.rs
+++ b/crates/courier/tests/relay.rs
@@ -20,7 +20,7 @@
 
 /// Maximum time until a change is in force everywhere.
 const IN_FORCE_LIMIT: Duration = Duration::from_secs(7);
-const LATE: &str = "d=4000";
+const DEADLINE: &str = "d=4000";
 
 fn entry(name: &str, address: SocketAddr, destination: u64, status: &str) -> Value {
     json!({"name": name, "address": address.to_string(), "zone": "a", "type": "single", "group": destination,
@@ -77,11 +77,11 @@
 }
 
 fn list_json(list: &SourceList, after: Option<u64>) -> String {
-    let is_told = |(entry, changed): &&(Value, u64)| match after {
+    let is_sent = |(entry, changed): &&(Value, u64)| match after {
         Some(after) => *changed > after,
         None => entry["status"] != "DELETED",
     };
-    let entries: Vec<&Value> = list.entries.iter().filter(is_told).map(|(entry, _)| entry).collect();
+    let entries: Vec<&Value> = list.entries.iter().filter(is_sent).map(|(entry, _)| entry).collect();
     json!({"index": list.index, "snapshot": after.is_none(), "endpoints": entries}).to_string()
 }
 
@@ -321,7 +321,7 @@
 
 /// Checks that a mail reaches this endpoint.
 fn assert_delivers_to(courier: &Courier, id: &str, endpoint: &Endpoint) {
-    assert_eq!(courier.client().put(id, "again", LATE), "+OK");
+    assert_eq!(courier.client().put(id, "again", DEADLINE), "+OK");
     until("the mail reaches the endpoint", || endpoint.ids().iter().any(|seen| seen.contains(id)));
 }
 
@@ -462,10 +462,10 @@
         .args(["relay", "status", &relay.address.to_string()])
         .output()
         .unwrap();
-    let words = String::from_utf8(listed.stdout).unwrap();
+    let message = String::from_utf8(listed.stdout).unwrap();
     assert!(
-        words.contains("from its file, which no source has confirmed")
-            && words.contains("in force at 0 of 0")
+        message.contains("from its file, which no source has confirmed")
+            && message.contains("in force at 0 of 0")
     );
     relay.kill();
     let mut rng = fastrand::Rng::with_seed(11);
@@ -490,8 +490,8 @@
     // A different number of partitions cannot use the saved list.
     assert!(relay.terminate().success());
     relay.config["partitions"] = json!(17);
-    let (success, words) = output(Relay::command(&relay.folder, &relay.config));
-    assert!(!success && words.contains("was saved with 16 partitions, but 17 are configured"), "{words}");
+    let (success, message) = output(Relay::command(&relay.folder, &relay.config));
+    assert!(!success && message.contains("was saved with 16 partitions, but 17 are configured"), "{message}");
 }
 
 #[test]
@@ -578,8 +578,8 @@
     let courier = courier(&platform, "c1", &[&second]);
     wait_in_force(&[&second], &["c1"], 50, IN_FORCE_LIMIT);
     // Another source process, whose index starts over and whose list is different.
-    let anew = Source::new(3, pair.swapped_list());
-    first.config["source"] = json!(anew.address.to_string());
+    let restarted = Source::new(3, pair.swapped_list());
+    first.config["source"] = json!(restarted.address.to_string());
     let reconfigure = |relay: &Relay| {
         fs::write(relay.folder.path.join("relay.json"), relay.config.to_string()).unwrap();
         relay.signal(Signal::HUP);
@@ -602,14 +602,14 @@
     );
     assert_delivers_to(&courier, "01", &pair.second);
     // Later changes are followed too.
-    let index = anew.put(entry("e1", pair.first.address, 7, "SERVING"));
+    let index = restarted.put(entry("e1", pair.first.address, 7, "SERVING"));
     wait_in_force(&[&second], &["c1"], index, IN_FORCE_LIMIT);
     // The epoch survives a restart, even if the configuration has a lower one.
     assert!(first.terminate().success());
     first.config["epoch"] = json!(0);
     first.restart();
     assert_eq!(first.status()["held"]["epoch"], json!(1));
-    let index = anew.put(entry("e1", pair.first.address, 7, "DRAINING"));
+    let index = restarted.put(entry("e1", pair.first.address, 7, "DRAINING"));
     wait_in_force(&[&second], &["c1"], index, IN_FORCE_LIMIT);
 }
 
@@ -823,15 +823,18 @@
     let whole = get_list(relay.address, "/catalog/members");
     let mut names: Vec<String> = Vec::new();
     let mut hashes = 0_u64;
-    for part in 0..16 {
-        let list = get_list(relay.address, &format!("/catalog/members?partition={part}"));
+    for partition in 0..16 {
+        let list = get_list(relay.address, &format!("/catalog/members?partition={partition}"));
         assert_eq!((&list["epoch"], &list["partitions"]), (&json!(0), &json!(16)));
-        let told = list["parts"].as_array().unwrap();
-        assert_eq!((told.len(), &told[0]["partition"], &told[0]["version"]), (1, &json!(part), &json!(5)));
-        hashes = hashes.wrapping_add(u64::from_str_radix(told[0]["hash"].as_str().unwrap(), 16).unwrap());
+        let parts = list["parts"].as_array().unwrap();
+        assert_eq!(
+            (parts.len(), &parts[0]["partition"], &parts[0]["version"]),
+            (1, &json!(partition), &json!(5))
+        );
+        hashes = hashes.wrapping_add(u64::from_str_radix(parts[0]["hash"].as_str().unwrap(), 16).unwrap());
         for entry in list["endpoints"].as_array().unwrap() {
             let destination = entry["group"].as_u64().unwrap();
-            assert_eq!(meadowhold_catalog::store::partition(destination, 16), part);
+            assert_eq!(meadowhold_catalog::store::partition(destination, 16), partition);
             names.push(entry["name"].as_str().unwrap().to_string());
         }
     }
@@ -851,14 +854,18 @@
     }
     // A watch on some partitions: changes in others are not sent, and an entry that moves to another is sent as
     // deleted.
-    let part = meadowhold_catalog::store::partition(3, 16);
-    let elsewhere = (0..).find(|&d| meadowhold_catalog::store::partition(d, 16) != part).unwrap();
-    let mut watch = Watch::open(relay.address, &format!("/catalog/members?watch=1&after=5&partition={part}"));
+    let partition = meadowhold_catalog::store::partition(3, 16);
+    let elsewhere = (0..).find(|&d| meadowhold_catalog::store::partition(d, 16) != partition).unwrap();
+    let mut watch =
+        Watch::open(relay.address, &format!("/catalog/members?watch=1&after=5&partition={partition}"));
     source.put(entry("new", unused_address(), elsewhere, "SERVING"));
     source.put(entry("mine", unused_address(), 3, "SERVING"));
     let line = watch.next().unwrap();
     assert_eq!((&line["index"], &line["endpoints"][0]["name"]), (&json!(7), &json!("mine")));
-    assert_eq!((&line["parts"][0]["partition"], &line["parts"][0]["version"]), (&json!(part), &json!(7)));
+    assert_eq!(
+        (&line["parts"][0]["partition"], &line["parts"][0]["version"]),
+        (&json!(partition), &json!(7))
+    );
     assert_eq!(line["endpoints"].as_array().unwrap().len(), 1);
     source.put(entry("mine", unused_address(), elsewhere, "SERVING"));
     let line = watch.next().unwrap();
@@ -968,16 +975,16 @@
     let folder = Folder::new();
     let config = json!({"listen": "here", "source": "127.0.0.1:1", "relays": ["127.0.0.1:2", "there"],
         "partitions": 5000, "epoch": "x", "bounds": {"followers": 0, "entries": 1_000_001}, "odd": 1});
-    let (success, words) = output(Relay::command(&folder, &config));
-    assert!(!success && words.lines().count() == 1, "{words}");
+    let (success, message) = output(Relay::command(&folder, &config));
+    assert!(!success && message.lines().count() == 1, "{message}");
     for place in
         ["bounds.entries", "bounds.followers", "epoch", "listen", "odd", "partitions", "relays", "state"]
     {
-        assert!(words.contains(&format!(" {place} ")), "{place}: {words}");
+        assert!(message.contains(&format!(" {place} ")), "{place}: {message}");
     }
     let one = json!({"listen": "127.0.0.1:0", "state": "s"});
-    let (success, words) = output(Relay::command(&folder, &one));
-    assert!(!success && words.contains("source must be set if relays is not"), "{words}");
+    let (success, message) = output(Relay::command(&folder, &one));
+    assert!(!success && message.contains("source must be set if relays is not"), "{message}");
     // The example in `deploy` is valid.
     let worked = include_bytes!("../../../deploy/relay.json");
     assert!(meadowhold_courier::relay::config::Config::read(worked).is_ok());
@@ -991,8 +998,8 @@
     for (relays, fault) in [(json!([]), "relays "), (json!(["x"]), "is no address: x"), (json!(3), "relays ")]
     {
         config["relays"] = relays;
-        let (success, words) = output(command(&folder, &config, "check"));
-        assert!(!success && words.contains(fault), "{words}");
+        let (success, message) = output(command(&folder, &config, "check"));
+        assert!(!success && message.contains(fault), "{message}");
     }
 }
 
@@ -1020,7 +1027,7 @@
     written: Arc<AtomicU64>,
     /// By the time of a change in Unix milliseconds: how many followers received it, and the longest delay.
     heard: Arc<Mutex<BTreeMap<u64, (usize, u64)>>>,
-    ends: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
 }
 
 impl Followers {
@@ -1029,7 +1036,7 @@
             read: Arc::default(),
             written: Arc::default(),
             heard: Arc::default(),
-            ends: Arc::default(),
+            stopped: Arc::default(),
         };
         for follower in 0..count {
             let (read, written, heard) =
@@ -1059,15 +1066,15 @@
                 }
             };
             small().spawn(watch).unwrap();
-            let (read, written, ends) =
-                (followers.read.clone(), followers.written.clone(), followers.ends.clone());
+            let (read, written, stopped) =
+                (followers.read.clone(), followers.written.clone(), followers.stopped.clone());
             let ask = move || {
                 let mut stream = TcpStream::connect(address).unwrap();
                 let ask = format!(
                     "GET /relay/held?name=courier-{follower}&epoch=0&index={after} HTTP/1.1\r\nhost: {address}\r\n\r\n"
                 );
                 let mut bytes = [0; 1024];
-                while !ends.load(Relaxed) && stream.write_all(ask.as_bytes()).is_ok() {
+                while !stopped.load(Relaxed) && stream.write_all(ask.as_bytes()).is_ok() {
                     written.fetch_add(ask.len() as u64, Relaxed);
                     read.fetch_add(stream.read(&mut bytes).unwrap_or(0) as u64, Relaxed);
                     thread::sleep(Duration::from_millis(750 + (follower as u64 * 37) % 250));
@@ -1110,7 +1117,7 @@
 
 impl Drop for Followers {
     fn drop(&mut self) {
-        self.ends.store(true, Relaxed);
+        self.stopped.store(true, Relaxed);
     }
 }
 
