--- a/crates/courier/src/command.rs
+++ b/crates/courier/src/command.rs
@@ -181,7 +181,7 @@
 }
 
 fn relay_status(address: SocketAddr) -> Result<(), String> {
-    let status = tokio::task::LocalSet::new().block_on(&runtime()?, relay::status::ask(address));
+    let status = tokio::task::LocalSet::new().block_on(&runtime()?, relay::status::fetch(address));
     print!("{}", status.map_err(|e| format!("the relay at {address}: {e}"))?);
     Ok(())
 }
--- a/crates/courier/src/config.rs
+++ b/crates/courier/src/config.rs
@@ -16,7 +16,7 @@
 use crate::discovery::List;
 use crate::members::{Members, MAX_MEMBERS};
 use crate::reader;
-use crate::relays::MOST_RELAYS;
+use crate::relays::MAX_RELAYS;
 use crate::version::{Faults, Fingerprint};
 
 pub struct Config {
@@ -68,7 +68,7 @@
     settings: Value,
     #[garde(dive)]
     peers: Option<PeersText>,
-    #[garde(inner(length(min = 1, max = MOST_RELAYS)), custom(validate_addresses))]
+    #[garde(inner(length(min = 1, max = MAX_RELAYS)), custom(validate_addresses))]
     relays: Option<Vec<String>>,
     #[garde(custom(validate_version))]
     version: Option<u64>,
--- a/crates/courier/src/hollow.rs
+++ b/crates/courier/src/hollow.rs
@@ -1,6 +1,6 @@
-//! A hollow courier: the control path of a real one, and nothing else. It follows the list and keeps it on file, takes
-//! it up at its start, and speaks membership; there are no clients, no calls and no journal. Many run in one process,
-//! each with an address and a folder of its own, for the scale run (`docs/scale.md`).
+//! A hollow courier: only the control path of a real one. It follows the list, saves it to disk, loads it at the start,
+//! and takes part in membership, but has no clients, calls or journal. For the scale run (`docs/scale.md`), many of
+//! them run in one process, each with its own address and folder.
 
 use std::cell::RefCell;
 use std::fs;
@@ -23,28 +23,29 @@
 use crate::memory::{deployment, ListStore};
 use crate::relays;
 
-/// A real courier writes its file at the end of a turn. Here that waits, so that those who share the process have
-/// their turns first: guards against a time in force that is the neighbours' writing.
-const WRITES_AFTER: Duration = Duration::from_millis(50);
-/// A list that came just after the file was written is on file so much later: the keeper writes once a second.
-const WRITES_AGAIN: Time = SECOND + SECOND / 50;
+/// Delay between a turn and saving the list. A real courier saves at the end of a turn; here the other couriers in the
+/// process take their turns first, so that the measured time until a list is in force does not include their writes.
+const SAVE_DELAY: Duration = Duration::from_millis(50);
+/// Delay of the second save, for a list that arrived just after the first one: `ListStore` writes at most once a
+/// second.
+const SECOND_SAVE_DELAY: Time = SECOND + SECOND / 50;
 
-/// What hears of the list in the place of an exchange.
+/// Receives the list in place of an exchange.
 pub struct Hollow {
     name: String,
     clock: Clock,
-    keeper: ListStore,
-    /// Version of the list that was taken up last, and the last by which a turn was taken.
+    store: ListStore,
+    /// Version of the list that was applied last, and the version in force since the last turn.
     index: u64,
-    in_force: u64,
-    held: bool,
+    index_in_force: u64,
+    calls_held: bool,
     notify: Rc<Notify>,
 }
 
 impl Hollow {
-    /// A turn: what was taken up is in force from here on.
+    /// One turn: the applied list is in force from now on.
     fn turn(&mut self) {
-        if !self.held && self.index != std::mem::replace(&mut self.in_force, self.index) {
+        if !self.calls_held && self.index != std::mem::replace(&mut self.index_in_force, self.index) {
             log::trace!(target: IN_FORCE, "list {} is in force at {}", self.index, self.name);
         }
     }
@@ -53,52 +54,53 @@
 impl Listener for Hollow {
     fn apply_update(&mut self, list: &Update) {
         self.index = list.index;
-        self.keeper.apply(list);
+        self.store.apply(list);
         self.notify.notify_one();
     }
 
     fn count_after(&self, changes: &Update) -> usize {
-        self.keeper.count_after(changes)
+        self.store.count_after(changes)
     }
 
     fn hold_calls(&mut self) {
-        self.held = true;
+        self.calls_held = true;
     }
 
     fn release_calls(&mut self) {
-        if std::mem::take(&mut self.held) {
+        if std::mem::take(&mut self.calls_held) {
             self.notify.notify_one();
         }
     }
 }
 
-/// Runs a hollow courier within a `LocalSet` until `stop` is done. `before` puts whatever is to hear of the list in
-/// the place of the hollow courier itself, which is handed to it.
+/// Runs a hollow courier within a `LocalSet` until `stop` completes. `wrap_listener` is given the hollow courier and
+/// returns the listener that receives the list in its place.
 ///
 /// # Errors
-/// Where its folder cannot be had or its address for membership is taken.
+/// Fails if its folder cannot be created or its membership address is in use.
 pub async fn serve<L: Listener + 'static>(
     config: Config,
     discovery: watch::Receiver<SocketAddr>,
     stop: impl Future<Output = ()>,
-    before: impl FnOnce(Rc<RefCell<Hollow>>) -> Rc<RefCell<L>>,
+    wrap_listener: impl FnOnce(Rc<RefCell<Hollow>>) -> Rc<RefCell<L>>,
 ) -> io::Result<()> {
     let Config { name, state, disk, list_limits, known, decoded, peers, relays, .. } = config;
     let membership = members::start(&name, peers.as_ref())?;
     fs::create_dir_all(&state)?;
     let clock = Clock::new();
-    let mut keeper = ListStore::new(&state, disk, deployment(&decoded));
-    // As a real one: the configuration's version, and not the kept one.
+    let mut store = ListStore::new(&state, disk, deployment(&decoded));
+    // As in a real courier: the version in the configuration, not the saved one.
     let index = known.index;
-    let begun = keeper.recall(known, clock.now(), |_| false);
+    let initial = store.recall(known, clock.now(), |_| false);
     let notify = Rc::new(Notify::new());
-    let hollow = Hollow { name: name.clone(), clock, keeper, index: 0, in_force: 0, held: false, notify };
+    let hollow =
+        Hollow { name: name.clone(), clock, store, index: 0, index_in_force: 0, calls_held: false, notify };
     let hollow = Rc::new(RefCell::new(hollow));
     let (push, seed) = (!decoded.settings.poll_list, decoded.settings.seed);
-    hollow.borrow_mut().apply_update(&begun);
+    hollow.borrow_mut().apply_update(&initial);
     let mut tasks = JoinSet::new();
-    tasks.spawn_local(drive(hollow.clone(), to_duration(decoded.settings.timer_resolution)));
-    let (listener, limits) = (before(hollow), (list_limits, seed));
+    tasks.spawn_local(run_turns(hollow.clone(), to_duration(decoded.settings.timer_resolution)));
+    let (listener, limits) = (wrap_listener(hollow), (list_limits, seed));
     match relays {
         None => tasks.spawn_local(discovery::follow(listener, clock, discovery, index, push, limits)),
         Some(relays) => tasks.spawn_local(relays::follow_for(listener, clock, name, relays, index, limits)),
@@ -108,8 +110,8 @@
     }
     tokio::select! {
         () = stop => {}
-        // Guards against a courier that seems to run with a part of it gone.
-        _ = tasks.join_next() => return Err(io::Error::other("a part of the courier has failed")),
+        // If one task ends, the courier must not appear to run on without it.
+        _ = tasks.join_next() => return Err(io::Error::other("a task of the courier ended unexpectedly")),
     }
     if let Some(membership) = membership {
         membership.leave().await;
@@ -117,15 +119,16 @@
     Ok(())
 }
 
-/// A turn when something was told, no more often than the settings say, and then the file.
-async fn drive(hollow: Rc<RefCell<Hollow>>, resolution: Duration) {
+/// Takes a turn after each notification, at the timer resolution of the settings at most, and then saves the list.
+async fn run_turns(hollow: Rc<RefCell<Hollow>>, resolution: Duration) {
     let notify = hollow.borrow().notify.clone();
     loop {
         notify.notified().await;
         sleep(resolution).await;
         hollow.borrow_mut().turn();
-        let mut write_at = Instant::now() + WRITES_AFTER;
-        // Twice, for the keeper may just have written; what is told meanwhile has its turn at once.
+        let mut write_at = Instant::now() + SAVE_DELAY;
+        // Saves twice, because the store skips a save within a second of the last one. Notifications that arrive
+        // meanwhile get their turn at once.
         for _ in 0..2 {
             loop {
                 tokio::select! {
@@ -138,8 +141,8 @@
             }
             let mut hollow = hollow.borrow_mut();
             let now = hollow.clock.now();
-            hollow.keeper.save(now);
-            write_at = Instant::now() + to_duration(WRITES_AGAIN);
+            hollow.store.save(now);
+            write_at = Instant::now() + to_duration(SECOND_SAVE_DELAY);
         }
     }
 }
--- a/crates/courier/src/relay/hub.rs
+++ b/crates/courier/src/relay/hub.rs
@@ -1,6 +1,6 @@
-//! What a relay holds: the list, each text once, and who follows it. A follower costs its place in the
-//! changes, not the changes: what it is given next is made from that when it can take it, and shared with all
-//! at the same place.
+//! The state of a relay: the list, with the text of each entry stored once, and its followers. For each follower only
+//! its position in the sequence of changes is stored, not the changes themselves. The next line for it is built when it
+//! can receive one, and shared by all followers at the same position.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::fmt::Write;
@@ -17,72 +17,73 @@
 use crate::entries::{EntryRef, Update};
 use crate::exchange::Clock;
 use crate::memory::KeptEntry;
-use crate::relays::{Heard, Held, Holder};
+use crate::relays::{Held, SourceState, VersionedListener};
 
 use super::config::Bounds;
 
-/// A follower that has not said what it holds for so long is not counted.
-const FORGOTTEN: Time = 10 * SECOND;
-const LONGEST_NAME: usize = 128;
-/// Lines of one version that are shared; beyond them each follower's is its own, and no longer than this, in
-/// bytes.
-const MOST_LINES: usize = 16;
-const LONG: usize = 64 * 1024;
+/// A follower that has not reported its version for this long is no longer counted.
+const REPORT_LIFETIME: Time = 10 * SECOND;
+const MAX_NAME_BYTES: usize = 128;
+/// Number of different lines of one version that are cached and shared between followers.
+const MAX_SHARED_LINES: usize = 16;
+/// Once that many are cached, further lines are built for one follower each; instead of one longer than
+/// this, the follower receives the whole list.
+const MAX_UNSHARED_BYTES: usize = 64 * 1024;
 
-/// What a follower said that it holds.
+/// The version that a follower reported.
 #[derive(Clone, Debug)]
-pub struct Stated {
+pub struct FollowerReport {
     pub version: Version,
-    pub at: Time,
+    pub reported_at: Time,
     pub from: IpAddr,
-    /// The version that it has lacked first, and since when.
+    /// The oldest version that the follower is missing, and since when.
     pub behind: Option<(Version, Time)>,
 }
 
-/// A watch that is open.
+/// An open watch.
 #[derive(Clone, Copy, Debug)]
 pub struct Watch {
     pub from: IpAddr,
-    /// The version that it asked after.
-    pub asked: u64,
-    /// The last that was written to it, as far as its connection took it.
-    pub told: u64,
-    pub since: Time,
+    /// The version after which it requested changes.
+    pub asked_after: u64,
+    /// The last version that was handed to its connection.
+    pub sent: u64,
+    pub opened_at: Time,
 }
 
-/// What a follower is given next.
+/// The next data for a follower.
 pub enum Next {
-    /// One line, whole: of this index.
-    Line(Bytes, u64),
-    /// All of it, of this index.
-    Whole(Vec<Bytes>, u64),
-    /// Nothing that it asked for has changed.
+    /// One complete line that brings the follower to this index.
+    Changes(Bytes, u64),
+    /// The whole list, at this index.
+    Snapshot(Vec<Bytes>, u64),
+    /// Nothing that the follower requested has changed.
     Nothing,
-    /// It must ask anew: on an open watch so few entries for so many versions would look like a gap.
-    Anew,
+    /// The follower must open a new watch: on the open one, fewer entries than versions would look like a gap.
+    Reconnect,
 }
 
 pub struct Hub {
     pub store: Store,
     pub clock: Clock,
-    /// Told of each step; watches wait on it.
+    /// Notifies the watches of each new step of the store.
     pub step: watch::Sender<u64>,
-    heard: Heard,
-    /// The list is from the file still.
-    kept: bool,
-    pub taken_at: Time,
-    pub stated: BTreeMap<String, Stated>,
+    source: SourceState,
+    /// The list was loaded from the file, and no source has confirmed it yet.
+    from_file: bool,
+    pub applied_at: Time,
+    pub reports: BTreeMap<String, FollowerReport>,
     pub watches: BTreeMap<u64, Watch>,
     pub connections: usize,
-    bound: usize,
+    max_followers: usize,
     next_watch: u64,
-    /// Lines of this step, by the step that they come after.
+    /// Cached lines that lead to the current step, by the step from which they start.
     lines: HashMap<u64, Bytes>,
-    /// Words on what was not taken have been logged.
-    refused: bool,
+    /// A rejected list has been logged; reset when a list is applied.
+    rejection_logged: bool,
 }
 
-fn item(entry: EntryRef) -> CatalogEntry {
+fn catalog_entry(entry: EntryRef) -> CatalogEntry {
     let text = KeptEntry::from(&entry).to_json();
     let gone = entry.endpoint_status() == EndpointStatus::Removed;
     CatalogEntry { name: entry.name.to_string(), destination: entry.group, text: text.into(), removed: gone }
@@ -91,70 +92,73 @@
 impl Hub {
     pub fn new(clock: Clock, partitions: u32, bounds: Bounds) -> Hub {
         Hub {
-            store: Store::new(partitions, bounds.held()),
+            store: Store::new(partitions, bounds.store()),
             clock,
             step: watch::Sender::new(0),
-            heard: Heard::default(),
-            kept: false,
-            taken_at: clock.now(),
-            stated: BTreeMap::new(),
+            source: SourceState::default(),
+            from_file: false,
+            applied_at: clock.now(),
+            reports: BTreeMap::new(),
             watches: BTreeMap::new(),
             connections: 0,
-            bound: bounds.followers,
+            max_followers: bounds.followers,
             next_watch: 0,
             lines: HashMap::new(),
-            refused: false,
+            rejection_logged: false,
         }
     }
 
-    /// Begins with what was on file.
-    pub fn begin(&mut self, version: Version, entries: &[Entry], saved_at: Time) {
-        self.heard.epoch = self.heard.epoch.max(version.epoch);
-        self.put(Offer { version, after: None }, entries.iter().map(|entry| item(entry.into())).collect());
-        (self.kept, self.taken_at) = (true, saved_at.min(self.taken_at));
+    /// Starts with the list that was loaded from the file.
+    pub fn restore(&mut self, version: Version, entries: &[Entry], saved_at: Time) {
+        self.source.epoch = self.source.epoch.max(version.epoch);
+        self.apply(
+            Offer { version, after: None },
+            entries.iter().map(|entry| catalog_entry(entry.into())).collect(),
+        );
+        (self.from_file, self.applied_at) = (true, saved_at.min(self.applied_at));
     }
 
-    /// Lists that come are of this epoch from here on, unless a newer one was held.
-    pub fn raise(&mut self, epoch: u64) {
-        if epoch > self.heard.epoch {
-            // What comes next must be whole.
-            self.heard.comes(epoch, None);
-            self.heard.wants_whole = true;
+    /// Assigns this epoch to the lists received from now on, unless the current epoch is newer.
+    pub fn raise_epoch(&mut self, epoch: u64) {
+        if epoch > self.source.epoch {
+            // Changes cannot cross an epoch: the next list must be a whole one.
+            self.source.reset(epoch, None);
+            self.source.needs_snapshot = true;
         }
     }
 
-    fn put(&mut self, offer: Offer, items: Vec<CatalogEntry>) {
+    fn apply(&mut self, offer: Offer, entries: Vec<CatalogEntry>) {
         let before = self.store.version();
-        match self.store.apply(&offer, items) {
+        match self.store.apply(&offer, entries) {
             Verdict::Apply => {
                 let now = self.clock.now();
                 if before != Some(offer.version) {
-                    self.taken_at = now;
-                    let behind = |stated: &&mut Stated| stated.version < offer.version;
-                    for stated in self.stated.values_mut().filter(behind) {
-                        stated.behind.get_or_insert((offer.version, now));
+                    self.applied_at = now;
+                    let behind = |report: &&mut FollowerReport| report.version < offer.version;
+                    for report in self.reports.values_mut().filter(behind) {
+                        report.behind.get_or_insert((offer.version, now));
                     }
                 }
-                (self.kept, self.refused) = (false, false);
+                (self.from_file, self.rejection_logged) = (false, false);
                 self.lines.clear();
                 self.step.send_replace(self.store.step());
             }
-            Verdict::RequestSnapshot => self.heard.wants_whole = true,
-            // One line for as long as it lasts.
-            Verdict::Ignore => self.refuse(format!(
-                "the source tells {:?}, from before {before:?}; if it counts anew, raise epoch",
+            Verdict::RequestSnapshot => self.source.needs_snapshot = true,
+            // Repeated rejections are logged once.
+            Verdict::Ignore => self.log_rejection(format!(
+                "the source sent {:?}, which is older than {before:?}; if its index was reset, raise epoch",
                 offer.version
             )),
             Verdict::Reject(faults) => {
                 let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
-                self.refuse(format!("a list is turned down: {}", faults.join("; ")));
+                self.log_rejection(format!("a list was rejected: {}", faults.join("; ")));
             }
         }
     }
 
-    fn refuse(&mut self, words: String) {
-        if !std::mem::replace(&mut self.refused, true) {
-            log::error!("{words}");
+    fn log_rejection(&mut self, message: String) {
+        if !std::mem::replace(&mut self.rejection_logged, true) {
+            log::error!("{message}");
         }
     }
 
@@ -165,93 +169,94 @@
             epoch,
             index,
             hash: format!("{:016x}", self.store.hash()),
-            kept: self.kept,
+            kept: self.from_file,
             age_ms,
             resumes: true,
         })
     }
 
-    /// How long ago what is held was taken up; by the file's time if it comes from there.
+    /// Time since the held version was applied or, if it was loaded from the file, saved.
     pub fn age(&self) -> Time {
-        self.clock.now().saturating_sub(self.taken_at)
+        self.clock.now().saturating_sub(self.applied_at)
     }
 
-    /// A follower says what it holds.
-    pub fn state(&mut self, name: &str, version: Version, from: IpAddr) {
+    /// Records the version that a follower reports.
+    pub fn record_report(&mut self, name: &str, version: Version, from: IpAddr) {
         let (now, held) = (self.clock.now(), self.store.version());
-        if self.stated.len() >= self.bound {
-            self.stated.retain(|_, stated| now < stated.at + FORGOTTEN);
+        if self.reports.len() >= self.max_followers {
+            self.reports.retain(|_, report| now < report.reported_at + REPORT_LIFETIME);
         }
-        if name.is_empty() || name.len() > LONGEST_NAME {
+        if name.is_empty() || name.len() > MAX_NAME_BYTES {
             return;
         }
-        let before = self.stated.get(name).and_then(|stated| stated.behind);
-        // Guards against names without end.
-        if self.stated.len() >= self.bound && !self.stated.contains_key(name) {
+        let before = self.reports.get(name).and_then(|report| report.behind);
+        // Bounds memory against clients that keep reporting new names.
+        if self.reports.len() >= self.max_followers && !self.reports.contains_key(name) {
             return;
         }
         let behind = match (held, before) {
             (Some(held), _) if version >= held => None,
             (Some(_), Some(before)) if version < before.0 => Some(before),
-            // Past the first that it lacked.
-            (Some(held), Some(_)) => Some((held, self.taken_at)),
+            // It has caught up with the oldest version that it was missing, but not with the held one.
+            (Some(held), Some(_)) => Some((held, self.applied_at)),
             (Some(held), None) => Some((held, now)),
             (None, _) => None,
         };
-        self.stated.insert(name.to_string(), Stated { version, at: now, from, behind });
+        self.reports.insert(name.to_string(), FollowerReport { version, reported_at: now, from, behind });
     }
 
-    /// Those who said what they hold lately.
-    pub fn stated(&self) -> impl Iterator<Item = (&String, &Stated)> {
+    /// The reports of followers that have reported recently.
+    pub fn recent_reports(&self) -> impl Iterator<Item = (&String, &FollowerReport)> {
         let now = self.clock.now();
-        self.stated.iter().filter(move |(_, stated)| now < stated.at + FORGOTTEN)
+        self.reports.iter().filter(move |(_, report)| now < report.reported_at + REPORT_LIFETIME)
     }
 
-    /// `None`: there are as many as may be.
-    pub fn open_watch(&mut self, from: IpAddr, asked: u64) -> Option<u64> {
-        if self.watches.len() >= self.bound {
+    /// Returns `None` if the maximum number of watches is open.
+    pub fn open_watch(&mut self, from: IpAddr, asked_after: u64) -> Option<u64> {
+        if self.watches.len() >= self.max_followers {
             return None;
         }
         self.next_watch += 1;
-        let watch = Watch { from, asked, told: asked, since: self.clock.now() };
+        let watch = Watch { from, asked_after, sent: asked_after, opened_at: self.clock.now() };
         self.watches.insert(self.next_watch, watch);
         Some(self.next_watch)
     }
 
-    /// The whole list, or these partitions of it. `None`: nothing is held.
-    pub fn whole(&mut self, of: Option<&HashSet<u32>>) -> Option<(Vec<Bytes>, u64)> {
+    /// The whole list or the selected partitions of it, with its index. `None` if no list is held.
+    pub fn snapshot(&mut self, selected: Option<&HashSet<u32>>) -> Option<(Vec<Bytes>, u64)> {
         let Snapshot { version, texts } = self.store.snapshot()?;
-        let mut pieces = Vec::with_capacity(texts.len() + 2);
-        pieces.push(self.head(version, true, of, None).into());
-        let asked = |p: usize| of.is_none_or(|of| of.contains(&(p as u32)));
+        let mut chunks = Vec::with_capacity(texts.len() + 2);
+        chunks.push(self.line_head(version, true, selected, None).into());
+        let asked = |p: usize| selected.is_none_or(|selected| selected.contains(&(p as u32)));
         let mut first = true;
         for (_, text) in texts.iter().enumerate().filter(|(p, text)| asked(*p) && !text.is_empty()) {
-            // Each begins with a comma.
-            pieces.push(if std::mem::take(&mut first) { text.slice(1..) } else { text.clone() });
+            // The text of each partition begins with a comma.
+            chunks.push(if std::mem::take(&mut first) { text.slice(1..) } else { text.clone() });
         }
-        pieces.push(Bytes::from_static(b"]}\n"));
-        Some((pieces, version.index))
+        chunks.push(Bytes::from_static(b"]}\n"));
+        Some((chunks, version.index))
     }
 
-    /// All that stands before the entries. Who names partitions is told of epoch, versions and hashes.
-    fn head(
+    /// The part of a line before the entries. If partitions were selected, it includes the epoch and the version and
+    /// hash of each.
+    fn line_head(
         &self,
         version: Version,
         snapshot: bool,
-        of: Option<&HashSet<u32>>,
+        selected: Option<&HashSet<u32>>,
         after: Option<Version>,
     ) -> String {
         let Version { epoch, index } = version;
         let mut head = format!("{{\"index\":{index},\"snapshot\":{snapshot},");
-        if let Some(of) = of {
+        if let Some(selected) = selected {
             let parts = self.store.partitions();
             let _ = write!(head, "\"epoch\":{epoch},\"partitions\":{},\"parts\":[", parts.len());
-            let mut of: Vec<u32> = of.iter().copied().collect();
-            of.sort_unstable();
+            let mut selected: Vec<u32> = selected.iter().copied().collect();
+            selected.sort_unstable();
             let mut comma = "";
-            for p in of {
+            for p in selected {
                 let Some(part) = parts.get(p as usize) else { continue };
-                // Of changes: of what has changed alone.
+                // A line of changes describes only the partitions that have changed.
                 if after.is_some_and(|after| part.version <= after) {
                     continue;
                 }
@@ -269,59 +274,70 @@
         head
     }
 
-    /// What comes for one who has been told up to `step`, when `index` was held; `first`: on this watch.
-    pub fn next(&mut self, step: Option<u64>, index: u64, first: bool, of: Option<&HashSet<u32>>) -> Next {
+    /// The next data for a follower that has received everything up to `step`, at which `index` was held. `first` is
+    /// true if nothing has been sent on this watch yet.
+    pub fn next_update(
+        &mut self,
+        step: Option<u64>,
+        index: u64,
+        first: bool,
+        selected: Option<&HashSet<u32>>,
+    ) -> Next {
         let Some(version) = self.store.version() else { return Next::Nothing };
-        let fold = step.and_then(|step| Some((step, self.store.changes_since(step, of)?)));
-        let Some((step, fold)) = fold else {
-            return self.whole(of).map_or(Next::Nothing, |(pieces, index)| Next::Whole(pieces, index));
+        let changes = step.and_then(|step| Some((step, self.store.changes_since(step, selected)?)));
+        let Some((step, changes)) = changes else {
+            return self
+                .snapshot(selected)
+                .map_or(Next::Nothing, |(chunks, index)| Next::Snapshot(chunks, index));
         };
-        if of.is_some() && fold.entries == 0 {
+        if selected.is_some() && changes.entries == 0 {
             return Next::Nothing;
         }
         let versions = version.index.saturating_sub(index);
-        if of.is_none() && !first && versions > (fold.entries as u64).max(1) {
-            return Next::Anew;
+        if selected.is_none() && !first && versions > (changes.entries as u64).max(1) {
+            return Next::Reconnect;
         }
-        let make = |hub: &Hub| {
+        let build_line = |hub: &Hub| {
             let after = Version { epoch: version.epoch, index };
-            let head = hub.head(version, false, of, Some(after));
-            let mut line = BytesMut::with_capacity(head.len() + fold.text.len() + 3);
+            let head = hub.line_head(version, false, selected, Some(after));
+            let mut line = BytesMut::with_capacity(head.len() + changes.text.len() + 3);
             line.extend_from_slice(head.as_bytes());
-            line.extend_from_slice(&fold.text);
+            line.extend_from_slice(&changes.text);
             line.extend_from_slice(b"]}\n");
             line.freeze()
         };
-        if of.is_some() {
-            return Next::Line(make(self), version.index);
+        if selected.is_some() {
+            return Next::Changes(build_line(self), version.index);
         }
         if let Some(line) = self.lines.get(&step) {
-            return Next::Line(line.clone(), version.index);
+            return Next::Changes(line.clone(), version.index);
         }
-        // Guards against long differences, one for each of many followers: the whole is shared by all.
-        if self.lines.len() >= MOST_LINES {
-            if fold.text.len() > LONG {
-                return self.whole(of).map_or(Next::Nothing, |(pieces, index)| Next::Whole(pieces, index));
+        // Bounds memory when many followers each need different long changes: the whole list is shared by all.
+        if self.lines.len() >= MAX_SHARED_LINES {
+            if changes.text.len() > MAX_UNSHARED_BYTES {
+                return self
+                    .snapshot(selected)
+                    .map_or(Next::Nothing, |(chunks, index)| Next::Snapshot(chunks, index));
             }
-            return Next::Line(make(self), version.index);
+            return Next::Changes(build_line(self), version.index);
         }
-        let line = make(self);
+        let line = build_line(self);
         self.lines.insert(step, line.clone());
-        Next::Line(line, version.index)
+        Next::Changes(line, version.index)
     }
 }
 
 impl Listener for Hub {
     fn apply_update(&mut self, list: &Update) {
-        let offer = self.heard.offer(list);
-        self.put(offer, list.entries.iter().map(item).collect());
+        let offer = self.source.offer(list);
+        self.apply(offer, list.entries.iter().map(catalog_entry).collect());
     }
 
     fn count_after(&self, changes: &Update) -> usize {
         self.store.entries() + changes.count_added(|name| self.store.contains(name))
     }
 
-    /// Nothing begins here.
+    /// A relay makes no calls.
     fn hold_calls(&mut self) {}
 
     fn release_calls(&mut self) {}
@@ -332,16 +348,16 @@
     }
 }
 
-impl Holder for Hub {
+impl VersionedListener for Hub {
     fn held(&self) -> Option<Version> {
         self.store.version()
     }
 
-    fn comes(&mut self, epoch: u64, after: Option<u64>) {
-        self.heard.comes(epoch, after);
+    fn set_source(&mut self, epoch: u64, after: Option<u64>) {
+        self.source.reset(epoch, after);
     }
 
-    fn wants_whole(&mut self) -> bool {
-        std::mem::take(&mut self.heard.wants_whole)
+    fn take_snapshot_request(&mut self) -> bool {
+        std::mem::take(&mut self.source.needs_snapshot)
     }
 }
--- a/crates/courier/src/relay/status.rs
+++ b/crates/courier/src/relay/status.rs
@@ -1,5 +1,5 @@
-//! Who follows a relay, and which version is in force where: what followers state, and for the others what
-//! they asked after and what was written to them.
+//! The status of a relay: its followers and the version in force at each. Followers that report their version are
+//! listed with it; for the others it is known only what they requested and what was written to them.
 
 use std::fmt;
 use std::io;
@@ -16,11 +16,11 @@
 use crate::relays::Held;
 
 pub const PATH: &str = "/relay/status";
-/// An answer may take so long, and so many bytes.
-const PATIENCE: Duration = Duration::from_secs(5);
-const MOST: usize = 32 << 20;
-/// Of those who are behind so many are named.
-const NAMED: usize = 20;
+/// Limits on the time and the size of a response.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(5);
+const MAX_RESPONSE_BYTES: usize = 32 << 20;
+/// Maximum number of lagging followers, and of watches, that are listed.
+const MAX_LISTED: usize = 20;
 
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Status {
@@ -30,10 +30,9 @@
     pub bytes: usize,
     pub partitions: usize,
     pub connections: usize,
-    /// Those who state what they hold, each second; forgotten after ten without a word.
+    /// Followers that report their version each second; removed after ten seconds without a report.
     pub followers: Vec<Follower>,
-    /// Open watches. Of a follower in the old form it is known only what it asked after, and what was
-    /// written.
+    /// Open watches. For followers that do not report their version, they show what was requested and what was written.
     pub watches: Vec<Watch>,
 }
 
@@ -43,9 +42,9 @@
     pub from: String,
     pub epoch: u64,
     pub index: u64,
-    /// Milliseconds since it has lacked a version that is held here.
+    /// Milliseconds for which it has been missing a version that is held here.
     pub behind_ms: Option<u64>,
-    /// Milliseconds since it said so.
+    /// Milliseconds since its last report.
     pub said_ms: u64,
 }
 
@@ -61,19 +60,19 @@
     pub fn of(hub: &Hub) -> Status {
         let now = hub.clock.now();
         let ms = |at| now.saturating_sub(at) / 10;
-        let followers = hub.stated().map(|(name, stated)| Follower {
+        let followers = hub.recent_reports().map(|(name, report)| Follower {
             name: name.clone(),
-            from: stated.from.to_string(),
-            epoch: stated.version.epoch,
-            index: stated.version.index,
-            behind_ms: stated.behind.map(|(_, since)| ms(since)),
-            said_ms: ms(stated.at),
+            from: report.from.to_string(),
+            epoch: report.version.epoch,
+            index: report.version.index,
+            behind_ms: report.behind.map(|(_, since)| ms(since)),
+            said_ms: ms(report.reported_at),
         });
         let watches = hub.watches.values().map(|watch| Watch {
             from: watch.from.to_string(),
-            asked_after: watch.asked,
-            told: watch.told,
-            open_ms: ms(watch.since),
+            asked_after: watch.asked_after,
+            told: watch.sent,
+            open_ms: ms(watch.opened_at),
         });
         Status {
             held: hub.held(),
@@ -87,7 +86,7 @@
     }
 }
 
-/// What the command prints.
+/// The output of the command `relay status`.
 impl fmt::Display for Status {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let Some(held) = &self.held else {
@@ -104,13 +103,13 @@
         behind.sort_by_key(|follower| std::cmp::Reverse(follower.behind_ms));
         let (m, n) = (self.followers.len(), self.followers.len() - behind.len());
         writeln!(f, "in force at {n} of {m} that state what they hold")?;
-        for follower in behind.iter().take(NAMED) {
+        for follower in behind.iter().take(MAX_LISTED) {
             let since = follower.behind_ms.unwrap_or_default() as f64 / 1000.0;
             let Follower { name, from, epoch, index, .. } = follower;
             writeln!(f, "  {name} at {from} holds epoch {epoch} index {index}, behind for {since:.1} s")?;
         }
-        if behind.len() > NAMED {
-            writeln!(f, "  and {} more", behind.len() - NAMED)?;
+        if behind.len() > MAX_LISTED {
+            writeln!(f, "  and {} more", behind.len() - MAX_LISTED)?;
         }
         let told = self.watches.iter().filter(|watch| watch.told == held.index).count();
         writeln!(
@@ -119,7 +118,7 @@
             self.watches.len()
         )?;
         let late = self.watches.iter().filter(|watch| watch.told != held.index);
-        for watch in late.take(NAMED) {
+        for watch in late.take(MAX_LISTED) {
             let (since, Watch { from, asked_after, told, .. }) = (watch.open_ms as f64 / 1000.0, watch);
             writeln!(f, "  {from} asked after {asked_after} {since:.1} s ago, written up to {told}")?;
         }
@@ -127,20 +126,26 @@
     }
 }
 
-/// Asks a relay, within a `LocalSet`.
+/// Fetches the status of a relay; must run within a `LocalSet`.
 ///
 /// # Errors
-/// Nobody is there, or what answers is no relay.
-pub async fn ask(address: SocketAddr) -> io::Result<Status> {
-    let asked = async {
+/// Fails if the relay cannot be reached or the response is not a relay's status.
+pub async fn fetch(address: SocketAddr) -> io::Result<Status> {
+    let response = async {
         let mut connection = Connection::open(address).await?;
         let request = Request::get(PATH).body(Full::default()).map_err(io::Error::other)?;
-        let answer = connection.send(request).await?;
-        if answer.status() != StatusCode::OK {
-            return Err(io::Error::other(format!("it answers {}", answer.status().as_u16())));
+        let response = connection.send(request).await?;
+        if response.status() != StatusCode::OK {
+            return Err(io::Error::other(format!(
+                "the relay responded with status {}",
+                response.status().as_u16()
+            )));
         }
-        let body = Limited::new(answer.into_body(), MOST).collect().await.map_err(io::Error::other)?;
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
+            .collect()
+            .await
+            .map_err(io::Error::other)?;
         Ok(serde_json::from_slice(&body.to_bytes())?)
     };
-    timeout(PATIENCE, asked).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
+    timeout(QUERY_TIMEOUT, response).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
