--- a/crates/rig/src/scale/books.rs
+++ b/crates/rig/src/scale/books.rs
@@ -1,5 +1,5 @@
-//! What the run holds the couriers to: when each version was made and sent, who said when that it is in force, and what
-//! is found on file. No clock and no I/O: times come in, in microseconds of the run.
+//! Records when each list version was created and sent and when each courier reported it in force, and checks the rules
+//! on them. Has no clock and does no I/O: times are passed in, as microseconds since the start of the run.
 
 use std::collections::BTreeMap;
 
@@ -8,13 +8,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// A version is said to be in force by nobody to whom it was not sent.
+    /// No courier reports a version in force that it was not sent.
     NotTooEarly,
-    /// A change is in force at each courier in time.
+    /// A change is in force at each courier within the time limit.
     InForceInTime,
-    /// What is on file is what the source had at the version that is said to be in force.
+    /// The stored list matches the source's list at the version that is reported in force.
     HoldsWhatItSays,
-    /// Processes end when they are asked to and not before, and log nothing that must not be.
+    /// Processes end only when requested, and log no faults.
     Sound,
 }
 
@@ -36,39 +36,39 @@
 #[derive(Clone, Debug, Default)]
 struct Courier {
     process: usize,
-    /// Versions that it said are in force, and when, as they came.
+    /// Versions reported in force, with the time, in order of arrival.
     said: Vec<(u64, u64)>,
-    /// The highest of them.
+    /// The highest version in `said`.
     most: u64,
-    /// Since when nothing befalls it; `None` while something does.
+    /// End of its last trouble; `None` while a trouble affects it.
     calm: Option<u64>,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Books {
     couriers: Vec<Courier>,
-    /// When each version was made; the first is 1.
+    /// Creation time of each version; the first version is 1.
     made: Vec<u64>,
-    /// Lists and changes that went to each process, by version.
+    /// For each process, how many lists and changes of each version were sent to it.
     sent: Vec<BTreeMap<u64, u64>>,
-    /// The highest version that went to each relay.
+    /// The highest version sent to each relay.
     relays: Vec<u64>,
     pub broken: Vec<Broken>,
 }
 
-/// What is known of one change.
+/// How far one change has spread.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
     pub version: u64,
-    /// Microseconds until it was in force, in ascending order: at couriers that nothing befell since it was made.
+    /// Microseconds until it was in force, ascending, at couriers without trouble since it was created.
     pub calm: Vec<u64>,
-    /// Couriers that something befell, and how many of all have not said it yet.
+    /// Couriers affected by a trouble, and couriers (of all) that have not reported it yet.
     pub befallen: usize,
     pub missing: usize,
 }
 
 impl Books {
-    /// `processes`: of each courier.
+    /// `processes`: the process number of each courier.
     pub fn new(processes: &[usize]) -> Books {
         let couriers =
             processes.iter().map(|&process| Courier { process, calm: Some(0), ..Courier::default() });
@@ -77,12 +77,12 @@
         Books { couriers: couriers.collect(), made: Vec::new(), sent, relays: Vec::new(), broken: Vec::new() }
     }
 
-    /// With so many relays between the source and the couriers.
+    /// Sets the number of relays between the source and the couriers.
     pub fn with_relays(self, relays: usize) -> Books {
         Books { relays: vec![0; relays], ..self }
     }
 
-    /// Another version, which is returned.
+    /// Records a new version and returns its number.
     pub fn made(&mut self, at: u64) -> u64 {
         self.made.push(at);
         self.made.len() as u64
@@ -92,22 +92,22 @@
         self.made.len() as u64
     }
 
-    /// Before the first byte of it goes out.
+    /// Must be called before the first byte of the version is sent.
     pub fn sent(&mut self, process: usize, version: u64) {
         if let Some(sent) = self.sent.get_mut(process) {
             *sent.entry(version).or_default() += 1;
         }
     }
 
-    /// The source tells a relay.
+    /// Records that the source sends a version to a relay.
     pub fn sent_to_relay(&mut self, relay: usize, version: u64) {
         if let Some(most) = self.relays.get_mut(relay) {
             *most = version.max(*most);
         }
     }
 
-    /// A relay tells a courier of a process, before the first byte of it gets there. Guards against a relay that makes
-    /// versions up: couriers that believe it would seem to speak in time.
+    /// Records that a relay sends a version to a courier of a process; must be called before its first byte arrives.
+    /// Detects a relay that invents versions: couriers that accept them would otherwise pass the checks.
     pub fn passed_on(&mut self, relay: usize, process: usize, version: u64) {
         let most = self.relays.get(relay).copied().unwrap_or(0);
         if version > most {
@@ -127,8 +127,9 @@
         }
         this.most = version;
         let process = this.process;
-        // What was sent to a process's couriers cannot be told apart. Guards against one that speaks before it heard
-        // because another was told: no more can have it than it was sent to.
+        // The couriers of a process cannot be told apart by what was sent to them. Comparing the counts detects a
+        // courier that reports a version which only another one was sent: no more couriers can hold it than it was sent
+        // to.
         let say = self.couriers.iter().filter(|c| c.process == process && c.most >= version).count() as u64;
         let sent: u64 = self.sent[process].range(version..).map(|(_, count)| count).sum();
         if say > sent || version > self.last() {
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Something befalls a courier from now on.
+    /// Marks a courier as affected by a trouble from now on.
     pub fn befalls(&mut self, courier: usize) {
         self.couriers[courier].calm = None;
     }
@@ -150,18 +151,18 @@
         self.couriers[courier].calm = Some(at);
     }
 
-    /// How many have not said this version, or a later one.
+    /// The number of couriers that have not reported this version or a later one.
     pub fn missing(&self, version: u64) -> usize {
         self.couriers.iter().filter(|courier| courier.most < version).count()
     }
 
-    /// When a courier first said this version or a later one, at `from` or after.
+    /// When a courier first reported this version or a later one, at or after `from`.
     fn first(&self, courier: usize, version: u64, from: u64) -> Option<u64> {
         let said = &self.couriers[courier].said;
         said.iter().find(|&&(said, at)| said >= version && at >= from).map(|&(_, at)| at)
     }
 
-    /// What became of a version so far.
+    /// How far a version has spread so far.
     pub fn change(&self, version: u64) -> Change {
         let made = version.checked_sub(1).and_then(|i| self.made.get(i as usize)).copied().unwrap_or(0);
         let mut change = Change { version, calm: Vec::new(), befallen: 0, missing: 0 };
@@ -177,8 +178,8 @@
         change
     }
 
-    /// Microseconds from when each of these couriers' trouble was over until the last of them had said what had been
-    /// made by then, or a later one; `None` where one of them has not.
+    /// Recovery time in microseconds: the longest time, over these couriers, from the end of a courier's trouble until
+    /// it reported the version that was current at that moment, or a later one. `None` if one of them has not.
     pub fn back(&self, couriers: &[usize]) -> Option<u64> {
         let took = couriers.iter().map(|&number| {
             let calm = self.couriers[number].calm?;
@@ -188,8 +189,8 @@
         took.collect::<Option<Vec<u64>>>()?.into_iter().max()
     }
 
-    /// Holds each of these versions against the time that it may take, in microseconds: from when it was made, or from
-    /// when what befell a courier was over. `now` is when this is asked: what is not due yet is no fault.
+    /// Checks each of these versions against the time limit `most` in microseconds, counted from the version's creation
+    /// or from the end of a courier's trouble. A version that is not yet due at `now` is no violation.
     pub fn judge(&mut self, versions: std::ops::RangeInclusive<u64>, most: u64, now: u64) {
         for version in versions {
             let Some(&made) = version.checked_sub(1).and_then(|i| self.made.get(i as usize)) else {
@@ -222,7 +223,7 @@
     }
 }
 
-/// The value at a part of an ascending list, by the nearest rank.
+/// Percentile of an ascending list by the nearest-rank method; `part` is between 0 and 1.
 pub fn at_part(sorted: &[u64], part: f64) -> Option<u64> {
     let rank = (part * sorted.len() as f64).ceil() as usize;
     sorted.get(rank.saturating_sub(1)).copied()
--- a/crates/rig/src/scale/books/tests.rs
+++ b/crates/rig/src/scale/books/tests.rs
@@ -1,10 +1,10 @@
-//! What the books take for right and wrong.
+//! Tests of the rules on versions: which reports are accepted and which break a rule.
 
 use super::*;
 
 const S: u64 = 1_000_000;
 
-/// Two couriers in a process, one in another; the first version made at 0 and in force at all.
+/// Two couriers in one process and one in another; version 1 was created at 0 and is in force at all of them.
 fn books() -> Books {
     let mut books = Books::new(&[0, 0, 1]);
     books.made(0);
@@ -21,19 +21,19 @@
 
 #[test]
 fn nobody_says_what_it_was_not_sent() {
-    // Sends as (process, version), what is said as (courier, version), and how often that is too early.
+    // Sends as (process, version), reports as (courier, version), and the number of reports that are too early.
     type Pairs = &'static [(usize, u64)];
     let rows: [(Pairs, Pairs, usize); 9] = [
         (&[(0, 2), (0, 2), (1, 2)], &[(0, 2), (1, 2), (2, 2)], 0),
-        // Before anything was sent to it; a version that there never was.
+        // Before anything was sent to it; a version that was never created.
         (&[], &[(2, 2)], 1),
         (&[(1, 2)], &[(2, 3)], 1),
-        // Another process was sent it; a neighbour was.
+        // Sent only to another process; sent only to another courier of the process.
         (&[(0, 2), (0, 2)], &[(2, 2)], 1),
         (&[(0, 2)], &[(0, 2), (1, 2)], 1),
-        // A later one stands for those before.
+        // A later version implies the earlier ones.
         (&[(0, 3), (0, 3)], &[(0, 2), (1, 3)], 0),
-        // Said again, as after a start from what is on file.
+        // Reported again, as after a restart from the stored list.
         (&[(1, 2)], &[(2, 2), (2, 1), (2, 2)], 0),
         (&[(1, 2), (1, 2)], &[(2, 2), (2, 3)], 1),
         (&[(9, 2)], &[(9, 2)], 0),
@@ -50,8 +50,8 @@
 
 #[test]
 fn a_change_is_due_after_it_was_made_or_after_what_befell_a_courier() {
-    // When courier 2 said version 2, which was made at 10 s and is due 7 s later; whether something befalls it until
-    // then, or until when something did; when that is judged; and how often it is broken.
+    // When courier 2 reported version 2, which was created at 10 s and is due 7 s later; when its trouble ended (`None`
+    // while it lasts); the time of the check; and the number of violations.
     let rows = [
         (Some(11), Some(0), 20, 0),
         (Some(17), Some(0), 20, 0),
@@ -125,7 +125,7 @@
         books.made(0);
         books
     };
-    // Told to a relay as (relay, version), passed on as (relay, process, version), said as (courier, version).
+    // Sent to a relay as (relay, version), passed on as (relay, process, version), reported as (courier, version).
     type Rows = &'static [(
         &'static [(usize, u64)],
         &'static [(usize, usize, u64)],
@@ -134,16 +134,16 @@
     )];
     let rows: Rows = &[
         (&[(0, 1)], &[(0, 1, 1)], &[(2, 1)], 0),
-        // By whichever relay, and again after a move to another.
+        // By any relay, and again after a move to another one.
         (&[(0, 1), (1, 1)], &[(0, 0, 1), (1, 0, 1), (0, 1, 1)], &[(0, 1), (1, 1), (2, 1)], 0),
-        // It stands at a relay, and was not passed on; to another process it was.
+        // Held by a relay but not passed on; passed on only to another process.
         (&[(0, 1), (1, 1)], &[], &[(2, 1)], 1),
         (&[(0, 1)], &[(0, 0, 1)], &[(2, 1)], 1),
         (&[(0, 1)], &[(0, 0, 1)], &[(0, 1), (1, 1)], 1),
-        // A relay that was told nothing, or less.
+        // A relay that was sent nothing, or an earlier version.
         (&[(0, 1)], &[(1, 1, 1)], &[(2, 1)], 1),
         (&[(0, 1)], &[(0, 1, 2)], &[], 1),
-        // One that makes a version up, and a courier that believes it.
+        // A relay that invents a version, and a courier that accepts it.
         (&[(0, 1)], &[(0, 1, 2)], &[(2, 2)], 2),
         (&[(0, 2)], &[(0, 1, 2)], &[(2, 2)], 1),
     ];
--- a/crates/rig/src/scale/gauge.rs
+++ b/crates/rig/src/scale/gauge.rs
@@ -1,4 +1,5 @@
-//! What the kernel says of processes, threads and datagrams. Nothing here asks the code that is measured.
+//! Resource use of processes and threads and datagram counts, read from the kernel only, independently of the code
+//! under measurement.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -7,21 +8,21 @@
 
 use super::day::Machine;
 
-/// Processor time is counted in ticks of a hundredth of a second, on each Linux that there is.
+/// Ticks per second of processor time in `/proc`; the value is 100 on every Linux.
 const TICKS: f64 = 100.0;
 
-/// What a process, or a thread, has taken so far.
+/// Resource use of a process or a thread so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Taken {
-    /// Seconds of processor time.
+    /// Processor time in seconds.
     pub processor_s: f64,
-    /// Bytes that are resident.
+    /// Resident memory in bytes.
     pub resident: u64,
-    /// When it was started, in ticks since the machine was.
+    /// Start time, in ticks since the machine booted.
     pub started: u64,
 }
 
-/// Of a line of `/proc/N/stat`. The name, in brackets, may hold anything.
+/// Parses `/proc/N/stat`. The name, in parentheses, may contain any characters.
 pub fn read_stat(line: &str, page: u64) -> Option<Taken> {
     let fields: Vec<&str> = line.rsplit_once(')')?.1.split_whitespace().collect();
     let number = |at: usize| fields.get(at - 3)?.parse::<u64>().ok();
@@ -33,22 +34,22 @@
     read_stat(&fs::read_to_string(path).ok()?, rustix::param::page_size() as u64)
 }
 
-/// `None` where there is no such process.
+/// `None` if there is no such process.
 pub fn of_process(id: u32) -> Option<Taken> {
     taken(&format!("/proc/{id}/stat"))
 }
 
-/// Of a thread of this process.
+/// Resource use of a thread of this process.
 pub fn of_thread(id: i32) -> Option<Taken> {
     taken(&format!("/proc/self/task/{id}/stat"))
 }
 
-/// Of this process.
+/// Resource use of this process.
 pub fn of_self() -> Taken {
     taken("/proc/self/stat").unwrap_or_default()
 }
 
-/// UDP datagrams that this machine's processes have sent, whoever they are.
+/// UDP datagrams sent by all processes of this machine.
 pub fn datagrams() -> u64 {
     let text = fs::read_to_string("/proc/net/snmp").unwrap_or_default();
     let mut lines = text.lines().filter_map(|line| line.strip_prefix("Udp: "));
@@ -57,13 +58,13 @@
     both.find(|(name, _)| *name == "OutDatagrams").and_then(|(_, value)| value.parse().ok()).unwrap_or(0)
 }
 
-/// Processes that were ready to run, on the average of the last minute.
+/// The one-minute load average.
 pub fn load() -> f64 {
     let text = fs::read_to_string("/proc/loadavg").unwrap_or_default();
     text.split_whitespace().next().and_then(|first| first.parse().ok()).unwrap_or(0.0)
 }
 
-/// Threads that run or want to at this moment.
+/// Threads that are running or runnable at this moment.
 pub fn runnable() -> u64 {
     let text = fs::read_to_string("/proc/loadavg").unwrap_or_default();
     let field = text.split_whitespace().nth(3).and_then(|field| field.split_once('/'));
@@ -76,16 +77,16 @@
     line.and_then(|line| line.split_whitespace().next()?.parse::<u64>().ok()).unwrap_or(0) * 1024
 }
 
-/// What a file system that is kept in memory is called by the kernel.
+/// The magic number of tmpfs, as `statfs` reports it.
 const IN_MEMORY: u64 = 0x0102_1994;
 
-/// Bytes that are taken of the file system on which a folder is.
+/// Used bytes of the file system that holds a folder.
 pub fn taken_of(folder: &Path) -> u64 {
     rustix::fs::statvfs(folder).map_or(0, |of| (of.f_blocks - of.f_bfree) * of.f_frsize)
 }
 
-/// Where couriers' folders are made unless a run is told otherwise: in memory, where the machine has such a place.
-/// Guards against 1,300 couriers that wait for one disk, where each would have its own.
+/// The default parent of the couriers' folders: an in-memory file system if there is one. Otherwise 1,300 couriers
+/// would wait for one disk, while in production each has its own.
 pub fn folder() -> PathBuf {
     let shared = Path::new("/dev/shm");
     let usable = rustix::fs::access(shared, rustix::fs::Access::WRITE_OK).is_ok();
@@ -96,7 +97,7 @@
     }
 }
 
-/// What this machine has; folders are to be made in `folder`.
+/// The resources of this machine, with the disk that holds `folder`.
 pub fn machine(folder: &Path) -> Machine {
     let disk = rustix::fs::statvfs(folder).map_or(0, |of| of.f_bavail * of.f_frsize);
     let disk_in_memory = rustix::fs::statfs(folder).is_ok_and(|of| of.f_type as u64 == IN_MEMORY);
--- a/crates/rig/src/scale/mod.rs
+++ b/crates/rig/src/scale/mod.rs
@@ -1,5 +1,5 @@
-//! The scale run: a whole fleet on one machine, most of it hollow, held against what the source made and measured from
-//! outside. `docs/scale.md` says what it promises.
+//! The scale run: a whole fleet on one machine, mostly of hollow couriers. Checks the couriers against the versions
+//! that the source published, and measures them from outside. `docs/scale.md` states the guarantees.
 
 pub mod books;
 pub mod day;
--- a/crates/rig/src/scale/series.rs
+++ b/crates/rig/src/scale/series.rs
@@ -1,4 +1,4 @@
-//! Several sizes of one day, and how what is measured grows with the fleet.
+//! Runs of one day at several fleet sizes, and how the measured values grow with the size.
 
 use std::fmt;
 
@@ -7,22 +7,22 @@
 use super::report::{Phase, Report};
 use crate::fit::{Fit, Point};
 
-/// How one figure grows.
+/// Growth of one figure with the number of couriers.
 #[derive(Clone, Debug, Serialize)]
 pub struct Slope {
     pub name: String,
-    /// Of a value; sizes are couriers.
+    /// The unit of the values; sizes are numbers of couriers.
     pub unit: String,
     pub points: Vec<Point>,
-    /// Of the logarithms: `value = scale x couriers ^ exponent`; none, with the reason, where no line can be put through.
+    /// Power law fitted to the logarithms, `value = scale x couriers ^ exponent`, or the reason why none can be fitted.
     #[serde(serialize_with = "plainly")]
     pub fit: Result<Fit, String>,
-    /// The largest size that has a value, and why there is none beyond.
+    /// The largest size that has a value, and why there is none for larger sizes.
     pub largest: f64,
     pub stopped_by: String,
 }
 
-/// A fit as it is; in the place of one the reason why there is none.
+/// Serializes the fit, or the reason in its place.
 fn plainly<S: serde::Serializer>(fit: &Result<Fit, String>, to: S) -> Result<S::Ok, S::Error> {
     match fit {
         Ok(fit) => fit.serialize(to),
@@ -38,7 +38,7 @@
 
 type Figure = fn(&Report) -> Option<f64>;
 
-/// What is fitted; phases that were not run have no figure.
+/// Fitted figures: name, unit and value. Phases that were not run have no value.
 const FIGURES: [(&str, &str, Figure); 13] = [
     ("core of a hollow courier at rest", "of a core", |r| Some(r.phase("rest")?.hollow.core)),
     ("core of a hollow courier with changes", "of a core", |r| Some(r.phase("changes")?.hollow.core)),
@@ -133,12 +133,12 @@
         assert_eq!(exponent("core of a hollow courier at rest"), Some(1.0));
         assert_eq!(exponent("core of a hollow courier with changes"), Some(0.0));
         assert_eq!((series.slopes[0].largest, series.slopes[0].stopped_by.as_str()), (650.0, "too long"));
-        // Without relays they have no figure.
+        // Without relays, the figures of relays have no points.
         let mut of_relays = series.slopes.iter().filter(|slope| slope.name.contains("relay"));
         assert!(of_relays.clone().count() == 5 && of_relays.all(|slope| slope.points.is_empty()));
         let json = serde_json::to_value(&series).unwrap();
         assert_eq!(json["slopes"][0]["fit"]["kind"], "power", "{json}");
-        // What was 0 throughout has no exponent, and is said so.
+        // A figure that is 0 throughout has no exponent, and the table gives the reason.
         assert_eq!(exponent("core of the source with changes"), None);
         assert!(series.to_string().contains("no fit: a point at or below 0 has no logarithm"), "{series}");
     }
--- a/crates/rig/src/scale/sorter.rs
+++ b/crates/rig/src/scale/sorter.rs
@@ -1,5 +1,6 @@
-//! An endpoint as a list through relays names it: one address for all real couriers. Each call is passed on over the
-//! link of the courier to which the message was handed in, so that the endpoint sees whose it is as ever.
+//! A proxy in front of an endpoint. A list that comes through relays gives all real couriers the same endpoint address,
+//! so the proxy forwards each call over the link of the courier that was handed the mail: the endpoint identifies the
+//! courier by its link.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -14,20 +15,21 @@
 use crate::record::HandIn;
 use crate::relay;
 
-/// Of a first call that names no message: it is dropped.
+/// The most bytes of a first call that are read in search of a mail id; the connection is then dropped.
 const MOST: usize = 256 << 10;
 
-/// Ends when it is dropped.
+/// The proxy stops when this is dropped.
 pub struct Sorter {
     pub address: SocketAddr,
     _task: JoinSet<()>,
 }
 
 impl Sorter {
-    /// `links`: to the endpoint, by courier; `couriers`: to which each message is handed in.
+    /// `links`: addresses of the links to the endpoint, by courier; `couriers`: the courier that each mail is handed
+    /// to.
     ///
     /// # Errors
-    /// Where no port can be had.
+    /// If no port can be bound.
     pub async fn start(at: IpAddr, links: Vec<SocketAddr>, couriers: Arc<Vec<usize>>) -> io::Result<Sorter> {
         let listener = TcpListener::bind((at, 0)).await?;
         let (address, links, mut task) = (listener.local_addr()?, Arc::new(links), JoinSet::new());
@@ -56,7 +58,9 @@
             match message.and_then(|&courier| links.get(courier)) {
                 Some(&link) => break link,
                 None if read == 0 => return Ok(()),
-                None if first.len() > MOST => return Err(io::Error::other("a call names no message")),
+                None if first.len() > MOST => {
+                    return Err(io::Error::other("no mail id in the first 256 KiB of a call"))
+                }
                 None => {}
             }
         };
@@ -75,7 +79,7 @@
     }
 }
 
-/// The first message that a call names: in its head, or in the body of a batch.
+/// The first mail of a call: from the `X-Request-Id` header, or from the body of a batch.
 fn message(call: &[u8]) -> Option<u32> {
     let text = String::from_utf8_lossy(call);
     let mark = if text.starts_with("POST /hook/batch ") { "\"id\":\"" } else { "x-request-id: " };
--- a/crates/rig/src/scale/sums.rs
+++ b/crates/rig/src/scale/sums.rs
@@ -1,4 +1,4 @@
-//! What has been taken so far by process, and from two such sums what a courier of each role takes.
+//! Cumulative resource use by process, and the average use of a courier of each role between two such samples.
 
 use std::sync::Arc;
 
@@ -7,29 +7,29 @@
 use super::gauge::{self, Taken};
 use crate::relay::PassedBytes;
 
-/// Sums at one moment, by process of couriers.
+/// Cumulative totals at one moment; lists are indexed by courier process unless noted.
 #[derive(Clone, Debug, Default)]
 pub struct Sums {
-    /// Microseconds of the run.
+    /// Microseconds since the start of the run.
     pub at: u64,
-    /// Seconds of processor time, of all that a place's processes have taken one after the other.
+    /// Processor time in seconds, summed over restarts of the process.
     pub processor_s: Vec<f64>,
     pub resident: Vec<u64>,
-    /// Bytes to and from whom the list comes, the source or relays.
+    /// Bytes to and from the provider of the list, which is the source or a relay.
     pub passed: Vec<[u64; 2]>,
-    /// Bytes from and to those who follow a relay, by relay.
+    /// Bytes from and to the followers of a relay, by relay.
     pub followed: Vec<[u64; 2]>,
     pub source_s: f64,
     pub own_s: f64,
     pub own_resident: u64,
-    /// UDP datagrams of the whole machine.
+    /// UDP datagrams sent by the whole machine.
     pub datagrams: u64,
 }
 
-/// Keeps the sums over processes that are ended and started anew.
+/// Samples resource use and carries the totals over restarts of a process.
 pub struct Gauge {
     last: Vec<Option<(u32, Taken)>>,
-    /// By process, and by relay those of its followers.
+    /// The links to the provider of the list, by process; `followers` has those to a relay's followers, by relay.
     links: Vec<Vec<Arc<PassedBytes>>>,
     followers: Vec<Vec<Arc<PassedBytes>>>,
     source: i32,
@@ -53,8 +53,8 @@
         Gauge { last: vec![None; many], links, followers, source, sums }
     }
 
-    /// Looks at each process anew; `ids` are those that run now. What one took between the last look and its end is
-    /// not seen.
+    /// Takes a sample; `ids` are the processes that run now. Use between the last sample of a process and its end is
+    /// not counted.
     pub fn look(&mut self, at: u64, ids: &[Option<u32>]) -> &Sums {
         self.sums.at = at;
         for (number, &id) in ids.iter().enumerate() {
@@ -89,26 +89,26 @@
         self.last[number] = now;
     }
 
-    /// Bytes that couriers, relays, and this process hold.
+    /// Resident bytes of couriers, relays and this process.
     pub fn resident(&self) -> u64 {
         self.sums.resident.iter().sum::<u64>() + self.sums.own_resident
     }
 }
 
-/// What one courier of a role, or a relay, takes.
+/// Average resource use of one courier of a role, or of one relay.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Each {
     pub couriers: usize,
-    /// Part of a core.
+    /// Processor use as a fraction of one core.
     pub core: f64,
-    /// Bytes, at the end.
+    /// Resident bytes at the end of the interval.
     pub resident: f64,
-    /// Bytes a second, to the source and from it.
+    /// Bytes per second to and from the source.
     pub to_source: f64,
     pub from_source: f64,
 }
 
-/// `processes`: the role's, by number; `couriers`: how many run in them.
+/// `processes`: the numbers of the role's processes; `couriers`: the number of couriers in them.
 pub fn each(from: &Sums, to: &Sums, processes: &[usize], couriers: usize) -> Each {
     let seconds = (to.at.saturating_sub(from.at)) as f64 / 1e6;
     let sum = |of: &dyn Fn(usize) -> f64| processes.iter().map(|&number| of(number)).sum::<f64>();
@@ -124,7 +124,7 @@
     }
 }
 
-/// Bytes a second of one relay, from its followers and to them.
+/// Average bytes per second of one relay, from its followers and to them.
 pub fn followed(from: &Sums, to: &Sums) -> [f64; 2] {
     let seconds = (to.at.saturating_sub(from.at)) as f64 / 1e6;
     let many = to.followed.len();
--- a/crates/rig/src/scale/versions.rs
+++ b/crates/rig/src/scale/versions.rs
@@ -1,14 +1,14 @@
-//! Which versions of the list go over a link, read from the bytes themselves: each text of a list begins with its version.
+//! Extracts the list versions that pass over a link from the raw bytes: each list text begins with its version.
 
-/// What each text begins with; no entry has it, for they begin with their name.
+/// The start of each list text. Entries cannot contain it, because they begin with their name.
 const MARK: &[u8] = b"{\"index\":";
 
-/// Reads one connection's answers piece by piece.
+/// Incremental parser of one connection's responses.
 #[derive(Default)]
 pub struct Versions {
-    /// How much of the mark has come.
+    /// The number of bytes of `MARK` matched so far.
     matched: usize,
-    /// The version, as far as its digits have come.
+    /// The version, from the digits read so far.
     version: Option<u64>,
 }
 
@@ -31,7 +31,7 @@
             }
             let Some(&byte) = piece.first() else { return };
             if byte != MARK[self.matched] {
-                // The mark's first byte comes in it once: this one may begin it anew.
+                // The first byte of `MARK` occurs in it only once, so only this byte can start a new match.
                 self.matched = 0;
                 continue;
             }
