--- a/crates/rig/src/scale/guard.rs
+++ b/crates/rig/src/scale/guard.rs
@@ -1,5 +1,5 @@
-//! A process that outlives the run by a moment: where the run is killed, and can end nothing itself, it ends what the run
-//! had started. It is told each child's id and start, so that it never ends another that bears the same id.
+//! A guard process that outlives the run: if the run is killed and cannot clean up, the guard kills the run's child
+//! processes. It is given each child's process id and start time, so that it never kills a process that reuses the id.
 
 use std::io::{self, BufRead};
 use std::path::{Path, PathBuf};
@@ -11,10 +11,11 @@
 
 use super::gauge;
 
-/// What folders of a run are called; no other is removed.
+/// Name prefix of the folders of runs; the guard removes no other folder.
 pub const FOLDER: &str = "meadowhold-scale-";
 
-/// Reads `+ID START` and `-ID` until the run is gone; then ends those that are left, and removes the run's folder.
+/// Reads lines `+ID START` and `-ID` until the run has ended, then kills the remaining children and removes the run's
+/// folder.
 pub fn main(folder: &Path) -> Result<(), String> {
     let mut children: Vec<(u32, u64)> = Vec::new();
     for line in io::stdin().lock().lines().map_while(Result::ok) {
@@ -39,7 +40,7 @@
     Ok(())
 }
 
-/// The run's end of it.
+/// The run's handle of the guard process.
 pub struct Guard {
     to: ChildStdin,
     _child: Child,
@@ -47,10 +48,10 @@
 
 impl Guard {
     /// # Errors
-    /// Where it cannot be started.
+    /// If the guard process cannot be started.
     pub fn start(program: &Path, folder: PathBuf) -> io::Result<Guard> {
         let mut command = Command::new(program);
-        // In a group of its own: what ends the run at a terminal must not end its guard.
+        // A process group of its own: a signal from the terminal that ends the run must not end the guard.
         command.arg("guard").arg(folder).env_clear().process_group(0);
         let mut child = command.stdin(Stdio::piped()).stdout(Stdio::null()).stderr(Stdio::null()).spawn()?;
         let to = child.stdin.take().ok_or(io::ErrorKind::BrokenPipe)?;
@@ -58,7 +59,7 @@
     }
 
     /// # Errors
-    /// Where the guard is gone: nothing more may be started.
+    /// If the guard has ended. Nothing more may be started then.
     pub async fn started(&mut self, id: u32) -> io::Result<()> {
         let started = gauge::of_process(id).map_or(0, |taken| taken.started);
         self.to.write_all(format!("+{id} {started}\n").as_bytes()).await
--- a/crates/rig/src/scale/hollow.rs
+++ b/crates/rig/src/scale/hollow.rs
@@ -1,5 +1,5 @@
-//! The program of hollow couriers: `meadowhold-rig hollow FILE`. The file holds what is common to all as the courier's
-//! own JSON, and for each its name, folder and address.
+//! The program that runs hollow couriers: `meadowhold-rig hollow FILE`. The file holds the common configuration as a
+//! courier's JSON, and the name, state folder and address of each courier.
 
 use std::cell::RefCell;
 use std::io::Write;
@@ -28,7 +28,7 @@
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct File {
-    /// A courier's configuration, but for what differs.
+    /// A courier's configuration without the fields that differ between couriers.
     pub common: Value,
     pub couriers: Vec<One>,
 }
@@ -38,7 +38,7 @@
 pub struct One {
     pub name: String,
     pub state: PathBuf,
-    /// Where it speaks membership, if it does.
+    /// The address of its membership socket, if it takes part in membership.
     pub members: Option<SocketAddr>,
     pub seed: u64,
     pub wrong: Option<How>,
@@ -50,7 +50,7 @@
         serde_json::from_slice(&text).map_err(|e| format!("{} cannot be read: {e}", path.display()))
     }
 
-    /// One courier's configuration, read as a real one reads its own.
+    /// The configuration of one courier, parsed like a real courier's.
     fn config(&self, one: &One) -> Result<Config, String> {
         let mut config = self.common.clone();
         config["name"] = json!(one.name);
@@ -59,17 +59,17 @@
             Some(members) => config["peers"]["members"]["listen"] = json!(members.to_string()),
             None => config["peers"] = Value::Null,
         }
-        let state = one.state.to_str().ok_or("a folder's name is no text")?.to_string();
+        let state = one.state.to_str().ok_or("the path of a state folder is not valid UTF-8")?.to_string();
         let variable = |name: &str| (name == "ROUTER_STATE").then(|| state.clone());
         let text = config.to_string();
         Config::read(text.as_bytes(), &variable).map_err(|refused| format!("{}: {refused}", one.name))
     }
 }
 
-/// Whether the couriers are ending: what membership says of its counts then is worth a line, and nothing before.
+/// Whether the couriers are shutting down: membership's counts are logged only then.
 static ENDING: AtomicBool = AtomicBool::new(false);
 
-/// Writes what is in force, warnings, each failure to follow the list, and the counts of membership.
+/// Logs to standard error: versions in force, warnings, each failure to follow the list, and membership's final counts.
 struct Lines;
 
 impl Log for Lines {
@@ -91,15 +91,16 @@
     fn flush(&self) {}
 }
 
-/// So many couriers of a process ask for their first list at a time, each for so long at most. Guards against a start
-/// that none of them gets through: they share a processor that each would have to itself.
+/// The number of couriers of a process that fetch their first list at the same time, and the time limit for each. The
+/// couriers share one processor, which in production each has to itself: without the limit none of them might finish
+/// its start.
 const AT_ONCE: usize = 2;
 const FIRST_LIST: Duration = Duration::from_secs(2);
 
-/// One that is wrong on purpose, if `how` says so, before a hollow courier that is not.
+/// Wraps the listener of a hollow courier and adds a simulated defect if `how` is set.
 struct Spoilt<L> {
     inner: Rc<RefCell<L>>,
-    /// Until the first list has come.
+    /// Dropped when the first list has arrived.
     first: Option<oneshot::Sender<()>>,
     how: Option<How>,
     name: String,
@@ -109,11 +110,11 @@
     fn apply_update(&mut self, list: &Update) {
         self.first = None;
         if self.how == Some(How::Mute) {
-            // One that is held for good never has a turn. Where lists are asked for nothing else holds it.
+            // A courier whose calls stay on hold never runs a turn. If lists are polled, nothing else holds its calls.
             self.inner.borrow_mut().hold_calls();
         }
         match self.how {
-            // The first list is held as it is: there is no old one.
+            // The first list is applied: there is no older one to keep.
             Some(How::HoldsOld) if list.index > 1 => {
                 let nothing = Update { index: list.index, ..Update::default() };
                 self.inner.borrow_mut().apply_update(&nothing);
@@ -143,7 +144,7 @@
 /// Runs all couriers of a file until SIGTERM.
 ///
 /// # Errors
-/// What is wrong with the file, or why a courier of it has failed.
+/// If the file is invalid, or one of its couriers fails.
 pub fn main(path: &Path) -> Result<(), String> {
     log::set_boxed_logger(Box::new(Lines)).map_err(|e| e.to_string())?;
     log::set_max_level(LevelFilter::Trace);
@@ -155,7 +156,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| e.to_string())?;
     let ended = LocalSet::new().block_on(&runtime, async {
-        let handler = |kind| signal(kind).map_err(|e| format!("no signal can be heard: {e}"));
+        let handler = |kind| signal(kind).map_err(|e| format!("cannot install a signal handler: {e}"));
         let (mut terminate, mut hangup) = (handler(SignalKind::terminate())?, handler(SignalKind::hangup())?);
         let mut running = JoinSet::new();
         let (stop, _) = watch::channel(false);
@@ -200,7 +201,7 @@
     ended
 }
 
-/// As a real courier's: where discovery is may change while it runs.
+/// Reloads the file on SIGHUP. As with a real courier, the address of discovery may change while it runs.
 fn read_again(path: &Path, places: &[watch::Sender<SocketAddr>]) {
     let text = |file: &File| file.common["discovery"].as_str().and_then(|text| text.parse().ok());
     match File::read(path).map(|file| text(&file)) {
@@ -209,7 +210,7 @@
                 place.send_if_modified(|known| std::mem::replace(known, now) != now);
             }
         }
-        Ok(None) => log::error!("the configuration names no discovery"),
-        Err(words) => log::error!("the configuration cannot be read anew: {words}"),
+        Ok(None) => log::error!("the configuration has no valid discovery address"),
+        Err(words) => log::error!("the configuration cannot be reloaded: {words}"),
     }
 }
--- a/crates/rig/src/scale/on_file.rs
+++ b/crates/rig/src/scale/on_file.rs
@@ -1,5 +1,5 @@
-//! What couriers hold, read from outside: the file that each keeps its list in, held against what the source has. A short
-//! list stands there whole, to a long one changes are appended, each up to a commit.
+//! Compares the list file that each courier stores with the source's list. A short list is stored whole; changes to a
+//! long list are appended as records, each group ended by a commit.
 
 use std::collections::{BTreeMap, HashMap};
 use std::path::Path;
@@ -23,33 +23,34 @@
     since_ms: u64,
 }
 
-/// What is wrong with a file.
+/// Why a file is not as expected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It is not there, or cannot be read.
+    /// The file is missing, or cannot be parsed.
     Unread(String),
-    /// It is of another version.
+    /// The file has another version of the list.
     Version(u64),
-    /// It is of the version, and not what the source has in it.
+    /// The version is right, but the entries differ from the source's.
     Entries(String),
 }
 
-/// Holds files against one version; entries that were found to be right once are compared as bytes from then on.
+/// Compares files with one version of the list. Once a file's entries have been found right, later files are compared
+/// with its bytes first.
 pub struct Check {
     version: u64,
     expected: BTreeMap<String, Expected>,
     right: Vec<u8>,
-    /// The same, by number.
+    /// `expected` by number, and the number of each name.
     numbers: HashMap<String, usize>,
     by_number: Vec<Expected>,
 }
 
-/// What a file begins with to which changes are appended. A record of it: bytes of its body and a checksum that goes on
-/// from the record before, each of four bytes, highest first, its kind, and the body.
+/// The first line of a file with appended changes. A record has the length of its body and a checksum that continues
+/// from the previous record, each four bytes in big-endian order, then its kind (one byte) and the body.
 const APPENDED: &[u8] = b"meadowhold list 1\n";
 const RECORD: usize = 9;
 
-/// The next record's kind, body and checksum, and what follows it.
+/// Splits off the next record: its kind, body and checksum, and the remaining bytes.
 fn record(rest: &[u8], before: u32) -> Option<(u8, &[u8], u32, &[u8])> {
     let (head, after) = rest.split_at_checked(RECORD)?;
     let number = |at: usize| head[at..at + 4].iter().fold(0, |number, &byte| number << 8 | u32::from(byte));
@@ -68,14 +69,14 @@
     }
 
     /// # Errors
-    /// What is wrong with the file in this folder.
+    /// If the file in this folder is not as expected.
     pub fn folder(&mut self, folder: &Path) -> Result<(), Fault> {
         let bytes = std::fs::read(folder.join("memory")).map_err(|e| Fault::Unread(e.to_string()))?;
         self.bytes(&bytes)
     }
 
-    /// # Errors
-    /// What is wrong with a file of these bytes: a line, eight bytes of length and checksum, and an object.
+    /// # Errors If a file with these bytes is not as expected. A file without appended changes has a first line, eight
+    /// bytes of length and checksum, and a JSON object.
     pub fn bytes(&mut self, bytes: &[u8]) -> Result<(), Fault> {
         if let Some(records) = bytes.strip_prefix(APPENDED) {
             return self.records(records);
@@ -104,10 +105,10 @@
         Ok(())
     }
 
-    /// A file to which changes are appended: what it holds once each of them is taken.
+    /// Checks a file with appended changes: the entries after all records have been applied.
     fn records(&self, records: &[u8]) -> Result<(), Fault> {
         let unread = |words: &str| Fault::Unread(words.to_string());
-        // By number, where it is held; those that the source does not list have none.
+        // The stored entries by number; entries that the source does not list have no number.
         let mut held: Vec<Option<EntryRef>> = vec![None; self.by_number.len()];
         let mut strange: BTreeMap<&str, ()> = BTreeMap::new();
         let (mut rest, mut at, mut version, mut open) = (records, 0, 0, false);
@@ -192,7 +193,7 @@
     use meadowhold_courier::discovery::{Entry, List};
     use meadowhold_courier::memory::ListStore;
 
-    /// In the keeper's unit of time.
+    /// One second in the time unit of `ListStore`.
     const SECOND: u64 = 10_000;
 
     use super::*;
@@ -245,7 +246,7 @@
         }
     }
 
-    /// As a courier's keeper writes it: a list of 300, then changes, each on file before the next.
+    /// A file as `ListStore` writes it: a list of 300 entries, then changes, each saved before the next.
     fn appended(changes: &[(u64, &str, &str, f64)]) -> Vec<u8> {
         let folder = tempfile::tempdir().unwrap();
         let mut keeper = ListStore::new(folder.path(), 10_000_000, "d".to_string());
@@ -284,7 +285,7 @@
         assert_eq!(check.bytes(&right), Ok(()));
         assert_eq!(check.bytes(&appended(&changes[..2])), Err(Fault::Version(3)));
         let wrong = [
-            // One left out, one with another value, one that is not listed, one gone that is.
+            // A missing change, a different value, an entry that is not listed, and a deleted entry that is listed.
             vec![changes[0], (4, "new", "SERVING", 4.0)],
             vec![changes[0], changes[1], (4, "new", "SERVING", 4.5)],
             vec![changes[0], changes[1], (3, "other", "SERVING", 1.0), changes[2]],
--- a/crates/rig/src/scale/process.rs
+++ b/crates/rig/src/scale/process.rs
@@ -1,5 +1,5 @@
-//! A process of couriers, real or hollow: its start, its signals, and what it says on standard error, which is read as it
-//! comes and timed by the run's own clock.
+//! A process of real or hollow couriers: starts and signals it, and reads its standard error line by line with
+//! timestamps of the run's own clock.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -17,17 +17,17 @@
 use crate::process::faults_in;
 use crate::record::{lock, Record};
 
-/// Lines of one process that are kept; what says that a version is in force is none of them.
+/// Maximum number of log lines kept per process; lines that report a version in force are not kept.
 const MOST_LINES: usize = 20_000;
 
-/// What a line says is in force, and at which courier where it names one.
+/// The version that a line reports in force, and the courier if the line names one.
 pub fn statement(line: &str) -> Option<(u64, Option<&str>)> {
     let (_, rest) = line.split_once("in_force] list ")?;
     let (version, rest) = rest.split_once(" is in force")?;
     Some((version.parse().ok()?, rest.strip_prefix(" at ")))
 }
 
-/// What a hollow courier is called, and the number of one so called.
+/// The name of a hollow courier; `number` is the inverse.
 pub fn name(courier: usize) -> String {
     format!("h{courier}")
 }
@@ -47,7 +47,7 @@
     guard: Arc<tokio::sync::Mutex<Guard>>,
 }
 
-/// A real courier's process, with its folder.
+/// The command of a real courier, with its state folder.
 pub fn real(program: &Path, subcommand: &str, config: &Path, state: &Path) -> Command {
     let mut command = Command::new(program);
     command
@@ -58,7 +58,7 @@
     command
 }
 
-/// A relay's process; its file names its folder.
+/// The command of a relay; its configuration file names its state folder.
 pub fn relay(program: &Path, config: &Path) -> Command {
     let mut command = Command::new(program);
     command.arg("relay").arg(config).env_clear().env("RUST_LOG", "info");
@@ -77,17 +77,18 @@
         Process { place, command, child: None, reader: None, log: Arc::default(), books, record, guard }
     }
 
-    /// Its id, while it runs.
+    /// The process id while it runs.
     pub fn id(&self) -> Option<u32> {
         self.child.as_ref().and_then(Child::id)
     }
 
     /// # Errors
-    /// Where the program cannot be started, or nobody would end it if the run were killed.
+    /// If the program cannot be started, or the guard cannot be told of it and would not end it if the run were killed.
     pub async fn start(&mut self) -> io::Result<()> {
         let mut command = (self.command)();
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
-        // In a group of its own: what ends the run at a terminal ends it in the run's order.
+        // A process group of its own: a signal from the terminal reaches only the run, which ends its processes in
+        // order.
         let mut child = command.kill_on_drop(true).process_group(0).spawn()?;
         let id = child.id().ok_or(io::ErrorKind::NotFound)?;
         let said = child.stderr.take().ok_or(io::ErrorKind::BrokenPipe)?;
@@ -98,14 +99,14 @@
         Ok(())
     }
 
-    /// Only ever a child that has not been waited for: its id is nobody else's.
+    /// Signals only a child that has not been waited for, whose id cannot have been reused.
     pub fn signal(&self, signal: Signal) {
         if let Some(id) = self.id().and_then(|id| Pid::from_raw(id as i32)) {
             let _ = kill_process(id, signal);
         }
     }
 
-    /// Waits for its end, and until all that it said is read.
+    /// Waits until the process has ended and its output has been read.
     pub async fn ended(&mut self) -> Option<ExitStatus> {
         let id = self.id();
         let status = self.child.as_mut()?.wait().await.ok();
@@ -119,7 +120,7 @@
         status
     }
 
-    /// Whether a process that should be running has ended by itself.
+    /// Whether a process that should be running has ended unexpectedly.
     pub fn has_crashed(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| !matches!(child.try_wait(), Ok(None)))
     }
@@ -128,16 +129,16 @@
         lock(&self.log).join("\n")
     }
 
-    /// Why the list is not followed.
+    /// The reasons for which the process cannot follow the list.
     pub fn refuses(&self) -> Refuses {
         refuses(lock(&self.log).iter().map(String::as_str))
     }
 }
 
-/// What a log says of a list that is not followed.
+/// Reasons found in a log for which the list cannot be followed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Refuses {
-    /// What no time mends.
+    /// A permanent reason, which retries cannot resolve.
     pub for_good: Option<String>,
     pub last: Option<String>,
 }
@@ -145,7 +146,7 @@
 fn refuses<'a>(log: impl Iterator<Item = &'a str>) -> Refuses {
     let mut refuses = Refuses::default();
     for line in log {
-        // Whole words of a limit, in a line of their own.
+        // Log messages of exceeded limits.
         let for_good = ["the list has more than ", "the list is longer than "];
         if let Some(at) = for_good.iter().find_map(|words| line.find(words)) {
             let words = line[at..].split_once(": ").map_or(&line[at..], |(words, _)| words);
@@ -166,7 +167,8 @@
     log: Arc<Mutex<Vec<String>>>,
 ) {
     let mut lines = BufReader::new(said).lines();
-    // What is no text is no word of a courier's: the rest of its log is left, and it ends when its pipe does.
+    // Couriers write only UTF-8: at an invalid line the rest of the log is left unread, and the process ends on its
+    // closed pipe.
     while let Ok(Some(line)) = lines.next_line().await {
         let at = record.now();
         match statement(&line) {
@@ -189,8 +191,8 @@
     }
 }
 
-/// What a log says that must not be there. How membership ended is held to what its own audit found: its count of
-/// broken datagrams is of what came, and no fault of the courier's.
+/// Lines of a log that indicate a fault. The final membership line counts as a fault only if membership's own audit
+/// found one: its count of broken datagrams concerns received data and is no fault of the courier.
 pub fn faults(log: &str) -> Vec<String> {
     let of_members = |line: &&str| line.contains("membership has ended: ");
     let (ends, rest): (Vec<&str>, Vec<&str>) = log.lines().partition(of_members);
@@ -200,12 +202,12 @@
     faults
 }
 
-/// A run's file of a process.
+/// The configuration file of a process in the run's folder.
 pub fn file(folder: &Path, process: usize) -> PathBuf {
     folder.join(format!("p{process}.json"))
 }
 
-/// The folder that lasts of a courier.
+/// The persistent state folder of a courier.
 pub fn state(folder: &Path, courier: usize) -> PathBuf {
     folder.join(format!("c{courier}"))
 }
--- a/crates/rig/src/scale/report.rs
+++ b/crates/rig/src/scale/report.rs
@@ -1,4 +1,4 @@
-//! What a run says in the end: a table, and the same as JSON.
+//! The report of a run, as tables and as JSON.
 
 use std::fmt;
 
@@ -9,11 +9,11 @@
 use super::sums::Each;
 use crate::judge::Verdict;
 
-/// Broken rules that are shown in full, of each rule.
+/// The number of violations printed in full for each rule.
 const SHOWN: usize = 4;
 
-/// Seconds until a change was in force at the 50th and 99th of a hundred couriers, and at the last, of those that nothing
-/// befell meanwhile; medians over the changes, and the largest.
+/// Seconds until a change was in force at couriers without trouble: the 50th and 99th percentile and the last courier
+/// as medians over the changes, and the largest time of all.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct InForce {
     pub half_s: Option<f64>,
@@ -43,29 +43,31 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Phase {
     pub name: String,
-    /// What is measured lasts from the phase's begin for so long.
+    /// Duration of the measurement, from the beginning of the phase.
     pub seconds: f64,
-    /// Couriers that the trouble befell.
+    /// The number of couriers affected by the trouble.
     pub befallen: usize,
     pub changes: usize,
     pub in_force: InForce,
-    /// From the trouble's end until the last of those it befell had what was made before it was over.
+    /// Recovery time: from the end of the trouble until the last affected courier had the version current at that
+    /// moment.
     pub back_s: Option<f64>,
-    /// The same of the real couriers alone, which share no thread.
+    /// Recovery time of the real couriers alone, which share no thread.
     pub back_real_s: Option<f64>,
     pub hollow: Each,
     pub real: Each,
-    /// One relay: what it takes, and bytes a second from those who follow it and to them.
+    /// Average resource use of one relay, and its bytes per second from and to its followers.
     pub relay: Each,
     pub followed: [f64; 2],
-    /// Parts of a core: the source's thread, and the run's whole process with source, relays and stand-ins.
+    /// Fractions of a core: the source's thread, and the run's whole process with the source, link proxies and
+    /// stand-ins.
     pub source_core: f64,
     pub run_core: f64,
-    /// UDP datagrams a second for each courier: all that the machine sent.
+    /// UDP datagrams per second and courier, counting all that the machine sent.
     pub datagrams: f64,
 }
 
-/// Bytes of membership, as the nodes themselves say at their planned end.
+/// Membership traffic, as the nodes report it at shutdown.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Membership {
     pub nodes: u64,
@@ -74,7 +76,7 @@
 }
 
 impl Membership {
-    /// From a log's lines `membership has ended: Counts { sent: 1, sent_bytes: 2, ... }`.
+    /// Adds the counts of a log's lines `membership has ended: Counts { sent: 1, sent_bytes: 2, ... }`.
     pub fn add(&mut self, log: &str) {
         for line in log.lines().filter(|line| line.contains("membership has ended: ")) {
             let number = |name: &str| {
@@ -90,13 +92,13 @@
         }
     }
 
-    /// Bytes of a datagram, on the average.
+    /// The average size of a datagram in bytes.
     pub fn each(&self) -> Option<f64> {
         (self.sent > 0).then(|| self.sent_bytes as f64 / self.sent as f64)
     }
 }
 
-/// What the judge of messages found at the real couriers.
+/// The mails' figures and violations at the real couriers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Messages {
     pub handed_in: u64,
@@ -104,7 +106,7 @@
     pub delivered: u64,
     pub rejected: u64,
     pub failed: u64,
-    /// Milliseconds from when it was taken to its delivery.
+    /// Milliseconds from taking a mail to relaying it: the median and the 99th percentile.
     pub half_ms: u64,
     pub of_99_ms: u64,
     pub starts: u64,
@@ -141,11 +143,11 @@
     pub processes: usize,
     pub relays: usize,
     pub entries: usize,
-    /// The machine's load on the average of a minute, before and at the end.
+    /// The machine's one-minute load average before the run and at its end.
     pub load: [f64; 2],
-    /// Until the first list was in force at all.
+    /// Seconds until the first list was in force at all couriers.
     pub start_s: f64,
-    /// The list was taken by nobody, and why.
+    /// Why no courier accepted the list, if that was so.
     pub refused: Option<String>,
     pub phases: Vec<Phase>,
     pub membership: Membership,
--- a/crates/rig/src/scale/source.rs
+++ b/crates/rig/src/scale/source.rs
@@ -1,5 +1,5 @@
-//! The list service's stand-in for thousands of followers: one truth, told as text that is made once for all hollow
-//! couriers. It runs on a thread of its own, so that the kernel's figures of that thread are its own.
+//! A stand-in for the list service with thousands of followers: one list, serialized once for all hollow couriers. It
+//! runs on its own thread, so that its processor time can be read from the kernel's figures of that thread.
 
 use std::collections::{BTreeMap, HashMap};
 use std::convert::Infallible;
@@ -25,15 +25,15 @@
 use crate::list::{plain, take_notices, ListAnswer, ListEntry, Reply};
 use crate::record::{lock, Observation, Record};
 
-/// An empty line comes so often where nothing changes.
+/// Interval of the empty lines (keep-alives) on a watch without changes.
 const TURN: Duration = Duration::from_secs(2);
 
-/// An entry as the source has it.
+/// An entry of the source's list.
 #[derive(Clone, Debug, PartialEq)]
 struct Entry {
     name: String,
     destination: usize,
-    /// The endpoint that stands there; the others are only listed.
+    /// The number of the running endpoint behind the entry; other entries are only listed.
     live: Option<usize>,
     drains: bool,
     gone: bool,
@@ -43,7 +43,7 @@
     changed: u64,
 }
 
-/// What a courier that holds a version must have on file of an entry, by its name.
+/// The fields of an entry that a courier with the current version must have stored.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Expected {
     pub group: u64,
@@ -62,23 +62,24 @@
     }
 }
 
-/// Who a follower is, by the address from which its link connects.
+/// A follower of the list, identified by the address from which its link connects.
 #[derive(Clone, Copy, Debug)]
 pub struct Follower {
     pub process: usize,
-    /// A real courier's number, or a relay's.
+    /// The number of a real courier, and that of a relay.
     pub real: Option<usize>,
     pub relay: Option<usize>,
 }
 
-/// What the source is made of.
+/// The parameters of a source.
 pub struct Setup {
     pub at: IpAddr,
-    /// Destinations, those with endpoints that stand there first, and how many endpoints each of these has.
+    /// The number of destinations; `live` is the number of those with running endpoints, which come first, and the
+    /// number of endpoints of each.
     pub destinations: usize,
     pub live: (usize, usize),
     pub rate: f64,
-    /// Each change has the whole list told.
+    /// Whether each change is sent as the whole list.
     pub untouched: bool,
     pub followers: HashMap<IpAddr, Follower>,
     pub books: Arc<Mutex<Books>>,
@@ -89,7 +90,7 @@
 struct Truth {
     version: u64,
     entries: Vec<Entry>,
-    /// Told of this version to hollow couriers, by what they had heard up to.
+    /// Texts of the current version for hollow couriers, by the version that the follower already has.
     texts: HashMap<Option<u64>, Bytes>,
 }
 
@@ -97,17 +98,17 @@
     setup: Setup,
     truth: Mutex<Truth>,
     version: watch::Sender<u64>,
-    /// Where each real courier finds the endpoints.
+    /// The addresses of the endpoints for each real courier.
     places: Mutex<Vec<Vec<SocketAddr>>>,
-    /// Where all find them, by relays.
+    /// The addresses of the endpoints in the list that relays pass on.
     shared: Mutex<Vec<SocketAddr>>,
-    /// What is listed where nobody stands.
+    /// The address of entries without a running endpoint.
     nowhere: SocketAddr,
 }
 
 pub struct Source {
     pub at: SocketAddr,
-    /// The kernel's number of its thread.
+    /// The kernel's id of its thread.
     pub thread: i32,
     inner: Arc<Inner>,
     end: watch::Sender<bool>,
@@ -115,10 +116,10 @@
 }
 
 impl Source {
-    /// Starts it; the first version of the list is 1, made now.
+    /// Starts the source, and creates version 1 of the list.
     ///
     /// # Errors
-    /// Where no thread or port can be had.
+    /// If its thread cannot be started, or no port can be bound.
     pub fn start(setup: Setup) -> io::Result<Source> {
         let (live, each) = setup.live;
         let entry = |name, destination, live| {
@@ -158,18 +159,18 @@
         Ok(Source { at, thread, inner, end, handle: Some(handle) })
     }
 
-    /// Where the next real courier finds the endpoints.
+    /// Adds the addresses of the endpoints for the next real courier.
     pub fn finds(&self, places: Vec<SocketAddr>) {
         lock(&self.inner.places).push(places);
     }
 
-    /// Where all find the endpoints who are told one list.
+    /// Sets the addresses of the endpoints for all followers that share one list.
     pub fn all_find(&self, places: Vec<SocketAddr>) {
         *lock(&self.inner.shared) = places;
     }
 
-    /// Changes one entry, drawn among those at which nobody stands: its rate, whether it drains, or whether it is
-    /// listed at all. The new version, if there is anything to change.
+    /// Changes a random entry without a running endpoint: its rate, whether it drains, or whether it is listed. Returns
+    /// the new version, or `None` if there is no such entry.
     pub fn change(&self, chance: &mut Rng) -> Option<u64> {
         let live = self.inner.setup.live.0 * self.inner.setup.live.1;
         let mut truth = lock(&self.inner.truth);
@@ -192,7 +193,7 @@
         Some(version)
     }
 
-    /// The last version, and what is listed in it.
+    /// The current version and its listed entries.
     pub fn expected(&self) -> (u64, BTreeMap<String, Expected>) {
         let truth = lock(&self.inner.truth);
         let expected = |entry: &Entry| Expected {
@@ -274,7 +275,7 @@
         }
     }
 
-    /// The present version and its text, for who has heard up to `after`; `None`: all of it.
+    /// The current version and its text: the changes since `after`, or the whole list if `after` is `None`.
     fn told(&self, follower: Follower, after: Option<u64>) -> (u64, Bytes) {
         let mut truth = lock(&self.truth);
         let version = truth.version;
@@ -326,7 +327,7 @@
         loop {
             let now = *version.borrow_and_update();
             if now != after {
-                // One that knows another truth, or none, is told all of it.
+                // A follower with no list, or with a version that this source has not reached, gets the whole list.
                 let known = Some(after).filter(|&after| after > 0 && after < now && !self.setup.untouched);
                 let (told, text) = self.told(follower, known);
                 self.sent(follower, told);
@@ -338,7 +339,7 @@
             tokio::select! {
                 changed = version.changed() => if changed.is_err() { return },
                 () = sleep(TURN) => {
-                    // Guards against a watch whose far side is gone and that would be kept for good.
+                    // A timeout ends a watch whose peer has gone away; it would otherwise be kept forever.
                     let sent = timeout(TURN * 5, lines.send_data(Bytes::from_static(b"\n"))).await;
                     if !matches!(sent, Ok(Ok(()))) {
                         return;
