--- a/crates/rig/src/scale/day.rs
+++ b/crates/rig/src/scale/day.rs
@@ -1,5 +1,6 @@
-//! A scale day: a file of TOML that says how large a fleet is, how it is spread over processes, zones, regions and racks,
-//! what goes on in it, and what befalls it. All that is wrong with a file is told at once, with what the machine lacks.
+//! A scale day: a TOML file with the size of a fleet, its distribution over processes, zones, regions and racks, its
+//! load, and its troubles (injected faults). All errors of a file are reported at once, as are all resources that the
+//! machine lacks.
 
 use std::ops::Range;
 
@@ -10,43 +11,44 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Day {
-    /// One sentence: what the day is for.
+    /// The purpose of the day, in one sentence.
     pub about: String,
-    /// All couriers, and how many of them are real.
+    /// The number of all couriers; `real` of them run as real processes, the others are hollow.
     pub couriers: usize,
     pub real: usize,
-    /// Processes of couriers at most: one for each real one, the others shared by the hollow ones.
+    /// Maximum number of courier processes: one for each real courier, the others shared by the hollow couriers.
     pub processes: usize,
     pub zones: usize,
     pub regions: usize,
     pub racks: usize,
-    /// How many couriers speak membership, the real ones first; none: all.
+    /// The number of couriers that take part in membership, real ones first; all if not set.
     pub members: Option<usize>,
-    /// Seconds from one process's first start to the next one's. Guards against a machine on which all join at once:
-    /// none gets its turn in the time in which the others hold it to be down.
+    /// Seconds between the first starts of consecutive processes. If all join at once on one machine, none is scheduled
+    /// within the time after which the others consider it down.
     pub start_gap_s: f64,
-    /// How many destinations the list names; each has one endpoint, those of `live` have theirs.
+    /// The number of destinations in the list. Each has one endpoint, except for those of `live`, which have
+    /// `live.each`.
     pub destinations: usize,
-    /// Changes of the list a minute, but for the phase at rest.
+    /// Changes of the list per minute, in all phases except for the one at rest.
     pub changes_per_minute: f64,
-    /// Seconds: from all couriers holding the list until the first figure is taken; at rest, without changes; with
-    /// changes and no trouble; and after each trouble.
+    /// Durations in seconds: from when all couriers have the list until the first measurement (`warm_s`), at rest
+    /// without changes, with changes and no trouble, and after each trouble.
     pub warm_s: f64,
     pub rest_s: f64,
     pub changes_s: f64,
     pub after_s: f64,
-    /// Seconds that the messages still open in the end may take.
+    /// Time limit in seconds for the mails that are still open at the end.
     pub settle_s: f64,
     pub messages: day::Mails,
-    /// The endpoints that real couriers call.
+    /// The running endpoints, which the real couriers call.
     pub live: day::Endpoints,
     pub courier: day::Courier,
-    /// `limits.list_entries` of each courier; none: as they come.
+    /// `limits.list_entries` of each courier; the courier's default if not set.
     pub list_entries: Option<usize>,
     pub source: Source,
     pub relays: Relays,
     pub rules: Rules,
-    /// For tests of this run: couriers that are wrong on purpose.
+    /// Couriers with a simulated defect, to test the checks of the run.
     pub wrong: Vec<Wrong>,
     pub trouble: Vec<Trouble>,
 }
@@ -58,18 +60,18 @@
     pub lists: Lists,
 }
 
-/// What couriers are told of how lists come to them (`MembershipMode`).
+/// The couriers' setting for how lists reach them (`MembershipMode`).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Lists {
-    /// To an agent beside them: after a failure they ask at once, and for all of it.
+    /// From a local agent: after a failure, couriers request the whole list at once.
     #[default]
     Pushed,
-    /// Asks are priced: pauses grow, and a watch goes on from the version that is held.
+    /// Requests are costly: pauses between them grow, and a watch resumes from the version that the courier has.
     Asked,
 }
 
-/// Relays between the source and the couriers, each a process of its own; none: couriers ask the source.
+/// Relays between the source and the couriers, each in its own process; without relays, couriers ask the source.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Relays {
@@ -79,23 +81,24 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mode {
-    /// A watch tells what has changed.
+    /// A watch sends only the changes.
     #[default]
     Watch,
-    /// Each change has the whole list told.
+    /// Each change is sent as the whole list.
     Untouched,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rules {
-    /// Seconds until a change is in force at each courier that nothing befell; for the others, from the trouble's end.
+    /// Seconds within which a change must be in force at each courier, counted from the end of its trouble if it had
+    /// one.
     pub in_force_s: f64,
-    /// Seconds until all hold the first list.
+    /// Seconds within which all couriers must have the first list.
     pub start_s: f64,
-    /// Seconds until what is in force is on file.
+    /// Seconds within which the list in force must be stored.
     pub on_file_s: f64,
-    /// As those of a day (`docs/rig.md`).
+    /// As in the rules of a rig day (`docs/rig.md`).
     pub late_ms: u64,
     pub ready_ms: u64,
     pub window_s: f64,
@@ -104,7 +107,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Wrong {
-    /// Which hollow courier, counted among all couriers.
+    /// The number of a hollow courier, counted among all couriers.
     pub courier: usize,
     pub how: How,
 }
@@ -112,11 +115,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum How {
-    /// Takes a change, says that it is in force, and holds the old entries.
+    /// Reports a change in force but keeps the old entries.
     HoldsOld,
-    /// Says that the next version is in force before there is one.
+    /// Reports the next version in force before it exists.
     TooEarly,
-    /// Takes all and says nothing.
+    /// Applies all changes and reports nothing.
     Mute,
 }
 
@@ -124,10 +127,10 @@
 #[serde(default, deny_unknown_fields)]
 pub struct Trouble {
     pub what: Option<What>,
-    /// The number of the zone, rack, region, process or relay; nothing to `source`.
+    /// The number of the zone, rack, region, process or relay; unused by `source`.
     pub which: usize,
     pub for_s: f64,
-    /// Slow links: milliseconds for each piece.
+    /// For slow links: delay in milliseconds of each piece of data.
     pub delay_ms: u64,
 }
 
@@ -140,21 +143,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum What {
-    /// SIGKILL to all processes of a zone, or a rack; all are started again after `for_s`.
+    /// SIGKILL to all processes of a zone or rack; they are restarted after `for_s`.
     Zone,
     Rack,
     /// The links between a region's processes and the source are cut.
     Region,
-    /// SIGKILL to one process, started again; SIGSTOP to one, and SIGCONT.
+    /// One process gets SIGKILL and is restarted, or gets SIGSTOP and then SIGCONT.
     Kill,
     Stop,
-    /// One process's link to the source is slow, or silent.
+    /// The link of one process to the source is slow, or passes no data.
     Slow,
     Silent,
-    /// The source is gone: refused and reset, for all.
+    /// The source is unreachable for all: connections are refused and reset.
     Source,
-    /// SIGKILL to a relay, started again; SIGSTOP to one, and SIGCONT. No courier counts as befallen: those that
-    /// follow it are to have each change in time at another.
+    /// One relay gets SIGKILL and is restarted, or gets SIGSTOP and then SIGCONT. No courier counts as affected: its
+    /// followers must get each change in time from another relay.
     Relay,
     RelayStop,
 }
@@ -221,7 +224,7 @@
     }
 }
 
-/// One process of couriers, by number: those of real couriers come first.
+/// A courier process and its location; processes are numbered, those of real couriers first.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Place {
     pub real: bool,
@@ -231,27 +234,28 @@
     pub rack: usize,
 }
 
-/// What a machine has.
+/// The resources of the machine.
 #[derive(Clone, Copy, Debug)]
 pub struct Machine {
-    /// Bytes of memory, and of room where folders are.
+    /// Bytes of memory, and free bytes of the file system that holds the folders.
     pub memory: u64,
     pub disk: u64,
-    /// What is put there takes memory too.
+    /// Whether that file system is in memory, so that files use memory too.
     pub disk_in_memory: bool,
-    /// Descriptors that a process may have.
+    /// The limit on file descriptors per process.
     pub descriptors: u64,
 }
 
-/// Threads that want a processor, for each one that there is, and seconds in a row for which there are more, after which
-/// a run is called off. Guards against others on the machine that get none any more.
+/// A run is aborted if there are more than this many runnable threads per processor for more than `OVERRUN_S`
+/// consecutive seconds, so that it does not starve other processes on the machine.
 pub const MOST_RUNNABLE: u64 = 12;
 pub const OVERRUN_S: u32 = 6;
 
-/// Processes that a run may have, its own and the guard's among them.
+/// Maximum number of processes of a run, including the run itself and the guard.
 pub const MOST_PROCESSES: usize = 200;
-/// Bytes of an entry: in a courier's memory, on file, and what a member takes; and what a courier takes without any.
-/// Above what was measured (`docs/scale.md`), for they decide what may be started.
+/// Estimated bytes: of a list entry in a courier's memory, in its file and in a relay's memory; of a member; and of a
+/// hollow courier, a real courier and a relay without entries. They are above the measured values (`docs/scale.md`),
+/// because they decide whether a run may be started.
 const ENTRY_HELD: u64 = 300;
 const ENTRY_FILED: u64 = 110;
 const ENTRY_RELAYED: u64 = 2000;
@@ -259,18 +263,18 @@
 const HOLLOW: u64 = 600_000;
 const REAL: u64 = 16_000_000;
 const RELAY: u64 = 24_000_000;
-/// Relays that a run may have; each process of couriers has a link to each.
+/// Maximum number of relays of a run; each courier process has a link to each relay.
 pub const MOST_RELAYS: usize = 16;
-/// Descriptors: of a hollow courier, and of one in the run's own process, whose link has four ends there. With relays
-/// there is an ask beside each watch, and for a moment a try at another relay.
+/// File descriptors for each courier, in its own process or in the run's process, where its link has four ends. With
+/// relays (`RELAYED`) there is a request beside each watch, and at times an attempt at another relay.
 const DESCRIPTORS: usize = 6;
 const RELAYED: usize = 10;
 
 impl Day {
-    /// Reads a file's text; all faults that can be told at once.
+    /// Parses a day from TOML.
     ///
     /// # Errors
-    /// Each fault, with line and key.
+    /// All errors that can be found at once, each with its line and key.
     pub fn read(text: &str) -> Result<Day, Vec<Fault>> {
         day::read(text, Day::faults)
     }
@@ -283,12 +287,12 @@
         self.members.unwrap_or(self.couriers)
     }
 
-    /// All that the list names.
+    /// The number of entries of the list.
     pub fn entries(&self) -> usize {
         self.destinations + self.live.destinations * self.live.each.saturating_sub(1)
     }
 
-    /// Millions of bytes that a courier's folder may hold: the list on file has a part of it.
+    /// The size limit of a courier's folder in MB; the stored list may use a fraction of it.
     pub fn disk_mb(&self) -> f64 {
         let part = meadowhold_courier::memory::SHARE_PERCENT as f64 / 100.0;
         self.courier.disk_mb.max(self.entries() as f64 * ENTRY_FILED as f64 / part / 1e6 + 1.0)
@@ -298,7 +302,7 @@
         zone % self.regions.max(1)
     }
 
-    /// Hollow couriers are spread evenly, and each process is in one zone.
+    /// The courier processes. Hollow couriers are distributed evenly, and each process is in one zone.
     pub fn places(&self) -> Vec<Place> {
         let (shared, hollow) = (self.processes.saturating_sub(self.real), self.hollow());
         let shared = shared.min(hollow);
@@ -315,7 +319,7 @@
         places
     }
 
-    /// Numbers of the processes that a trouble befalls.
+    /// The numbers of the courier processes that a trouble affects.
     pub fn befallen(&self, trouble: &Trouble) -> Vec<usize> {
         let places = self.places();
         let hit = |(number, place): (usize, &Place)| {
@@ -339,7 +343,7 @@
         }
     }
 
-    /// Bytes that all couriers and relays are expected to take.
+    /// Estimated memory of all couriers and relays, in bytes.
     pub fn memory(&self) -> u64 {
         let (entries, members) = (self.entries() as u64, self.members() as u64);
         let each = entries * ENTRY_HELD + members * MEMBER_HELD;
@@ -347,7 +351,7 @@
         self.hollow() as u64 * (HOLLOW + each) + self.real as u64 * (REAL + 2 * each) + relays
     }
 
-    /// What this machine cannot bear, to be asked before anything is started.
+    /// The resources that this machine lacks for the day; to be checked before anything is started.
     pub fn beyond(&self, machine: &Machine) -> Vec<Fault> {
         let mut faults = Vec::new();
         let mut most = |key: &str, what: &str, value: u64, most: u64| {
@@ -357,7 +361,7 @@
             }
         };
         let mb = 1_000_000;
-        // One in twenty is written whole beside the old one at any time.
+        // At any time about one file in twenty is rewritten, which needs room for both the old and the new file.
         let filed = self.couriers as u64 * self.entries() as u64 * ENTRY_FILED * 21 / 20;
         let memory = self.memory() + if machine.disk_in_memory { filed } else { 0 };
         let words = "MB of memory, half of the machine's at most";
@@ -370,7 +374,7 @@
         faults
     }
 
-    /// What the day cannot be run with, by key.
+    /// The invalid values of the day, by key.
     pub fn faults(&self) -> Vec<Fault> {
         let mut faults = Vec::new();
         let mut fault =
@@ -383,7 +387,7 @@
         let most = meadowhold_courier::members::MAX_MEMBERS.min(2000);
         bound("couriers", self.couriers as f64, 1.0, most as f64);
         bound("real", self.real as f64, 1.0, self.couriers.clamp(1, 150) as f64);
-        // One more than the real ones where there are hollow ones; the run itself and its guard count too.
+        // Hollow couriers need at least one process more than the real ones; the run and its guard count as well.
         let least = self.real + usize::from(self.hollow() > 0);
         bound("relays.count", self.relays.count as f64, 0.0, MOST_RELAYS as f64);
         let left = (MOST_PROCESSES - 2).saturating_sub(self.relays.count.min(MOST_RELAYS));
@@ -450,7 +454,7 @@
         faults
     }
 
-    /// The same day with so many couriers, and as many of them to a process.
+    /// The same day with another number of couriers, and the same number of hollow couriers per process.
     pub fn at(&self, couriers: usize) -> Day {
         let shared = self.processes.saturating_sub(self.real).max(1);
         let each = self.hollow().div_ceil(shared).max(1);
@@ -459,7 +463,7 @@
         Day { couriers, real, processes, members: self.members.map(|m| m.min(couriers)), ..self.clone() }
     }
 
-    /// The day as the judge of messages knows it: the real couriers alone.
+    /// The equivalent rig day of the real couriers alone, for the judge of mails.
     pub fn of_messages(&self, seconds: f64) -> day::Day {
         day::Day {
             about: self.about.clone(),
@@ -469,7 +473,7 @@
             mails: self.messages.clone(),
             endpoints: self.live.clone(),
             courier: day::Courier { disk_mb: self.disk_mb(), ..self.courier.clone() },
-            // With nobody named it allows membership, which is what it stands for here.
+            // Without peers this setting only permits membership, which is all that is needed here.
             notes: day::Notes { told: true, ..day::Notes::default() },
             rules: day::Rules {
                 late_ms: self.rules.late_ms,
--- a/crates/rig/src/scale/run.rs
+++ b/crates/rig/src/scale/run.rs
@@ -1,5 +1,5 @@
-//! Runs a scale day: starts the fleet, lets its phases pass with what befalls it in each, and holds what couriers say and
-//! keep against what the source made.
+//! Runs a scale day: starts the fleet, runs the phases with their troubles, and checks what the couriers report and
+//! store against the versions that the source published.
 
 use std::collections::HashMap;
 use std::io;
@@ -35,35 +35,36 @@
 use crate::run::{count_open, settings, Net, TERM_GRACE};
 use crate::schedule::Schedule;
 
-/// Where real couriers listen for clients and, with nobody to tell, for notes; and all for membership.
+/// Ports of the couriers: real ones listen for clients and for notes (without any peers); all listen for membership.
 const CLIENTS: u16 = 6379;
 const NOTES: u16 = 6380;
 const MEMBERS: u16 = 7946;
-/// Where relays listen for those who follow the list.
+/// Port of the relays for followers of the list.
 const FOLLOWERS: u16 = 8600;
-/// Rows of the run's network; those of real couriers, their relays and endpoints are as a day's.
+/// Address ranges of the run's network; those of real couriers, link proxies and endpoints are the same as in a rig
+/// day.
 const ROW_REAL: u8 = 1;
 const ROW_RELAYS: u8 = 2;
 const ROW_ENDPOINTS: u8 = 3;
 const ROW_SOURCE: u8 = 4;
 const ROW_LINKS: u8 = 5;
-/// Relays, and from where their links connect to the source.
+/// Relays of the list, and the source addresses of their links to the source.
 const ROW_TIER: u8 = 6;
 const ROW_TIER_LINKS: u8 = 7;
 const ROW_HOLLOW: u8 = 16;
 const A_ROW: usize = 250;
 const POLL: Duration = Duration::from_millis(20);
-/// Hollow couriers take leave of each other one after the other.
+/// Time limit for the end of a process of hollow couriers, which leave membership one after the other.
 const HOLLOW_ENDS: Duration = Duration::from_secs(30);
-/// Messages are drawn for so long, and handed in until the phases are over.
+/// Duration of the drawn schedule of mails; mails are handed in only until the phases are over.
 const LONGEST_S: f64 = 7200.0;
 
-/// Where the programs are.
+/// Paths of the programs.
 #[derive(Clone, Debug)]
 pub struct Programs {
     pub courier: PathBuf,
     pub rig: PathBuf,
-    /// In which a run makes its own, for all its couriers.
+    /// The parent of the run's folder, which holds the folders of all couriers.
     pub folder: PathBuf,
 }
 
@@ -75,13 +76,13 @@
     books: Arc<Mutex<Books>>,
     source: Source,
     _endpoints: Vec<Endpoint>,
-    /// To the source, by process; those of relays come after those of couriers.
+    /// Links to the source, by process; those of relays come after those of couriers.
     links: Vec<Relay>,
-    /// To each relay, by process of couriers.
+    /// Links to each relay, by courier process.
     to_relays: Vec<Vec<Relay>>,
     _to_endpoints: Vec<Relay>,
     _sorters: Vec<Sorter>,
-    /// Of couriers, and after them the relays.
+    /// The courier processes, followed by the relays.
     processes: Vec<Arc<tokio::sync::Mutex<Process>>>,
     ids: Mutex<Vec<Option<u32>>>,
     gauge: Mutex<Gauge>,
@@ -94,7 +95,7 @@
 /// Runs a day with a seed.
 ///
 /// # Errors
-/// Where it could not be run at all, or passed a bound while it ran.
+/// If the day cannot be started, or exceeds a resource limit while it runs.
 pub async fn run(day: &Day, seed: u64, programs: &Programs, progress: bool) -> Result<Report, String> {
     let folder = tempfile::Builder::new().prefix(guard::FOLDER).tempdir_in(&programs.folder);
     let folder = folder.map_err(|e| format!("no folder in {}: {e}", programs.folder.display()))?;
@@ -111,7 +112,7 @@
         report = world.clone().play(stage.clone()) => report,
         words = world.watch(stage, progress) => Err(words),
     };
-    // Guards against a report that is told while what was started still runs.
+    // No process may still run when the report is returned.
     for process in &world.processes {
         let mut process = process.lock().await;
         process.signal(Signal::KILL);
@@ -141,7 +142,7 @@
             None => net.ip(ROW_REAL, courier),
             Some(hollow) => net.ip(ROW_HOLLOW + (hollow / A_ROW) as u8, hollow % A_ROW),
         };
-        // Each link connects to the source from an address of its own, by which the source knows it.
+        // Each link connects to the source from its own address, by which the source identifies it.
         let link = |number: usize| match places[number].real {
             true => net.ip(ROW_REAL, number),
             false => net.ip(ROW_LINKS, number),
@@ -326,7 +327,8 @@
         lock(&self.gauge).look(self.record.now(), &ids).clone()
     }
 
-    /// A line a second, and the bound on memory while the run lasts. Ends with what is wrong.
+    /// Once a second, prints the progress and checks memory and processor load. Returns the reason if a limit is
+    /// exceeded.
     async fn watch(&self, stage: Arc<Mutex<String>>, progress: bool) -> String {
         let most = self.machine.memory / 2;
         let filed = || match self.machine.disk_in_memory {
@@ -365,7 +367,7 @@
         }
     }
 
-    /// Starts a process; a real one is waited for until it serves.
+    /// Starts a process, and waits until it serves if it is a real courier.
     async fn start(&self, number: usize, one: &mut Process) -> Result<(), String> {
         one.start().await.map_err(|e| format!("a courier's program cannot be started: {e}"))?;
         lock(&self.ids)[number] = one.id();
@@ -394,7 +396,7 @@
         }
     }
 
-    /// Why the list is refused by somebody, if it is; `late`: whatever it is.
+    /// The reason why a process refuses the list, if any does; with `late`, temporary reasons count as well.
     async fn refused(&self, late: bool) -> Option<String> {
         for process in &self.processes {
             let refuses = process.lock().await.refuses();
@@ -405,7 +407,7 @@
         None
     }
 
-    /// Waits until a version is in force at all, for so long at most.
+    /// Waits until a version is in force at all couriers, for `most` at the longest.
     async fn in_force(&self, version: u64, most: Duration) -> bool {
         let end = Instant::now() + most;
         while lock(&self.books).missing(version) > 0 {
@@ -421,7 +423,7 @@
         let day = &self.day;
         let mut report = Report::new(day, self.seed);
         let (mut starts, couriers) = (JoinSet::new(), self.to_relays.len());
-        // Relays first, so that they are there when the first courier asks.
+        // Relays are started first, so that they are available when the first courier asks.
         for number in couriers..self.processes.len() {
             let mut one = self.processes[number].lock().await;
             self.start(number, &mut one).await?;
@@ -445,7 +447,7 @@
                 break;
             }
         }
-        // Where nobody has it there is nothing to measure.
+        // If no courier has the list there is nothing to measure.
         if report.refused.is_none() && lock(&self.books).missing(1) == day.couriers {
             report.refused = Some(self.refused(true).await.unwrap_or("nobody says why".to_string()));
         }
@@ -479,7 +481,7 @@
                     (self.clients[courier], vec![b'x'; day.messages.body], self.record.clone());
                 let cut = cut.clone();
                 clients.spawn(async move {
-                    // A second's messages at a time, so that the end can be moved to when the phases are over.
+                    // Mails are handed in one second at a time, so that they can stop when the phases are over.
                     for second in own.chunk_by(|a, b| a.1.at / 1_000_000 == b.1.at / 1_000_000) {
                         let begin = second[0].1.at / 1_000_000;
                         sleep_until(start + Duration::from_secs(begin)).await;
@@ -512,7 +514,7 @@
             report.phases.push(self.phase(what.name(), Some(trouble), day.after_s, true).await);
         }
         *lock(stage) = "settle".to_string();
-        // The second that has begun, and one for clients that look at the cut now, are handed in whole.
+        // The current second is handed in completely, and one more, for clients that are reading `cut` now.
         let last = start.elapsed().as_secs() + 2;
         cut.store(last, Ordering::SeqCst);
         while clients.join_next().await.is_some() {}
@@ -528,8 +530,8 @@
         report.messages = Messages::new(&verdict);
     }
 
-    /// A phase: what befalls, for its time, and `after_s` more; then a change that must come to all, and what all have
-    /// on file. What is measured ends before that.
+    /// Runs a phase: its trouble, if any, and `after_s` more; then makes a change that must reach all couriers, and
+    /// checks the stored lists. The measurement ends before that change.
     async fn phase(
         self: &Arc<Self>,
         name: &str,
@@ -557,7 +559,7 @@
         let measured = lock(&self.books).last();
         let last = self.source.change(&mut Rng::with_seed(self.seed ^ first)).unwrap_or(measured);
         let most = seconds(day.rules.in_force_s);
-        // Who was back just now has as long as any other.
+        // A courier whose trouble has only just ended still has the full time limit.
         self.in_force(last, most + POLL).await;
         let now = self.record.now();
         {
@@ -572,7 +574,7 @@
         self.on_file(name).await;
         self.still_there(name).await;
         let books = lock(&self.books);
-        // Without a change of its own, a phase has the one at its end.
+        // A phase without changes of its own is measured by the change at its end.
         let versions = if measured >= first { first..=measured } else { last..=last };
         let changes: Vec<_> = versions.map(|version| books.change(version)).collect();
         let back = |couriers: &[usize]| {
@@ -606,7 +608,7 @@
         }
     }
 
-    /// Changes the list at the day's pace; the first comes while a trouble lasts.
+    /// Changes the list at the day's rate; the first change comes while a trouble lasts.
     async fn change(self: Arc<Self>, first: u64, lasts: Option<f64>) {
         if self.day.changes_per_minute <= 0.0 {
             return;
@@ -634,7 +636,7 @@
         };
         let couriers_end = self.to_relays.len();
         if let Some(knob) = knob {
-            // The source's own trouble leaves the links to relays as they are.
+            // A trouble of the source does not affect the links to relays.
             let alone = what == Some(What::Source);
             let relays = (couriers_end..self.links.len()).filter(|_| alone);
             let numbers: Vec<usize> = processes.iter().copied().chain(relays).collect();
@@ -685,7 +687,7 @@
         couriers.iter().for_each(|&courier| books.calms(courier, now));
     }
 
-    /// Holds what each courier has on file against the source's last version.
+    /// Compares each courier's stored list with the source's current version.
     async fn on_file(&self, phase: &str) {
         let (version, expected) = self.source.expected();
         let folder = self.folder.path().to_path_buf();
@@ -716,7 +718,7 @@
         }
     }
 
-    /// Who ended by itself is told of once.
+    /// Reports each process that has ended unexpectedly, once.
     async fn still_there(&self, phase: &str) {
         for (number, process) in self.processes.iter().enumerate() {
             let mut one = process.lock().await;
@@ -729,7 +731,7 @@
         }
     }
 
-    /// Asks all processes to end, and reads what they leave.
+    /// Ends all processes with SIGTERM, and collects their logs, faults and owed mails.
     async fn end(self: &Arc<Self>, report: &mut Report) -> FinalState {
         let mut left = FinalState { at: self.record.now(), ..FinalState::default() };
         let mut ends = JoinSet::new();
@@ -775,7 +777,7 @@
         left
     }
 
-    /// The ids that a real courier's journal still owes.
+    /// The ids of the mails that a real courier's journal still holds.
     async fn owed(&self, courier: usize) -> Result<Vec<String>, String> {
         let folder = self.folder.path();
         let (config, state) = (process::file(folder, courier), process::state(folder, courier));
@@ -790,7 +792,7 @@
     }
 }
 
-/// Notes each version that a relay tells a courier of a process.
+/// Creates inspectors that record each version that a relay sends to a courier of a process.
 fn watched(books: &Arc<Mutex<Books>>, relay: usize, process: usize) -> InspectorFactory {
     let books = books.clone();
     Arc::new(move || {
