--- a/crates/rig/benches/slopes.rs
+++ b/crates/rig/benches/slopes.rs
@@ -1,7 +1,7 @@
-//! The slopes of one courier: `cargo bench -p meadowhold-rig --bench slopes -- --what list --out FILE.json`.
-//! Several `--binary [NAME=]PATH` are measured beside each other, size by size;
-//! without one, today's is built. `--sizes N,N,...` takes no others of each slope's sizes.
-//! Cargo runs it in crates/rig: paths begin there.
+//! Measures the slopes of one courier: `cargo bench -p meadowhold-rig --bench slopes -- --what list --out FILE.json`.
+//! Several `--binary [NAME=]PATH` are measured alternately, size by size; without this option, the courier of the
+//! current source is built. `--sizes N,N,...` limits each slope to these sizes. Cargo runs the bench in crates/rig, and
+//! relative paths start there.
 #![forbid(unsafe_code)]
 
 use std::path::{Path, PathBuf};
@@ -16,37 +16,37 @@
 };
 use serde_json::json;
 
-/// Sizes of lists, up to the whole world's.
+/// Sizes of lists, up to that of the whole world.
 const DESTINATIONS: [usize; 8] = [100, 300, 1_000, 3_000, 8_000, 30_000, 100_000, 300_000];
 const HELD: [usize; 6] = [500, 1_500, 5_000, 15_000, 50_000, 200_000];
 const REWRITTEN: [usize; 5] = [1_000, 3_000, 10_000, 30_000, 100_000];
-/// Those that cannot be reached, among which held messages are spread.
+/// The number of unreachable destinations over which held mails are distributed.
 const UNREACHABLE: usize = 100;
-/// A list is given so long to be taken up.
+/// Time limit for a courier to apply its first list.
 const LISTED_IN: Duration = Duration::from_secs(10);
-/// Over so long a courier's processor time is taken.
+/// Interval over which a courier's processor time is measured.
 const LOOK: Duration = Duration::from_secs(10);
-/// A journal is given so long to be written anew four times.
+/// Time limit for four rewrites of the journal.
 const REWRITTEN_IN: Duration = Duration::from_secs(100);
-/// Messages a second, over so many clients.
+/// Mails per second of all clients together, and the number of clients.
 const RATE: usize = 400;
 const CLIENTS: usize = 4;
 const CHANGES_A_SECOND: u32 = 20;
-/// Room on file for a list of the whole world: a courier keeps it in 8 hundredths of this.
+/// Folder limit in MB with room for the list of the whole world: a courier may use 8% of its folder for the list.
 const LISTS_MB: f64 = 1_000.0;
-/// A courier that wants a core for more of the time than this does not keep up.
+/// A courier that is running or runnable for more than this fraction of the time does not keep up.
 const FULL: f64 = 0.95;
 
 type Names = &'static [(&'static str, &'static str, &'static str)];
 
-/// Slopes that are measured by the same runs: names, units of size and of value.
+/// Slopes measured by the same runs, each with its name and the units of size and value.
 struct Sweep {
     slopes: Names,
     sizes: &'static [usize],
     measure: fn(&Path, usize, Bound) -> Result<Vec<Seen>, Stopped>,
 }
 
-/// One figure of a run and what was seen with it; or why there is none at this size, which ends its slope.
+/// One value of a run with further observations, or the reason why there is none at this size, which ends its slope.
 type Seen = Result<(f64, String), Stopped>;
 
 const SWEEPS: [Sweep; 5] = [
@@ -101,11 +101,11 @@
     Err(Stopped(words.to_string()))
 }
 
-/// A courier among its stand-ins, and what it used until it knew the last entry of its list.
+/// A courier with its stand-ins, and the processor time that it used until it knew the last entry of its list.
 struct Listed {
     registry: Registry,
     courier: Courier,
-    /// `None`: it does not, within the time.
+    /// `None` if it did not know the entry within `LISTED_IN`.
     known: Option<f64>,
 }
 
@@ -133,7 +133,7 @@
 
 impl Listed {
     /// # Errors
-    /// Where the list is not taken up.
+    /// If the list was not applied.
     fn sure(self) -> Result<Listed, Stopped> {
         match self.known {
             Some(_) => Ok(self),
@@ -148,7 +148,7 @@
     let Listed { registry, courier, known } =
         listed(binary, bound, registry, destinations, (1_000, LISTS_MB))?;
     let first_bytes = registry.asked().whole_bytes;
-    // What is kept of a list is on file a second later.
+    // The list is stored a second after it was applied.
     bound.sleep(Duration::from_secs(3))?;
     let (asked, resident, before) = (registry.asked(), courier.resident()?, courier.used()?);
     bound.sleep(LOOK)?;
@@ -260,7 +260,7 @@
     let share = after.share_since(idle) - idle.share_since(before);
     let cost = share * (after.at - idle.at).as_secs_f64() * 1e3 / f64::from(count);
     let bytes = (end.watch_bytes - asked.watch_bytes) as f64 / f64::from(count);
-    // Where its watch was lost it has asked for the whole list: that is no cost of a change.
+    // If the watch was lost, the courier has requested the whole list, which is no cost of a change.
     let asks = end.asks - asked.asks;
     if asks > 0 {
         let words = format!("{asks} asks meanwhile: the watch was lost");
@@ -270,10 +270,11 @@
     Ok(vec![Ok((cost, words)), Ok((bytes, String::new()))])
 }
 
-/// Bytes on file of a message held, by `journal::max_stored_size`: what the courier reckons its room by.
+/// Stored size of a held mail in bytes according to `journal::max_stored_size`, by which the courier computes its
+/// capacity.
 const WEIGHT: f64 = 340.0;
 
-/// Hands in so many messages, for destinations 1 to `UNREACHABLE` in their turn, and has all taken on.
+/// Hands in mails for the destinations 1 to `UNREACHABLE` in turn until `count` of them have been taken.
 fn fill(courier: &mut Courier, count: usize, bound: Bound) -> Result<(), Stopped> {
     let mut client = Client::connect(courier.listen, u32::MAX - 1)?;
     let (mut taken, mut last) = (0, Instant::now());
@@ -328,7 +329,7 @@
     ])
 }
 
-/// A journal that was written anew: when it was seen, its bytes then, and messages taken on so far.
+/// A rewrite of the journal: when it was seen, the journal's size in bytes then, and the number of mails taken so far.
 type Rewrite = (Instant, u64, usize);
 
 fn rewrites(binary: &Path, count: usize, bound: Bound) -> Result<Vec<Seen>, Stopped> {
@@ -336,7 +337,7 @@
     let reached = UNREACHABLE + 1;
     let registry = Registry::new(reached, nowhere.address)?;
     registry.change(reached, endpoint.address, 1e6);
-    // The messages held take 0.30 of the folder's allowance; 0.34 may be, and at 0.44 it is written anew.
+    // The held mails use 0.30 of the folder's limit; 0.34 is allowed, and at 0.44 the journal is rewritten.
     let disk_mb = count as f64 * WEIGHT / 0.3 / 1e6;
     let Listed { registry: _registry, mut courier, .. } =
         listed(binary, bound, registry, reached, (count * 2 + 1_000, disk_mb))?.sure()?;
@@ -387,7 +388,7 @@
             format!("{} rewrites in {REWRITTEN_IN:?}, {taken} taken on, {delivered} delivered", seen.len());
         return Ok(vec![none(&words), none(&words)]);
     };
-    // Seen within a few milliseconds of its end.
+    // A rewrite is seen within a few milliseconds of its end.
     let near = Duration::from_millis(10);
     let longest = |of: bool| {
         let beside = |ping: &&(Instant, Duration)| {
@@ -410,7 +411,7 @@
     Ok(vec![Ok((longest(true), stall)), ratio])
 }
 
-/// One slope of one binary as it grows.
+/// The rows of one slope of one binary so far.
 #[derive(Default)]
 struct Series {
     rows: Vec<Row>,
@@ -418,7 +419,7 @@
 }
 
 impl Sweep {
-    /// Size by size, all binaries at each, so that they meet the same machine.
+    /// Measures all binaries at each size in turn, so that they run under the same conditions of the machine.
     fn run(
         &self,
         binaries: &[(String, PathBuf)],
@@ -475,7 +476,7 @@
     SWEEPS.iter().flat_map(|sweep| sweep.slopes.iter().map(|slope| slope.0))
 }
 
-/// `NAME=PATH`, or a path that is its own name.
+/// Parses `NAME=PATH`, or a path whose file name is used as the name.
 fn named(text: &str) -> (String, PathBuf) {
     match text.split_once('=') {
         Some((name, path)) => (name.to_string(), path.into()),
@@ -493,7 +494,7 @@
     json!({"cores": cores, "memory_mb": kb / 1024, "load_at_start": load_average()})
 }
 
-/// Ends on SIGINT or SIGTERM by way of every wait, so that folders go too; couriers end in any case.
+/// On SIGINT or SIGTERM, ends the bench at its next wait, so that folders are removed; couriers end in any case.
 fn heed_signals() -> std::io::Result<()> {
     use tokio::signal::unix::{signal, SignalKind};
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build()?;
@@ -514,7 +515,7 @@
     let mut arguments = pico_args::Arguments::from_env();
     let benched = arguments.contains("--bench");
     let what: Option<String> = arguments.opt_value_from_str("--what").map_err(|e| e.to_string())?;
-    // Guards against minutes of load where benches are only tried, as by `cargo test --all-targets`.
+    // Avoids minutes of load when benches are only built and started, as by `cargo test --all-targets`.
     if !benched && what.is_none() {
         println!("slopes: run by cargo bench");
         return Ok(());
@@ -560,7 +561,7 @@
             println!("{}", slope.table());
             slopes.push(slope);
         }
-        // As far as it has come, so that a later fault costs none of it.
+        // The results so far are written after each sweep, so that a later error does not lose them.
         if let Some(out) = &out {
             let text = serde_json::to_string_pretty(&json!({"machine": machine, "slopes": slopes}));
             let text = text.map_err(|e| e.to_string())? + "\n";
--- a/crates/rig/src/slopes.rs
+++ b/crates/rig/src/slopes.rs
@@ -1,6 +1,6 @@
-//! What one courier costs as its load grows, measured from outside: a real process among stand-ins, its
-//! processor time and memory by /proc, its files by their size. `benches/slopes.rs` has the loads,
-//! this what they share. Linux only.
+//! Measures the resource use of one courier as its load grows, from outside: a real process among stand-ins, with
+//! processor time and memory from /proc and file sizes from the file system. The workloads are in `benches/slopes.rs`,
+//! their common parts are here. Linux only.
 
 use std::fmt;
 use std::fs;
@@ -24,9 +24,9 @@
 use crate::fit::{Fit, Point};
 use crate::scripted;
 
-/// A courier that takes more address space than this, in bytes, ends by itself.
+/// Limit on the courier's address space in bytes; a courier that exceeds it ends by itself.
 pub const MOST_MEMORY: u64 = 2_000_000_000;
-/// A slope takes no longer.
+/// Time limit for one slope.
 pub const MOST_TIME: Duration = Duration::from_secs(360);
 
 /// Why a slope ends before its largest size.
@@ -49,14 +49,14 @@
     mutex.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// Set once the bench has been asked to end; every wait looks at it.
+/// Set when the bench has been asked to end; checked by every wait.
 static ASKED_TO_END: AtomicBool = AtomicBool::new(false);
 
 pub fn ask_to_end() {
     ASKED_TO_END.store(true, Ordering::Relaxed);
 }
 
-/// Until when a slope may go on.
+/// The deadline of a slope.
 #[derive(Clone, Copy)]
 pub struct Bound(Instant);
 
@@ -66,7 +66,7 @@
     }
 
     /// # Errors
-    /// Once the time is up, or the bench was asked to end.
+    /// If the deadline has passed, or the bench was asked to end.
     pub fn check(self) -> Result<(), Stopped> {
         if ASKED_TO_END.load(Ordering::Relaxed) {
             return Err(Stopped("asked to end".to_string()));
@@ -78,7 +78,7 @@
     }
 
     /// # Errors
-    /// As `check`, also in the middle.
+    /// As `check`, which is repeated during the sleep.
     pub fn sleep(self, time: Duration) -> Result<(), Stopped> {
         let end = Instant::now() + time;
         while let Some(left) = end.checked_duration_since(Instant::now()) {
@@ -88,10 +88,10 @@
         self.check()
     }
 
-    /// Looks every 5 ms; how long it took, or `None` where it did not hold within the time.
+    /// Polls a condition every 5 ms. Returns the time until it held, or `None` if it did not hold within `longest`.
     ///
     /// # Errors
-    /// As `check`, and what `holds` says.
+    /// As `check`, and any error of `holds`.
     pub fn until(
         self,
         longest: Duration,
@@ -111,7 +111,7 @@
     }
 }
 
-/// The machine's load over the last minute, in runnable threads.
+/// The machine's one-minute load average.
 pub fn load_average() -> f64 {
     fs::read_to_string("/proc/loadavg").ok().and_then(|text| first_number(&text)).unwrap_or(f64::NAN)
 }
@@ -120,26 +120,27 @@
     text.split_whitespace().next()?.parse().ok()
 }
 
-/// Nanoseconds on a processor and in line for one, from a thread's `schedstat`: finer than `stat`'s ticks.
+/// Nanoseconds of running and of waiting for a processor, from a thread's `schedstat`, which is finer than the ticks of
+/// `stat`.
 fn run_times(schedstat: &str) -> Option<(u64, u64)> {
     let mut numbers = schedstat.split_whitespace().map(|number| number.parse().ok());
     Some((numbers.next()??, numbers.next()??))
 }
 
-/// Bytes, from a line such as `VmRSS:   1234 kB`.
+/// A size in bytes, from a line such as `VmRSS:   1234 kB`.
 fn bytes_of(status: &str, name: &str) -> Option<u64> {
     let line = status.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(':'))?;
     line.trim().strip_suffix("kB")?.trim().parse::<u64>().ok().map(|kb| kb * 1024)
 }
 
-/// Becomes the courier: one that ends with the bench, however that ends, and within the bound on memory.
+/// Replaces this process by the courier, which is killed when the bench ends for any reason and has a limit on memory.
 ///
 /// # Errors
-/// Where it cannot; otherwise it does not return.
+/// The reason why the courier cannot be run; on success the function does not return.
 pub fn become_courier(parent: i32, binary: &Path) -> io::Error {
     let bounded = || -> io::Result<()> {
         set_parent_process_death_signal(Some(Signal::KILL))?;
-        // Guards against a bench that has ended before that was set.
+        // The bench may have ended before the signal was set.
         if getppid().map(Pid::as_raw_nonzero).map(|id| id.get()) != Some(parent) {
             return Err(io::Error::other("the bench has ended"));
         }
@@ -152,10 +153,10 @@
     }
 }
 
-/// The word by which the bench's own program is told to become a courier.
+/// The argument with which the bench's own program runs the courier in its place.
 pub const BECOME: &str = "--become";
 
-/// The courier that is measured.
+/// The courier under measurement.
 pub struct Courier {
     pub listen: SocketAddr,
     folder: scripted::Folder,
@@ -163,23 +164,24 @@
     child: Child,
 }
 
-/// What a courier has used up to a moment.
+/// A courier's processor use up to a moment.
 #[derive(Clone, Copy, Debug)]
 pub struct Used {
-    /// Seconds on a processor.
+    /// Seconds of processor time.
     pub processor: f64,
-    /// Seconds in line for a processor that others had.
+    /// Seconds spent runnable while waiting for a processor.
     pub in_line: f64,
     pub at: Instant,
 }
 
 impl Used {
-    /// Of one core, as a ratio.
+    /// Processor use since `before`, as a fraction of one core.
     pub fn share_since(self, before: Used) -> f64 {
         (self.processor - before.processor) / (self.at - before.at).as_secs_f64()
     }
 
-    /// Part of the time in which it ran or would have. Near 1 it does not keep up, whoever has its core.
+    /// Fraction of the time since `before` in which it ran or was runnable. A courier near 1 does not keep up, even if
+    /// other processes had its core.
     pub fn wanted_since(self, before: Used) -> f64 {
         let wanted = |used: Used| used.processor + used.in_line;
         (wanted(self) - wanted(before)) / (self.at - before.at).as_secs_f64()
@@ -187,10 +189,10 @@
 }
 
 impl Courier {
-    /// Starts one. Only from a thread that lasts as long as the courier: it ends with its thread.
+    /// Starts a courier. The calling thread must live as long as the courier, which is killed when that thread ends.
     ///
     /// # Errors
-    /// Where it cannot be started.
+    /// If it cannot be started.
     pub fn start(binary: &Path, config: impl FnOnce(SocketAddr) -> Value) -> Result<Courier, Stopped> {
         let (listen, folder) = (scripted::own_address(), scripted::Folder::new());
         fs::write(folder.path.join("config.json"), config(listen).to_string())?;
@@ -207,10 +209,10 @@
         command.stderr(log).spawn()
     }
 
-    /// Kills it with SIGKILL and starts it again; the moment of the start.
+    /// Kills it with SIGKILL and restarts it. Returns the moment of the restart.
     ///
     /// # Errors
-    /// Where it cannot be started.
+    /// If it cannot be started.
     pub fn kill_and_start(&mut self) -> Result<Instant, Stopped> {
         self.child.kill()?;
         self.child.wait()?;
@@ -220,7 +222,7 @@
     }
 
     /// # Errors
-    /// Where it has ended, with the end of its log.
+    /// If it has ended; the error has the last line of its log.
     pub fn check(&mut self) -> Result<(), Stopped> {
         match self.child.try_wait()? {
             None => Ok(()),
@@ -231,10 +233,10 @@
         }
     }
 
-    /// Waits until it answers `PING`; how long after `since` that was.
+    /// Waits until it answers `PING`. Returns the time since `since`.
     ///
     /// # Errors
-    /// Where it has ended, or does not answer within the time.
+    /// If it has ended, or does not answer within `longest`.
     pub fn ready(&mut self, bound: Bound, since: Instant, longest: Duration) -> Result<Duration, Stopped> {
         let listen = self.listen;
         let answers = || {
@@ -253,11 +255,11 @@
     }
 
     /// # Errors
-    /// Where it has ended.
+    /// If it has ended.
     pub fn used(&self) -> Result<Used, Stopped> {
         let (mut ran, mut waited) = (0, 0);
         for task in fs::read_dir(self.proc_file("task"))? {
-            // One that ends meanwhile is passed over.
+            // A thread that has ended in the meantime is skipped.
             let text = fs::read_to_string(task?.path().join("schedstat")).unwrap_or_default();
             let (run, wait) = run_times(&text).unwrap_or_default();
             (ran, waited) = (ran + run, waited + wait);
@@ -266,18 +268,18 @@
         Ok(Used { processor: seconds(ran), in_line: seconds(waited), at: Instant::now() })
     }
 
-    /// Bytes that are resident now.
+    /// Resident memory in bytes.
     ///
     /// # Errors
-    /// Where it has ended.
+    /// If it has ended.
     pub fn resident(&self) -> Result<u64, Stopped> {
         self.memory("VmRSS")
     }
 
-    /// Bytes that were resident at the most since its start.
+    /// Peak resident memory in bytes since its start.
     ///
     /// # Errors
-    /// Where it has ended.
+    /// If it has ended.
     pub fn most_resident(&self) -> Result<u64, Stopped> {
         self.memory("VmHWM")
     }
@@ -287,19 +289,19 @@
         bytes_of(&status, name).ok_or_else(|| Stopped("no resident memory is told".to_string()))
     }
 
-    /// Bytes of the list that is kept for the next start.
+    /// The size in bytes of the list stored for the next start.
     ///
     /// # Errors
-    /// Where none is kept.
+    /// If none is stored.
     pub fn kept_list(&self) -> Result<u64, Stopped> {
         let file = fs::metadata(self.folder.path.join("state").join("memory"));
         Ok(file.map_err(|e| Stopped(format!("no list is kept: {e}")))?.len())
     }
 
-    /// Which file its journal is, and its bytes.
+    /// The inode number and the size in bytes of its journal.
     ///
     /// # Errors
-    /// Where there is none.
+    /// If it has no journal.
     pub fn journal(&self) -> Result<(u64, u64), Stopped> {
         Ok(fs::metadata(self.journal_path()).map(|file| (file.ino(), file.len()))?)
     }
@@ -320,8 +322,8 @@
     }
 }
 
-/// The list's stand-in for lists of any length: what it says is written once for all asks. `list::List` looks
-/// through all entries for each that it tells; `scripted::Platform` tells all of them at each change.
+/// A stand-in for the list service that can serve lists of any length: each text is serialized once for all requests.
+/// `list::List` scans all entries for each one it sends, and `scripted::Platform` sends all of them at each change.
 pub struct Registry {
     pub address: SocketAddr,
     state: Arc<(Mutex<Listed>, Condvar)>,
@@ -331,9 +333,9 @@
 struct Listed {
     index: u64,
     entries: Vec<String>,
-    /// Versions and what changed with them.
+    /// The text of each change, by version.
     lines: Vec<(u64, String)>,
-    /// The whole list, of this version.
+    /// The text of the whole list and its version.
     whole: (u64, Arc<Vec<u8>>),
 }
 
@@ -344,7 +346,7 @@
     watch: AtomicU64,
 }
 
-/// What a registry has been asked, and the bytes of its answers.
+/// The number of requests to a registry, and the bytes of its responses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Asked {
     pub asks: u64,
@@ -352,9 +354,9 @@
     pub watch_bytes: u64,
 }
 
-/// A watch hears an empty line so often where nothing changes, as of a healthy registry.
+/// Interval of the empty lines (keep-alives) on a watch without changes, as of a healthy registry.
 const EMPTY_LINE: Duration = Duration::from_secs(2);
-/// Bytes of a list are counted as they are written, so many at a time.
+/// Size of the pieces in which a list is written; the bytes are counted per piece.
 const PIECE: usize = 1 << 16;
 
 /// An entry of the list; each destination has one endpoint.
@@ -365,10 +367,10 @@
 }
 
 impl Registry {
-    /// Lists so many destinations, 1 and up, each with one endpoint at this address.
+    /// Serves a list of the destinations from 1 to `destinations`, each with one endpoint at this address.
     ///
     /// # Errors
-    /// Where no port can be had.
+    /// If no port can be bound.
     pub fn new(destinations: usize, endpoint: SocketAddr) -> Result<Registry, Stopped> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -381,7 +383,7 @@
         Ok(Registry { address, state, counts })
     }
 
-    /// Gives a destination's endpoint another rate, in calls a second.
+    /// Changes the rate of a destination's endpoint, in calls per second.
     pub fn change(&self, destination: usize, endpoint: SocketAddr, weight: f64) {
         let mut listed = lock(&self.state.0);
         listed.index += 1;
@@ -425,7 +427,7 @@
         if out.write_all(head.as_bytes()).is_err() {
             return false;
         }
-        // Piece by piece: one that has read enough closes in the middle.
+        // Written in pieces: a client that has read enough closes the connection early.
         return whole.chunks(PIECE).all(|piece| {
             counts.whole.fetch_add(piece.len() as u64, Ordering::Relaxed);
             out.write_all(piece).is_ok()
@@ -450,7 +452,7 @@
                 listed = waited.unwrap_or_else(|poisoned| poisoned.into_inner()).0;
             }
             let first = listed.lines.partition_point(|line| line.0 <= after);
-            // One that holds another list than these changes follow is told all of it.
+            // A client whose list these changes do not continue gets the whole list.
             let line = if after == 0 || after > listed.index {
                 let mut whole = listed.whole().to_vec();
                 whole.push(b'\n');
@@ -473,7 +475,7 @@
     }
 }
 
-/// A place that refuses every connection for as long as it is kept: bound, and nobody listens.
+/// An address that refuses every connection while this exists: the port is bound, but nothing listens on it.
 pub struct Nowhere {
     pub address: SocketAddr,
     _held: socket2::Socket,
@@ -481,7 +483,7 @@
 
 impl Nowhere {
     /// # Errors
-    /// Where no port can be had.
+    /// If no port can be bound.
     pub fn new() -> Result<Nowhere, Stopped> {
         let held = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
         held.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())?;
@@ -490,17 +492,17 @@
     }
 }
 
-/// Bytes of every message's body.
+/// The size of each mail's body in bytes.
 pub const BODY: usize = 200;
 
-/// Hands messages in, each with an id of its own, without a wait for each answer.
+/// Hands in mails with unique ids, without waiting for each answer.
 pub struct Client {
     stream: BufReader<TcpStream>,
     name: u32,
     next: u32,
 }
 
-/// Answers to messages, counted.
+/// Counts of the answers to mails.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Heard {
     pub taken: usize,
@@ -509,10 +511,10 @@
 }
 
 impl Client {
-    /// `name` tells its ids from other clients'.
+    /// `name` distinguishes its mail ids from those of other clients.
     ///
     /// # Errors
-    /// Where the courier cannot be reached.
+    /// If the courier cannot be reached.
     pub fn connect(courier: SocketAddr, name: u32) -> Result<Client, Stopped> {
         let stream = TcpStream::connect(courier)?;
         stream.set_nodelay(true)?;
@@ -520,10 +522,10 @@
         Ok(Client { stream: BufReader::new(stream), name, next: 0 })
     }
 
-    /// Hands in one message for each destination, and hears all answers.
+    /// Hands in one mail for each destination, and reads all answers.
     ///
     /// # Errors
-    /// Where the connection ends, or an answer takes half a minute.
+    /// If the connection ends, or an answer takes half a minute.
     pub fn hand_in(&mut self, destinations: impl Iterator<Item = usize>) -> Result<Heard, Stopped> {
         let (mut bytes, mut count) = (Vec::new(), 0);
         for destination in destinations {
@@ -545,7 +547,7 @@
         Ok(heard)
     }
 
-    /// How long it takes to be answered `PONG`.
+    /// The time until `PING` is answered.
     ///
     /// # Errors
     /// As `hand_in`.
@@ -565,19 +567,20 @@
     }
 }
 
-/// A message's time, in milliseconds: far longer than any run.
+/// A mail's lifetime in milliseconds, far longer than any run.
 const LIFETIME_MS: u64 = 86_400_000;
 
-/// The configuration: one class that may be sent again, with room for so many messages and megabytes on file.
+/// The courier's configuration: one redeliverable queue class, with limits on the number of mails and on the folder in
+/// MB.
 pub fn config(listen: SocketAddr, discovery: SocketAddr, room: usize, disk_mb: f64) -> Value {
     let mut settings = scripted::settings();
     settings["Limits"]["MaxOpen"] = json!(room);
-    // What cannot be delivered stays held: no attempt is the last one.
+    // Mails that cannot be relayed stay held, because the number of connects is practically unlimited.
     settings["Limits"]["MaxAttempts"] = json!(1_000_000_000_u64);
     settings["Profiles"][0]["HardLimitUs"] = json!(LIFETIME_MS * 1000);
     settings["FamilyInfo"]["Slots"] = json!(64);
     settings["Limits"]["KeepaliveUs"] = json!(5_000_000);
-    // As on the rig's days. Without a time for which endpoints stay cold there is no pause between trials.
+    // As in the rig's days. Without a time for which endpoints stay cold there is no pause between trial calls.
     settings["Limits"]["ConnectTimeoutUs"] = json!(1_000_000);
     settings["Rules"] = json!({"TurnGapUs": 600_000, "OverloadForUs": 2_000_000, "TipMultiple": 2.0,
         "ColdFrom": 0.25, "ColdUs": 4_000_000});
@@ -586,7 +589,7 @@
         "known": {"index": 0, "snapshot": true, "endpoints": []}, "settings": settings})
 }
 
-/// One size's measurement, with the machine's load at the time and what else was seen.
+/// The measurement at one size, with the machine's load at the time and further observations.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
     pub size: f64,
@@ -602,7 +605,7 @@
     }
 }
 
-/// A slope as it is written: sizes are in `size_unit`, values in `unit`.
+/// A slope as it is written to the output: sizes are in `size_unit`, values in `unit`.
 #[derive(Clone, Debug, Serialize)]
 pub struct Slope {
     pub name: String,
@@ -611,17 +614,17 @@
     pub unit: String,
     pub command: String,
     pub points: Vec<Row>,
-    /// The one of the two that lies nearer.
+    /// The better of the linear and the power fit.
     pub fit: Option<Fit>,
     pub other_fit: Option<Fit>,
-    /// The exponent between the last two sizes. Guards against a fit over all that hides a bend.
+    /// The exponent between the last two sizes, which shows a bend that a fit over all sizes hides.
     pub last_exponent: Option<f64>,
     pub largest: f64,
     pub stopped_by: String,
 }
 
 impl Slope {
-    /// Fits the rows; `largest` is the largest size that was borne.
+    /// Fits the rows; `largest` is the largest size that was measured.
     pub fn new(
         (name, binary): (&str, &str),
         (size_unit, unit): (&str, &str),
@@ -654,7 +657,7 @@
         }
     }
 
-    /// In Markdown, with the fit below.
+    /// A Markdown table, followed by the fit.
     pub fn table(&self) -> String {
         let mut out = format!("**{}** ({}): {} by {}\n\n", self.name, self.binary, self.unit, self.size_unit);
         out += &format!("| {} | {} | load | seen |\n| --- | --- | --- | --- |\n", self.size_unit, self.unit);
@@ -683,7 +686,7 @@
     }
 }
 
-/// Three digits that count.
+/// Formats a value with three significant digits.
 fn digits(value: f64) -> String {
     if value == 0.0 || !value.is_finite() {
         return value.to_string();
--- a/crates/rig/src/slopes/tests.rs
+++ b/crates/rig/src/slopes/tests.rs
@@ -48,12 +48,12 @@
     assert!(matches!(square.fit, Some(Fit::Power { .. })), "{square:?}");
     assert_eq!(square.largest, 1000.0);
     assert!((square.last_exponent.unwrap() - 2.0).abs() < 1e-9, "{square:?}");
-    // The first sizes say nothing of the last two.
+    // The exponent of the last two sizes does not depend on the first ones.
     let bent = slope([(10, 1.0), (100, 1.0), (200, 8.0)].map(|(size, value)| row(size, value)).to_vec());
     assert!((bent.last_exponent.unwrap() - 3.0).abs() < 1e-9, "{bent:?}");
     let one = slope(vec![row(10, 5.0)]);
     assert!(one.fit.is_none() && one.table().contains("Fit: none. Largest: 10; stopped by: nothing."));
-    // A value of 0 bears no power.
+    // A value of 0 allows no power fit.
     let flat = slope(vec![row(10, 0.0), row(20, 1.0)]);
     assert!(flat.other_fit.is_none() && flat.fit.is_some() && flat.last_exponent.is_none());
     let written = serde_json::to_value(&linear).unwrap();
@@ -66,7 +66,7 @@
 
 struct Ask {
     stream: BufReader<TcpStream>,
-    /// By the answer's head.
+    /// From the response's `Content-Length`.
     length: usize,
 }
 
@@ -118,7 +118,7 @@
     assert_eq!((told["index"].as_u64(), told["snapshot"].as_bool()), (Some(2), Some(false)));
     let told = told["endpoints"].as_array().unwrap();
     assert_eq!((told.len(), &told[0]["group"], &told[0]["weight"]), (1, &2.into(), &7.0.into()));
-    // One that holds nothing is told all, changes included.
+    // A client without a list gets the whole list, including the changes.
     let all = Ask::new(&registry, "/catalog/members?watch=1&after=0").chunk();
     let all: serde_json::Value = serde_json::from_str(&all).unwrap();
     assert_eq!(all["endpoints"][1]["weight"], 7.0);
