--- a/crates/rig/src/command.rs
+++ b/crates/rig/src/command.rs
@@ -176,7 +176,7 @@
     // Check all sizes before the first run is started.
     let machine = scale::gauge::machine(&folder);
     for day in &days {
-        let faults = [day.faults(), day.beyond(&machine)].concat();
+        let faults = [day.faults(), day.missing_resources(&machine)].concat();
         if !faults.is_empty() {
             return Err(fault_list(&format!("{name} with {} couriers", day.couriers), &faults));
         }
--- a/crates/rig/src/scale/day.rs
+++ b/crates/rig/src/scale/day.rs
@@ -49,7 +49,7 @@
     pub relays: Relays,
     pub rules: Rules,
     /// Couriers with a simulated defect, to test the checks of the run.
-    pub wrong: Vec<Wrong>,
+    pub wrong: Vec<DefectiveCourier>,
     pub trouble: Vec<Trouble>,
 }
 
@@ -106,15 +106,15 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Wrong {
+pub struct DefectiveCourier {
     /// The number of a hollow courier, counted among all couriers.
     pub courier: usize,
-    pub how: How,
+    pub how: Defect,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum How {
+pub enum Defect {
     /// Reports a change in force but keeps the old entries.
     HoldsOld,
     /// Reports the next version in force before it exists.
@@ -246,29 +246,29 @@
     pub descriptors: u64,
 }
 
-/// A run is aborted if there are more than this many runnable threads per processor for more than `OVERRUN_S`
+/// A run is aborted if there are more than this many runnable threads per processor for more than `MAX_OVERLOAD_S`
 /// consecutive seconds, so that it does not starve other processes on the machine.
-pub const MOST_RUNNABLE: u64 = 12;
-pub const OVERRUN_S: u32 = 6;
+pub const MAX_RUNNABLE_PER_CORE: u64 = 12;
+pub const MAX_OVERLOAD_S: u32 = 6;
 
 /// Maximum number of processes of a run, including the run itself and the guard.
-pub const MOST_PROCESSES: usize = 200;
+pub const MAX_PROCESSES: usize = 200;
 /// Estimated bytes: of a list entry in a courier's memory, in its file and in a relay's memory; of a member; and of a
 /// hollow courier, a real courier and a relay without entries. They are above the measured values (`docs/scale.md`),
 /// because they decide whether a run may be started.
-const ENTRY_HELD: u64 = 300;
-const ENTRY_FILED: u64 = 110;
-const ENTRY_RELAYED: u64 = 2000;
-const MEMBER_HELD: u64 = 500;
-const HOLLOW: u64 = 600_000;
-const REAL: u64 = 16_000_000;
-const RELAY: u64 = 24_000_000;
+const ENTRY_MEMORY: u64 = 300;
+const ENTRY_DISK: u64 = 110;
+const ENTRY_RELAY_MEMORY: u64 = 2000;
+const MEMBER_MEMORY: u64 = 500;
+const HOLLOW_MEMORY: u64 = 600_000;
+const REAL_MEMORY: u64 = 16_000_000;
+const RELAY_MEMORY: u64 = 24_000_000;
 /// Maximum number of relays of a run; each courier process has a link to each relay.
-pub const MOST_RELAYS: usize = 16;
+pub const MAX_RELAYS: usize = 16;
 /// File descriptors for each courier, in its own process or in the run's process, where its link has four ends. With
-/// relays (`RELAYED`) there is a request beside each watch, and at times an attempt at another relay.
-const DESCRIPTORS: usize = 6;
-const RELAYED: usize = 10;
+/// relays (`DESCRIPTORS_WITH_RELAYS`) there is a request beside each watch, and at times an attempt at another relay.
+const DESCRIPTORS_PER_COURIER: usize = 6;
+const DESCRIPTORS_WITH_RELAYS: usize = 10;
 
 impl Day {
     /// Parses a day from TOML.
@@ -295,7 +295,7 @@
     /// The size limit of a courier's folder in MB; the stored list may use a fraction of it.
     pub fn disk_mb(&self) -> f64 {
         let part = meadowhold_courier::memory::SHARE_PERCENT as f64 / 100.0;
-        self.courier.disk_mb.max(self.entries() as f64 * ENTRY_FILED as f64 / part / 1e6 + 1.0)
+        self.courier.disk_mb.max(self.entries() as f64 * ENTRY_DISK as f64 / part / 1e6 + 1.0)
     }
 
     pub fn region_of(&self, zone: usize) -> usize {
@@ -320,7 +320,7 @@
     }
 
     /// The numbers of the courier processes that a trouble affects.
-    pub fn befallen(&self, trouble: &Trouble) -> Vec<usize> {
+    pub fn affected_processes(&self, trouble: &Trouble) -> Vec<usize> {
         let places = self.places();
         let hit = |(number, place): (usize, &Place)| {
             let hit = match trouble.what? {
@@ -336,23 +336,23 @@
         places.iter().enumerate().filter_map(hit).collect()
     }
 
-    fn befalls_something(&self, trouble: &Trouble) -> bool {
+    fn affects_something(&self, trouble: &Trouble) -> bool {
         match trouble.what {
             Some(What::Relay | What::RelayStop) => trouble.which < self.relays.count,
-            _ => !self.befallen(trouble).is_empty(),
+            _ => !self.affected_processes(trouble).is_empty(),
         }
     }
 
     /// Estimated memory of all couriers and relays, in bytes.
     pub fn memory(&self) -> u64 {
         let (entries, members) = (self.entries() as u64, self.members() as u64);
-        let each = entries * ENTRY_HELD + members * MEMBER_HELD;
-        let relays = self.relays.count as u64 * (RELAY + entries * ENTRY_RELAYED);
-        self.hollow() as u64 * (HOLLOW + each) + self.real as u64 * (REAL + 2 * each) + relays
+        let each = entries * ENTRY_MEMORY + members * MEMBER_MEMORY;
+        let relays = self.relays.count as u64 * (RELAY_MEMORY + entries * ENTRY_RELAY_MEMORY);
+        self.hollow() as u64 * (HOLLOW_MEMORY + each) + self.real as u64 * (REAL_MEMORY + 2 * each) + relays
     }
 
     /// The resources that this machine lacks for the day; to be checked before anything is started.
-    pub fn beyond(&self, machine: &Machine) -> Vec<Fault> {
+    pub fn missing_resources(&self, machine: &Machine) -> Vec<Fault> {
         let mut faults = Vec::new();
         let mut most = |key: &str, what: &str, value: u64, most: u64| {
             if value > most {
@@ -362,12 +362,12 @@
         };
         let mb = 1_000_000;
         // At any time about one file in twenty is rewritten, which needs room for both the old and the new file.
-        let filed = self.couriers as u64 * self.entries() as u64 * ENTRY_FILED * 21 / 20;
+        let filed = self.couriers as u64 * self.entries() as u64 * ENTRY_DISK * 21 / 20;
         let memory = self.memory() + if machine.disk_in_memory { filed } else { 0 };
         let words = "MB of memory, half of the machine's at most";
         most("couriers", words, memory / mb, machine.memory / 2 / mb);
         most("destinations", "MB on disk, half of what is free at most", filed / mb, machine.disk / 2 / mb);
-        let each = if self.relays.count > 0 { RELAYED } else { DESCRIPTORS };
+        let each = if self.relays.count > 0 { DESCRIPTORS_WITH_RELAYS } else { DESCRIPTORS_PER_COURIER };
         let largest = self.places().iter().map(|place| place.couriers.len()).max().unwrap_or(0);
         let needed = (each * largest.max(self.couriers) + 256) as u64;
         most("couriers", "descriptors of a process", needed, machine.descriptors);
@@ -389,8 +389,8 @@
         bound("real", self.real as f64, 1.0, self.couriers.clamp(1, 150) as f64);
         // Hollow couriers need at least one process more than the real ones; the run and its guard count as well.
         let least = self.real + usize::from(self.hollow() > 0);
-        bound("relays.count", self.relays.count as f64, 0.0, MOST_RELAYS as f64);
-        let left = (MOST_PROCESSES - 2).saturating_sub(self.relays.count.min(MOST_RELAYS));
+        bound("relays.count", self.relays.count as f64, 0.0, MAX_RELAYS as f64);
+        let left = (MAX_PROCESSES - 2).saturating_sub(self.relays.count.min(MAX_RELAYS));
         bound("processes", self.processes as f64, least as f64, left as f64);
         bound("members", self.members() as f64, 0.0, self.couriers as f64);
         bound("start_gap_s", self.start_gap_s, 0.0, 60.0);
@@ -447,7 +447,7 @@
             if t.what.is_none() {
                 let words = "is not set; give zone, rack, region, kill, stop, slow, silent, source, relay or relay-stop";
                 fault(&format!("trouble.{i}.what"), words.to_string());
-            } else if !self.befalls_something(t) {
+            } else if !self.affects_something(t) {
                 fault(&format!("trouble.{i}.which"), format!("there is nothing in {}", t.which));
             }
         }
--- a/crates/rig/src/scale/sorter.rs
+++ b/crates/rig/src/scale/endpoint_proxy.rs
@@ -16,21 +16,25 @@
 use crate::relay;
 
 /// The most bytes of a first call that are read in search of a mail id; the connection is then dropped.
-const MOST: usize = 256 << 10;
+const MAX_FIRST_CALL_BYTES: usize = 256 << 10;
 
 /// The proxy stops when this is dropped.
-pub struct Sorter {
+pub struct EndpointProxy {
     pub address: SocketAddr,
     _task: JoinSet<()>,
 }
 
-impl Sorter {
+impl EndpointProxy {
     /// `links`: addresses of the links to the endpoint, by courier; `couriers`: the courier that each mail is handed
     /// to.
     ///
     /// # Errors
     /// If no port can be bound.
-    pub async fn start(at: IpAddr, links: Vec<SocketAddr>, couriers: Arc<Vec<usize>>) -> io::Result<Sorter> {
+    pub async fn start(
+        at: IpAddr,
+        links: Vec<SocketAddr>,
+        couriers: Arc<Vec<usize>>,
+    ) -> io::Result<EndpointProxy> {
         let listener = TcpListener::bind((at, 0)).await?;
         let (address, links, mut task) = (listener.local_addr()?, Arc::new(links), JoinSet::new());
         task.spawn(async move {
@@ -45,7 +49,7 @@
                 }
             }
         });
-        Ok(Sorter { address, _task: task })
+        Ok(EndpointProxy { address, _task: task })
     }
 }
 
@@ -58,7 +62,7 @@
             match message.and_then(|&courier| links.get(courier)) {
                 Some(&link) => break link,
                 None if read == 0 => return Ok(()),
-                None if first.len() > MOST => {
+                None if first.len() > MAX_FIRST_CALL_BYTES => {
                     return Err(io::Error::other("no mail id in the first 256 KiB of a call"))
                 }
                 None => {}
--- a/crates/rig/src/scale/gauge.rs
+++ b/crates/rig/src/scale/gauge.rs
@@ -13,7 +13,7 @@
 
 /// Resource use of a process or a thread so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Taken {
+pub struct ResourceUse {
     /// Processor time in seconds.
     pub processor_s: f64,
     /// Resident memory in bytes.
@@ -23,29 +23,29 @@
 }
 
 /// Parses `/proc/N/stat`. The name, in parentheses, may contain any characters.
-pub fn read_stat(line: &str, page: u64) -> Option<Taken> {
+pub fn read_stat(line: &str, page: u64) -> Option<ResourceUse> {
     let fields: Vec<&str> = line.rsplit_once(')')?.1.split_whitespace().collect();
     let number = |at: usize| fields.get(at - 3)?.parse::<u64>().ok();
     let processor_s = (number(14)? + number(15)?) as f64 / TICKS;
-    Some(Taken { processor_s, resident: number(24)? * page, started: number(22)? })
+    Some(ResourceUse { processor_s, resident: number(24)? * page, started: number(22)? })
 }
 
-fn taken(path: &str) -> Option<Taken> {
+fn taken(path: &str) -> Option<ResourceUse> {
     read_stat(&fs::read_to_string(path).ok()?, rustix::param::page_size() as u64)
 }
 
 /// `None` if there is no such process.
-pub fn of_process(id: u32) -> Option<Taken> {
+pub fn of_process(id: u32) -> Option<ResourceUse> {
     taken(&format!("/proc/{id}/stat"))
 }
 
 /// Resource use of a thread of this process.
-pub fn of_thread(id: i32) -> Option<Taken> {
+pub fn of_thread(id: i32) -> Option<ResourceUse> {
     taken(&format!("/proc/self/task/{id}/stat"))
 }
 
 /// Resource use of this process.
-pub fn of_self() -> Taken {
+pub fn of_self() -> ResourceUse {
     taken("/proc/self/stat").unwrap_or_default()
 }
 
@@ -78,7 +78,7 @@
 }
 
 /// The magic number of tmpfs, as `statfs` reports it.
-const IN_MEMORY: u64 = 0x0102_1994;
+const TMPFS_MAGIC: u64 = 0x0102_1994;
 
 /// Used bytes of the file system that holds a folder.
 pub fn taken_of(folder: &Path) -> u64 {
@@ -100,7 +100,7 @@
 /// The resources of this machine, with the disk that holds `folder`.
 pub fn machine(folder: &Path) -> Machine {
     let disk = rustix::fs::statvfs(folder).map_or(0, |of| of.f_bavail * of.f_frsize);
-    let disk_in_memory = rustix::fs::statfs(folder).is_ok_and(|of| of.f_type as u64 == IN_MEMORY);
+    let disk_in_memory = rustix::fs::statfs(folder).is_ok_and(|of| of.f_type as u64 == TMPFS_MAGIC);
     let descriptors = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
     Machine { memory: meminfo("MemTotal"), disk, disk_in_memory, descriptors }
 }
@@ -112,7 +112,7 @@
     #[test]
     fn a_process_is_read_whatever_its_name_is() {
         let rest = "S 1 2 3 0 -1 4 5 6 7 8 150 50 0 0 20 0 65 0 9000 1000000 300 18446744073709551615";
-        let taken = Taken { processor_s: 2.0, resident: 300 * 4096, started: 9000 };
+        let taken = ResourceUse { processor_s: 2.0, resident: 300 * 4096, started: 9000 };
         for name in ["meadowhold", "a) S 9 (b", ""] {
             assert_eq!(read_stat(&format!("77 ({name}) {rest}"), 4096), Some(taken), "{name}");
         }
--- a/crates/rig/src/scale/hollow.rs
+++ b/crates/rig/src/scale/hollow.rs
@@ -23,25 +23,25 @@
 use tokio::task::{JoinSet, LocalSet};
 use tokio::time::timeout;
 
-use super::day::How;
+use super::day::Defect;
 
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct File {
     /// A courier's configuration without the fields that differ between couriers.
     pub common: Value,
-    pub couriers: Vec<One>,
+    pub couriers: Vec<HollowCourier>,
 }
 
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct One {
+pub struct HollowCourier {
     pub name: String,
     pub state: PathBuf,
     /// The address of its membership socket, if it takes part in membership.
     pub members: Option<SocketAddr>,
     pub seed: u64,
-    pub wrong: Option<How>,
+    pub wrong: Option<Defect>,
 }
 
 impl File {
@@ -51,7 +51,7 @@
     }
 
     /// The configuration of one courier, parsed like a real courier's.
-    fn config(&self, one: &One) -> Result<Config, String> {
+    fn config(&self, one: &HollowCourier) -> Result<Config, String> {
         let mut config = self.common.clone();
         config["name"] = json!(one.name);
         config["seed"] = json!(format!("{:x}", one.seed));
@@ -70,9 +70,9 @@
 static ENDING: AtomicBool = AtomicBool::new(false);
 
 /// Logs to standard error: versions in force, warnings, each failure to follow the list, and membership's final counts.
-struct Lines;
+struct StderrLogger;
 
-impl Log for Lines {
+impl Log for StderrLogger {
     fn enabled(&self, metadata: &Metadata) -> bool {
         let counts = ENDING.load(Ordering::Relaxed) && metadata.target().ends_with("::members");
         let follows = metadata.target().ends_with("::discovery");
@@ -94,34 +94,34 @@
 /// The number of couriers of a process that fetch their first list at the same time, and the time limit for each. The
 /// couriers share one processor, which in production each has to itself: without the limit none of them might finish
 /// its start.
-const AT_ONCE: usize = 2;
-const FIRST_LIST: Duration = Duration::from_secs(2);
+const FIRST_LISTS_AT_ONCE: usize = 2;
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Wraps the listener of a hollow courier and adds a simulated defect if `how` is set.
-struct Spoilt<L> {
+struct DefectiveListener<L> {
     inner: Rc<RefCell<L>>,
     /// Dropped when the first list has arrived.
     first: Option<oneshot::Sender<()>>,
-    how: Option<How>,
+    how: Option<Defect>,
     name: String,
 }
 
-impl<L: Listener> Listener for Spoilt<L> {
+impl<L: Listener> Listener for DefectiveListener<L> {
     fn apply_update(&mut self, list: &Update) {
         self.first = None;
-        if self.how == Some(How::Mute) {
+        if self.how == Some(Defect::Mute) {
             // A courier whose calls stay on hold never runs a turn. If lists are polled, nothing else holds its calls.
             self.inner.borrow_mut().hold_calls();
         }
         match self.how {
             // The first list is applied: there is no older one to keep.
-            Some(How::HoldsOld) if list.index > 1 => {
+            Some(Defect::HoldsOld) if list.index > 1 => {
                 let nothing = Update { index: list.index, ..Update::default() };
                 self.inner.borrow_mut().apply_update(&nothing);
             }
             _ => self.inner.borrow_mut().apply_update(list),
         }
-        if self.how == Some(How::TooEarly) {
+        if self.how == Some(Defect::TooEarly) {
             log::trace!(target: IN_FORCE, "list {} is in force at {}", list.index + 1, self.name);
         }
     }
@@ -135,7 +135,7 @@
     }
 
     fn release_calls(&mut self) {
-        if self.how != Some(How::Mute) {
+        if self.how != Some(Defect::Mute) {
             self.inner.borrow_mut().release_calls();
         }
     }
@@ -146,7 +146,7 @@
 /// # Errors
 /// If the file is invalid, or one of its couriers fails.
 pub fn main(path: &Path) -> Result<(), String> {
-    log::set_boxed_logger(Box::new(Lines)).map_err(|e| e.to_string())?;
+    log::set_boxed_logger(Box::new(StderrLogger)).map_err(|e| e.to_string())?;
     log::set_max_level(LevelFilter::Trace);
     let file = File::read(path)?;
     let mut configs = Vec::new();
@@ -160,7 +160,7 @@
         let (mut terminate, mut hangup) = (handler(SignalKind::terminate())?, handler(SignalKind::hangup())?);
         let mut running = JoinSet::new();
         let (stop, _) = watch::channel(false);
-        let (mut places, turns) = (Vec::new(), Arc::new(Semaphore::new(AT_ONCE)));
+        let (mut places, turns) = (Vec::new(), Arc::new(Semaphore::new(FIRST_LISTS_AT_ONCE)));
         for (config, one) in configs.into_iter().zip(file.couriers) {
             let (discovery, discovery_in) = watch::channel(config.discovery);
             places.push(discovery);
@@ -169,13 +169,13 @@
             let (first, listed) = oneshot::channel();
             let before = move |inner| {
                 let first = Some(first);
-                Rc::new(RefCell::new(Spoilt { inner, first, how: one.wrong, name: one.name }))
+                Rc::new(RefCell::new(DefectiveListener { inner, first, how: one.wrong, name: one.name }))
             };
             let turn = turns.clone();
             running.spawn_local(async move {
                 let turn = turn.acquire_owned().await;
                 tokio::task::spawn_local(async move {
-                    let _ = timeout(FIRST_LIST, listed).await;
+                    let _ = timeout(FIRST_LIST_TIMEOUT, listed).await;
                     drop(turn);
                 });
                 serve(config, discovery_in, stopped, before).await
--- a/crates/rig/src/scale/process.rs
+++ b/crates/rig/src/scale/process.rs
@@ -11,17 +11,17 @@
 use tokio::process::{Child, ChildStderr, Command};
 use tokio::task::JoinHandle;
 
-use super::books::Books;
 use super::day::Place;
 use super::guard::Guard;
+use super::tracker::VersionTracker;
 use crate::process::faults_in;
 use crate::record::{lock, Record};
 
 /// Maximum number of log lines kept per process; lines that report a version in force are not kept.
-const MOST_LINES: usize = 20_000;
+const MAX_LOG_LINES: usize = 20_000;
 
 /// The version that a line reports in force, and the courier if the line names one.
-pub fn statement(line: &str) -> Option<(u64, Option<&str>)> {
+pub fn parse_in_force(line: &str) -> Option<(u64, Option<&str>)> {
     let (_, rest) = line.split_once("in_force] list ")?;
     let (version, rest) = rest.split_once(" is in force")?;
     Some((version.parse().ok()?, rest.strip_prefix(" at ")))
@@ -42,13 +42,13 @@
     child: Option<Child>,
     reader: Option<JoinHandle<()>>,
     log: Arc<Mutex<Vec<String>>>,
-    books: Arc<Mutex<Books>>,
+    tracker: Arc<Mutex<VersionTracker>>,
     record: Arc<Record>,
     guard: Arc<tokio::sync::Mutex<Guard>>,
 }
 
 /// The command of a real courier, with its state folder.
-pub fn real(program: &Path, subcommand: &str, config: &Path, state: &Path) -> Command {
+pub fn courier_command(program: &Path, subcommand: &str, config: &Path, state: &Path) -> Command {
     let mut command = Command::new(program);
     command
         .arg(subcommand)
@@ -59,7 +59,7 @@
 }
 
 /// The command of a relay; its configuration file names its state folder.
-pub fn relay(program: &Path, config: &Path) -> Command {
+pub fn relay_command(program: &Path, config: &Path) -> Command {
     let mut command = Command::new(program);
     command.arg("relay").arg(config).env_clear().env("RUST_LOG", "info");
     command
@@ -69,12 +69,12 @@
     pub fn new(
         place: Place,
         command: impl Fn() -> Command + Send + Sync + 'static,
-        books: Arc<Mutex<Books>>,
+        tracker: Arc<Mutex<VersionTracker>>,
         record: Arc<Record>,
         guard: Arc<tokio::sync::Mutex<Guard>>,
     ) -> Process {
         let command = Box::new(command);
-        Process { place, command, child: None, reader: None, log: Arc::default(), books, record, guard }
+        Process { place, command, child: None, reader: None, log: Arc::default(), tracker, record, guard }
     }
 
     /// The process id while it runs.
@@ -94,8 +94,8 @@
         let said = child.stderr.take().ok_or(io::ErrorKind::BrokenPipe)?;
         self.child = Some(child);
         self.guard.lock().await.started(id).await?;
-        let (books, record, log) = (self.books.clone(), self.record.clone(), self.log.clone());
-        self.reader = Some(tokio::spawn(read(said, self.place.clone(), books, record, log)));
+        let (tracker, record, log) = (self.tracker.clone(), self.record.clone(), self.log.clone());
+        self.reader = Some(tokio::spawn(read(said, self.place.clone(), tracker, record, log)));
         Ok(())
     }
 
@@ -130,21 +130,21 @@
     }
 
     /// The reasons for which the process cannot follow the list.
-    pub fn refuses(&self) -> Refuses {
-        refuses(lock(&self.log).iter().map(String::as_str))
+    pub fn list_errors(&self) -> ListErrors {
+        list_errors(lock(&self.log).iter().map(String::as_str))
     }
 }
 
 /// Reasons found in a log for which the list cannot be followed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Refuses {
+pub struct ListErrors {
     /// A permanent reason, which retries cannot resolve.
     pub for_good: Option<String>,
     pub last: Option<String>,
 }
 
-fn refuses<'a>(log: impl Iterator<Item = &'a str>) -> Refuses {
-    let mut refuses = Refuses::default();
+fn list_errors<'a>(log: impl Iterator<Item = &'a str>) -> ListErrors {
+    let mut refuses = ListErrors::default();
     for line in log {
         // Log messages of exceeded limits.
         let for_good = ["the list has more than ", "the list is longer than "];
@@ -162,7 +162,7 @@
 async fn read(
     said: ChildStderr,
     place: Place,
-    books: Arc<Mutex<Books>>,
+    tracker: Arc<Mutex<VersionTracker>>,
     record: Arc<Record>,
     log: Arc<Mutex<Vec<String>>>,
 ) {
@@ -171,19 +171,19 @@
     // closed pipe.
     while let Ok(Some(line)) = lines.next_line().await {
         let at = record.now();
-        match statement(&line) {
+        match parse_in_force(&line) {
             Some((version, name)) => {
                 let courier = match name {
                     Some(name) => number(name).filter(|courier| place.couriers.contains(courier)),
                     None => place.real.then_some(place.couriers.start),
                 };
                 if let Some(courier) = courier {
-                    lock(&books).said(courier, version, at);
+                    lock(&tracker).record_report(courier, version, at);
                 }
             }
             None => {
                 let mut log = lock(&log);
-                if log.len() < MOST_LINES {
+                if log.len() < MAX_LOG_LINES {
                     log.push(line);
                 }
             }
@@ -203,12 +203,12 @@
 }
 
 /// The configuration file of a process in the run's folder.
-pub fn file(folder: &Path, process: usize) -> PathBuf {
+pub fn config_path(folder: &Path, process: usize) -> PathBuf {
     folder.join(format!("p{process}.json"))
 }
 
 /// The persistent state folder of a courier.
-pub fn state(folder: &Path, courier: usize) -> PathBuf {
+pub fn state_path(folder: &Path, courier: usize) -> PathBuf {
     folder.join(format!("c{courier}"))
 }
 
@@ -237,8 +237,9 @@
             ),
         ];
         for (log, for_good, last) in rows {
-            let found = refuses(log.iter().map(String::as_str));
-            let expected = Refuses { for_good: for_good.map(str::to_string), last: last.map(str::to_string) };
+            let found = list_errors(log.iter().map(String::as_str));
+            let expected =
+                ListErrors { for_good: for_good.map(str::to_string), last: last.map(str::to_string) };
             assert_eq!(found, expected, "{log:?}");
         }
     }
@@ -264,7 +265,7 @@
             ("[WARN meadowhold_courier::discovery] a list of version 3 came", None),
         ];
         for (line, said) in rows {
-            assert_eq!(statement(line), said, "{line}");
+            assert_eq!(parse_in_force(line), said, "{line}");
         }
         assert_eq!((number(&name(57)), number("57"), number("hx")), (Some(57), None, None));
     }
--- a/crates/rig/src/scale/report.rs
+++ b/crates/rig/src/scale/report.rs
@@ -4,9 +4,9 @@
 
 use serde::Serialize;
 
-use super::books::{Broken, Change, Rule};
 use super::day::Day;
 use super::sums::Each;
+use super::tracker::{Change, Rule, Violation};
 use crate::judge::Verdict;
 
 /// The number of violations printed in full for each rule.
@@ -23,12 +23,12 @@
 }
 
 impl InForce {
-    pub fn of(changes: &[Change], at_part: impl Fn(&[u64], f64) -> Option<u64>) -> InForce {
+    pub fn of(changes: &[Change], percentile: impl Fn(&[u64], f64) -> Option<u64>) -> InForce {
         let median = |part: f64| {
             let mut times: Vec<u64> =
-                changes.iter().filter_map(|change| at_part(&change.calm, part)).collect();
+                changes.iter().filter_map(|change| percentile(&change.calm, part)).collect();
             times.sort_unstable();
-            at_part(&times, 0.5).map(|us| us as f64 / 1e6)
+            percentile(&times, 0.5).map(|us| us as f64 / 1e6)
         };
         let worst = changes.iter().filter_map(|change| change.calm.last()).max();
         InForce {
@@ -152,7 +152,7 @@
     pub phases: Vec<Phase>,
     pub membership: Membership,
     pub messages: Messages,
-    pub broken: Vec<Broken>,
+    pub broken: Vec<Violation>,
 }
 
 impl Report {
@@ -301,7 +301,7 @@
             m.handed_in, m.taken, m.delivered, m.half_ms, m.of_99_ms, m.rejected, m.failed, m.starts
         )?;
         for (rule, name) in Rule::ALL {
-            let broken: Vec<&Broken> = self.broken.iter().filter(|broken| broken.rule == rule).collect();
+            let broken: Vec<&Violation> = self.broken.iter().filter(|broken| broken.rule == rule).collect();
             tell(f, name, &broken.iter().map(|broken| broken.words.as_str()).collect::<Vec<_>>())?;
         }
         tell(f, "the rules of messages", &m.broken.iter().map(String::as_str).collect::<Vec<_>>())
--- a/crates/rig/src/scale/run.rs
+++ b/crates/rig/src/scale/run.rs
@@ -16,16 +16,16 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-use super::books::{at_part, Books, Rule};
-use super::day::{Day, Lists, Machine, Mode, Place, Trouble, What, MOST_RUNNABLE, OVERRUN_S};
+use super::day::{Day, Lists, Machine, Mode, Place, Trouble, What, MAX_OVERLOAD_S, MAX_RUNNABLE_PER_CORE};
+use super::endpoint_proxy::EndpointProxy;
 use super::guard::{self, Guard};
 use super::hollow;
 use super::on_file::{Check, Fault};
 use super::process::{self, name, Process};
 use super::report::{InForce, Messages, Phase, Report};
-use super::sorter::Sorter;
 use super::source::{Follower, Setup, Source};
-use super::sums::{each, followed, Gauge, Sums};
+use super::sums::{each, followed, ResourceSampler, ResourceTotals};
+use super::tracker::{percentile, Rule, VersionTracker};
 use super::versions::Versions;
 use crate::client::{self, Pool};
 use crate::endpoint::{Endpoint, IdCounter};
@@ -49,15 +49,15 @@
 const ROW_SOURCE: u8 = 4;
 const ROW_LINKS: u8 = 5;
 /// Relays of the list, and the source addresses of their links to the source.
-const ROW_TIER: u8 = 6;
-const ROW_TIER_LINKS: u8 = 7;
+const ROW_LIST_RELAYS: u8 = 6;
+const ROW_LIST_RELAY_LINKS: u8 = 7;
 const ROW_HOLLOW: u8 = 16;
-const A_ROW: usize = 250;
+const ADDRESSES_PER_ROW: usize = 250;
 const POLL: Duration = Duration::from_millis(20);
 /// Time limit for the end of a process of hollow couriers, which leave membership one after the other.
-const HOLLOW_ENDS: Duration = Duration::from_secs(30);
+const HOLLOW_GRACE: Duration = Duration::from_secs(30);
 /// Duration of the drawn schedule of mails; mails are handed in only until the phases are over.
-const LONGEST_S: f64 = 7200.0;
+const SCHEDULE_S: f64 = 7200.0;
 
 /// Paths of the programs.
 #[derive(Clone, Debug)]
@@ -73,7 +73,7 @@
     seed: u64,
     machine: Machine,
     record: Arc<Record>,
-    books: Arc<Mutex<Books>>,
+    tracker: Arc<Mutex<VersionTracker>>,
     source: Source,
     _endpoints: Vec<Endpoint>,
     /// Links to the source, by process; those of relays come after those of couriers.
@@ -81,11 +81,11 @@
     /// Links to each relay, by courier process.
     to_relays: Vec<Vec<Relay>>,
     _to_endpoints: Vec<Relay>,
-    _sorters: Vec<Sorter>,
+    _endpoint_proxies: Vec<EndpointProxy>,
     /// The courier processes, followed by the relays.
     processes: Vec<Arc<tokio::sync::Mutex<Process>>>,
     ids: Mutex<Vec<Option<u32>>>,
-    gauge: Mutex<Gauge>,
+    gauge: Mutex<ResourceSampler>,
     clients: Vec<SocketAddr>,
     programs: Programs,
     folder: tempfile::TempDir,
@@ -100,7 +100,7 @@
     let folder = tempfile::Builder::new().prefix(guard::FOLDER).tempdir_in(&programs.folder);
     let folder = folder.map_err(|e| format!("no folder in {}: {e}", programs.folder.display()))?;
     let machine = super::gauge::machine(folder.path());
-    let faults = day.beyond(&machine);
+    let faults = day.missing_resources(&machine);
     if !faults.is_empty() {
         let lines: Vec<String> = faults.iter().map(|fault| format!("\n  {fault}")).collect();
         return Err(format!("the day is beyond this machine:{}", lines.concat()));
@@ -137,10 +137,12 @@
             place.couriers.clone().for_each(|courier| of[courier] = number);
         }
         let relays = day.relays.count;
-        let books = Arc::new(Mutex::new(Books::new(&of).with_relays(relays)));
+        let tracker = Arc::new(Mutex::new(VersionTracker::new(&of).with_relays(relays)));
         let address = |courier: usize| match courier.checked_sub(day.real) {
             None => net.ip(ROW_REAL, courier),
-            Some(hollow) => net.ip(ROW_HOLLOW + (hollow / A_ROW) as u8, hollow % A_ROW),
+            Some(hollow) => {
+                net.ip(ROW_HOLLOW + (hollow / ADDRESSES_PER_ROW) as u8, hollow % ADDRESSES_PER_ROW)
+            }
         };
         // Each link connects to the source from its own address, by which the source identifies it.
         let link = |number: usize| match places[number].real {
@@ -153,7 +155,7 @@
         };
         let of_relay = |relay: usize| {
             let process = places.len() + relay;
-            (net.ip(ROW_TIER_LINKS, relay), Follower { process, real: None, relay: Some(relay) })
+            (net.ip(ROW_LIST_RELAY_LINKS, relay), Follower { process, real: None, relay: Some(relay) })
         };
         let source = Source::start(Setup {
             at: net.ip(ROW_SOURCE, 0),
@@ -162,7 +164,7 @@
             rate: day.live.rate,
             untouched: day.source.mode == Mode::Untouched,
             followers: (0..places.len()).map(follower).chain((0..relays).map(of_relay)).collect(),
-            books: books.clone(),
+            tracker: tracker.clone(),
             record: record.clone(),
         })?;
 
@@ -175,7 +177,7 @@
             let endpoint = Endpoint::start(number, at, &day.live, record, numbers, by_address.clone(), seed);
             endpoints.push(endpoint.await?);
         }
-        let relay_at = |relay: usize| SocketAddr::from((net.ip(ROW_TIER, relay), FOLLOWERS));
+        let relay_at = |relay: usize| SocketAddr::from((net.ip(ROW_LIST_RELAYS, relay), FOLLOWERS));
         let (mut links, mut to_relays, mut to_endpoints) = (Vec::new(), Vec::new(), Vec::new());
         let mut finds = Vec::new();
         for (number, place) in places.iter().enumerate() {
@@ -183,7 +185,7 @@
             links.push(Relay::start(near, link(number), source.at, seed).await?);
             let mut own = Vec::new();
             for relay in 0..relays {
-                let (seed, look) = (seed ^ (relay as u64 + 2) << 8, watched(&books, relay, number));
+                let (seed, look) = (seed ^ (relay as u64 + 2) << 8, watched(&tracker, relay, number));
                 own.push(
                     Relay::start_with_inspector(near, link(number), relay_at(relay), seed, Some(look))
                         .await?,
@@ -198,22 +200,24 @@
                     to_endpoints.push(relay);
                 }
                 finds.push(own.clone());
-                source.finds(own);
+                source.add_endpoint_addresses(own);
             }
         }
-        let mut sorters = Vec::new();
+        let mut proxies = Vec::new();
         if relays > 0 {
-            let schedule = Schedule::draw(&day.of_messages(LONGEST_S), seed);
+            let schedule = Schedule::draw(&day.of_messages(SCHEDULE_S), seed);
             let couriers: Vec<usize> = schedule.mails.iter().map(|mail| mail.courier).collect();
             let couriers = Arc::new(couriers);
             for number in 0..endpoints.len() {
                 let links = finds.iter().map(|own| own[number]).collect();
-                sorters.push(Sorter::start(net.ip(ROW_ENDPOINTS, number), links, couriers.clone()).await?);
+                proxies.push(
+                    EndpointProxy::start(net.ip(ROW_ENDPOINTS, number), links, couriers.clone()).await?,
+                );
             }
-            source.all_find(sorters.iter().map(|sorter| sorter.address).collect());
+            source.set_shared_addresses(proxies.iter().map(|proxy| proxy.address).collect());
         }
         for relay in 0..relays {
-            let (near, from) = (net.ip(ROW_TIER, relay), net.ip(ROW_TIER_LINKS, relay));
+            let (near, from) = (net.ip(ROW_LIST_RELAYS, relay), net.ip(ROW_LIST_RELAY_LINKS, relay));
             links.push(Relay::start(near, from, source.at, seed ^ (relay as u64 + 1) << 32).await?);
         }
 
@@ -222,7 +226,7 @@
         let members: Vec<String> = (0..day.members())
             .map(|courier| SocketAddr::from((address(courier), MEMBERS)).to_string())
             .collect();
-        let mut settings = settings(&day.of_messages(LONGEST_S));
+        let mut settings = settings(&day.of_messages(SCHEDULE_S));
         settings["MembershipMode"] = match day.source.lists {
             Lists::Pushed => json!("push"),
             Lists::Asked => json!("ask"),
@@ -243,21 +247,21 @@
                 let at = |link: &Relay| link.address.to_string();
                 config["relays"] = json!(to_relays[number].iter().map(at).collect::<Vec<_>>());
             }
-            let (path, folder) = (process::file(folder.path(), number), folder.path().to_path_buf());
-            let (record, books, guard) = (record.clone(), books.clone(), guard.clone());
+            let (path, folder) = (process::config_path(folder.path(), number), folder.path().to_path_buf());
+            let (record, tracker, guard) = (record.clone(), tracker.clone(), guard.clone());
             if place.real {
                 if number >= day.members() {
                     config["peers"] = Value::Null;
                 }
                 std::fs::write(&path, config.to_string())?;
-                let (program, state) = (programs.courier.clone(), process::state(&folder, number));
-                let command = move || process::real(&program, "serve", &path, &state);
-                processes.push(Process::new(place.clone(), command, books, record, guard));
+                let (program, state) = (programs.courier.clone(), process::state_path(&folder, number));
+                let command = move || process::courier_command(&program, "serve", &path, &state);
+                processes.push(Process::new(place.clone(), command, tracker, record, guard));
                 continue;
             }
-            let one = |courier: usize| hollow::One {
+            let one = |courier: usize| hollow::HollowCourier {
                 name: name(courier),
-                state: process::state(&folder, courier),
+                state: process::state_path(&folder, courier),
                 members: (courier < day.members()).then(|| (address(courier), MEMBERS).into()),
                 seed: seed ^ (courier as u64) << 20,
                 wrong: day.wrong.iter().find(|wrong| wrong.courier == courier).map(|wrong| wrong.how),
@@ -270,25 +274,25 @@
                 command.arg("hollow").arg(&path).env_clear();
                 command
             };
-            processes.push(Process::new(place.clone(), command, books, record, guard));
+            processes.push(Process::new(place.clone(), command, tracker, record, guard));
         }
         for relay in 0..relays {
             let (number, folder) = (places.len() + relay, folder.path());
-            let path = process::file(folder, number);
+            let path = process::config_path(folder, number);
             let config = json!({"name": format!("r{relay}"), "listen": relay_at(relay).to_string(),
                 "source": links[number].address.to_string(), "state": folder.join(format!("r{relay}")),
                 "bounds": {"followers": 2 * day.couriers}});
             std::fs::write(&path, config.to_string())?;
             let program = programs.courier.clone();
-            let command = move || process::relay(&program, &path);
+            let command = move || process::relay_command(&program, &path);
             let place = Place { real: false, couriers: 0..0, zone: 0, region: 0, rack: 0 };
-            processes.push(Process::new(place, command, books.clone(), record.clone(), guard.clone()));
+            processes.push(Process::new(place, command, tracker.clone(), record.clone(), guard.clone()));
         }
         let passed = |link: &Relay| link.passed.clone();
         let mut by_process: Vec<Vec<_>> = links.iter().map(|link| vec![passed(link)]).collect();
         by_process.iter_mut().zip(&to_relays).for_each(|(all, own)| all.extend(own.iter().map(passed)));
         let followers = (0..relays).map(|relay| to_relays.iter().map(|own| passed(&own[relay])).collect());
-        let gauge = Gauge::new(by_process, followers.collect(), source.thread);
+        let gauge = ResourceSampler::new(by_process, followers.collect(), source.thread);
         let clients = (0..day.real).map(|real| SocketAddr::from((address(real), CLIENTS))).collect();
         let ids = Mutex::new(vec![None; processes.len()]);
         let processes = processes.into_iter().map(|one| Arc::new(tokio::sync::Mutex::new(one))).collect();
@@ -297,13 +301,13 @@
             seed,
             machine,
             record,
-            books,
+            tracker,
             source,
             _endpoints: endpoints,
             links,
             to_relays,
             _to_endpoints: to_endpoints,
-            _sorters: sorters,
+            _endpoint_proxies: proxies,
             processes,
             ids,
             gauge: Mutex::new(gauge),
@@ -319,12 +323,12 @@
     }
 
     fn breaks(&self, rule: Rule, words: String) {
-        lock(&self.books).breaks(rule, words);
+        lock(&self.tracker).breaks(rule, words);
     }
 
-    fn look(&self) -> Sums {
+    fn sample(&self) -> ResourceTotals {
         let ids = lock(&self.ids).clone();
-        lock(&self.gauge).look(self.record.now(), &ids).clone()
+        lock(&self.gauge).sample(self.record.now(), &ids).clone()
     }
 
     /// Once a second, prints the progress and checks memory and processor load. Returns the reason if a limit is
@@ -340,20 +344,20 @@
         let mut over = 0;
         loop {
             sleep(Duration::from_secs(1)).await;
-            let at = self.look().at as f64 / 1e6;
+            let at = self.sample().at as f64 / 1e6;
             let resident = lock(&self.gauge).resident() + filed().saturating_sub(before);
             if resident > most {
                 return format!("called off: {} MB are held where {} may be", resident >> 20, most >> 20);
             }
             let runnable = super::gauge::runnable();
-            over = if runnable > MOST_RUNNABLE * cores { over + 1 } else { 0 };
-            if over > OVERRUN_S {
+            over = if runnable > MAX_RUNNABLE_PER_CORE * cores { over + 1 } else { 0 };
+            if over > MAX_OVERLOAD_S {
                 return format!("called off: {runnable} threads want one of {cores} processors");
             }
             if progress {
                 let (version, missing) = {
-                    let books = lock(&self.books);
-                    (books.last(), books.missing(books.last()))
+                    let tracker = lock(&self.tracker);
+                    (tracker.last(), tracker.missing(tracker.last()))
                 };
                 eprintln!(
                     "{at:7.1} s  {:<10} version {version} in force at {} of {}, {} MB held, load {:.1}",
@@ -399,7 +403,7 @@
     /// The reason why a process refuses the list, if any does; with `late`, temporary reasons count as well.
     async fn refused(&self, late: bool) -> Option<String> {
         for process in &self.processes {
-            let refuses = process.lock().await.refuses();
+            let refuses = process.lock().await.list_errors();
             if let Some(words) = refuses.for_good.or(refuses.last.filter(|_| late)) {
                 return Some(words);
             }
@@ -410,7 +414,7 @@
     /// Waits until a version is in force at all couriers, for `most` at the longest.
     async fn in_force(&self, version: u64, most: Duration) -> bool {
         let end = Instant::now() + most;
-        while lock(&self.books).missing(version) > 0 {
+        while lock(&self.tracker).missing(version) > 0 {
             if Instant::now() > end {
                 return false;
             }
@@ -448,7 +452,7 @@
             }
         }
         // If no courier has the list there is nothing to measure.
-        if report.refused.is_none() && lock(&self.books).missing(1) == day.couriers {
+        if report.refused.is_none() && lock(&self.tracker).missing(1) == day.couriers {
             report.refused = Some(self.refused(true).await.unwrap_or("nobody says why".to_string()));
         }
         if let Some(words) = &mut report.refused {
@@ -460,7 +464,7 @@
             self.phases(&mut report, &stage).await;
         }
         *lock(&stage) = "end".to_string();
-        report.broken = std::mem::take(&mut lock(&self.books).broken);
+        report.broken = std::mem::take(&mut lock(&self.tracker).broken);
         report.load[1] = super::gauge::load();
         Ok(report)
     }
@@ -468,8 +472,8 @@
     async fn phases(self: &Arc<Self>, report: &mut Report, stage: &Arc<Mutex<String>>) {
         let day = &self.day;
         let most = (day.rules.start_s * 1e6) as u64;
-        lock(&self.books).judge(1..=1, most, self.record.now());
-        let schedule = Schedule::draw(&day.of_messages(LONGEST_S), self.seed);
+        lock(&self.tracker).check(1..=1, most, self.record.now());
+        let schedule = Schedule::draw(&day.of_messages(SCHEDULE_S), self.seed);
         let (start, base) = (Instant::now(), self.record.now());
         let (mut clients, cut) = (JoinSet::new(), Arc::new(AtomicU64::new(u64::MAX)));
         for courier in 0..day.real {
@@ -540,9 +544,9 @@
         changes: bool,
     ) -> Phase {
         let day = &self.day;
-        let (from, first) = (self.look(), lock(&self.books).last() + 1);
+        let (from, first) = (self.sample(), lock(&self.tracker).last() + 1);
         let changing = changes.then(|| tokio::spawn(self.clone().change(first, trouble.map(|t| t.for_s))));
-        let befallen = trouble.map(|trouble| day.befallen(trouble)).unwrap_or_default();
+        let befallen = trouble.map(|trouble| day.affected_processes(trouble)).unwrap_or_default();
         let couriers: Vec<usize> = {
             let places = day.places();
             befallen.iter().flat_map(|&number| places[number].couriers.clone()).collect()
@@ -551,39 +555,39 @@
             self.befall(trouble, &befallen, &couriers).await;
         }
         sleep(seconds(after_s)).await;
-        let to = self.look();
+        let to = self.sample();
         if let Some(changing) = changing {
             changing.abort();
             let _ = changing.await;
         }
-        let measured = lock(&self.books).last();
+        let measured = lock(&self.tracker).last();
         let last = self.source.change(&mut Rng::with_seed(self.seed ^ first)).unwrap_or(measured);
         let most = seconds(day.rules.in_force_s);
         // A courier whose trouble has only just ended still has the full time limit.
         self.in_force(last, most + POLL).await;
         let now = self.record.now();
         {
-            let mut books = lock(&self.books);
-            books.judge(first.max(2)..=last, most.as_micros() as u64, now);
-            let never = books.missing(last);
+            let mut tracker = lock(&self.tracker);
+            tracker.check(first.max(2)..=last, most.as_micros() as u64, now);
+            let never = tracker.missing(last);
             if never > 0 {
                 let words = format!("{name}: the last change is not in force at {never} couriers");
-                books.breaks(Rule::InForceInTime, words);
+                tracker.breaks(Rule::InForceInTime, words);
             }
         }
         self.on_file(name).await;
         self.still_there(name).await;
-        let books = lock(&self.books);
+        let tracker = lock(&self.tracker);
         // A phase without changes of its own is measured by the change at its end.
         let versions = if measured >= first { first..=measured } else { last..=last };
-        let changes: Vec<_> = versions.map(|version| books.change(version)).collect();
+        let changes: Vec<_> = versions.map(|version| tracker.change(version)).collect();
         let back = |couriers: &[usize]| {
-            let back = (!couriers.is_empty()).then(|| books.back(couriers)).flatten();
+            let back = (!couriers.is_empty()).then(|| tracker.recovery_time(couriers)).flatten();
             back.map(|us| us as f64 / 1e6)
         };
         let of_real: Vec<usize> = couriers.iter().copied().filter(|&courier| courier < day.real).collect();
         let (back_s, back_real_s) = (back(&couriers), back(&of_real));
-        drop(books);
+        drop(tracker);
         let (mut real, mut hollow) = (Vec::new(), Vec::new());
         for (number, place) in day.places().iter().enumerate() {
             if place.real { &mut real } else { &mut hollow }.push(number);
@@ -595,7 +599,7 @@
             seconds: span,
             befallen: couriers.len(),
             changes: changes.len(),
-            in_force: InForce::of(&changes, at_part),
+            in_force: InForce::of(&changes, percentile),
             back_s,
             back_real_s,
             hollow: each(&from, &to, &hollow, day.hollow()),
@@ -624,8 +628,8 @@
 
     async fn befall(self: &Arc<Self>, trouble: &Trouble, processes: &[usize], couriers: &[usize]) {
         {
-            let mut books = lock(&self.books);
-            couriers.iter().for_each(|&courier| books.befalls(courier));
+            let mut tracker = lock(&self.tracker);
+            couriers.iter().for_each(|&courier| tracker.start_trouble(courier));
         }
         let (what, lasts) = (trouble.what, seconds(trouble.for_s));
         let knob = match what {
@@ -683,8 +687,8 @@
 
     fn calm(&self, couriers: &[usize]) {
         let now = self.record.now();
-        let mut books = lock(&self.books);
-        couriers.iter().for_each(|&courier| books.calms(courier, now));
+        let mut tracker = lock(&self.tracker);
+        couriers.iter().for_each(|&courier| tracker.end_trouble(courier, now));
     }
 
     /// Compares each courier's stored list with the source's current version.
@@ -699,7 +703,7 @@
             let folder = folder.clone();
             let looked = tokio::task::spawn_blocking(move || {
                 left.retain_mut(|(courier, fault)| {
-                    *fault = check.folder(&process::state(&folder, *courier)).err();
+                    *fault = check.folder(&process::state_path(&folder, *courier)).err();
                     fault.is_some()
                 });
                 (check, left)
@@ -742,7 +746,7 @@
                 let (mut faults, real) = (Vec::new(), one.place.real);
                 lock(&world.ids)[number] = None;
                 one.signal(Signal::TERM);
-                let lasts = if real { TERM_GRACE * 2 } else { HOLLOW_ENDS };
+                let lasts = if real { TERM_GRACE * 2 } else { HOLLOW_GRACE };
                 match timeout(lasts, one.ended()).await {
                     Ok(Some(status)) if !status.success() => faults.push(format!("ended with {status}")),
                     Ok(_) => {}
@@ -780,8 +784,8 @@
     /// The ids of the mails that a real courier's journal still holds.
     async fn owed(&self, courier: usize) -> Result<Vec<String>, String> {
         let folder = self.folder.path();
-        let (config, state) = (process::file(folder, courier), process::state(folder, courier));
-        let output = process::real(&self.programs.courier, "owed", &config, &state).output().await;
+        let (config, state) = (process::config_path(folder, courier), process::state_path(folder, courier));
+        let output = process::courier_command(&self.programs.courier, "owed", &config, &state).output().await;
         let output = output.map_err(|e| e.to_string())?;
         if !output.status.success() {
             return Err(String::from_utf8_lossy(&output.stderr).trim().to_string());
@@ -793,12 +797,12 @@
 }
 
 /// Creates inspectors that record each version that a relay sends to a courier of a process.
-fn watched(books: &Arc<Mutex<Books>>, relay: usize, process: usize) -> InspectorFactory {
-    let books = books.clone();
+fn watched(tracker: &Arc<Mutex<VersionTracker>>, relay: usize, process: usize) -> InspectorFactory {
+    let tracker = tracker.clone();
     Arc::new(move || {
-        let (books, mut versions) = (books.clone(), Versions::default());
+        let (tracker, mut versions) = (tracker.clone(), Versions::default());
         Box::new(move |piece: &[u8]| {
-            versions.read(piece, |version| lock(&books).passed_on(relay, process, version));
+            versions.read(piece, |version| lock(&tracker).record_passed_on(relay, process, version));
         })
     })
 }
--- a/crates/rig/src/scale/source.rs
+++ b/crates/rig/src/scale/source.rs
@@ -21,12 +21,12 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-use super::books::Books;
+use super::tracker::VersionTracker;
 use crate::list::{plain, take_notices, ListAnswer, ListEntry, Reply};
 use crate::record::{lock, Observation, Record};
 
 /// Interval of the empty lines (keep-alives) on a watch without changes.
-const TURN: Duration = Duration::from_secs(2);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// An entry of the source's list.
 #[derive(Clone, Debug, PartialEq)]
@@ -82,12 +82,12 @@
     /// Whether each change is sent as the whole list.
     pub untouched: bool,
     pub followers: HashMap<IpAddr, Follower>,
-    pub books: Arc<Mutex<Books>>,
+    pub tracker: Arc<Mutex<VersionTracker>>,
     pub record: Arc<Record>,
 }
 
 #[derive(Default)]
-struct Truth {
+struct ListState {
     version: u64,
     entries: Vec<Entry>,
     /// Texts of the current version for hollow couriers, by the version that the follower already has.
@@ -96,7 +96,7 @@
 
 struct Inner {
     setup: Setup,
-    truth: Mutex<Truth>,
+    truth: Mutex<ListState>,
     version: watch::Sender<u64>,
     /// The addresses of the endpoints for each real courier.
     places: Mutex<Vec<Vec<SocketAddr>>>,
@@ -129,8 +129,8 @@
         let standing = (0..live * each).map(|n| entry(format!("e{n}"), n % live, Some(n)));
         let listed = (live..setup.destinations).map(|n| entry(format!("d{n}"), n, None));
         let entries = standing.chain(listed).collect();
-        let version = lock(&setup.books).made(setup.record.now());
-        let truth = Mutex::new(Truth { version, entries, texts: HashMap::new() });
+        let version = lock(&setup.tracker).create_version(setup.record.now());
+        let truth = Mutex::new(ListState { version, entries, texts: HashMap::new() });
         let (version, nowhere) = (watch::Sender::new(version), SocketAddr::from((setup.at, 9)));
         let (places, shared) = (Mutex::default(), Mutex::default());
         let inner = Arc::new(Inner { setup, truth, version, places, shared, nowhere });
@@ -160,12 +160,12 @@
     }
 
     /// Adds the addresses of the endpoints for the next real courier.
-    pub fn finds(&self, places: Vec<SocketAddr>) {
+    pub fn add_endpoint_addresses(&self, places: Vec<SocketAddr>) {
         lock(&self.inner.places).push(places);
     }
 
     /// Sets the addresses of the endpoints for all followers that share one list.
-    pub fn all_find(&self, places: Vec<SocketAddr>) {
+    pub fn set_shared_addresses(&self, places: Vec<SocketAddr>) {
         *lock(&self.inner.shared) = places;
     }
 
@@ -175,7 +175,7 @@
         let live = self.inner.setup.live.0 * self.inner.setup.live.1;
         let mut truth = lock(&self.inner.truth);
         let many = truth.entries.len().checked_sub(live).filter(|&many| many > 0)?;
-        let version = lock(&self.inner.setup.books).made(self.inner.setup.record.now());
+        let version = lock(&self.inner.setup.tracker).create_version(self.inner.setup.record.now());
         let entry = &mut truth.entries[live + chance.usize(..many)];
         match chance.u8(..4) {
             0 => entry.drains = !entry.drains,
@@ -258,8 +258,8 @@
             after.and_then(|after| after.parse().ok()).unwrap_or(0)
         });
         let Some(after) = after else {
-            let (version, text) = self.told(follower, None);
-            self.sent(follower, version);
+            let (version, text) = self.current_text(follower, None);
+            self.record_sent(follower, version);
             return Response::new(Full::new(text).boxed());
         };
         let (lines, body) = Channel::new(4);
@@ -267,16 +267,16 @@
         Response::new(body.boxed())
     }
 
-    fn sent(&self, follower: Follower, version: u64) {
-        let mut books = lock(&self.setup.books);
+    fn record_sent(&self, follower: Follower, version: u64) {
+        let mut tracker = lock(&self.setup.tracker);
         match follower.relay {
-            Some(relay) => books.sent_to_relay(relay, version),
-            None => books.sent(follower.process, version),
+            Some(relay) => tracker.record_sent_to_relay(relay, version),
+            None => tracker.record_sent(follower.process, version),
         }
     }
 
     /// The current version and its text: the changes since `after`, or the whole list if `after` is `None`.
-    fn told(&self, follower: Follower, after: Option<u64>) -> (u64, Bytes) {
+    fn current_text(&self, follower: Follower, after: Option<u64>) -> (u64, Bytes) {
         let mut truth = lock(&self.truth);
         let version = truth.version;
         if let Some(real) = follower.real {
@@ -296,7 +296,7 @@
         (version, text)
     }
 
-    fn text(&self, truth: &Truth, places: &[SocketAddr], after: Option<u64>) -> Bytes {
+    fn text(&self, truth: &ListState, places: &[SocketAddr], after: Option<u64>) -> Bytes {
         let news = truth.entries.iter().filter(|entry| match after {
             Some(after) => entry.changed > after,
             None => !entry.gone,
@@ -329,8 +329,8 @@
             if now != after {
                 // A follower with no list, or with a version that this source has not reached, gets the whole list.
                 let known = Some(after).filter(|&after| after > 0 && after < now && !self.setup.untouched);
-                let (told, text) = self.told(follower, known);
-                self.sent(follower, told);
+                let (told, text) = self.current_text(follower, known);
+                self.record_sent(follower, told);
                 if lines.send_data(text).await.is_err() {
                     return;
                 }
@@ -338,9 +338,9 @@
             }
             tokio::select! {
                 changed = version.changed() => if changed.is_err() { return },
-                () = sleep(TURN) => {
+                () = sleep(KEEP_ALIVE_INTERVAL) => {
                     // A timeout ends a watch whose peer has gone away; it would otherwise be kept forever.
-                    let sent = timeout(TURN * 5, lines.send_data(Bytes::from_static(b"\n"))).await;
+                    let sent = timeout(KEEP_ALIVE_INTERVAL * 5, lines.send_data(Bytes::from_static(b"\n"))).await;
                     if !matches!(sent, Ok(Ok(()))) {
                         return;
                     }
--- a/crates/rig/src/scale/sums.rs
+++ b/crates/rig/src/scale/sums.rs
@@ -4,12 +4,12 @@
 
 use serde::Serialize;
 
-use super::gauge::{self, Taken};
+use super::gauge::{self, ResourceUse};
 use crate::relay::PassedBytes;
 
 /// Cumulative totals at one moment; lists are indexed by courier process unless noted.
 #[derive(Clone, Debug, Default)]
-pub struct Sums {
+pub struct ResourceTotals {
     /// Microseconds since the start of the run.
     pub at: u64,
     /// Processor time in seconds, summed over restarts of the process.
@@ -27,35 +27,35 @@
 }
 
 /// Samples resource use and carries the totals over restarts of a process.
-pub struct Gauge {
-    last: Vec<Option<(u32, Taken)>>,
+pub struct ResourceSampler {
+    last: Vec<Option<(u32, ResourceUse)>>,
     /// The links to the provider of the list, by process; `followers` has those to a relay's followers, by relay.
     links: Vec<Vec<Arc<PassedBytes>>>,
     followers: Vec<Vec<Arc<PassedBytes>>>,
     source: i32,
-    pub sums: Sums,
+    pub sums: ResourceTotals,
 }
 
-impl Gauge {
+impl ResourceSampler {
     pub fn new(
         links: Vec<Vec<Arc<PassedBytes>>>,
         followers: Vec<Vec<Arc<PassedBytes>>>,
         source: i32,
-    ) -> Gauge {
+    ) -> ResourceSampler {
         let many = links.len();
-        let sums = Sums {
+        let sums = ResourceTotals {
             processor_s: vec![0.0; many],
             resident: vec![0; many],
             passed: vec![[0; 2]; many],
             followed: vec![[0; 2]; followers.len()],
-            ..Sums::default()
+            ..ResourceTotals::default()
         };
-        Gauge { last: vec![None; many], links, followers, source, sums }
+        ResourceSampler { last: vec![None; many], links, followers, source, sums }
     }
 
     /// Takes a sample; `ids` are the processes that run now. Use between the last sample of a process and its end is
     /// not counted.
-    pub fn look(&mut self, at: u64, ids: &[Option<u32>]) -> &Sums {
+    pub fn sample(&mut self, at: u64, ids: &[Option<u32>]) -> &ResourceTotals {
         self.sums.at = at;
         for (number, &id) in ids.iter().enumerate() {
             let now = id.and_then(|id| Some((id, gauge::of_process(id)?)));
@@ -77,7 +77,7 @@
         &self.sums
     }
 
-    fn put(&mut self, number: usize, now: Option<(u32, Taken)>) {
+    fn put(&mut self, number: usize, now: Option<(u32, ResourceUse)>) {
         let before = match (self.last[number], now) {
             (Some((was, taken)), Some((is, _))) if was == is => taken.processor_s,
             _ => 0.0,
@@ -109,7 +109,7 @@
 }
 
 /// `processes`: the numbers of the role's processes; `couriers`: the number of couriers in them.
-pub fn each(from: &Sums, to: &Sums, processes: &[usize], couriers: usize) -> Each {
+pub fn each(from: &ResourceTotals, to: &ResourceTotals, processes: &[usize], couriers: usize) -> Each {
     let seconds = (to.at.saturating_sub(from.at)) as f64 / 1e6;
     let sum = |of: &dyn Fn(usize) -> f64| processes.iter().map(|&number| of(number)).sum::<f64>();
     let part = |value: f64, by: f64| if by > 0.0 { value / by } else { 0.0 };
@@ -125,7 +125,7 @@
 }
 
 /// Average bytes per second of one relay, from its followers and to them.
-pub fn followed(from: &Sums, to: &Sums) -> [f64; 2] {
+pub fn followed(from: &ResourceTotals, to: &ResourceTotals) -> [f64; 2] {
     let seconds = (to.at.saturating_sub(from.at)) as f64 / 1e6;
     let many = to.followed.len();
     let bytes = |way: usize| {
@@ -145,8 +145,8 @@
 
     #[test]
     fn what_a_courier_takes_is_counted_over_an_end_and_a_new_start() {
-        let mut gauge = Gauge::new(vec![Vec::new(), Vec::new()], Vec::new(), 0);
-        let taken = |processor_s, resident| Taken { processor_s, resident, started: 0 };
+        let mut gauge = ResourceSampler::new(vec![Vec::new(), Vec::new()], Vec::new(), 0);
+        let taken = |processor_s, resident| ResourceUse { processor_s, resident, started: 0 };
         gauge.put(0, Some((5, taken(1.0, 100))));
         gauge.put(1, Some((6, taken(2.0, 300))));
         let from = gauge.sums.clone();
--- a/crates/rig/src/scale/books.rs
+++ b/crates/rig/src/scale/tracker.rs
@@ -28,7 +28,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Broken {
+pub struct Violation {
     pub rule: Rule,
     pub words: String,
 }
@@ -45,7 +45,7 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Books {
+pub struct VersionTracker {
     couriers: Vec<Courier>,
     /// Creation time of each version; the first version is 1.
     made: Vec<u64>,
@@ -53,7 +53,7 @@
     sent: Vec<BTreeMap<u64, u64>>,
     /// The highest version sent to each relay.
     relays: Vec<u64>,
-    pub broken: Vec<Broken>,
+    pub broken: Vec<Violation>,
 }
 
 /// How far one change has spread.
@@ -67,23 +67,29 @@
     pub missing: usize,
 }
 
-impl Books {
+impl VersionTracker {
     /// `processes`: the process number of each courier.
-    pub fn new(processes: &[usize]) -> Books {
+    pub fn new(processes: &[usize]) -> VersionTracker {
         let couriers =
             processes.iter().map(|&process| Courier { process, calm: Some(0), ..Courier::default() });
         let many = processes.iter().max().map_or(0, |most| most + 1);
         let sent = vec![BTreeMap::new(); many];
-        Books { couriers: couriers.collect(), made: Vec::new(), sent, relays: Vec::new(), broken: Vec::new() }
+        VersionTracker {
+            couriers: couriers.collect(),
+            made: Vec::new(),
+            sent,
+            relays: Vec::new(),
+            broken: Vec::new(),
+        }
     }
 
     /// Sets the number of relays between the source and the couriers.
-    pub fn with_relays(self, relays: usize) -> Books {
-        Books { relays: vec![0; relays], ..self }
+    pub fn with_relays(self, relays: usize) -> VersionTracker {
+        VersionTracker { relays: vec![0; relays], ..self }
     }
 
     /// Records a new version and returns its number.
-    pub fn made(&mut self, at: u64) -> u64 {
+    pub fn create_version(&mut self, at: u64) -> u64 {
         self.made.push(at);
         self.made.len() as u64
     }
@@ -93,14 +99,14 @@
     }
 
     /// Must be called before the first byte of the version is sent.
-    pub fn sent(&mut self, process: usize, version: u64) {
+    pub fn record_sent(&mut self, process: usize, version: u64) {
         if let Some(sent) = self.sent.get_mut(process) {
             *sent.entry(version).or_default() += 1;
         }
     }
 
     /// Records that the source sends a version to a relay.
-    pub fn sent_to_relay(&mut self, relay: usize, version: u64) {
+    pub fn record_sent_to_relay(&mut self, relay: usize, version: u64) {
         if let Some(most) = self.relays.get_mut(relay) {
             *most = version.max(*most);
         }
@@ -108,18 +114,18 @@
 
     /// Records that a relay sends a version to a courier of a process; must be called before its first byte arrives.
     /// Detects a relay that invents versions: couriers that accept them would otherwise pass the checks.
-    pub fn passed_on(&mut self, relay: usize, process: usize, version: u64) {
+    pub fn record_passed_on(&mut self, relay: usize, process: usize, version: u64) {
         let most = self.relays.get(relay).copied().unwrap_or(0);
         if version > most {
             let words = format!(
                 "relay {relay} tells process {process} version {version}, and was told {most} at most"
             );
-            self.broken.push(Broken { rule: Rule::NotTooEarly, words });
+            self.broken.push(Violation { rule: Rule::NotTooEarly, words });
         }
-        self.sent(process, version);
+        self.record_sent(process, version);
     }
 
-    pub fn said(&mut self, courier: usize, version: u64, at: u64) {
+    pub fn record_report(&mut self, courier: usize, version: u64, at: u64) {
         let Some(this) = self.couriers.get_mut(courier) else { return };
         this.said.push((version, at));
         if version <= this.most {
@@ -138,16 +144,16 @@
                  it was sent {sent} times",
                 at as f64 / 1e6
             );
-            self.broken.push(Broken { rule: Rule::NotTooEarly, words });
+            self.broken.push(Violation { rule: Rule::NotTooEarly, words });
         }
     }
 
     /// Marks a courier as affected by a trouble from now on.
-    pub fn befalls(&mut self, courier: usize) {
+    pub fn start_trouble(&mut self, courier: usize) {
         self.couriers[courier].calm = None;
     }
 
-    pub fn calms(&mut self, courier: usize, at: u64) {
+    pub fn end_trouble(&mut self, courier: usize, at: u64) {
         self.couriers[courier].calm = Some(at);
     }
 
@@ -180,7 +186,7 @@
 
     /// Recovery time in microseconds: the longest time, over these couriers, from the end of a courier's trouble until
     /// it reported the version that was current at that moment, or a later one. `None` if one of them has not.
-    pub fn back(&self, couriers: &[usize]) -> Option<u64> {
+    pub fn recovery_time(&self, couriers: &[usize]) -> Option<u64> {
         let took = couriers.iter().map(|&number| {
             let calm = self.couriers[number].calm?;
             let version = self.made.partition_point(|&made| made <= calm) as u64;
@@ -191,7 +197,7 @@
 
     /// Checks each of these versions against the time limit `most` in microseconds, counted from the version's creation
     /// or from the end of a courier's trouble. A version that is not yet due at `now` is no violation.
-    pub fn judge(&mut self, versions: std::ops::RangeInclusive<u64>, most: u64, now: u64) {
+    pub fn check(&mut self, versions: std::ops::RangeInclusive<u64>, most: u64, now: u64) {
         for version in versions {
             let Some(&made) = version.checked_sub(1).and_then(|i| self.made.get(i as usize)) else {
                 continue;
@@ -213,18 +219,18 @@
                     "version {version} is in force too late at {late} couriers and at {never} not at all, such as \
                      courier {example}"
                 );
-                self.broken.push(Broken { rule: Rule::InForceInTime, words });
+                self.broken.push(Violation { rule: Rule::InForceInTime, words });
             }
         }
     }
 
     pub fn breaks(&mut self, rule: Rule, words: String) {
-        self.broken.push(Broken { rule, words });
+        self.broken.push(Violation { rule, words });
     }
 }
 
 /// Percentile of an ascending list by the nearest-rank method; `part` is between 0 and 1.
-pub fn at_part(sorted: &[u64], part: f64) -> Option<u64> {
+pub fn percentile(sorted: &[u64], part: f64) -> Option<u64> {
     let rank = (part * sorted.len() as f64).ceil() as usize;
     sorted.get(rank.saturating_sub(1)).copied()
 }
--- a/crates/rig/src/scale/books/tests.rs
+++ b/crates/rig/src/scale/tracker/tests.rs
@@ -5,18 +5,18 @@
 const S: u64 = 1_000_000;
 
 /// Two couriers in one process and one in another; version 1 was created at 0 and is in force at all of them.
-fn books() -> Books {
-    let mut books = Books::new(&[0, 0, 1]);
-    books.made(0);
+fn tracker() -> VersionTracker {
+    let mut tracker = VersionTracker::new(&[0, 0, 1]);
+    tracker.create_version(0);
     for (courier, process) in [(0, 0), (1, 0), (2, 1)] {
-        books.sent(process, 1);
-        books.said(courier, 1, S / 10);
+        tracker.record_sent(process, 1);
+        tracker.record_report(courier, 1, S / 10);
     }
-    books
+    tracker
 }
 
-fn breaks(books: &Books, rule: Rule) -> usize {
-    books.broken.iter().filter(|broken| broken.rule == rule).count()
+fn breaks(tracker: &VersionTracker, rule: Rule) -> usize {
+    tracker.broken.iter().filter(|broken| broken.rule == rule).count()
 }
 
 #[test]
@@ -39,12 +39,12 @@
         (&[(9, 2)], &[(9, 2)], 0),
     ];
     for (sent, said, early) in rows {
-        let mut books = books();
-        books.made(S);
-        books.made(2 * S);
-        sent.iter().for_each(|&(process, version)| books.sent(process, version));
-        said.iter().for_each(|&(courier, version)| books.said(courier, version, 3 * S));
-        assert_eq!(breaks(&books, Rule::NotTooEarly), early, "{sent:?} {said:?}: {:?}", books.broken);
+        let mut tracker = tracker();
+        tracker.create_version(S);
+        tracker.create_version(2 * S);
+        sent.iter().for_each(|&(process, version)| tracker.record_sent(process, version));
+        said.iter().for_each(|&(courier, version)| tracker.record_report(courier, version, 3 * S));
+        assert_eq!(breaks(&tracker, Rule::NotTooEarly), early, "{sent:?} {said:?}: {:?}", tracker.broken);
     }
 }
 
@@ -64,48 +64,52 @@
         (None, None, 20, 0),
     ];
     for (said, calm, now, broken) in rows {
-        let mut books = books();
-        books.made(10 * S);
+        let mut tracker = tracker();
+        tracker.create_version(10 * S);
         for (courier, process) in [(0, 0), (1, 0)] {
-            books.sent(process, 2);
-            books.said(courier, 2, 11 * S);
+            tracker.record_sent(process, 2);
+            tracker.record_report(courier, 2, 11 * S);
         }
-        books.sent(1, 2);
-        said.into_iter().for_each(|at| books.said(2, 2, at * S));
+        tracker.record_sent(1, 2);
+        said.into_iter().for_each(|at| tracker.record_report(2, 2, at * S));
         match calm {
-            Some(at) => books.calms(2, at * S),
-            None => books.befalls(2),
+            Some(at) => tracker.end_trouble(2, at * S),
+            None => tracker.start_trouble(2),
         }
-        books.judge(1..=2, 7 * S, now * S);
+        tracker.check(1..=2, 7 * S, now * S);
         assert_eq!(
-            breaks(&books, Rule::InForceInTime),
+            breaks(&tracker, Rule::InForceInTime),
             broken,
             "{said:?} {calm:?} {now}: {:?}",
-            books.broken
+            tracker.broken
         );
-        assert_eq!(books.broken.len(), broken);
+        assert_eq!(tracker.broken.len(), broken);
     }
 }
 
 #[test]
 fn times_are_those_of_couriers_that_nothing_befell() {
-    let mut books = books();
-    books.made(10 * S);
-    books.befalls(2);
+    let mut tracker = tracker();
+    tracker.create_version(10 * S);
+    tracker.start_trouble(2);
     for (courier, process, at) in [(0, 0, 12), (1, 0, 11)] {
-        books.sent(process, 2);
-        books.said(courier, 2, at * S);
+        tracker.record_sent(process, 2);
+        tracker.record_report(courier, 2, at * S);
     }
-    let change = books.change(2);
+    let change = tracker.change(2);
     assert_eq!(change, Change { version: 2, calm: vec![S, 2 * S], befallen: 1, missing: 1 });
-    assert_eq!((books.missing(2), books.missing(1), books.back(&[2])), (1, 0, None));
-    books.calms(2, 20 * S);
-    books.sent(1, 2);
-    books.said(2, 2, 23 * S);
-    assert_eq!(books.back(&[2]), Some(3 * S));
-    books.made(21 * S);
-    assert_eq!(books.back(&[2, 0]), Some(3 * S), "what was made after a trouble is not waited for");
-    assert_eq!(books.change(2).calm.len(), 2, "its time is not the change's");
+    assert_eq!((tracker.missing(2), tracker.missing(1), tracker.recovery_time(&[2])), (1, 0, None));
+    tracker.end_trouble(2, 20 * S);
+    tracker.record_sent(1, 2);
+    tracker.record_report(2, 2, 23 * S);
+    assert_eq!(tracker.recovery_time(&[2]), Some(3 * S));
+    tracker.create_version(21 * S);
+    assert_eq!(
+        tracker.recovery_time(&[2, 0]),
+        Some(3 * S),
+        "what was made after a trouble is not waited for"
+    );
+    assert_eq!(tracker.change(2).calm.len(), 2, "its time is not the change's");
 }
 
 #[test]
@@ -113,17 +117,20 @@
     let hundred: Vec<u64> = (1..=100).collect();
     let rows = [(0.5, Some(50)), (0.99, Some(99)), (1.0, Some(100)), (0.0, Some(1))];
     for (part, value) in rows {
-        assert_eq!(at_part(&hundred, part), value);
+        assert_eq!(percentile(&hundred, part), value);
     }
-    assert_eq!((at_part(&[], 0.5), at_part(&[7], 0.5), at_part(&[7, 9], 0.99)), (None, Some(7), Some(9)));
+    assert_eq!(
+        (percentile(&[], 0.5), percentile(&[7], 0.5), percentile(&[7, 9], 0.99)),
+        (None, Some(7), Some(9))
+    );
 }
 
 #[test]
 fn behind_relays_nobody_says_what_its_process_was_not_told() {
-    let books = || {
-        let mut books = Books::new(&[0, 0, 1]).with_relays(2);
-        books.made(0);
-        books
+    let tracker = || {
+        let mut tracker = VersionTracker::new(&[0, 0, 1]).with_relays(2);
+        tracker.create_version(0);
+        tracker
     };
     // Sent to a relay as (relay, version), passed on as (relay, process, version), reported as (courier, version).
     type Rows = &'static [(
@@ -148,10 +155,12 @@
         (&[(0, 2)], &[(0, 1, 2)], &[(2, 2)], 1),
     ];
     for (told, passed_on, said, many) in rows {
-        let mut books = books();
-        told.iter().for_each(|&(relay, version)| books.sent_to_relay(relay, version));
-        passed_on.iter().for_each(|&(relay, process, version)| books.passed_on(relay, process, version));
-        said.iter().for_each(|&(courier, version)| books.said(courier, version, S));
-        assert_eq!(breaks(&books, Rule::NotTooEarly), *many, "{told:?} {passed_on:?} {said:?}");
+        let mut tracker = tracker();
+        told.iter().for_each(|&(relay, version)| tracker.record_sent_to_relay(relay, version));
+        passed_on
+            .iter()
+            .for_each(|&(relay, process, version)| tracker.record_passed_on(relay, process, version));
+        said.iter().for_each(|&(courier, version)| tracker.record_report(courier, version, S));
+        assert_eq!(breaks(&tracker, Rule::NotTooEarly), *many, "{told:?} {passed_on:?} {said:?}");
     }
 }
--- a/crates/rig/tests/scale.rs
+++ b/crates/rig/tests/scale.rs
@@ -7,11 +7,11 @@
 use std::sync::OnceLock;
 use std::time::{Duration, Instant};
 
-use meadowhold_rig::scale::books::Rule;
-use meadowhold_rig::scale::day::{Day, How, Machine, Mode, Wrong};
+use meadowhold_rig::scale::day::{Day, Defect, DefectiveCourier, Machine, Mode};
 use meadowhold_rig::scale::gauge;
 use meadowhold_rig::scale::report::Report;
 use meadowhold_rig::scale::run::{run, Programs};
+use meadowhold_rig::scale::tracker::Rule;
 
 const RIG: &str = env!("CARGO_BIN_EXE_meadowhold-rig");
 
@@ -37,8 +37,8 @@
 }
 
 /// The small day without troubles, with defective couriers.
-fn calm(wrong: &[(usize, How)]) -> Day {
-    let wrong = wrong.iter().map(|&(courier, how)| Wrong { courier, how }).collect();
+fn calm(wrong: &[(usize, Defect)]) -> Day {
+    let wrong = wrong.iter().map(|&(courier, how)| DefectiveCourier { courier, how }).collect();
     let mut day = Day { trouble: Vec::new(), wrong, ..day() };
     // Shorter limits: changes that never take effect are waited for until the limit.
     (day.rules.in_force_s, day.rules.on_file_s) = (4.0, 4.0);
@@ -122,8 +122,8 @@
 fn defective_couriers_fail_the_run_behind_relays() {
     let mut day = Day { relays: read("scale-relays-small.toml").relays, ..calm(&[]) };
     day.destinations = 400;
-    day.wrong = [(17, How::HoldsOld), (18, How::TooEarly), (30, How::Mute)]
-        .map(|(courier, how)| Wrong { courier, how })
+    day.wrong = [(17, Defect::HoldsOld), (18, Defect::TooEarly), (30, Defect::Mute)]
+        .map(|(courier, how)| DefectiveCourier { courier, how })
         .to_vec();
     day.rules.start_s = 6.0;
     let report = report(&day);
@@ -159,7 +159,7 @@
 
 #[test]
 fn a_courier_that_reports_a_version_but_keeps_the_old_one_fails_the_run() {
-    let report = report(&calm(&[(17, How::HoldsOld)]));
+    let report = report(&calm(&[(17, Defect::HoldsOld)]));
     assert!(!report.kept() && report.breaks(Rule::HoldsWhatItSays) > 0, "{report}");
     assert_eq!((report.breaks(Rule::NotTooEarly), report.breaks(Rule::InForceInTime)), (0, 0), "{report}");
     assert!(report.broken.iter().all(|broken| broken.words.contains("1 couriers, such as 17")), "{report}");
@@ -167,7 +167,7 @@
 
 #[test]
 fn a_courier_that_reports_too_early_fails_the_run() {
-    let report = report(&calm(&[(17, How::TooEarly)]));
+    let report = report(&calm(&[(17, Defect::TooEarly)]));
     assert!(!report.kept() && report.breaks(Rule::NotTooEarly) > 0, "{report}");
     assert_eq!(
         (report.breaks(Rule::HoldsWhatItSays), report.breaks(Rule::InForceInTime)),
@@ -179,7 +179,7 @@
 
 #[test]
 fn a_courier_that_never_reports_fails_the_run() {
-    let mut day = calm(&[(17, How::Mute)]);
+    let mut day = calm(&[(17, Defect::Mute)]);
     day.rules.start_s = 6.0;
     let report = report(&day);
     assert!(!report.kept() && report.breaks(Rule::InForceInTime) > 0, "{report}");
@@ -253,15 +253,16 @@
 fn all_limits_of_the_machine_that_a_day_exceeds_are_reported_together() {
     let day = Day { destinations: 300_000, ..Day::default() };
     let small = Machine { memory: 1 << 30, disk: 1 << 30, disk_in_memory: false, descriptors: 256 };
-    let faults = day.beyond(&small);
+    let faults = day.missing_resources(&small);
     let keys: Vec<&str> = faults.iter().map(|fault| fault.key.as_str()).collect();
     assert_eq!(keys, ["couriers", "destinations", "couriers"], "{faults:?}");
     let large = Machine { memory: 1 << 42, disk: 1 << 42, disk_in_memory: false, descriptors: 1 << 20 };
-    assert_eq!(day.beyond(&large), []);
+    assert_eq!(day.missing_resources(&large), []);
     // Files on an in-memory file system count as memory.
     let day = Day { destinations: 8000, ..day };
     let memory = 2 * day.memory();
-    let in_memory = |disk_in_memory| day.beyond(&Machine { memory, disk_in_memory, ..large }).len();
+    let in_memory =
+        |disk_in_memory| day.missing_resources(&Machine { memory, disk_in_memory, ..large }).len();
     assert_eq!((in_memory(false), in_memory(true)), (0, 1));
 }
 
