--- a/crates/rig/benches/slopes.rs
+++ b/crates/rig/benches/slopes.rs
@@ -11,23 +11,23 @@
 
 use meadowhold_rig::scripted::Endpoint;
 use meadowhold_rig::slopes::{
-    ask_to_end, become_courier, config, load_average, Bound, Client, Courier, Nowhere, Registry, Row, Slope,
-    Stopped, BECOME, MOST_TIME,
+    become_courier, config, load_average, request_end, Client, Courier, Deadline, RefusingAddress, Registry,
+    Row, Slope, Stopped, BECOME_COURIER, MAX_SLOPE_TIME,
 };
 use serde_json::json;
 
 /// Sizes of lists, up to that of the whole world.
 const DESTINATIONS: [usize; 8] = [100, 300, 1_000, 3_000, 8_000, 30_000, 100_000, 300_000];
-const HELD: [usize; 6] = [500, 1_500, 5_000, 15_000, 50_000, 200_000];
-const REWRITTEN: [usize; 5] = [1_000, 3_000, 10_000, 30_000, 100_000];
+const HELD_MAILS: [usize; 6] = [500, 1_500, 5_000, 15_000, 50_000, 200_000];
+const REWRITE_MAILS: [usize; 5] = [1_000, 3_000, 10_000, 30_000, 100_000];
 /// The number of unreachable destinations over which held mails are distributed.
 const UNREACHABLE: usize = 100;
 /// Time limit for a courier to apply its first list.
-const LISTED_IN: Duration = Duration::from_secs(10);
+const LIST_TIMEOUT: Duration = Duration::from_secs(10);
 /// Interval over which a courier's processor time is measured.
-const LOOK: Duration = Duration::from_secs(10);
+const MEASURING_TIME: Duration = Duration::from_secs(10);
 /// Time limit for four rewrites of the journal.
-const REWRITTEN_IN: Duration = Duration::from_secs(100);
+const REWRITE_TIMEOUT: Duration = Duration::from_secs(100);
 /// Mails per second of all clients together, and the number of clients.
 const RATE: usize = 400;
 const CLIENTS: usize = 4;
@@ -35,7 +35,7 @@
 /// Folder limit in MB with room for the list of the whole world: a courier may use 8% of its folder for the list.
 const LISTS_MB: f64 = 1_000.0;
 /// A courier that is running or runnable for more than this fraction of the time does not keep up.
-const FULL: f64 = 0.95;
+const SATURATED: f64 = 0.95;
 
 type Names = &'static [(&'static str, &'static str, &'static str)];
 
@@ -43,11 +43,11 @@
 struct Sweep {
     slopes: Names,
     sizes: &'static [usize],
-    measure: fn(&Path, usize, Bound) -> Result<Vec<Seen>, Stopped>,
+    measure: fn(&Path, usize, Deadline) -> Result<Vec<Measured>, Stopped>,
 }
 
 /// One value of a run with further observations, or the reason why there is none at this size, which ends its slope.
-type Seen = Result<(f64, String), Stopped>;
+type Measured = Result<(f64, String), Stopped>;
 
 const SWEEPS: [Sweep; 5] = [
     Sweep {
@@ -61,12 +61,12 @@
             ("list-file", "entries", "bytes of the kept list on file"),
         ],
         sizes: &DESTINATIONS,
-        measure: lists,
+        measure: measure_lists,
     },
     Sweep {
         slopes: &[("message", "destinations", "us of processor a message, at 400 a second")],
         sizes: &DESTINATIONS,
-        measure: messages,
+        measure: measure_messages,
     },
     Sweep {
         slopes: &[
@@ -74,7 +74,7 @@
             ("change-bytes", "destinations", "bytes a change on the watch"),
         ],
         sizes: &DESTINATIONS,
-        measure: changes,
+        measure: measure_changes,
     },
     Sweep {
         slopes: &[
@@ -84,57 +84,57 @@
             ("held-taking", "messages held", "s of processor to take them on"),
             ("start", "messages held", "s from the start after SIGKILL to the first PONG"),
         ],
-        sizes: &HELD,
-        measure: holds,
+        sizes: &HELD_MAILS,
+        measure: measure_held,
     },
     Sweep {
         slopes: &[
             ("rewriting", "messages held", "s of the longest stall while the journal is written anew"),
             ("rewriting-bytes", "messages held", "bytes rewritten a byte taken on"),
         ],
-        sizes: &REWRITTEN,
-        measure: rewrites,
+        sizes: &REWRITE_MAILS,
+        measure: measure_rewrites,
     },
 ];
 
-fn none(words: &str) -> Seen {
+fn no_value(words: &str) -> Measured {
     Err(Stopped(words.to_string()))
 }
 
 /// A courier with its stand-ins, and the processor time that it used until it knew the last entry of its list.
-struct Listed {
+struct StartedCourier {
     registry: Registry,
     courier: Courier,
-    /// `None` if it did not know the entry within `LISTED_IN`.
+    /// `None` if it did not know the entry within `LIST_TIMEOUT`.
     known: Option<f64>,
 }
 
-fn listed(
+fn start_with_list(
     binary: &Path,
-    bound: Bound,
+    bound: Deadline,
     registry: Registry,
     last: usize,
     (room, disk_mb): (usize, f64),
-) -> Result<Listed, Stopped> {
+) -> Result<StartedCourier, Stopped> {
     let discovery = registry.address;
     let start = Instant::now();
     let mut courier = Courier::start(binary, |listen| config(listen, discovery, room, disk_mb))?;
-    courier.ready(bound, start, LISTED_IN)?;
+    courier.ready(bound, start, LIST_TIMEOUT)?;
     let (mut client, mut known) = (Client::connect(courier.listen, u32::MAX)?, None);
-    while known.is_none() && start.elapsed() < LISTED_IN {
+    while known.is_none() && start.elapsed() < LIST_TIMEOUT {
         bound.sleep(Duration::from_millis(20))?;
         courier.check()?;
         if client.hand_in([last].into_iter())?.taken == 1 {
             known = Some(courier.used()?.processor);
         }
     }
-    Ok(Listed { registry, courier, known })
+    Ok(StartedCourier { registry, courier, known })
 }
 
-impl Listed {
+impl StartedCourier {
     /// # Errors
     /// If the list was not applied.
-    fn sure(self) -> Result<Listed, Stopped> {
+    fn require_list(self) -> Result<StartedCourier, Stopped> {
         match self.known {
             Some(_) => Ok(self),
             None => Err(Stopped("the list is refused whole".to_string())),
@@ -142,56 +142,56 @@
     }
 }
 
-fn lists(binary: &Path, destinations: usize, bound: Bound) -> Result<Vec<Seen>, Stopped> {
+fn measure_lists(binary: &Path, destinations: usize, bound: Deadline) -> Result<Vec<Measured>, Stopped> {
     let endpoint = Endpoint::new(&[]);
     let registry = Registry::new(destinations, endpoint.address)?;
-    let Listed { registry, courier, known } =
-        listed(binary, bound, registry, destinations, (1_000, LISTS_MB))?;
-    let first_bytes = registry.asked().whole_bytes;
+    let StartedCourier { registry, courier, known } =
+        start_with_list(binary, bound, registry, destinations, (1_000, LISTS_MB))?;
+    let first_bytes = registry.request_counts().whole_bytes;
     // The list is stored a second after it was applied.
     bound.sleep(Duration::from_secs(3))?;
-    let (asked, resident, before) = (registry.asked(), courier.resident()?, courier.used()?);
-    bound.sleep(LOOK)?;
-    let (after, end) = (courier.used()?, registry.asked());
+    let (asked, resident, before) = (registry.request_counts(), courier.resident()?, courier.used()?);
+    bound.sleep(MEASURING_TIME)?;
+    let (after, end) = (courier.used()?, registry.request_counts());
     let share = after.share_since(before);
     let seconds = (after.at - before.at).as_secs_f64();
     let asks = (end.asks - asked.asks) as f64 / seconds;
     let bytes = (end.whole_bytes + end.watch_bytes - asked.whole_bytes - asked.watch_bytes) as f64 / seconds;
     let words = format!("{asks:.1} asks, {bytes:.0} bytes sent a second");
     let length = format!("{} bytes sent", asked.whole_bytes / asked.asks.max(1));
-    let kept = courier.kept_list().map(|bytes| (bytes as f64, String::new()));
+    let kept = courier.stored_list_size().map(|bytes| (bytes as f64, String::new()));
     Ok(match known {
         Some(taken) => vec![
             Ok((taken, String::new())),
-            none("taken whole"),
+            no_value("taken whole"),
             Ok((resident as f64, String::new())),
             Ok((share, words)),
-            Ok((courier.most_resident()? as f64, String::new())),
+            Ok((courier.peak_resident()? as f64, String::new())),
             Ok((first_bytes as f64, String::new())),
             kept,
         ],
         None => {
             let refused = "the list is refused whole";
             vec![
-                none(refused),
+                no_value(refused),
                 Ok((share, format!("{words}; {length} an ask"))),
-                none(refused),
-                none(refused),
-                none(refused),
-                none(refused),
-                none(refused),
+                no_value(refused),
+                no_value(refused),
+                no_value(refused),
+                no_value(refused),
+                no_value(refused),
             ]
         }
     })
 }
 
-fn messages(binary: &Path, destinations: usize, bound: Bound) -> Result<Vec<Seen>, Stopped> {
+fn measure_messages(binary: &Path, destinations: usize, bound: Deadline) -> Result<Vec<Measured>, Stopped> {
     let endpoint = Endpoint::new(&[]);
     let registry = Registry::new(destinations, endpoint.address)?;
-    let held = listed(binary, bound, registry, destinations, (10_000, LISTS_MB))?.sure()?;
+    let held = start_with_list(binary, bound, registry, destinations, (10_000, LISTS_MB))?.require_list()?;
     let listen = held.courier.listen;
     let delivered = || endpoint.calls.lock().map_or(0, |calls| calls.len());
-    let (warm, end) = (Duration::from_secs(2), Duration::from_secs(2) + LOOK);
+    let (warm, end) = (Duration::from_secs(2), Duration::from_secs(2) + MEASURING_TIME);
     let start = Instant::now();
     let load = |number: usize| {
         let mut chance = fastrand::Rng::with_seed(number as u64);
@@ -213,7 +213,7 @@
         let look = || {
             bound.sleep(warm.saturating_sub(start.elapsed()))?;
             let before = (held.courier.used()?, delivered());
-            bound.sleep(LOOK)?;
+            bound.sleep(MEASURING_TIME)?;
             Ok::<_, Stopped>((before, (held.courier.used()?, delivered())))
         };
         let used = look();
@@ -231,7 +231,7 @@
     }
     let cost = (after.processor - before.processor) * 1e6 / count as f64;
     let rate = count as f64 / (after.at - before.at).as_secs_f64();
-    let wanted = after.wanted_since(before);
+    let wanted = after.runnable_share_since(before);
     let words = format!(
         "{rate:.0} delivered a second, {} refused of {}; ran or in line for a core {wanted:.2} of the time",
         tally.1,
@@ -240,23 +240,23 @@
     Ok(vec![Ok((cost, words))])
 }
 
-fn changes(binary: &Path, destinations: usize, bound: Bound) -> Result<Vec<Seen>, Stopped> {
+fn measure_changes(binary: &Path, destinations: usize, bound: Deadline) -> Result<Vec<Measured>, Stopped> {
     let endpoint = Endpoint::new(&[]);
     let registry = Registry::new(destinations, endpoint.address)?;
-    let Listed { registry, courier, .. } =
-        listed(binary, bound, registry, destinations, (1_000, LISTS_MB))?.sure()?;
+    let StartedCourier { registry, courier, .. } =
+        start_with_list(binary, bound, registry, destinations, (1_000, LISTS_MB))?.require_list()?;
     bound.sleep(Duration::from_secs(3))?;
     let before = courier.used()?;
-    bound.sleep(LOOK / 2)?;
-    let (idle, asked) = (courier.used()?, registry.asked());
+    bound.sleep(MEASURING_TIME / 2)?;
+    let (idle, asked) = (courier.used()?, registry.request_counts());
     let mut chance = fastrand::Rng::with_seed(destinations as u64);
-    let count = CHANGES_A_SECOND * LOOK.as_secs() as u32;
+    let count = CHANGES_A_SECOND * MEASURING_TIME.as_secs() as u32;
     for number in 0..count {
-        bound.sleep((idle.at + LOOK * number / count).saturating_duration_since(Instant::now()))?;
+        bound.sleep((idle.at + MEASURING_TIME * number / count).saturating_duration_since(Instant::now()))?;
         registry.change(chance.usize(1..=destinations), endpoint.address, 500.0 + 1000.0 * chance.f64());
     }
-    bound.sleep((idle.at + LOOK).saturating_duration_since(Instant::now()))?;
-    let (after, end) = (courier.used()?, registry.asked());
+    bound.sleep((idle.at + MEASURING_TIME).saturating_duration_since(Instant::now()))?;
+    let (after, end) = (courier.used()?, registry.request_counts());
     let share = after.share_since(idle) - idle.share_since(before);
     let cost = share * (after.at - idle.at).as_secs_f64() * 1e3 / f64::from(count);
     let bytes = (end.watch_bytes - asked.watch_bytes) as f64 / f64::from(count);
@@ -264,7 +264,7 @@
     let asks = end.asks - asked.asks;
     if asks > 0 {
         let words = format!("{asks} asks meanwhile: the watch was lost");
-        return Ok(vec![none(&words), none(&words)]);
+        return Ok(vec![no_value(&words), no_value(&words)]);
     }
     let words = format!("{:.4} of a core; idle {:.4}", after.share_since(idle), idle.share_since(before));
     Ok(vec![Ok((cost, words)), Ok((bytes, String::new()))])
@@ -272,10 +272,10 @@
 
 /// Stored size of a held mail in bytes according to `journal::max_stored_size`, by which the courier computes its
 /// capacity.
-const WEIGHT: f64 = 340.0;
+const STORED_MAIL_BYTES: f64 = 340.0;
 
 /// Hands in mails for the destinations 1 to `UNREACHABLE` in turn until `count` of them have been taken.
-fn fill(courier: &mut Courier, count: usize, bound: Bound) -> Result<(), Stopped> {
+fn fill(courier: &mut Courier, count: usize, bound: Deadline) -> Result<(), Stopped> {
     let mut client = Client::connect(courier.listen, u32::MAX - 1)?;
     let (mut taken, mut last) = (0, Instant::now());
     while taken < count {
@@ -294,12 +294,13 @@
     Ok(())
 }
 
-fn holds(binary: &Path, count: usize, bound: Bound) -> Result<Vec<Seen>, Stopped> {
-    let nowhere = Nowhere::new()?;
+fn measure_held(binary: &Path, count: usize, bound: Deadline) -> Result<Vec<Measured>, Stopped> {
+    let nowhere = RefusingAddress::new()?;
     let registry = Registry::new(UNREACHABLE, nowhere.address)?;
-    let disk_mb = (count as f64 * WEIGHT / 0.3 / 1e6).max(3.0);
-    let Listed { registry: _registry, mut courier, .. } =
-        listed(binary, bound, registry, UNREACHABLE, (count * 2 + 1_000, disk_mb))?.sure()?;
+    let disk_mb = (count as f64 * STORED_MAIL_BYTES / 0.3 / 1e6).max(3.0);
+    let StartedCourier { registry: _registry, mut courier, .. } =
+        start_with_list(binary, bound, registry, UNREACHABLE, (count * 2 + 1_000, disk_mb))?
+            .require_list()?;
     let before = courier.used()?;
     fill(&mut courier, count, bound)?;
     let filled = courier.used()?;
@@ -307,18 +308,18 @@
     let file = courier.journal()?.1;
     bound.sleep(Duration::from_secs(2))?;
     let begin = courier.used()?;
-    bound.sleep(LOOK / 2)?;
+    bound.sleep(MEASURING_TIME / 2)?;
     let used = courier.used()?;
-    let (share, wanted) = (used.share_since(begin), used.wanted_since(begin));
+    let (share, wanted) = (used.share_since(begin), used.runnable_share_since(begin));
     let (resident, later) = (courier.resident()?, courier.journal()?.1);
     let at = courier.kill_and_start()?;
     let start = courier.ready(bound, at, Duration::from_secs(60))?;
     let used = courier.used()?.processor;
     let words = format!("ran or in line for a core {wanted:.2} of the time");
-    let share = if wanted < FULL {
+    let share = if wanted < SATURATED {
         Ok((share, words))
     } else {
-        none(&format!("a core is full: {share:.2}, {words}"))
+        no_value(&format!("a core is full: {share:.2}, {words}"))
     };
     Ok(vec![
         share,
@@ -332,15 +333,15 @@
 /// A rewrite of the journal: when it was seen, the journal's size in bytes then, and the number of mails taken so far.
 type Rewrite = (Instant, u64, usize);
 
-fn rewrites(binary: &Path, count: usize, bound: Bound) -> Result<Vec<Seen>, Stopped> {
-    let (nowhere, endpoint) = (Nowhere::new()?, Endpoint::new(&[]));
+fn measure_rewrites(binary: &Path, count: usize, bound: Deadline) -> Result<Vec<Measured>, Stopped> {
+    let (nowhere, endpoint) = (RefusingAddress::new()?, Endpoint::new(&[]));
     let reached = UNREACHABLE + 1;
     let registry = Registry::new(reached, nowhere.address)?;
     registry.change(reached, endpoint.address, 1e6);
     // The held mails use 0.30 of the folder's limit; 0.34 is allowed, and at 0.44 the journal is rewritten.
-    let disk_mb = count as f64 * WEIGHT / 0.3 / 1e6;
-    let Listed { registry: _registry, mut courier, .. } =
-        listed(binary, bound, registry, reached, (count * 2 + 1_000, disk_mb))?.sure()?;
+    let disk_mb = count as f64 * STORED_MAIL_BYTES / 0.3 / 1e6;
+    let StartedCourier { registry: _registry, mut courier, .. } =
+        start_with_list(binary, bound, registry, reached, (count * 2 + 1_000, disk_mb))?.require_list()?;
     fill(&mut courier, count, bound)?;
     let (listen, done, taken) = (courier.listen, AtomicBool::new(false), AtomicUsize::new(0));
     let mut seen: Vec<Rewrite> = Vec::new();
@@ -363,7 +364,7 @@
         });
         let (start, mut watched) = (Instant::now(), courier.journal());
         let mut looked = Ok(());
-        while looked.is_ok() && seen.len() < 4 && start.elapsed() < REWRITTEN_IN {
+        while looked.is_ok() && seen.len() < 4 && start.elapsed() < REWRITE_TIMEOUT {
             std::thread::sleep(Duration::from_millis(1));
             let now = courier.journal();
             if let (Ok((file, bytes)), Ok((before, _))) = (&now, &watched) {
@@ -384,9 +385,11 @@
     courier.check()?;
     let ([first, .., last], true) = (&seen[..], seen.len() > 1) else {
         let (taken, delivered) = (taken.into_inner(), endpoint.calls.lock().map_or(0, |calls| calls.len()));
-        let words =
-            format!("{} rewrites in {REWRITTEN_IN:?}, {taken} taken on, {delivered} delivered", seen.len());
-        return Ok(vec![none(&words), none(&words)]);
+        let words = format!(
+            "{} rewrites in {REWRITE_TIMEOUT:?}, {taken} taken on, {delivered} delivered",
+            seen.len()
+        );
+        return Ok(vec![no_value(&words), no_value(&words)]);
     };
     // A rewrite is seen within a few milliseconds of its end.
     let near = Duration::from_millis(10);
@@ -398,15 +401,19 @@
         pings.iter().filter(beside).map(|ping| ping.1.as_secs_f64()).fold(0.0, f64::max)
     };
     let bytes: u64 = seen[1..].iter().map(|rewrite| rewrite.1).sum();
-    let taken_on = (last.2 - first.2) as f64 * WEIGHT;
+    let taken_on = (last.2 - first.2) as f64 * STORED_MAIL_BYTES;
     let (begin, end) = (first.0, last.0);
     let words = format!("{} rewrites of {:.1} MB", seen.len(), first.1 as f64 / 1e6);
     let stall = format!("{words}; otherwise {:.4} s at the longest", longest(false));
-    let over = format!("{words}; {:.0} taken on in {:.1} s", taken_on / WEIGHT, (end - begin).as_secs_f64());
+    let over = format!(
+        "{words}; {:.0} taken on in {:.1} s",
+        taken_on / STORED_MAIL_BYTES,
+        (end - begin).as_secs_f64()
+    );
     let ratio = if taken_on > 0.0 {
         Ok((bytes as f64 / taken_on, over))
     } else {
-        none("nothing was taken on between rewrites")
+        no_value("nothing was taken on between rewrites")
     };
     Ok(vec![Ok((longest(true), stall)), ratio])
 }
@@ -430,14 +437,14 @@
         let mut series: Vec<Vec<Series>> = binaries.iter().map(|_| Vec::new()).collect();
         let mut ended: Vec<bool> = vec![false; binaries.len()];
         series.iter_mut().for_each(|series| series.resize_with(self.slopes.len(), Series::default));
-        let mut bounds: Vec<Duration> = vec![MOST_TIME; binaries.len()];
+        let mut bounds: Vec<Duration> = vec![MAX_SLOPE_TIME; binaries.len()];
         for &size in self.sizes.iter().filter(|size| sizes.is_empty() || sizes.contains(size)) {
             for (place, (name, binary)) in binaries.iter().enumerate() {
                 if ended[place] {
                     continue;
                 }
                 let start = Instant::now();
-                let measured = (self.measure)(binary, size, Bound::new(bounds[place]));
+                let measured = (self.measure)(binary, size, Deadline::new(bounds[place]));
                 bounds[place] = bounds[place].saturating_sub(start.elapsed());
                 let seen = measured.unwrap_or_else(|stopped| {
                     ended[place] = true;
@@ -477,7 +484,7 @@
 }
 
 /// Parses `NAME=PATH`, or a path whose file name is used as the name.
-fn named(text: &str) -> (String, PathBuf) {
+fn parse_binary(text: &str) -> (String, PathBuf) {
     match text.split_once('=') {
         Some((name, path)) => (name.to_string(), path.into()),
         None => {
@@ -495,7 +502,7 @@
 }
 
 /// On SIGINT or SIGTERM, ends the bench at its next wait, so that folders are removed; couriers end in any case.
-fn heed_signals() -> std::io::Result<()> {
+fn handle_signals() -> std::io::Result<()> {
     use tokio::signal::unix::{signal, SignalKind};
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build()?;
     std::thread::spawn(move || {
@@ -504,7 +511,7 @@
                 (signal(SignalKind::interrupt()), signal(SignalKind::terminate()))
             {
                 tokio::select! { _ = int.recv() => {}, _ = term.recv() => {} }
-                ask_to_end();
+                request_end();
             }
         });
     });
@@ -539,13 +546,13 @@
     if let Some(unknown) = sizes.iter().find(|size| !known(size)) {
         return Err(format!("no slope has the size {unknown}"));
     }
-    let mut binaries: Vec<(String, PathBuf)> = texts.iter().map(|text| named(text)).collect();
+    let mut binaries: Vec<(String, PathBuf)> = texts.iter().map(|text| parse_binary(text)).collect();
     if binaries.is_empty() {
         let built =
             escargot::CargoBuild::new().package("meadowhold-courier").bin("meadowhold").release().run();
         binaries.push(("today".to_string(), built.map_err(|e| e.to_string())?.path().to_path_buf()));
     }
-    heed_signals().map_err(|e| e.to_string())?;
+    handle_signals().map_err(|e| e.to_string())?;
     let wanted = |name: &str| what.is_empty() || what.contains(&name);
     let mut command = "cargo bench -p meadowhold-rig --bench slopes".to_string();
     let joined = sizes.iter().map(usize::to_string).collect::<Vec<_>>().join(",");
@@ -573,8 +580,8 @@
 
 fn main() -> ExitCode {
     let words: Vec<_> = std::env::args_os().collect();
-    if let [_, become_one, parent, binary] = &words[..] {
-        if become_one == BECOME {
+    if let [_, become_courier_arg, parent, binary] = &words[..] {
+        if become_courier_arg == BECOME_COURIER {
             let parent = parent.to_str().and_then(|parent| parent.parse().ok()).unwrap_or(0);
             eprintln!("{}", become_courier(parent, Path::new(binary)));
             return ExitCode::FAILURE;
--- a/crates/rig/src/slopes.rs
+++ b/crates/rig/src/slopes.rs
@@ -25,9 +25,9 @@
 use crate::scripted;
 
 /// Limit on the courier's address space in bytes; a courier that exceeds it ends by itself.
-pub const MOST_MEMORY: u64 = 2_000_000_000;
+pub const MAX_MEMORY: u64 = 2_000_000_000;
 /// Time limit for one slope.
-pub const MOST_TIME: Duration = Duration::from_secs(360);
+pub const MAX_SLOPE_TIME: Duration = Duration::from_secs(360);
 
 /// Why a slope ends before its largest size.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -50,25 +50,25 @@
 }
 
 /// Set when the bench has been asked to end; checked by every wait.
-static ASKED_TO_END: AtomicBool = AtomicBool::new(false);
+static END_REQUESTED: AtomicBool = AtomicBool::new(false);
 
-pub fn ask_to_end() {
-    ASKED_TO_END.store(true, Ordering::Relaxed);
+pub fn request_end() {
+    END_REQUESTED.store(true, Ordering::Relaxed);
 }
 
 /// The deadline of a slope.
 #[derive(Clone, Copy)]
-pub struct Bound(Instant);
+pub struct Deadline(Instant);
 
-impl Bound {
-    pub fn new(longest: Duration) -> Bound {
-        Bound(Instant::now() + longest)
+impl Deadline {
+    pub fn new(longest: Duration) -> Deadline {
+        Deadline(Instant::now() + longest)
     }
 
     /// # Errors
     /// If the deadline has passed, or the bench was asked to end.
     pub fn check(self) -> Result<(), Stopped> {
-        if ASKED_TO_END.load(Ordering::Relaxed) {
+        if END_REQUESTED.load(Ordering::Relaxed) {
             return Err(Stopped("asked to end".to_string()));
         }
         if Instant::now() >= self.0 {
@@ -128,7 +128,7 @@
 }
 
 /// A size in bytes, from a line such as `VmRSS:   1234 kB`.
-fn bytes_of(status: &str, name: &str) -> Option<u64> {
+fn status_bytes(status: &str, name: &str) -> Option<u64> {
     let line = status.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(':'))?;
     line.trim().strip_suffix("kB")?.trim().parse::<u64>().ok().map(|kb| kb * 1024)
 }
@@ -144,7 +144,7 @@
         if getppid().map(Pid::as_raw_nonzero).map(|id| id.get()) != Some(parent) {
             return Err(io::Error::other("the bench has ended"));
         }
-        let most = Some(MOST_MEMORY);
+        let most = Some(MAX_MEMORY);
         Ok(setrlimit(Resource::As, Rlimit { current: most, maximum: most })?)
     };
     match bounded() {
@@ -154,7 +154,7 @@
 }
 
 /// The argument with which the bench's own program runs the courier in its place.
-pub const BECOME: &str = "--become";
+pub const BECOME_COURIER: &str = "--become";
 
 /// The courier under measurement.
 pub struct Courier {
@@ -166,24 +166,24 @@
 
 /// A courier's processor use up to a moment.
 #[derive(Clone, Copy, Debug)]
-pub struct Used {
+pub struct ProcessorUse {
     /// Seconds of processor time.
     pub processor: f64,
     /// Seconds spent runnable while waiting for a processor.
-    pub in_line: f64,
+    pub waiting: f64,
     pub at: Instant,
 }
 
-impl Used {
+impl ProcessorUse {
     /// Processor use since `before`, as a fraction of one core.
-    pub fn share_since(self, before: Used) -> f64 {
+    pub fn share_since(self, before: ProcessorUse) -> f64 {
         (self.processor - before.processor) / (self.at - before.at).as_secs_f64()
     }
 
     /// Fraction of the time since `before` in which it ran or was runnable. A courier near 1 does not keep up, even if
     /// other processes had its core.
-    pub fn wanted_since(self, before: Used) -> f64 {
-        let wanted = |used: Used| used.processor + used.in_line;
+    pub fn runnable_share_since(self, before: ProcessorUse) -> f64 {
+        let wanted = |used: ProcessorUse| used.processor + used.waiting;
         (wanted(self) - wanted(before)) / (self.at - before.at).as_secs_f64()
     }
 }
@@ -203,7 +203,7 @@
     fn spawn(binary: &Path, folder: &Path) -> io::Result<Child> {
         let log = fs::OpenOptions::new().create(true).append(true).open(folder.join("log"))?;
         let mut command = Command::new(std::env::current_exe()?);
-        command.arg(BECOME).arg(std::process::id().to_string()).arg(binary);
+        command.arg(BECOME_COURIER).arg(std::process::id().to_string()).arg(binary);
         command.env_clear().env("RUST_LOG", "warn").env("ROUTER_CONFIG", folder.join("config.json"));
         command.env("ROUTER_STATE", folder.join("state")).stdin(Stdio::null()).stdout(Stdio::null());
         command.stderr(log).spawn()
@@ -237,7 +237,7 @@
     ///
     /// # Errors
     /// If it has ended, or does not answer within `longest`.
-    pub fn ready(&mut self, bound: Bound, since: Instant, longest: Duration) -> Result<Duration, Stopped> {
+    pub fn ready(&mut self, bound: Deadline, since: Instant, longest: Duration) -> Result<Duration, Stopped> {
         let listen = self.listen;
         let answers = || {
             let said = scripted::Client::connect(listen).map(|mut client| client.say(&request(&[b"PING"])));
@@ -256,7 +256,7 @@
 
     /// # Errors
     /// If it has ended.
-    pub fn used(&self) -> Result<Used, Stopped> {
+    pub fn used(&self) -> Result<ProcessorUse, Stopped> {
         let (mut ran, mut waited) = (0, 0);
         for task in fs::read_dir(self.proc_file("task"))? {
             // A thread that has ended in the meantime is skipped.
@@ -265,7 +265,7 @@
             (ran, waited) = (ran + run, waited + wait);
         }
         let seconds = |nanoseconds: u64| nanoseconds as f64 / 1e9;
-        Ok(Used { processor: seconds(ran), in_line: seconds(waited), at: Instant::now() })
+        Ok(ProcessorUse { processor: seconds(ran), waiting: seconds(waited), at: Instant::now() })
     }
 
     /// Resident memory in bytes.
@@ -280,20 +280,20 @@
     ///
     /// # Errors
     /// If it has ended.
-    pub fn most_resident(&self) -> Result<u64, Stopped> {
+    pub fn peak_resident(&self) -> Result<u64, Stopped> {
         self.memory("VmHWM")
     }
 
     fn memory(&self, name: &str) -> Result<u64, Stopped> {
         let status = fs::read_to_string(self.proc_file("status"))?;
-        bytes_of(&status, name).ok_or_else(|| Stopped("no resident memory is told".to_string()))
+        status_bytes(&status, name).ok_or_else(|| Stopped("no resident memory is told".to_string()))
     }
 
     /// The size in bytes of the list stored for the next start.
     ///
     /// # Errors
     /// If none is stored.
-    pub fn kept_list(&self) -> Result<u64, Stopped> {
+    pub fn stored_list_size(&self) -> Result<u64, Stopped> {
         let file = fs::metadata(self.folder.path.join("state").join("memory"));
         Ok(file.map_err(|e| Stopped(format!("no list is kept: {e}")))?.len())
     }
@@ -326,11 +326,11 @@
 /// `list::List` scans all entries for each one it sends, and `scripted::Platform` sends all of them at each change.
 pub struct Registry {
     pub address: SocketAddr,
-    state: Arc<(Mutex<Listed>, Condvar)>,
+    state: Arc<(Mutex<RegistryState>, Condvar)>,
     counts: Arc<Counts>,
 }
 
-struct Listed {
+struct RegistryState {
     index: u64,
     entries: Vec<String>,
     /// The text of each change, by version.
@@ -348,16 +348,16 @@
 
 /// The number of requests to a registry, and the bytes of its responses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Asked {
+pub struct RequestCounts {
     pub asks: u64,
     pub whole_bytes: u64,
     pub watch_bytes: u64,
 }
 
 /// Interval of the empty lines (keep-alives) on a watch without changes, as of a healthy registry.
-const EMPTY_LINE: Duration = Duration::from_secs(2);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 /// Size of the pieces in which a list is written; the bytes are counted per piece.
-const PIECE: usize = 1 << 16;
+const CHUNK_BYTES: usize = 1 << 16;
 
 /// An entry of the list; each destination has one endpoint.
 fn entry(destination: usize, address: SocketAddr, weight: f64) -> String {
@@ -375,7 +375,7 @@
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let entries = (1..=destinations).map(|destination| entry(destination, endpoint, 1000.0)).collect();
-        let listed = Listed { index: 1, entries, lines: Vec::new(), whole: (0, Arc::default()) };
+        let listed = RegistryState { index: 1, entries, lines: Vec::new(), whole: (0, Arc::default()) };
         let state = Arc::new((Mutex::new(listed), Condvar::new()));
         let counts: Arc<Counts> = Arc::default();
         let (seen, counted) = (state.clone(), counts.clone());
@@ -395,9 +395,9 @@
         self.state.1.notify_all();
     }
 
-    pub fn asked(&self) -> Asked {
+    pub fn request_counts(&self) -> RequestCounts {
         let read = |count: &AtomicU64| count.load(Ordering::Relaxed);
-        Asked {
+        RequestCounts {
             asks: read(&self.counts.asks),
             whole_bytes: read(&self.counts.whole),
             watch_bytes: read(&self.counts.watch),
@@ -405,7 +405,7 @@
     }
 }
 
-impl Listed {
+impl RegistryState {
     fn whole(&mut self) -> Arc<Vec<u8>> {
         if self.whole.0 != self.index {
             let (index, entries) = (self.index, self.entries.join(","));
@@ -416,7 +416,12 @@
     }
 }
 
-fn answer(state: &(Mutex<Listed>, Condvar), counts: &Counts, target: &str, out: &mut TcpStream) -> bool {
+fn answer(
+    state: &(Mutex<RegistryState>, Condvar),
+    counts: &Counts,
+    target: &str,
+    out: &mut TcpStream,
+) -> bool {
     if target == "/v1/notices" {
         return out.write_all(b"HTTP/1.1 204 X\r\n\r\n").is_ok();
     }
@@ -428,7 +433,7 @@
             return false;
         }
         // Written in pieces: a client that has read enough closes the connection early.
-        return whole.chunks(PIECE).all(|piece| {
+        return whole.chunks(CHUNK_BYTES).all(|piece| {
             counts.whole.fetch_add(piece.len() as u64, Ordering::Relaxed);
             out.write_all(piece).is_ok()
         });
@@ -438,7 +443,7 @@
 }
 
 fn watch(
-    state: &(Mutex<Listed>, Condvar),
+    state: &(Mutex<RegistryState>, Condvar),
     counts: &Counts,
     mut after: u64,
     out: &mut TcpStream,
@@ -448,7 +453,7 @@
         let line = {
             let mut listed = lock(&state.0);
             if listed.index == after {
-                let waited = state.1.wait_timeout(listed, EMPTY_LINE);
+                let waited = state.1.wait_timeout(listed, KEEP_ALIVE_INTERVAL);
                 listed = waited.unwrap_or_else(|poisoned| poisoned.into_inner()).0;
             }
             let first = listed.lines.partition_point(|line| line.0 <= after);
@@ -476,24 +481,27 @@
 }
 
 /// An address that refuses every connection while this exists: the port is bound, but nothing listens on it.
-pub struct Nowhere {
+pub struct RefusingAddress {
     pub address: SocketAddr,
     _held: socket2::Socket,
 }
 
-impl Nowhere {
+impl RefusingAddress {
     /// # Errors
     /// If no port can be bound.
-    pub fn new() -> Result<Nowhere, Stopped> {
+    pub fn new() -> Result<RefusingAddress, Stopped> {
         let held = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
         held.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())?;
         let address = held.local_addr()?.as_socket();
-        Ok(Nowhere { address: address.ok_or_else(|| Stopped("no address".to_string()))?, _held: held })
+        Ok(RefusingAddress {
+            address: address.ok_or_else(|| Stopped("no address".to_string()))?,
+            _held: held,
+        })
     }
 }
 
 /// The size of each mail's body in bytes.
-pub const BODY: usize = 200;
+pub const BODY_BYTES: usize = 200;
 
 /// Hands in mails with unique ids, without waiting for each answer.
 pub struct Client {
@@ -504,7 +512,7 @@
 
 /// Counts of the answers to mails.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Heard {
+pub struct AnswerCounts {
     pub taken: usize,
     pub busy: usize,
     pub failed: usize,
@@ -526,17 +534,17 @@
     ///
     /// # Errors
     /// If the connection ends, or an answer takes half a minute.
-    pub fn hand_in(&mut self, destinations: impl Iterator<Item = usize>) -> Result<Heard, Stopped> {
+    pub fn hand_in(&mut self, destinations: impl Iterator<Item = usize>) -> Result<AnswerCounts, Stopped> {
         let (mut bytes, mut count) = (Vec::new(), 0);
         for destination in destinations {
             let id = format!("{:08x}{:08x}", self.name, self.next);
             let pairs = format!("c=again,t=acme,d={LIFETIME_MS},dest={destination}");
-            bytes.extend(request(&[b"MSG.PUT", b"0", id.as_bytes(), pairs.as_bytes(), &[b'x'; BODY]]));
+            bytes.extend(request(&[b"MSG.PUT", b"0", id.as_bytes(), pairs.as_bytes(), &[b'x'; BODY_BYTES]]));
             self.next += 1;
             count += 1;
         }
         self.stream.get_mut().write_all(&bytes)?;
-        let mut heard = Heard::default();
+        let mut heard = AnswerCounts::default();
         for _ in 0..count {
             match self.line()?.as_str() {
                 line if line.starts_with('+') => heard.taken += 1,
@@ -662,9 +670,10 @@
         let mut out = format!("**{}** ({}): {} by {}\n\n", self.name, self.binary, self.unit, self.size_unit);
         out += &format!("| {} | {} | load | seen |\n| --- | --- | --- | --- |\n", self.size_unit, self.unit);
         for Row { size, value, load, seen } in &self.points {
-            out += &format!("| {size} | {} | {load:.1} | {seen} |\n", digits(*value));
+            out += &format!("| {size} | {} | {load:.1} | {seen} |\n", three_digits(*value));
         }
-        let fits = [self.fit, self.other_fit].into_iter().flatten().map(told).collect::<Vec<_>>().join("; ");
+        let fits =
+            [self.fit, self.other_fit].into_iter().flatten().map(fit_text).collect::<Vec<_>>().join("; ");
         let fits = if fits.is_empty() { "none".to_string() } else { fits };
         let last = self
             .last_exponent
@@ -674,20 +683,20 @@
     }
 }
 
-fn told(fit: Fit) -> String {
+fn fit_text(fit: Fit) -> String {
     let percent = fit.residual() * 100.0;
     match fit {
         Fit::Linear { slope, intercept, .. } => {
-            format!("{} + {} x size, residual {percent:.0}%", digits(intercept), digits(slope))
+            format!("{} + {} x size, residual {percent:.0}%", three_digits(intercept), three_digits(slope))
         }
         Fit::Power { exponent, scale, .. } => {
-            format!("{} x size^{exponent:.2}, residual {percent:.0}%", digits(scale))
+            format!("{} x size^{exponent:.2}, residual {percent:.0}%", three_digits(scale))
         }
     }
 }
 
 /// Formats a value with three significant digits.
-fn digits(value: f64) -> String {
+fn three_digits(value: f64) -> String {
     if value == 0.0 || !value.is_finite() {
         return value.to_string();
     }
--- a/crates/rig/src/slopes/tests.rs
+++ b/crates/rig/src/slopes/tests.rs
@@ -1,7 +1,9 @@
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-use super::{bytes_of, digits, first_number, run_times, Bound, Nowhere, Registry, Row, Slope};
+use super::{
+    first_number, run_times, status_bytes, three_digits, Deadline, RefusingAddress, Registry, Row, Slope,
+};
 use crate::fit::Fit;
 
 const ENDPOINT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 9);
@@ -12,9 +14,9 @@
     assert_eq!(run_times("124316 40280 2\n"), Some((124_316, 40_280)));
     assert_eq!((run_times(""), run_times("124316")), (None, None));
     let status = "Name:\tx\nVmHWM:\t    2000 kB\nVmRSS:\t    1234 kB\nRssAnon: 5 kB\n";
-    assert_eq!(bytes_of(status, "VmRSS"), Some(1234 * 1024));
-    assert_eq!(bytes_of(status, "Vm"), None);
-    assert_eq!(bytes_of("VmRSS: much\n", "VmRSS"), None);
+    assert_eq!(status_bytes(status, "VmRSS"), Some(1234 * 1024));
+    assert_eq!(status_bytes(status, "Vm"), None);
+    assert_eq!(status_bytes("VmRSS: much\n", "VmRSS"), None);
 }
 
 #[test]
@@ -28,10 +30,10 @@
         (0.016_54, "0.0165"),
     ];
     for (value, words) in rows {
-        assert_eq!(digits(value), words);
+        assert_eq!(three_digits(value), words);
     }
-    assert_eq!(digits(0.000_001_234), "1.23e-6");
-    assert_eq!(digits(-0.5), "-0.500");
+    assert_eq!(three_digits(0.000_001_234), "1.23e-6");
+    assert_eq!(three_digits(-0.5), "-0.500");
 }
 
 fn row(size: usize, value: f64) -> Row {
@@ -107,7 +109,7 @@
     let mut ask = Ask::new(&registry, "/catalog/members");
     let mut whole = vec![0; ask.length];
     ask.stream.read_exact(&mut whole).unwrap();
-    assert_eq!(registry.asked().whole_bytes, whole.len() as u64);
+    assert_eq!(registry.request_counts().whole_bytes, whole.len() as u64);
     let whole: serde_json::Value = serde_json::from_slice(&whole).unwrap();
     assert_eq!((whole["index"].as_u64(), whole["snapshot"].as_bool()), (Some(1), Some(true)));
     assert_eq!(whole["endpoints"].as_array().unwrap().len(), 3);
@@ -122,20 +124,20 @@
     let all = Ask::new(&registry, "/catalog/members?watch=1&after=0").chunk();
     let all: serde_json::Value = serde_json::from_str(&all).unwrap();
     assert_eq!(all["endpoints"][1]["weight"], 7.0);
-    assert_eq!(registry.asked().asks, 3);
-    assert!(registry.asked().watch_bytes > line.len() as u64);
+    assert_eq!(registry.request_counts().asks, 3);
+    assert!(registry.request_counts().watch_bytes > line.len() as u64);
 }
 
 #[test]
 fn nobody_listens_nowhere() {
-    let nowhere = Nowhere::new().unwrap();
+    let nowhere = RefusingAddress::new().unwrap();
     let refused = TcpStream::connect(nowhere.address).unwrap_err();
     assert_eq!(refused.kind(), std::io::ErrorKind::ConnectionRefused);
 }
 
 #[test]
 fn a_slope_ends_when_its_time_is_up() {
-    let bound = Bound::new(std::time::Duration::ZERO);
+    let bound = Deadline::new(std::time::Duration::ZERO);
     let words = bound.until(std::time::Duration::from_secs(60), || Ok(false)).unwrap_err().to_string();
     assert_eq!(words, "the slope's time was up");
     assert!(bound.sleep(std::time::Duration::from_secs(60)).is_err());
