--- a/crates/rig/benches/slopes.rs
+++ b/crates/rig/benches/slopes.rs
@@ -111,7 +111,7 @@
 
 fn start_with_list(
     binary: &Path,
-    bound: Deadline,
+    deadline: Deadline,
     registry: Registry,
     last: usize,
     (room, disk_mb): (usize, f64),
@@ -119,13 +119,13 @@
     let discovery = registry.address;
     let start = Instant::now();
     let mut courier = Courier::start(binary, |listen| config(listen, discovery, room, disk_mb))?;
-    courier.ready(bound, start, LIST_TIMEOUT)?;
+    courier.ready(deadline, start, LIST_TIMEOUT)?;
     let (mut client, mut known) = (Client::connect(courier.listen, u32::MAX)?, None);
     while known.is_none() && start.elapsed() < LIST_TIMEOUT {
-        bound.sleep(Duration::from_millis(20))?;
+        deadline.sleep(Duration::from_millis(20))?;
         courier.check()?;
         if client.hand_in([last].into_iter())?.taken == 1 {
-            known = Some(courier.used()?.processor);
+            known = Some(courier.processor_use()?.processor);
         }
     }
     Ok(StartedCourier { registry, courier, known })
@@ -142,17 +142,18 @@
     }
 }
 
-fn measure_lists(binary: &Path, destinations: usize, bound: Deadline) -> Result<Vec<Measured>, Stopped> {
+fn measure_lists(binary: &Path, destinations: usize, deadline: Deadline) -> Result<Vec<Measured>, Stopped> {
     let endpoint = Endpoint::new(&[]);
     let registry = Registry::new(destinations, endpoint.address)?;
     let StartedCourier { registry, courier, known } =
-        start_with_list(binary, bound, registry, destinations, (1_000, LISTS_MB))?;
+        start_with_list(binary, deadline, registry, destinations, (1_000, LISTS_MB))?;
     let first_bytes = registry.request_counts().whole_bytes;
     // The list is stored a second after it was applied.
-    bound.sleep(Duration::from_secs(3))?;
-    let (asked, resident, before) = (registry.request_counts(), courier.resident()?, courier.used()?);
-    bound.sleep(MEASURING_TIME)?;
-    let (after, end) = (courier.used()?, registry.request_counts());
+    deadline.sleep(Duration::from_secs(3))?;
+    let (asked, resident, before) =
+        (registry.request_counts(), courier.resident()?, courier.processor_use()?);
+    deadline.sleep(MEASURING_TIME)?;
+    let (after, end) = (courier.processor_use()?, registry.request_counts());
     let share = after.share_since(before);
     let seconds = (after.at - before.at).as_secs_f64();
     let asks = (end.asks - asked.asks) as f64 / seconds;
@@ -185,10 +186,15 @@
     })
 }
 
-fn measure_messages(binary: &Path, destinations: usize, bound: Deadline) -> Result<Vec<Measured>, Stopped> {
+fn measure_messages(
+    binary: &Path,
+    destinations: usize,
+    deadline: Deadline,
+) -> Result<Vec<Measured>, Stopped> {
     let endpoint = Endpoint::new(&[]);
     let registry = Registry::new(destinations, endpoint.address)?;
-    let held = start_with_list(binary, bound, registry, destinations, (10_000, LISTS_MB))?.require_list()?;
+    let held =
+        start_with_list(binary, deadline, registry, destinations, (10_000, LISTS_MB))?.require_list()?;
     let listen = held.courier.listen;
     let delivered = || endpoint.calls.lock().map_or(0, |calls| calls.len());
     let (warm, end) = (Duration::from_secs(2), Duration::from_secs(2) + MEASURING_TIME);
@@ -199,7 +205,7 @@
         let gap = Duration::from_secs(1) * CLIENTS as u32 / RATE as u32;
         let (mut at, mut taken, mut others) = (gap * number as u32 / CLIENTS as u32, 0, 0);
         while at < end {
-            bound.check()?;
+            deadline.check()?;
             std::thread::sleep(at.saturating_sub(start.elapsed()));
             let heard = client.hand_in([chance.usize(1..=destinations)].into_iter())?;
             (taken, others) = (taken + heard.taken, others + heard.busy + heard.failed);
@@ -211,10 +217,10 @@
         let load = &load;
         let clients: Vec<_> = (0..CLIENTS).map(|number| scope.spawn(move || load(number))).collect();
         let look = || {
-            bound.sleep(warm.saturating_sub(start.elapsed()))?;
-            let before = (held.courier.used()?, delivered());
-            bound.sleep(MEASURING_TIME)?;
-            Ok::<_, Stopped>((before, (held.courier.used()?, delivered())))
+            deadline.sleep(warm.saturating_sub(start.elapsed()))?;
+            let before = (held.courier.processor_use()?, delivered());
+            deadline.sleep(MEASURING_TIME)?;
+            Ok::<_, Stopped>((before, (held.courier.processor_use()?, delivered())))
         };
         let used = look();
         let mut tally = (0, 0);
@@ -240,23 +246,24 @@
     Ok(vec![Ok((cost, words))])
 }
 
-fn measure_changes(binary: &Path, destinations: usize, bound: Deadline) -> Result<Vec<Measured>, Stopped> {
+fn measure_changes(binary: &Path, destinations: usize, deadline: Deadline) -> Result<Vec<Measured>, Stopped> {
     let endpoint = Endpoint::new(&[]);
     let registry = Registry::new(destinations, endpoint.address)?;
     let StartedCourier { registry, courier, .. } =
-        start_with_list(binary, bound, registry, destinations, (1_000, LISTS_MB))?.require_list()?;
-    bound.sleep(Duration::from_secs(3))?;
-    let before = courier.used()?;
-    bound.sleep(MEASURING_TIME / 2)?;
-    let (idle, asked) = (courier.used()?, registry.request_counts());
+        start_with_list(binary, deadline, registry, destinations, (1_000, LISTS_MB))?.require_list()?;
+    deadline.sleep(Duration::from_secs(3))?;
+    let before = courier.processor_use()?;
+    deadline.sleep(MEASURING_TIME / 2)?;
+    let (idle, asked) = (courier.processor_use()?, registry.request_counts());
     let mut chance = fastrand::Rng::with_seed(destinations as u64);
     let count = CHANGES_A_SECOND * MEASURING_TIME.as_secs() as u32;
     for number in 0..count {
-        bound.sleep((idle.at + MEASURING_TIME * number / count).saturating_duration_since(Instant::now()))?;
+        deadline
+            .sleep((idle.at + MEASURING_TIME * number / count).saturating_duration_since(Instant::now()))?;
         registry.change(chance.usize(1..=destinations), endpoint.address, 500.0 + 1000.0 * chance.f64());
     }
-    bound.sleep((idle.at + MEASURING_TIME).saturating_duration_since(Instant::now()))?;
-    let (after, end) = (courier.used()?, registry.request_counts());
+    deadline.sleep((idle.at + MEASURING_TIME).saturating_duration_since(Instant::now()))?;
+    let (after, end) = (courier.processor_use()?, registry.request_counts());
     let share = after.share_since(idle) - idle.share_since(before);
     let cost = share * (after.at - idle.at).as_secs_f64() * 1e3 / f64::from(count);
     let bytes = (end.watch_bytes - asked.watch_bytes) as f64 / f64::from(count);
@@ -275,11 +282,11 @@
 const STORED_MAIL_BYTES: f64 = 340.0;
 
 /// Hands in mails for the destinations 1 to `UNREACHABLE` in turn until `count` of them have been taken.
-fn fill(courier: &mut Courier, count: usize, bound: Deadline) -> Result<(), Stopped> {
+fn fill(courier: &mut Courier, count: usize, deadline: Deadline) -> Result<(), Stopped> {
     let mut client = Client::connect(courier.listen, u32::MAX - 1)?;
     let (mut taken, mut last) = (0, Instant::now());
     while taken < count {
-        bound.check()?;
+        deadline.check()?;
         courier.check()?;
         let some = (taken..count).take(64).map(|number| 1 + number % UNREACHABLE);
         let heard = client.hand_in(some)?;
@@ -294,27 +301,27 @@
     Ok(())
 }
 
-fn measure_held(binary: &Path, count: usize, bound: Deadline) -> Result<Vec<Measured>, Stopped> {
-    let nowhere = RefusingAddress::new()?;
-    let registry = Registry::new(UNREACHABLE, nowhere.address)?;
+fn measure_held(binary: &Path, count: usize, deadline: Deadline) -> Result<Vec<Measured>, Stopped> {
+    let refusing = RefusingAddress::new()?;
+    let registry = Registry::new(UNREACHABLE, refusing.address)?;
     let disk_mb = (count as f64 * STORED_MAIL_BYTES / 0.3 / 1e6).max(3.0);
     let StartedCourier { registry: _registry, mut courier, .. } =
-        start_with_list(binary, bound, registry, UNREACHABLE, (count * 2 + 1_000, disk_mb))?
+        start_with_list(binary, deadline, registry, UNREACHABLE, (count * 2 + 1_000, disk_mb))?
             .require_list()?;
-    let before = courier.used()?;
-    fill(&mut courier, count, bound)?;
-    let filled = courier.used()?;
+    let before = courier.processor_use()?;
+    fill(&mut courier, count, deadline)?;
+    let filled = courier.processor_use()?;
     let (taking, took) = (filled.processor - before.processor, filled.at - before.at);
     let file = courier.journal()?.1;
-    bound.sleep(Duration::from_secs(2))?;
-    let begin = courier.used()?;
-    bound.sleep(MEASURING_TIME / 2)?;
-    let used = courier.used()?;
+    deadline.sleep(Duration::from_secs(2))?;
+    let begin = courier.processor_use()?;
+    deadline.sleep(MEASURING_TIME / 2)?;
+    let used = courier.processor_use()?;
     let (share, wanted) = (used.share_since(begin), used.runnable_share_since(begin));
     let (resident, later) = (courier.resident()?, courier.journal()?.1);
-    let at = courier.kill_and_start()?;
-    let start = courier.ready(bound, at, Duration::from_secs(60))?;
-    let used = courier.used()?.processor;
+    let at = courier.restart_after_kill()?;
+    let start = courier.ready(deadline, at, Duration::from_secs(60))?;
+    let used = courier.processor_use()?.processor;
     let words = format!("ran or in line for a core {wanted:.2} of the time");
     let share = if wanted < SATURATED {
         Ok((share, words))
@@ -333,16 +340,16 @@
 /// A rewrite of the journal: when it was seen, the journal's size in bytes then, and the number of mails taken so far.
 type Rewrite = (Instant, u64, usize);
 
-fn measure_rewrites(binary: &Path, count: usize, bound: Deadline) -> Result<Vec<Measured>, Stopped> {
-    let (nowhere, endpoint) = (RefusingAddress::new()?, Endpoint::new(&[]));
+fn measure_rewrites(binary: &Path, count: usize, deadline: Deadline) -> Result<Vec<Measured>, Stopped> {
+    let (refusing, endpoint) = (RefusingAddress::new()?, Endpoint::new(&[]));
     let reached = UNREACHABLE + 1;
-    let registry = Registry::new(reached, nowhere.address)?;
+    let registry = Registry::new(reached, refusing.address)?;
     registry.change(reached, endpoint.address, 1e6);
     // The held mails use 0.30 of the folder's limit; 0.34 is allowed, and at 0.44 the journal is rewritten.
     let disk_mb = count as f64 * STORED_MAIL_BYTES / 0.3 / 1e6;
     let StartedCourier { registry: _registry, mut courier, .. } =
-        start_with_list(binary, bound, registry, reached, (count * 2 + 1_000, disk_mb))?.require_list()?;
-    fill(&mut courier, count, bound)?;
+        start_with_list(binary, deadline, registry, reached, (count * 2 + 1_000, disk_mb))?.require_list()?;
+    fill(&mut courier, count, deadline)?;
     let (listen, done, taken) = (courier.listen, AtomicBool::new(false), AtomicUsize::new(0));
     let mut seen: Vec<Rewrite> = Vec::new();
     let pings = std::thread::scope(|scope| {
@@ -373,7 +380,7 @@
                 }
             }
             watched = now;
-            looked = bound.check();
+            looked = deadline.check();
         }
         done.store(true, Ordering::Relaxed);
         let failed = |_| Stopped("a client has failed".to_string());
--- a/crates/rig/src/scale/day.rs
+++ b/crates/rig/src/scale/day.rs
@@ -464,7 +464,7 @@
     }
 
     /// The equivalent rig day of the real couriers alone, for the judge of mails.
-    pub fn of_messages(&self, seconds: f64) -> day::Day {
+    pub fn mail_day(&self, seconds: f64) -> day::Day {
         day::Day {
             about: self.about.clone(),
             seconds,
--- a/crates/rig/src/scale/endpoint_proxy.rs
+++ b/crates/rig/src/scale/endpoint_proxy.rs
@@ -58,7 +58,7 @@
         let mut first = Vec::new();
         let link = loop {
             let read = near.read_buf(&mut first).await?;
-            let message = message(&first).and_then(|message| couriers.get(message as usize));
+            let message = first_mail(&first).and_then(|message| couriers.get(message as usize));
             match message.and_then(|&courier| links.get(courier)) {
                 Some(&link) => break link,
                 None if read == 0 => return Ok(()),
@@ -84,7 +84,7 @@
 }
 
 /// The first mail of a call: from the `X-Request-Id` header, or from the body of a batch.
-fn message(call: &[u8]) -> Option<u32> {
+fn first_mail(call: &[u8]) -> Option<u32> {
     let text = String::from_utf8_lossy(call);
     let mark = if text.starts_with("POST /hook/batch ") { "\"id\":\"" } else { "x-request-id: " };
     let at = text.to_ascii_lowercase().find(mark)? + mark.len();
@@ -96,7 +96,7 @@
     use super::*;
 
     #[test]
-    fn the_first_message_of_a_call_is_found_in_its_head_or_batch_and_nowhere_else() {
+    fn the_first_mail_of_a_call_is_found_only_in_its_head_or_batch() {
         let rows = [
             ("POST /hook HTTP/1.1\r\nX-Request-Id: 0000001200000001\r\n\r\n", Some(0x12)),
             ("POST /hook HTTP/1.1\r\nX-Request-Id: 00000012000", None),
@@ -105,7 +105,7 @@
             ("", None),
         ];
         for (call, found) in rows {
-            assert_eq!(message(call.as_bytes()), found, "{call}");
+            assert_eq!(first_mail(call.as_bytes()), found, "{call}");
         }
     }
 }
--- a/crates/rig/src/scale/gauge.rs
+++ b/crates/rig/src/scale/gauge.rs
@@ -30,23 +30,23 @@
     Some(ResourceUse { processor_s, resident: number(24)? * page, started: number(22)? })
 }
 
-fn taken(path: &str) -> Option<ResourceUse> {
+fn read_use(path: &str) -> Option<ResourceUse> {
     read_stat(&fs::read_to_string(path).ok()?, rustix::param::page_size() as u64)
 }
 
 /// `None` if there is no such process.
 pub fn of_process(id: u32) -> Option<ResourceUse> {
-    taken(&format!("/proc/{id}/stat"))
+    read_use(&format!("/proc/{id}/stat"))
 }
 
 /// Resource use of a thread of this process.
 pub fn of_thread(id: i32) -> Option<ResourceUse> {
-    taken(&format!("/proc/self/task/{id}/stat"))
+    read_use(&format!("/proc/self/task/{id}/stat"))
 }
 
 /// Resource use of this process.
 pub fn of_self() -> ResourceUse {
-    taken("/proc/self/stat").unwrap_or_default()
+    read_use("/proc/self/stat").unwrap_or_default()
 }
 
 /// UDP datagrams sent by all processes of this machine.
@@ -81,7 +81,7 @@
 const TMPFS_MAGIC: u64 = 0x0102_1994;
 
 /// Used bytes of the file system that holds a folder.
-pub fn taken_of(folder: &Path) -> u64 {
+pub fn used_bytes(folder: &Path) -> u64 {
     rustix::fs::statvfs(folder).map_or(0, |of| (of.f_blocks - of.f_bfree) * of.f_frsize)
 }
 
@@ -110,7 +110,7 @@
     use super::*;
 
     #[test]
-    fn a_process_is_read_whatever_its_name_is() {
+    fn a_stat_line_is_parsed_with_any_process_name() {
         let rest = "S 1 2 3 0 -1 4 5 6 7 8 150 50 0 0 20 0 65 0 9000 1000000 300 18446744073709551615";
         let taken = ResourceUse { processor_s: 2.0, resident: 300 * 4096, started: 9000 };
         for name in ["meadowhold", "a) S 9 (b", ""] {
@@ -121,7 +121,7 @@
     }
 
     #[test]
-    fn this_process_is_found_and_one_that_is_not_there_is_not() {
+    fn resource_use_is_read_for_existing_processes_only() {
         let own = of_process(std::process::id()).unwrap();
         assert!(own.resident > 0 && own.started > 0, "{own:?}");
         assert_eq!(of_process(u32::MAX), None);
--- a/crates/rig/src/scale/hollow.rs
+++ b/crates/rig/src/scale/hollow.rs
@@ -187,7 +187,7 @@
                     ENDING.store(true, Ordering::Relaxed);
                     stop.send_replace(true);
                 }
-                _ = hangup.recv() => read_again(path, &places),
+                _ = hangup.recv() => reload(path, &places),
                 ended = running.join_next() => match ended {
                     None => return Ok(()),
                     Some(Ok(Ok(()))) => {}
@@ -202,7 +202,7 @@
 }
 
 /// Reloads the file on SIGHUP. As with a real courier, the address of discovery may change while it runs.
-fn read_again(path: &Path, places: &[watch::Sender<SocketAddr>]) {
+fn reload(path: &Path, places: &[watch::Sender<SocketAddr>]) {
     let text = |file: &File| file.common["discovery"].as_str().and_then(|text| text.parse().ok());
     match File::read(path).map(|file| text(&file)) {
         Ok(Some(now)) => {
--- a/crates/rig/src/scale/on_file.rs
+++ b/crates/rig/src/scale/on_file.rs
@@ -15,7 +15,7 @@
 }
 
 #[derive(Deserialize)]
-struct Kept {
+struct StoredEntry {
     name: String,
     group: u64,
     status: String,
@@ -36,10 +36,10 @@
 
 /// Compares files with one version of the list. Once a file's entries have been found right, later files are compared
 /// with its bytes first.
-pub struct Check {
+pub struct FileCheck {
     version: u64,
     expected: BTreeMap<String, Expected>,
-    right: Vec<u8>,
+    verified: Vec<u8>,
     /// `expected` by number, and the number of each name.
     numbers: HashMap<String, usize>,
     by_number: Vec<Expected>,
@@ -61,11 +61,11 @@
     (checksum == number(4)).then_some((head[8], body, checksum, after))
 }
 
-impl Check {
-    pub fn new(version: u64, expected: BTreeMap<String, Expected>) -> Check {
+impl FileCheck {
+    pub fn new(version: u64, expected: BTreeMap<String, Expected>) -> FileCheck {
         let numbers = expected.keys().enumerate().map(|(number, name)| (name.clone(), number)).collect();
         let by_number = expected.values().cloned().collect();
-        Check { version, expected, right: Vec::new(), numbers, by_number }
+        FileCheck { version, expected, verified: Vec::new(), numbers, by_number }
     }
 
     /// # Errors
@@ -97,11 +97,11 @@
         if head.index != self.version {
             return Err(Fault::Version(head.index));
         }
-        if rest == self.right {
+        if rest == self.verified {
             return Ok(());
         }
         self.entries(&rest[mark.len()..])?;
-        self.right = rest.to_vec();
+        self.verified = rest.to_vec();
         Ok(())
     }
 
@@ -110,7 +110,7 @@
         let unread = |words: &str| Fault::Unread(words.to_string());
         // The stored entries by number; entries that the source does not list have no number.
         let mut held: Vec<Option<EntryRef>> = vec![None; self.by_number.len()];
-        let mut strange: BTreeMap<&str, ()> = BTreeMap::new();
+        let mut unlisted: BTreeMap<&str, ()> = BTreeMap::new();
         let (mut rest, mut at, mut version, mut open) = (records, 0, 0, false);
         while !rest.is_empty() {
             let (kind, body, checksum, after) = record(rest, at).ok_or_else(|| unread("it is cut short"))?;
@@ -127,8 +127,8 @@
                         let gone = entry.status() == "DELETED";
                         match self.numbers.get(entry.name) {
                             Some(&number) => held[number] = (!gone).then_some(entry),
-                            None if gone => drop(strange.remove(entry.name)),
-                            None => drop(strange.insert(entry.name, ())),
+                            None if gone => drop(unlisted.remove(entry.name)),
+                            None => drop(unlisted.insert(entry.name, ())),
                         }
                     }
                 }
@@ -141,7 +141,7 @@
         if version != self.version {
             return Err(Fault::Version(version));
         }
-        if let Some((name, ())) = strange.first_key_value() {
+        if let Some((name, ())) = unlisted.first_key_value() {
             return Err(Fault::Entries(format!("{name}, which is not listed")));
         }
         for (held, expected) in held.iter().zip(&self.by_number) {
@@ -160,7 +160,7 @@
     }
 
     fn entries(&self, rest: &[u8]) -> Result<(), Fault> {
-        let mut lists = serde_json::Deserializer::from_slice(rest).into_iter::<Vec<Kept>>();
+        let mut lists = serde_json::Deserializer::from_slice(rest).into_iter::<Vec<StoredEntry>>();
         let kept = match lists.next() {
             Some(Ok(kept)) => kept,
             Some(Err(e)) => return Err(Fault::Unread(e.to_string())),
@@ -217,13 +217,13 @@
     }
 
     #[test]
-    fn a_file_is_right_only_with_the_version_and_each_entry_of_the_source() {
+    fn a_file_matches_only_with_the_version_and_all_entries_of_the_source() {
         let entry = |status, weight| Expected { group: 1, status, weight, since_ms: 0 };
         let expected = BTreeMap::from([
             ("a".to_string(), entry("SERVING", 2.5)),
             ("b".to_string(), entry("DRAINING", 1.0)),
         ]);
-        let mut check = Check::new(7, expected);
+        let mut check = FileCheck::new(7, expected);
         let both =
             |status: &str, weight: f64| [kept("a", "SERVING", 2.5), kept("b", status, weight)].join(",");
         let right = file(7, &both("DRAINING", 1.0));
@@ -249,7 +249,7 @@
     /// A file as `ListStore` writes it: a list of 300 entries, then changes, each saved before the next.
     fn appended(changes: &[(u64, &str, &str, f64)]) -> Vec<u8> {
         let folder = tempfile::tempdir().unwrap();
-        let mut keeper = ListStore::new(folder.path(), 10_000_000, "d".to_string());
+        let mut store = ListStore::new(folder.path(), 10_000_000, "d".to_string());
         let entry = |name: &str, status: &str, weight| Entry {
             name: name.to_string(),
             address: "x".to_string(),
@@ -261,24 +261,24 @@
             since_ms: 0,
         };
         let endpoints = (0..300).map(|n| entry(&format!("d{n}"), "SERVING", 2.5)).collect();
-        keeper.apply_list(&List { index: 1, snapshot: true, endpoints });
-        keeper.save(10 * SECOND);
+        store.apply_list(&List { index: 1, snapshot: true, endpoints });
+        store.save(10 * SECOND);
         for &(index, name, status, weight) in changes {
-            keeper.apply_list(&List { index, snapshot: false, endpoints: vec![entry(name, status, weight)] });
-            keeper.save(index * 20 * SECOND);
+            store.apply_list(&List { index, snapshot: false, endpoints: vec![entry(name, status, weight)] });
+            store.save(index * 20 * SECOND);
         }
         std::fs::read(folder.path().join("memory")).unwrap()
     }
 
     #[test]
-    fn a_file_with_changes_is_right_only_with_each_of_them_whole() {
+    fn a_file_with_appended_changes_matches_only_if_all_are_complete() {
         let expected = |status, weight| Expected { group: 1, status, weight, since_ms: 0 };
         let mut listed: BTreeMap<String, Expected> =
             (0..300).map(|n| (format!("d{n}"), expected("SERVING", 2.5))).collect();
         listed.insert("d7".to_string(), expected("DRAINING", 1.0));
         listed.remove("d8");
         listed.insert("new".to_string(), expected("SERVING", 4.0));
-        let mut check = Check::new(4, listed);
+        let mut check = FileCheck::new(4, listed);
         let changes = [(2, "d7", "DRAINING", 1.0), (3, "d8", "DELETED", 2.5), (4, "new", "SERVING", 4.0)];
         let right = appended(&changes);
         assert!(right.starts_with(APPENDED));
@@ -299,9 +299,9 @@
         }
         let mut chance = fastrand::Rng::with_seed(5);
         for _ in 0..200 {
-            let (mut spoilt, at) = (right.clone(), chance.usize(APPENDED.len()..right.len()));
-            spoilt[at] ^= 1 << chance.u8(..8);
-            assert!(check.bytes(&spoilt).is_err(), "another byte at {at}");
+            let (mut corrupted, at) = (right.clone(), chance.usize(APPENDED.len()..right.len()));
+            corrupted[at] ^= 1 << chance.u8(..8);
+            assert!(check.bytes(&corrupted).is_err(), "another byte at {at}");
         }
     }
 }
--- a/crates/rig/src/scale/process.rs
+++ b/crates/rig/src/scale/process.rs
@@ -27,12 +27,12 @@
     Some((version.parse().ok()?, rest.strip_prefix(" at ")))
 }
 
-/// The name of a hollow courier; `number` is the inverse.
-pub fn name(courier: usize) -> String {
+/// The name of a hollow courier; `hollow_number` is the inverse.
+pub fn hollow_name(courier: usize) -> String {
     format!("h{courier}")
 }
 
-fn number(name: &str) -> Option<usize> {
+fn hollow_number(name: &str) -> Option<usize> {
     name.strip_prefix('h')?.parse().ok()
 }
 
@@ -91,11 +91,11 @@
         // order.
         let mut child = command.kill_on_drop(true).process_group(0).spawn()?;
         let id = child.id().ok_or(io::ErrorKind::NotFound)?;
-        let said = child.stderr.take().ok_or(io::ErrorKind::BrokenPipe)?;
+        let stderr = child.stderr.take().ok_or(io::ErrorKind::BrokenPipe)?;
         self.child = Some(child);
         self.guard.lock().await.started(id).await?;
         let (tracker, record, log) = (self.tracker.clone(), self.record.clone(), self.log.clone());
-        self.reader = Some(tokio::spawn(read(said, self.place.clone(), tracker, record, log)));
+        self.reader = Some(tokio::spawn(read(stderr, self.place.clone(), tracker, record, log)));
         Ok(())
     }
 
@@ -160,13 +160,13 @@
 }
 
 async fn read(
-    said: ChildStderr,
+    stderr: ChildStderr,
     place: Place,
     tracker: Arc<Mutex<VersionTracker>>,
     record: Arc<Record>,
     log: Arc<Mutex<Vec<String>>>,
 ) {
-    let mut lines = BufReader::new(said).lines();
+    let mut lines = BufReader::new(stderr).lines();
     // Couriers write only UTF-8: at an invalid line the rest of the log is left unread, and the process ends on its
     // closed pipe.
     while let Ok(Some(line)) = lines.next_line().await {
@@ -174,7 +174,7 @@
         match parse_in_force(&line) {
             Some((version, name)) => {
                 let courier = match name {
-                    Some(name) => number(name).filter(|courier| place.couriers.contains(courier)),
+                    Some(name) => hollow_number(name).filter(|courier| place.couriers.contains(courier)),
                     None => place.real.then_some(place.couriers.start),
                 };
                 if let Some(courier) = courier {
@@ -217,7 +217,7 @@
     use super::*;
 
     #[test]
-    fn why_a_list_is_not_followed_is_read_whichever_try_it_was() {
+    fn the_reasons_for_not_following_a_list_are_read_from_the_log() {
         let line = |words: &str| format!("[WARN meadowhold_courier::discovery] {words}");
         let long = "the list has more than 8192 entries (limits.list_entries)";
         let heavy = "the list is longer than 4 MB (limits.list_mb)";
@@ -245,7 +245,7 @@
     }
 
     #[test]
-    fn the_end_of_membership_is_a_fault_where_its_audit_found_one() {
+    fn the_end_of_membership_is_a_fault_only_if_its_audit_found_one() {
         let end = |broken, faults| {
             format!("[INFO x::members] membership has ended: Counts {{ sent: 1, broken: {broken}, faults: {faults} }}, 0 wishes lost")
         };
@@ -257,7 +257,7 @@
     }
 
     #[test]
-    fn what_is_in_force_is_read_from_real_and_hollow_couriers_lines() {
+    fn versions_in_force_are_read_from_lines_of_real_and_hollow_couriers() {
         let rows = [
             ("[2026-12-02T00:22:46.012345Z TRACE in_force] list 12 is in force", Some((12, None))),
             ("[TRACE in_force] list 3 is in force at h57", Some((3, Some("h57")))),
@@ -267,6 +267,9 @@
         for (line, said) in rows {
             assert_eq!(parse_in_force(line), said, "{line}");
         }
-        assert_eq!((number(&name(57)), number("57"), number("hx")), (Some(57), None, None));
+        assert_eq!(
+            (hollow_number(&hollow_name(57)), hollow_number("57"), hollow_number("hx")),
+            (Some(57), None, None)
+        );
     }
 }
--- a/crates/rig/src/scale/report.rs
+++ b/crates/rig/src/scale/report.rs
@@ -10,7 +10,7 @@
 use crate::judge::Verdict;
 
 /// The number of violations printed in full for each rule.
-const SHOWN: usize = 4;
+const MAX_SHOWN: usize = 4;
 
 /// Seconds until a change was in force at couriers without trouble: the 50th and 99th percentile and the last courier
 /// as medians over the changes, and the largest time of all.
@@ -26,11 +26,11 @@
     pub fn of(changes: &[Change], percentile: impl Fn(&[u64], f64) -> Option<u64>) -> InForce {
         let median = |part: f64| {
             let mut times: Vec<u64> =
-                changes.iter().filter_map(|change| percentile(&change.calm, part)).collect();
+                changes.iter().filter_map(|change| percentile(&change.times, part)).collect();
             times.sort_unstable();
             percentile(&times, 0.5).map(|us| us as f64 / 1e6)
         };
-        let worst = changes.iter().filter_map(|change| change.calm.last()).max();
+        let worst = changes.iter().filter_map(|change| change.times.last()).max();
         InForce {
             half_s: median(0.5),
             of_99_s: median(0.99),
@@ -93,14 +93,14 @@
     }
 
     /// The average size of a datagram in bytes.
-    pub fn each(&self) -> Option<f64> {
+    pub fn average_size(&self) -> Option<f64> {
         (self.sent > 0).then(|| self.sent_bytes as f64 / self.sent as f64)
     }
 }
 
 /// The mails' figures and violations at the real couriers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Messages {
+pub struct MailReport {
     pub handed_in: u64,
     pub taken: u64,
     pub delivered: u64,
@@ -113,10 +113,10 @@
     pub broken: Vec<String>,
 }
 
-impl Messages {
-    pub fn new(verdict: &Verdict) -> Messages {
+impl MailReport {
+    pub fn new(verdict: &Verdict) -> MailReport {
         let g = &verdict.figures;
-        Messages {
+        MailReport {
             handed_in: g.handed,
             taken: g.taken,
             delivered: g.relayed,
@@ -151,7 +151,7 @@
     pub refused: Option<String>,
     pub phases: Vec<Phase>,
     pub membership: Membership,
-    pub messages: Messages,
+    pub messages: MailReport,
     pub broken: Vec<Violation>,
 }
 
@@ -287,7 +287,7 @@
         }
         let m = &self.messages;
         writeln!(f)?;
-        if let Some(each) = self.membership.each() {
+        if let Some(each) = self.membership.average_size() {
             writeln!(
                 f,
                 "a datagram of membership has {each:.0} bytes on the average, as {} nodes say in the end",
@@ -302,18 +302,22 @@
         )?;
         for (rule, name) in Rule::ALL {
             let broken: Vec<&Violation> = self.broken.iter().filter(|broken| broken.rule == rule).collect();
-            tell(f, name, &broken.iter().map(|broken| broken.words.as_str()).collect::<Vec<_>>())?;
+            write_violations(
+                f,
+                name,
+                &broken.iter().map(|broken| broken.words.as_str()).collect::<Vec<_>>(),
+            )?;
         }
-        tell(f, "the rules of messages", &m.broken.iter().map(String::as_str).collect::<Vec<_>>())
+        write_violations(f, "the rules of messages", &m.broken.iter().map(String::as_str).collect::<Vec<_>>())
     }
 }
 
-fn tell(f: &mut fmt::Formatter, name: &str, broken: &[&str]) -> fmt::Result {
+fn write_violations(f: &mut fmt::Formatter, name: &str, broken: &[&str]) -> fmt::Result {
     if broken.is_empty() {
         return writeln!(f, "{name:<40} kept");
     }
     writeln!(f, "{name:<40} broken {} times", broken.len())?;
-    for words in broken.iter().take(SHOWN) {
+    for words in broken.iter().take(MAX_SHOWN) {
         writeln!(f, "    {words}")?;
     }
     Ok(())
--- a/crates/rig/src/scale/run.rs
+++ b/crates/rig/src/scale/run.rs
@@ -20,11 +20,11 @@
 use super::endpoint_proxy::EndpointProxy;
 use super::guard::{self, Guard};
 use super::hollow;
-use super::on_file::{Check, Fault};
-use super::process::{self, name, Process};
-use super::report::{InForce, Messages, Phase, Report};
+use super::on_file::{Fault, FileCheck};
+use super::process::{self, hollow_name, Process};
+use super::report::{InForce, MailReport, Phase, Report};
 use super::source::{Follower, Setup, Source};
-use super::sums::{each, followed, ResourceSampler, ResourceTotals};
+use super::sums::{each, follower_rates, ResourceSampler, ResourceTotals};
 use super::tracker::{percentile, Rule, VersionTracker};
 use super::versions::Versions;
 use crate::client::{self, Pool};
@@ -68,7 +68,7 @@
     pub folder: PathBuf,
 }
 
-struct World {
+struct Fleet {
     day: Day,
     seed: u64,
     machine: Machine,
@@ -105,15 +105,15 @@
         let lines: Vec<String> = faults.iter().map(|fault| format!("\n  {fault}")).collect();
         return Err(format!("the day is beyond this machine:{}", lines.concat()));
     }
-    let world = World::build(day, seed, programs, folder, machine).await;
-    let world = Arc::new(world.map_err(|e| format!("the day cannot be set up: {e}"))?);
+    let fleet = Fleet::build(day, seed, programs, folder, machine).await;
+    let fleet = Arc::new(fleet.map_err(|e| format!("the day cannot be set up: {e}"))?);
     let stage = Arc::new(Mutex::new("start".to_string()));
     let passed = tokio::select! {
-        report = world.clone().play(stage.clone()) => report,
-        words = world.watch(stage, progress) => Err(words),
+        report = fleet.clone().run_phases(stage.clone()) => report,
+        words = fleet.monitor(stage, progress) => Err(words),
     };
     // No process may still run when the report is returned.
-    for process in &world.processes {
+    for process in &fleet.processes {
         let mut process = process.lock().await;
         process.signal(Signal::KILL);
         process.ended().await;
@@ -121,14 +121,14 @@
     passed
 }
 
-impl World {
+impl Fleet {
     async fn build(
         day: &Day,
         seed: u64,
         programs: &Programs,
         folder: tempfile::TempDir,
         machine: Machine,
-    ) -> io::Result<World> {
+    ) -> io::Result<Fleet> {
         let net = Net::claim()?;
         let record = Arc::new(Record::new(std::time::Instant::now()));
         let places = day.places();
@@ -185,7 +185,8 @@
             links.push(Relay::start(near, link(number), source.at, seed).await?);
             let mut own = Vec::new();
             for relay in 0..relays {
-                let (seed, look) = (seed ^ (relay as u64 + 2) << 8, watched(&tracker, relay, number));
+                let (seed, look) =
+                    (seed ^ (relay as u64 + 2) << 8, version_inspector(&tracker, relay, number));
                 own.push(
                     Relay::start_with_inspector(near, link(number), relay_at(relay), seed, Some(look))
                         .await?,
@@ -205,7 +206,7 @@
         }
         let mut proxies = Vec::new();
         if relays > 0 {
-            let schedule = Schedule::draw(&day.of_messages(SCHEDULE_S), seed);
+            let schedule = Schedule::draw(&day.mail_day(SCHEDULE_S), seed);
             let couriers: Vec<usize> = schedule.mails.iter().map(|mail| mail.courier).collect();
             let couriers = Arc::new(couriers);
             for number in 0..endpoints.len() {
@@ -226,7 +227,7 @@
         let members: Vec<String> = (0..day.members())
             .map(|courier| SocketAddr::from((address(courier), MEMBERS)).to_string())
             .collect();
-        let mut settings = settings(&day.of_messages(SCHEDULE_S));
+        let mut settings = settings(&day.mail_day(SCHEDULE_S));
         settings["MembershipMode"] = match day.source.lists {
             Lists::Pushed => json!("push"),
             Lists::Asked => json!("ask"),
@@ -260,7 +261,7 @@
                 continue;
             }
             let one = |courier: usize| hollow::HollowCourier {
-                name: name(courier),
+                name: hollow_name(courier),
                 state: process::state_path(&folder, courier),
                 members: (courier < day.members()).then(|| (address(courier), MEMBERS).into()),
                 seed: seed ^ (courier as u64) << 20,
@@ -296,7 +297,7 @@
         let clients = (0..day.real).map(|real| SocketAddr::from((address(real), CLIENTS))).collect();
         let ids = Mutex::new(vec![None; processes.len()]);
         let processes = processes.into_iter().map(|one| Arc::new(tokio::sync::Mutex::new(one))).collect();
-        Ok(World {
+        Ok(Fleet {
             day: day.clone(),
             seed,
             machine,
@@ -318,7 +319,7 @@
         })
     }
 
-    fn saw(&self, courier: usize, what: Happened) {
+    fn observe(&self, courier: usize, what: Happened) {
         self.record.add(Observation::Process { courier, what });
     }
 
@@ -333,10 +334,10 @@
 
     /// Once a second, prints the progress and checks memory and processor load. Returns the reason if a limit is
     /// exceeded.
-    async fn watch(&self, stage: Arc<Mutex<String>>, progress: bool) -> String {
+    async fn monitor(&self, stage: Arc<Mutex<String>>, progress: bool) -> String {
         let most = self.machine.memory / 2;
         let filed = || match self.machine.disk_in_memory {
-            true => super::gauge::taken_of(self.folder.path()),
+            true => super::gauge::used_bytes(self.folder.path()),
             false => 0,
         };
         let before = filed();
@@ -378,16 +379,16 @@
         if !one.place.real {
             return Ok(());
         }
-        self.saw(number, Happened::Started);
+        self.observe(number, Happened::Started);
         let end = Instant::now() + Duration::from_millis(self.day.rules.ready_ms * 2);
         while !client::is_ready(self.clients[number]).await {
             if one.has_crashed() || Instant::now() > end {
-                self.saw(number, Happened::Crashed);
+                self.observe(number, Happened::Crashed);
                 return Err(format!("courier {number} does not serve:\n{}", one.log()));
             }
             sleep(POLL).await;
         }
-        self.saw(number, Happened::Ready);
+        self.observe(number, Happened::Ready);
         Ok(())
     }
 
@@ -396,12 +397,12 @@
         one.signal(Signal::KILL);
         one.ended().await;
         if one.place.real {
-            self.saw(number, Happened::Ended);
+            self.observe(number, Happened::Ended);
         }
     }
 
     /// The reason why a process refuses the list, if any does; with `late`, temporary reasons count as well.
-    async fn refused(&self, late: bool) -> Option<String> {
+    async fn refusal(&self, late: bool) -> Option<String> {
         for process in &self.processes {
             let refuses = process.lock().await.list_errors();
             if let Some(words) = refuses.for_good.or(refuses.last.filter(|_| late)) {
@@ -423,7 +424,7 @@
         true
     }
 
-    async fn play(self: Arc<Self>, stage: Arc<Mutex<String>>) -> Result<Report, String> {
+    async fn run_phases(self: Arc<Self>, stage: Arc<Mutex<String>>) -> Result<Report, String> {
         let day = &self.day;
         let mut report = Report::new(day, self.seed);
         let (mut starts, couriers) = (JoinSet::new(), self.to_relays.len());
@@ -433,12 +434,12 @@
             self.start(number, &mut one).await?;
         }
         for number in 0..couriers {
-            let world = self.clone();
+            let fleet = self.clone();
             let gap = seconds(self.day.start_gap_s).mul_f64(number as f64);
             starts.spawn(async move {
                 sleep(gap).await;
-                let mut one = world.processes[number].lock().await;
-                world.start(number, &mut one).await
+                let mut one = fleet.processes[number].lock().await;
+                fleet.start(number, &mut one).await
             });
         }
         while let Some(started) = starts.join_next().await {
@@ -446,14 +447,14 @@
         }
         let end = Instant::now() + seconds(day.rules.start_s);
         while !self.in_force(1, Duration::from_millis(500)).await && Instant::now() < end {
-            report.refused = self.refused(false).await;
+            report.refused = self.refusal(false).await;
             if report.refused.is_some() {
                 break;
             }
         }
         // If no courier has the list there is nothing to measure.
         if report.refused.is_none() && lock(&self.tracker).missing(1) == day.couriers {
-            report.refused = Some(self.refused(true).await.unwrap_or("nobody says why".to_string()));
+            report.refused = Some(self.refusal(true).await.unwrap_or("nobody says why".to_string()));
         }
         if let Some(words) = &mut report.refused {
             *words = format!("the list is refused at {} entries: {words}", day.entries());
@@ -473,7 +474,7 @@
         let day = &self.day;
         let most = (day.rules.start_s * 1e6) as u64;
         lock(&self.tracker).check(1..=1, most, self.record.now());
-        let schedule = Schedule::draw(&day.of_messages(SCHEDULE_S), self.seed);
+        let schedule = Schedule::draw(&day.mail_day(SCHEDULE_S), self.seed);
         let (start, base) = (Instant::now(), self.record.now());
         let (mut clients, cut) = (JoinSet::new(), Arc::new(AtomicU64::new(u64::MAX)));
         for courier in 0..day.real {
@@ -528,10 +529,10 @@
         }
         let left = self.end(report).await;
         let handed = schedule.mails.partition_point(|mail| mail.at < last * 1_000_000);
-        let of_messages = day.of_messages(last as f64);
+        let mail_day = day.mail_day(last as f64);
         let verdict =
-            self.record.read(|events| judge(&of_messages, &schedule.mails[..handed], base, events, &left));
-        report.messages = Messages::new(&verdict);
+            self.record.read(|events| judge(&mail_day, &schedule.mails[..handed], base, events, &left));
+        report.messages = MailReport::new(&verdict);
     }
 
     /// Runs a phase: its trouble, if any, and `after_s` more; then makes a change that must reach all couriers, and
@@ -552,7 +553,7 @@
             befallen.iter().flat_map(|&number| places[number].couriers.clone()).collect()
         };
         if let Some(trouble) = trouble {
-            self.befall(trouble, &befallen, &couriers).await;
+            self.apply_trouble(trouble, &befallen, &couriers).await;
         }
         sleep(seconds(after_s)).await;
         let to = self.sample();
@@ -575,8 +576,8 @@
                 tracker.breaks(Rule::InForceInTime, words);
             }
         }
-        self.on_file(name).await;
-        self.still_there(name).await;
+        self.check_stored_lists(name).await;
+        self.check_processes(name).await;
         let tracker = lock(&self.tracker);
         // A phase without changes of its own is measured by the change at its end.
         let versions = if measured >= first { first..=measured } else { last..=last };
@@ -606,7 +607,7 @@
             real: each(&from, &to, &real, day.real),
             source_core: (to.source_s - from.source_s) / span,
             relay: each(&from, &to, &relays, relays.len()),
-            followed: followed(&from, &to),
+            followed: follower_rates(&from, &to),
             run_core: (to.own_s - from.own_s) / span,
             datagrams: (to.datagrams - from.datagrams) as f64 / span / day.couriers as f64,
         }
@@ -626,76 +627,76 @@
         }
     }
 
-    async fn befall(self: &Arc<Self>, trouble: &Trouble, processes: &[usize], couriers: &[usize]) {
+    async fn apply_trouble(self: &Arc<Self>, trouble: &Trouble, processes: &[usize], couriers: &[usize]) {
         {
             let mut tracker = lock(&self.tracker);
             couriers.iter().for_each(|&courier| tracker.start_trouble(courier));
         }
         let (what, lasts) = (trouble.what, seconds(trouble.for_s));
-        let knob = match what {
+        let fault = match what {
             Some(What::Region | What::Source) => Some(LinkFault::Cut),
             Some(What::Slow) => Some(LinkFault::Slow(Duration::from_millis(trouble.delay_ms))),
             Some(What::Silent) => Some(LinkFault::Silent),
             _ => None,
         };
         let couriers_end = self.to_relays.len();
-        if let Some(knob) = knob {
+        if let Some(fault) = fault {
             // A trouble of the source does not affect the links to relays.
             let alone = what == Some(What::Source);
             let relays = (couriers_end..self.links.len()).filter(|_| alone);
             let numbers: Vec<usize> = processes.iter().copied().chain(relays).collect();
-            let set = |knob| {
-                numbers.iter().for_each(|&number| self.links[number].set(knob));
+            let set = |fault| {
+                numbers.iter().for_each(|&number| self.links[number].set(fault));
                 let to_relays =
                     processes.iter().filter(|_| !alone).flat_map(|&number| &self.to_relays[number]);
-                to_relays.for_each(|link| link.set(knob));
+                to_relays.for_each(|link| link.set(fault));
             };
-            set(knob);
+            set(fault);
             sleep(lasts).await;
             set(LinkFault::None);
-            return self.calm(couriers);
+            return self.end_trouble(couriers);
         }
         let mut each = JoinSet::new();
         let relay = matches!(what, Some(What::Relay | What::RelayStop)).then(|| couriers_end + trouble.which);
         for number in processes.iter().copied().chain(relay) {
-            let (world, stops) = (self.clone(), matches!(what, Some(What::Stop | What::RelayStop)));
+            let (fleet, stops) = (self.clone(), matches!(what, Some(What::Stop | What::RelayStop)));
             each.spawn(async move {
-                let mut one = world.processes[number].lock().await;
+                let mut one = fleet.processes[number].lock().await;
                 let (real, couriers) = (one.place.real, one.place.couriers.clone().collect::<Vec<_>>());
                 if stops {
                     one.signal(Signal::STOP);
                     if real {
-                        world.saw(number, Happened::Stopped);
+                        fleet.observe(number, Happened::Stopped);
                     }
                     sleep(lasts).await;
                     one.signal(Signal::CONT);
                     if real {
-                        world.saw(number, Happened::Continued);
+                        fleet.observe(number, Happened::Continued);
                     }
                 } else {
-                    world.kill(number, &mut one).await;
+                    fleet.kill(number, &mut one).await;
                     sleep(lasts).await;
-                    if let Err(words) = world.start(number, &mut one).await {
-                        world.breaks(Rule::Sound, words);
+                    if let Err(words) = fleet.start(number, &mut one).await {
+                        fleet.breaks(Rule::Sound, words);
                     }
                 }
-                world.calm(&couriers);
+                fleet.end_trouble(&couriers);
             });
         }
         while each.join_next().await.is_some() {}
     }
 
-    fn calm(&self, couriers: &[usize]) {
+    fn end_trouble(&self, couriers: &[usize]) {
         let now = self.record.now();
         let mut tracker = lock(&self.tracker);
         couriers.iter().for_each(|&courier| tracker.end_trouble(courier, now));
     }
 
     /// Compares each courier's stored list with the source's current version.
-    async fn on_file(&self, phase: &str) {
+    async fn check_stored_lists(&self, phase: &str) {
         let (version, expected) = self.source.expected();
         let folder = self.folder.path().to_path_buf();
-        let mut check = Check::new(version, expected);
+        let mut check = FileCheck::new(version, expected);
         let mut left: Vec<(usize, Option<Fault>)> =
             (0..self.day.couriers).map(|courier| (courier, None)).collect();
         let end = Instant::now() + seconds(self.day.rules.on_file_s);
@@ -723,12 +724,12 @@
     }
 
     /// Reports each process that has ended unexpectedly, once.
-    async fn still_there(&self, phase: &str) {
+    async fn check_processes(&self, phase: &str) {
         for (number, process) in self.processes.iter().enumerate() {
             let mut one = process.lock().await;
             if one.has_crashed() && lock(&self.ids)[number].take().is_some() {
                 if one.place.real {
-                    self.saw(number, Happened::Crashed);
+                    self.observe(number, Happened::Crashed);
                 }
                 self.breaks(Rule::Sound, format!("{phase}: process {number} has ended by itself"));
             }
@@ -740,11 +741,11 @@
         let mut left = FinalState { at: self.record.now(), ..FinalState::default() };
         let mut ends = JoinSet::new();
         for (number, process) in self.processes.iter().enumerate() {
-            let (world, process) = (self.clone(), process.clone());
+            let (fleet, process) = (self.clone(), process.clone());
             ends.spawn(async move {
                 let mut one = process.lock().await;
                 let (mut faults, real) = (Vec::new(), one.place.real);
-                lock(&world.ids)[number] = None;
+                lock(&fleet.ids)[number] = None;
                 one.signal(Signal::TERM);
                 let lasts = if real { TERM_GRACE * 2 } else { HOLLOW_GRACE };
                 match timeout(lasts, one.ended()).await {
@@ -752,12 +753,12 @@
                     Ok(_) => {}
                     Err(_) => {
                         faults.push("does not end when it is asked to".to_string());
-                        world.kill(number, &mut one).await;
+                        fleet.kill(number, &mut one).await;
                     }
                 }
                 let log = one.log();
                 faults.extend(process::faults(&log));
-                let owed = if real { world.owed(number).await } else { Ok(Vec::new()) };
+                let owed = if real { fleet.owed_ids(number).await } else { Ok(Vec::new()) };
                 let owed = owed.unwrap_or_else(|words| {
                     faults.push(words);
                     Vec::new()
@@ -782,7 +783,7 @@
     }
 
     /// The ids of the mails that a real courier's journal still holds.
-    async fn owed(&self, courier: usize) -> Result<Vec<String>, String> {
+    async fn owed_ids(&self, courier: usize) -> Result<Vec<String>, String> {
         let folder = self.folder.path();
         let (config, state) = (process::config_path(folder, courier), process::state_path(folder, courier));
         let output = process::courier_command(&self.programs.courier, "owed", &config, &state).output().await;
@@ -797,7 +798,7 @@
 }
 
 /// Creates inspectors that record each version that a relay sends to a courier of a process.
-fn watched(tracker: &Arc<Mutex<VersionTracker>>, relay: usize, process: usize) -> InspectorFactory {
+fn version_inspector(tracker: &Arc<Mutex<VersionTracker>>, relay: usize, process: usize) -> InspectorFactory {
     let tracker = tracker.clone();
     Arc::new(move || {
         let (tracker, mut versions) = (tracker.clone(), Versions::default());
--- a/crates/rig/src/scale/source.rs
+++ b/crates/rig/src/scale/source.rs
@@ -96,7 +96,7 @@
 
 struct Inner {
     setup: Setup,
-    truth: Mutex<ListState>,
+    list: Mutex<ListState>,
     version: watch::Sender<u64>,
     /// The addresses of the endpoints for each real courier.
     places: Mutex<Vec<Vec<SocketAddr>>>,
@@ -130,10 +130,10 @@
         let listed = (live..setup.destinations).map(|n| entry(format!("d{n}"), n, None));
         let entries = standing.chain(listed).collect();
         let version = lock(&setup.tracker).create_version(setup.record.now());
-        let truth = Mutex::new(ListState { version, entries, texts: HashMap::new() });
+        let list = Mutex::new(ListState { version, entries, texts: HashMap::new() });
         let (version, nowhere) = (watch::Sender::new(version), SocketAddr::from((setup.at, 9)));
         let (places, shared) = (Mutex::default(), Mutex::default());
-        let inner = Arc::new(Inner { setup, truth, version, places, shared, nowhere });
+        let inner = Arc::new(Inner { setup, list, version, places, shared, nowhere });
         let (end, mut end_in) = watch::channel(false);
         let (ready, ready_in) = mpsc::channel();
         let of_thread = inner.clone();
@@ -173,10 +173,10 @@
     /// the new version, or `None` if there is no such entry.
     pub fn change(&self, chance: &mut Rng) -> Option<u64> {
         let live = self.inner.setup.live.0 * self.inner.setup.live.1;
-        let mut truth = lock(&self.inner.truth);
-        let many = truth.entries.len().checked_sub(live).filter(|&many| many > 0)?;
+        let mut list = lock(&self.inner.list);
+        let many = list.entries.len().checked_sub(live).filter(|&many| many > 0)?;
         let version = lock(&self.inner.setup.tracker).create_version(self.inner.setup.record.now());
-        let entry = &mut truth.entries[live + chance.usize(..many)];
+        let entry = &mut list.entries[live + chance.usize(..many)];
         match chance.u8(..4) {
             0 => entry.drains = !entry.drains,
             1 => {
@@ -186,24 +186,24 @@
             _ => entry.rate = f64::from(1 + chance.u32(..10_000)) / 8.0,
         }
         entry.changed = version;
-        truth.version = version;
-        truth.texts.clear();
-        drop(truth);
+        list.version = version;
+        list.texts.clear();
+        drop(list);
         self.inner.version.send_replace(version);
         Some(version)
     }
 
     /// The current version and its listed entries.
     pub fn expected(&self) -> (u64, BTreeMap<String, Expected>) {
-        let truth = lock(&self.inner.truth);
+        let list = lock(&self.inner.list);
         let expected = |entry: &Entry| Expected {
             group: entry.destination as u64,
             status: entry.status(),
             weight: entry.rate,
             since_ms: entry.since_ms,
         };
-        let listed = truth.entries.iter().filter(|entry| !entry.gone);
-        (truth.version, listed.map(|entry| (entry.name.clone(), expected(entry))).collect())
+        let listed = list.entries.iter().filter(|entry| !entry.gone);
+        (list.version, listed.map(|entry| (entry.name.clone(), expected(entry))).collect())
     }
 }
 
@@ -277,8 +277,8 @@
 
     /// The current version and its text: the changes since `after`, or the whole list if `after` is `None`.
     fn current_text(&self, follower: Follower, after: Option<u64>) -> (u64, Bytes) {
-        let mut truth = lock(&self.truth);
-        let version = truth.version;
+        let mut list = lock(&self.list);
+        let version = list.version;
         if let Some(real) = follower.real {
             if after.is_none() {
                 for endpoint in 0..self.setup.live.0 * self.setup.live.1 {
@@ -286,18 +286,18 @@
                 }
             }
             let places = lock(&self.places).get(real).cloned().unwrap_or_default();
-            return (version, self.text(&truth, &places, after));
+            return (version, self.text(&list, &places, after));
         }
-        if let Some(text) = truth.texts.get(&after) {
+        if let Some(text) = list.texts.get(&after) {
             return (version, text.clone());
         }
-        let text = self.text(&truth, &lock(&self.shared), after);
-        truth.texts.insert(after, text.clone());
+        let text = self.text(&list, &lock(&self.shared), after);
+        list.texts.insert(after, text.clone());
         (version, text)
     }
 
-    fn text(&self, truth: &ListState, places: &[SocketAddr], after: Option<u64>) -> Bytes {
-        let news = truth.entries.iter().filter(|entry| match after {
+    fn text(&self, list: &ListState, places: &[SocketAddr], after: Option<u64>) -> Bytes {
+        let news = list.entries.iter().filter(|entry| match after {
             Some(after) => entry.changed > after,
             None => !entry.gone,
         });
@@ -315,8 +315,7 @@
                 since_ms: entry.since_ms,
             }
         });
-        let answer =
-            ListAnswer { index: truth.version, snapshot: after.is_none(), endpoints: told.collect() };
+        let answer = ListAnswer { index: list.version, snapshot: after.is_none(), endpoints: told.collect() };
         let mut text = serde_json::to_vec(&answer).unwrap_or_default();
         text.push(b'\n');
         text.into()
--- a/crates/rig/src/scale/sums.rs
+++ b/crates/rig/src/scale/sums.rs
@@ -59,7 +59,7 @@
         self.sums.at = at;
         for (number, &id) in ids.iter().enumerate() {
             let now = id.and_then(|id| Some((id, gauge::of_process(id)?)));
-            self.put(number, now);
+            self.record(number, now);
         }
         let of = |links: &Vec<Arc<PassedBytes>>| {
             links
@@ -77,7 +77,7 @@
         &self.sums
     }
 
-    fn put(&mut self, number: usize, now: Option<(u32, ResourceUse)>) {
+    fn record(&mut self, number: usize, now: Option<(u32, ResourceUse)>) {
         let before = match (self.last[number], now) {
             (Some((was, taken)), Some((is, _))) if was == is => taken.processor_s,
             _ => 0.0,
@@ -125,7 +125,7 @@
 }
 
 /// Average bytes per second of one relay, from its followers and to them.
-pub fn followed(from: &ResourceTotals, to: &ResourceTotals) -> [f64; 2] {
+pub fn follower_rates(from: &ResourceTotals, to: &ResourceTotals) -> [f64; 2] {
     let seconds = (to.at.saturating_sub(from.at)) as f64 / 1e6;
     let many = to.followed.len();
     let bytes = |way: usize| {
@@ -144,17 +144,17 @@
     use super::*;
 
     #[test]
-    fn what_a_courier_takes_is_counted_over_an_end_and_a_new_start() {
-        let mut gauge = ResourceSampler::new(vec![Vec::new(), Vec::new()], Vec::new(), 0);
+    fn resource_use_is_summed_over_a_restart() {
+        let mut sampler = ResourceSampler::new(vec![Vec::new(), Vec::new()], Vec::new(), 0);
         let taken = |processor_s, resident| ResourceUse { processor_s, resident, started: 0 };
-        gauge.put(0, Some((5, taken(1.0, 100))));
-        gauge.put(1, Some((6, taken(2.0, 300))));
-        let from = gauge.sums.clone();
-        gauge.put(0, Some((5, taken(1.5, 100))));
-        gauge.put(0, None);
-        gauge.put(0, Some((7, taken(0.25, 200))));
-        gauge.put(1, Some((6, taken(2.25, 300))));
-        let mut to = gauge.sums.clone();
+        sampler.record(0, Some((5, taken(1.0, 100))));
+        sampler.record(1, Some((6, taken(2.0, 300))));
+        let from = sampler.sums.clone();
+        sampler.record(0, Some((5, taken(1.5, 100))));
+        sampler.record(0, None);
+        sampler.record(0, Some((7, taken(0.25, 200))));
+        sampler.record(1, Some((6, taken(2.25, 300))));
+        let mut to = sampler.sums.clone();
         to.at = 10_000_000;
         to.passed = vec![[100, 4000], [300, 0]];
         let each = each(&from, &to, &[0, 1], 4);
--- a/crates/rig/src/scale/tracker.rs
+++ b/crates/rig/src/scale/tracker.rs
@@ -37,18 +37,18 @@
 struct Courier {
     process: usize,
     /// Versions reported in force, with the time, in order of arrival.
-    said: Vec<(u64, u64)>,
+    reports: Vec<(u64, u64)>,
     /// The highest version in `said`.
-    most: u64,
+    highest: u64,
     /// End of its last trouble; `None` while a trouble affects it.
-    calm: Option<u64>,
+    trouble_end: Option<u64>,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct VersionTracker {
     couriers: Vec<Courier>,
     /// Creation time of each version; the first version is 1.
-    made: Vec<u64>,
+    created: Vec<u64>,
     /// For each process, how many lists and changes of each version were sent to it.
     sent: Vec<BTreeMap<u64, u64>>,
     /// The highest version sent to each relay.
@@ -61,7 +61,7 @@
 pub struct Change {
     pub version: u64,
     /// Microseconds until it was in force, ascending, at couriers without trouble since it was created.
-    pub calm: Vec<u64>,
+    pub times: Vec<u64>,
     /// Couriers affected by a trouble, and couriers (of all) that have not reported it yet.
     pub befallen: usize,
     pub missing: usize,
@@ -71,12 +71,12 @@
     /// `processes`: the process number of each courier.
     pub fn new(processes: &[usize]) -> VersionTracker {
         let couriers =
-            processes.iter().map(|&process| Courier { process, calm: Some(0), ..Courier::default() });
+            processes.iter().map(|&process| Courier { process, trouble_end: Some(0), ..Courier::default() });
         let many = processes.iter().max().map_or(0, |most| most + 1);
         let sent = vec![BTreeMap::new(); many];
         VersionTracker {
             couriers: couriers.collect(),
-            made: Vec::new(),
+            created: Vec::new(),
             sent,
             relays: Vec::new(),
             broken: Vec::new(),
@@ -90,12 +90,12 @@
 
     /// Records a new version and returns its number.
     pub fn create_version(&mut self, at: u64) -> u64 {
-        self.made.push(at);
-        self.made.len() as u64
+        self.created.push(at);
+        self.created.len() as u64
     }
 
     pub fn last(&self) -> u64 {
-        self.made.len() as u64
+        self.created.len() as u64
     }
 
     /// Must be called before the first byte of the version is sent.
@@ -127,16 +127,17 @@
 
     pub fn record_report(&mut self, courier: usize, version: u64, at: u64) {
         let Some(this) = self.couriers.get_mut(courier) else { return };
-        this.said.push((version, at));
-        if version <= this.most {
+        this.reports.push((version, at));
+        if version <= this.highest {
             return;
         }
-        this.most = version;
+        this.highest = version;
         let process = this.process;
         // The couriers of a process cannot be told apart by what was sent to them. Comparing the counts detects a
         // courier that reports a version which only another one was sent: no more couriers can hold it than it was sent
         // to.
-        let say = self.couriers.iter().filter(|c| c.process == process && c.most >= version).count() as u64;
+        let say =
+            self.couriers.iter().filter(|c| c.process == process && c.highest >= version).count() as u64;
         let sent: u64 = self.sent[process].range(version..).map(|(_, count)| count).sum();
         if say > sent || version > self.last() {
             let words = format!(
@@ -150,37 +151,37 @@
 
     /// Marks a courier as affected by a trouble from now on.
     pub fn start_trouble(&mut self, courier: usize) {
-        self.couriers[courier].calm = None;
+        self.couriers[courier].trouble_end = None;
     }
 
     pub fn end_trouble(&mut self, courier: usize, at: u64) {
-        self.couriers[courier].calm = Some(at);
+        self.couriers[courier].trouble_end = Some(at);
     }
 
     /// The number of couriers that have not reported this version or a later one.
     pub fn missing(&self, version: u64) -> usize {
-        self.couriers.iter().filter(|courier| courier.most < version).count()
+        self.couriers.iter().filter(|courier| courier.highest < version).count()
     }
 
     /// When a courier first reported this version or a later one, at or after `from`.
-    fn first(&self, courier: usize, version: u64, from: u64) -> Option<u64> {
-        let said = &self.couriers[courier].said;
+    fn first_report(&self, courier: usize, version: u64, from: u64) -> Option<u64> {
+        let said = &self.couriers[courier].reports;
         said.iter().find(|&&(said, at)| said >= version && at >= from).map(|&(_, at)| at)
     }
 
     /// How far a version has spread so far.
     pub fn change(&self, version: u64) -> Change {
-        let made = version.checked_sub(1).and_then(|i| self.made.get(i as usize)).copied().unwrap_or(0);
-        let mut change = Change { version, calm: Vec::new(), befallen: 0, missing: 0 };
+        let made = version.checked_sub(1).and_then(|i| self.created.get(i as usize)).copied().unwrap_or(0);
+        let mut change = Change { version, times: Vec::new(), befallen: 0, missing: 0 };
         for (number, courier) in self.couriers.iter().enumerate() {
-            let first = self.first(number, version, 0);
+            let first = self.first_report(number, version, 0);
             change.missing += usize::from(first.is_none());
-            match courier.calm {
-                Some(calm) if calm <= made => change.calm.extend(first.map(|at| at.saturating_sub(made))),
+            match courier.trouble_end {
+                Some(calm) if calm <= made => change.times.extend(first.map(|at| at.saturating_sub(made))),
                 _ => change.befallen += 1,
             }
         }
-        change.calm.sort_unstable();
+        change.times.sort_unstable();
         change
     }
 
@@ -188,9 +189,9 @@
     /// it reported the version that was current at that moment, or a later one. `None` if one of them has not.
     pub fn recovery_time(&self, couriers: &[usize]) -> Option<u64> {
         let took = couriers.iter().map(|&number| {
-            let calm = self.couriers[number].calm?;
-            let version = self.made.partition_point(|&made| made <= calm) as u64;
-            Some(self.first(number, version, 0)?.saturating_sub(calm))
+            let calm = self.couriers[number].trouble_end?;
+            let version = self.created.partition_point(|&made| made <= calm) as u64;
+            Some(self.first_report(number, version, 0)?.saturating_sub(calm))
         });
         took.collect::<Option<Vec<u64>>>()?.into_iter().max()
     }
@@ -199,14 +200,14 @@
     /// or from the end of a courier's trouble. A version that is not yet due at `now` is no violation.
     pub fn check(&mut self, versions: std::ops::RangeInclusive<u64>, most: u64, now: u64) {
         for version in versions {
-            let Some(&made) = version.checked_sub(1).and_then(|i| self.made.get(i as usize)) else {
+            let Some(&made) = version.checked_sub(1).and_then(|i| self.created.get(i as usize)) else {
                 continue;
             };
             let (mut late, mut never, mut example) = (0, 0, 0);
             for (number, courier) in self.couriers.iter().enumerate() {
-                let Some(calm) = courier.calm else { continue };
+                let Some(calm) = courier.trouble_end else { continue };
                 let due = made.max(calm) + most;
-                match self.first(number, version, 0) {
+                match self.first_report(number, version, 0) {
                     Some(at) if at <= due => continue,
                     Some(_) => late += 1,
                     None if now <= due => continue,
--- a/crates/rig/src/scale/tracker/tests.rs
+++ b/crates/rig/src/scale/tracker/tests.rs
@@ -15,12 +15,12 @@
     tracker
 }
 
-fn breaks(tracker: &VersionTracker, rule: Rule) -> usize {
+fn violations(tracker: &VersionTracker, rule: Rule) -> usize {
     tracker.broken.iter().filter(|broken| broken.rule == rule).count()
 }
 
 #[test]
-fn nobody_says_what_it_was_not_sent() {
+fn a_version_reported_before_it_was_sent_is_a_violation() {
     // Sends as (process, version), reports as (courier, version), and the number of reports that are too early.
     type Pairs = &'static [(usize, u64)];
     let rows: [(Pairs, Pairs, usize); 9] = [
@@ -44,12 +44,12 @@
         tracker.create_version(2 * S);
         sent.iter().for_each(|&(process, version)| tracker.record_sent(process, version));
         said.iter().for_each(|&(courier, version)| tracker.record_report(courier, version, 3 * S));
-        assert_eq!(breaks(&tracker, Rule::NotTooEarly), early, "{sent:?} {said:?}: {:?}", tracker.broken);
+        assert_eq!(violations(&tracker, Rule::NotTooEarly), early, "{sent:?} {said:?}: {:?}", tracker.broken);
     }
 }
 
 #[test]
-fn a_change_is_due_after_it_was_made_or_after_what_befell_a_courier() {
+fn a_change_is_due_after_its_creation_or_after_a_couriers_trouble() {
     // When courier 2 reported version 2, which was created at 10 s and is due 7 s later; when its trouble ended (`None`
     // while it lasts); the time of the check; and the number of violations.
     let rows = [
@@ -78,7 +78,7 @@
         }
         tracker.check(1..=2, 7 * S, now * S);
         assert_eq!(
-            breaks(&tracker, Rule::InForceInTime),
+            violations(&tracker, Rule::InForceInTime),
             broken,
             "{said:?} {calm:?} {now}: {:?}",
             tracker.broken
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn times_are_those_of_couriers_that_nothing_befell() {
+fn times_exclude_couriers_affected_by_a_trouble() {
     let mut tracker = tracker();
     tracker.create_version(10 * S);
     tracker.start_trouble(2);
@@ -97,7 +97,7 @@
         tracker.record_report(courier, 2, at * S);
     }
     let change = tracker.change(2);
-    assert_eq!(change, Change { version: 2, calm: vec![S, 2 * S], befallen: 1, missing: 1 });
+    assert_eq!(change, Change { version: 2, times: vec![S, 2 * S], befallen: 1, missing: 1 });
     assert_eq!((tracker.missing(2), tracker.missing(1), tracker.recovery_time(&[2])), (1, 0, None));
     tracker.end_trouble(2, 20 * S);
     tracker.record_sent(1, 2);
@@ -109,11 +109,11 @@
         Some(3 * S),
         "what was made after a trouble is not waited for"
     );
-    assert_eq!(tracker.change(2).calm.len(), 2, "its time is not the change's");
+    assert_eq!(tracker.change(2).times.len(), 2, "its time is not the change's");
 }
 
 #[test]
-fn parts_are_by_the_nearest_rank() {
+fn percentiles_use_the_nearest_rank() {
     let hundred: Vec<u64> = (1..=100).collect();
     let rows = [(0.5, Some(50)), (0.99, Some(99)), (1.0, Some(100)), (0.0, Some(1))];
     for (part, value) in rows {
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn behind_relays_nobody_says_what_its_process_was_not_told() {
+fn behind_relays_a_version_reported_before_it_was_passed_on_is_a_violation() {
     let tracker = || {
         let mut tracker = VersionTracker::new(&[0, 0, 1]).with_relays(2);
         tracker.create_version(0);
@@ -161,6 +161,6 @@
             .iter()
             .for_each(|&(relay, process, version)| tracker.record_passed_on(relay, process, version));
         said.iter().for_each(|&(courier, version)| tracker.record_report(courier, version, S));
-        assert_eq!(breaks(&tracker, Rule::NotTooEarly), *many, "{told:?} {passed_on:?} {said:?}");
+        assert_eq!(violations(&tracker, Rule::NotTooEarly), *many, "{told:?} {passed_on:?} {said:?}");
     }
 }
--- a/crates/rig/src/scale/versions.rs
+++ b/crates/rig/src/scale/versions.rs
@@ -48,7 +48,7 @@
     use super::*;
 
     #[test]
-    fn versions_are_read_however_the_bytes_are_cut() {
+    fn versions_are_read_with_any_chunk_boundaries() {
         let text = b"HTTP/1.1 200 OK\r\n\r\n3a\r\n{\"index\":12,\"snapshot\":true,\"endpoints\":[{\"name\":\"{\"},{{\"in\
             \"},{\"epoch\":0,\"index\":99}]}\n\r\n{{\"index\":7,\"snapshot\":false}\n{\"index\":18446744073709551615}";
         for size in 1..text.len() {
--- a/crates/rig/src/slopes.rs
+++ b/crates/rig/src/slopes.rs
@@ -213,7 +213,7 @@
     ///
     /// # Errors
     /// If it cannot be started.
-    pub fn kill_and_start(&mut self) -> Result<Instant, Stopped> {
+    pub fn restart_after_kill(&mut self) -> Result<Instant, Stopped> {
         self.child.kill()?;
         self.child.wait()?;
         let at = Instant::now();
@@ -237,13 +237,18 @@
     ///
     /// # Errors
     /// If it has ended, or does not answer within `longest`.
-    pub fn ready(&mut self, bound: Deadline, since: Instant, longest: Duration) -> Result<Duration, Stopped> {
+    pub fn ready(
+        &mut self,
+        deadline: Deadline,
+        since: Instant,
+        longest: Duration,
+    ) -> Result<Duration, Stopped> {
         let listen = self.listen;
         let answers = || {
             let said = scripted::Client::connect(listen).map(|mut client| client.say(&request(&[b"PING"])));
             said.is_ok_and(|answer| answer == "+PONG")
         };
-        let ready = bound.until(longest, || {
+        let ready = deadline.until(longest, || {
             self.check()?;
             Ok(answers())
         })?;
@@ -256,7 +261,7 @@
 
     /// # Errors
     /// If it has ended.
-    pub fn used(&self) -> Result<ProcessorUse, Stopped> {
+    pub fn processor_use(&self) -> Result<ProcessorUse, Stopped> {
         let (mut ran, mut waited) = (0, 0);
         for task in fs::read_dir(self.proc_file("task"))? {
             // A thread that has ended in the meantime is skipped.
--- a/crates/rig/src/slopes/tests.rs
+++ b/crates/rig/src/slopes/tests.rs
@@ -9,7 +9,7 @@
 const ENDPOINT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 9);
 
 #[test]
-fn what_the_system_tells_is_read() {
+fn system_figures_are_parsed() {
     assert_eq!(first_number("0.52 0.58 0.59 2/389 1234\n"), Some(0.52));
     assert_eq!(run_times("124316 40280 2\n"), Some((124_316, 40_280)));
     assert_eq!((run_times(""), run_times("124316")), (None, None));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn the_fit_that_lies_nearer_comes_first() {
+fn the_better_fit_comes_first() {
     let slope = |rows: Vec<Row>| Slope::new(("x", "b"), ("entries", "s"), "run", rows, "nothing");
     let linear = slope([10, 100, 1000].map(|size| row(size, 5.0 + size as f64)).to_vec());
     assert!(matches!(linear.fit, Some(Fit::Linear { .. })), "{linear:?}");
@@ -66,17 +66,17 @@
     assert!(linear.table().contains("| 10 | 15.0 | 1.0 |  |"), "{}", linear.table());
 }
 
-struct Ask {
+struct TestRequest {
     stream: BufReader<TcpStream>,
     /// From the response's `Content-Length`.
     length: usize,
 }
 
-impl Ask {
-    fn new(registry: &Registry, path: &str) -> Ask {
+impl TestRequest {
+    fn new(registry: &Registry, path: &str) -> TestRequest {
         let mut stream = TcpStream::connect(registry.address).unwrap();
         write!(stream, "GET {path} HTTP/1.1\r\nHost: x\r\n\r\n").unwrap();
-        let mut ask = Ask { stream: BufReader::new(stream), length: 0 };
+        let mut ask = TestRequest { stream: BufReader::new(stream), length: 0 };
         loop {
             let line = ask.line();
             if line.is_empty() {
@@ -104,16 +104,16 @@
 }
 
 #[test]
-fn the_registry_tells_all_and_then_changes_alone() {
+fn the_registry_sends_the_whole_list_and_then_only_changes() {
     let registry = Registry::new(3, ENDPOINT).unwrap();
-    let mut ask = Ask::new(&registry, "/catalog/members");
+    let mut ask = TestRequest::new(&registry, "/catalog/members");
     let mut whole = vec![0; ask.length];
     ask.stream.read_exact(&mut whole).unwrap();
     assert_eq!(registry.request_counts().whole_bytes, whole.len() as u64);
     let whole: serde_json::Value = serde_json::from_slice(&whole).unwrap();
     assert_eq!((whole["index"].as_u64(), whole["snapshot"].as_bool()), (Some(1), Some(true)));
     assert_eq!(whole["endpoints"].as_array().unwrap().len(), 3);
-    let mut watch = Ask::new(&registry, "/catalog/members?watch=1&after=1");
+    let mut watch = TestRequest::new(&registry, "/catalog/members?watch=1&after=1");
     registry.change(2, ENDPOINT, 7.0);
     let line = watch.chunk();
     let told: serde_json::Value = serde_json::from_str(&line).unwrap();
@@ -121,7 +121,7 @@
     let told = told["endpoints"].as_array().unwrap();
     assert_eq!((told.len(), &told[0]["group"], &told[0]["weight"]), (1, &2.into(), &7.0.into()));
     // A client without a list gets the whole list, including the changes.
-    let all = Ask::new(&registry, "/catalog/members?watch=1&after=0").chunk();
+    let all = TestRequest::new(&registry, "/catalog/members?watch=1&after=0").chunk();
     let all: serde_json::Value = serde_json::from_str(&all).unwrap();
     assert_eq!(all["endpoints"][1]["weight"], 7.0);
     assert_eq!(registry.request_counts().asks, 3);
@@ -129,16 +129,16 @@
 }
 
 #[test]
-fn nobody_listens_nowhere() {
-    let nowhere = RefusingAddress::new().unwrap();
-    let refused = TcpStream::connect(nowhere.address).unwrap_err();
+fn a_refusing_address_refuses_connections() {
+    let refusing = RefusingAddress::new().unwrap();
+    let refused = TcpStream::connect(refusing.address).unwrap_err();
     assert_eq!(refused.kind(), std::io::ErrorKind::ConnectionRefused);
 }
 
 #[test]
-fn a_slope_ends_when_its_time_is_up() {
-    let bound = Deadline::new(std::time::Duration::ZERO);
-    let words = bound.until(std::time::Duration::from_secs(60), || Ok(false)).unwrap_err().to_string();
+fn a_slope_ends_at_its_deadline() {
+    let deadline = Deadline::new(std::time::Duration::ZERO);
+    let words = deadline.until(std::time::Duration::from_secs(60), || Ok(false)).unwrap_err().to_string();
     assert_eq!(words, "the slope's time was up");
-    assert!(bound.sleep(std::time::Duration::from_secs(60)).is_err());
+    assert!(deadline.sleep(std::time::Duration::from_secs(60)).is_err());
 }
