--- a/crates/rig/src/scale/run.rs
+++ b/crates/rig/src/scale/run.rs
@@ -98,12 +98,13 @@
 /// If the day cannot be started, or exceeds a resource limit while it runs.
 pub async fn run(day: &Day, seed: u64, programs: &Programs, progress: bool) -> Result<Report, String> {
     let folder = tempfile::Builder::new().prefix(guard::FOLDER).tempdir_in(&programs.folder);
-    let folder = folder.map_err(|e| format!("no folder in {}: {e}", programs.folder.display()))?;
+    let folder =
+        folder.map_err(|e| format!("cannot create a folder in {}: {e}", programs.folder.display()))?;
     let machine = super::gauge::machine(folder.path());
     let faults = day.missing_resources(&machine);
     if !faults.is_empty() {
         let lines: Vec<String> = faults.iter().map(|fault| format!("\n  {fault}")).collect();
-        return Err(format!("the day is beyond this machine:{}", lines.concat()));
+        return Err(format!("the day needs more resources than this machine has:{}", lines.concat()));
     }
     let fleet = Fleet::build(day, seed, programs, folder, machine).await;
     let fleet = Arc::new(fleet.map_err(|e| format!("the day cannot be set up: {e}"))?);
@@ -348,12 +349,16 @@
             let at = self.sample().at as f64 / 1e6;
             let resident = lock(&self.gauge).resident() + filed().saturating_sub(before);
             if resident > most {
-                return format!("called off: {} MB are held where {} may be", resident >> 20, most >> 20);
+                return format!(
+                    "aborted: the run uses {} MB of memory, the limit is {} MB",
+                    resident >> 20,
+                    most >> 20
+                );
             }
             let runnable = super::gauge::runnable();
             over = if runnable > MAX_RUNNABLE_PER_CORE * cores { over + 1 } else { 0 };
             if over > MAX_OVERLOAD_S {
-                return format!("called off: {runnable} threads want one of {cores} processors");
+                return format!("aborted: {runnable} runnable threads on {cores} processors");
             }
             if progress {
                 let (version, missing) = {
--- a/crates/rig/src/scale/tracker.rs
+++ b/crates/rig/src/scale/tracker.rs
@@ -38,7 +38,7 @@
     process: usize,
     /// Versions reported in force, with the time, in order of arrival.
     reports: Vec<(u64, u64)>,
-    /// The highest version in `said`.
+    /// The highest version in `reports`.
     highest: u64,
     /// End of its last trouble; `None` while a trouble affects it.
     trouble_end: Option<u64>,
--- a/crates/rig/src/scale/tracker/tests.rs
+++ b/crates/rig/src/scale/tracker/tests.rs
@@ -107,9 +107,9 @@
     assert_eq!(
         tracker.recovery_time(&[2, 0]),
         Some(3 * S),
-        "what was made after a trouble is not waited for"
+        "versions created after the end of a trouble do not count"
     );
-    assert_eq!(tracker.change(2).times.len(), 2, "its time is not the change's");
+    assert_eq!(tracker.change(2).times.len(), 2, "a courier affected by a trouble does not add to the times");
 }
 
 #[test]
