--- a/crates/rig/benches/slopes.rs
+++ b/crates/rig/benches/slopes.rs
@@ -1,7 +1,7 @@
-//! The slopes of one courier: `cargo bench -p meadowhold-rig --bench slopes -- --what list --out FILE.json`.
-//! Several `--binary [NAME=]PATH` are measured beside each other, size by size;
-//! without one, today's is built. `--sizes N,N,...` takes no others of each slope's sizes.
-//! Cargo runs it in crates/rig: paths begin there.
+//! Measures the slopes of one courier: `cargo bench -p meadowhold-rig --bench slopes -- --what list --out FILE.json`.
+//! Several `--binary [NAME=]PATH` are measured alternately, size by size; without this option, the courier of the
+//! current source is built. `--sizes N,N,...` limits each slope to these sizes. Cargo runs the bench in crates/rig, and
+//! relative paths start there.
 #![forbid(unsafe_code)]
 
 use std::path::{Path, PathBuf};
@@ -11,43 +11,43 @@
 
 use meadowhold_rig::scripted::Endpoint;
 use meadowhold_rig::slopes::{
-    ask_to_end, become_courier, config, load_average, Bound, Client, Courier, Nowhere, Registry, Row, Slope,
-    Stopped, BECOME, MOST_TIME,
+    become_courier, config, load_average, request_end, Client, Courier, Deadline, RefusingAddress, Registry,
+    Row, Slope, Stopped, BECOME_COURIER, MAX_SLOPE_TIME,
 };
 use serde_json::json;
 
-/// Sizes of lists, up to the whole world's.
+/// Sizes of lists, up to that of the whole world.
 const DESTINATIONS: [usize; 8] = [100, 300, 1_000, 3_000, 8_000, 30_000, 100_000, 300_000];
-const HELD: [usize; 6] = [500, 1_500, 5_000, 15_000, 50_000, 200_000];
-const REWRITTEN: [usize; 5] = [1_000, 3_000, 10_000, 30_000, 100_000];
-/// Those that cannot be reached, among which held messages are spread.
+const HELD_MAILS: [usize; 6] = [500, 1_500, 5_000, 15_000, 50_000, 200_000];
+const REWRITE_MAILS: [usize; 5] = [1_000, 3_000, 10_000, 30_000, 100_000];
+/// The number of unreachable destinations over which held mails are distributed.
 const UNREACHABLE: usize = 100;
-/// A list is given so long to be taken up.
-const LISTED_IN: Duration = Duration::from_secs(10);
-/// Over so long a courier's processor time is taken.
-const LOOK: Duration = Duration::from_secs(10);
-/// A journal is given so long to be written anew four times.
-const REWRITTEN_IN: Duration = Duration::from_secs(100);
-/// Messages a second, over so many clients.
+/// Time limit for a courier to apply its first list.
+const LIST_TIMEOUT: Duration = Duration::from_secs(10);
+/// Interval over which a courier's processor time is measured.
+const MEASURING_TIME: Duration = Duration::from_secs(10);
+/// Time limit for four rewrites of the journal.
+const REWRITE_TIMEOUT: Duration = Duration::from_secs(100);
+/// Mails per second of all clients together, and the number of clients.
 const RATE: usize = 400;
 const CLIENTS: usize = 4;
 const CHANGES_A_SECOND: u32 = 20;
-/// Room on file for a list of the whole world: a courier keeps it in 8 hundredths of this.
+/// Folder limit in MB with room for the list of the whole world: a courier may use 8% of its folder for the list.
 const LISTS_MB: f64 = 1_000.0;
-/// A courier that wants a core for more of the time than this does not keep up.
-const FULL: f64 = 0.95;
+/// A courier that is running or runnable for more than this fraction of the time does not keep up.
+const SATURATED: f64 = 0.95;
 
 type Names = &'static [(&'static str, &'static str, &'static str)];
 
-/// Slopes that are measured by the same runs: names, units of size and of value.
+/// Slopes measured by the same runs, each with its name and the units of size and value.
 struct Sweep {
     slopes: Names,
     sizes: &'static [usize],
-    measure: fn(&Path, usize, Bound) -> Result<Vec<Seen>, Stopped>,
+    measure: fn(&Path, usize, Deadline) -> Result<Vec<Measured>, Stopped>,
 }
 
-/// One figure of a run and what was seen with it; or why there is none at this size, which ends its slope.
-type Seen = Result<(f64, String), Stopped>;
+/// One value of a run with further observations, or the reason why there is none at this size, which ends its slope.
+type Measured = Result<(f64, String), Stopped>;
 
 const SWEEPS: [Sweep; 5] = [
     Sweep {
@@ -61,12 +61,12 @@
             ("list-file", "entries", "bytes of the kept list on file"),
         ],
         sizes: &DESTINATIONS,
-        measure: lists,
+        measure: measure_lists,
     },
     Sweep {
         slopes: &[("message", "destinations", "us of processor a message, at 400 a second")],
         sizes: &DESTINATIONS,
-        measure: messages,
+        measure: measure_messages,
     },
     Sweep {
         slopes: &[
@@ -74,7 +74,7 @@
             ("change-bytes", "destinations", "bytes a change on the watch"),
         ],
         sizes: &DESTINATIONS,
-        measure: changes,
+        measure: measure_changes,
     },
     Sweep {
         slopes: &[
@@ -84,57 +84,57 @@
             ("held-taking", "messages held", "s of processor to take them on"),
             ("start", "messages held", "s from the start after SIGKILL to the first PONG"),
         ],
-        sizes: &HELD,
-        measure: holds,
+        sizes: &HELD_MAILS,
+        measure: measure_held,
     },
     Sweep {
         slopes: &[
             ("rewriting", "messages held", "s of the longest stall while the journal is written anew"),
             ("rewriting-bytes", "messages held", "bytes rewritten a byte taken on"),
         ],
-        sizes: &REWRITTEN,
-        measure: rewrites,
+        sizes: &REWRITE_MAILS,
+        measure: measure_rewrites,
     },
 ];
 
-fn none(words: &str) -> Seen {
+fn no_value(words: &str) -> Measured {
     Err(Stopped(words.to_string()))
 }
 
-/// A courier among its stand-ins, and what it used until it knew the last entry of its list.
-struct Listed {
+/// A courier with its stand-ins, and the processor time that it used until it knew the last entry of its list.
+struct StartedCourier {
     registry: Registry,
     courier: Courier,
-    /// `None`: it does not, within the time.
+    /// `None` if it did not know the entry within `LIST_TIMEOUT`.
     known: Option<f64>,
 }
 
-fn listed(
+fn start_with_list(
     binary: &Path,
-    bound: Bound,
+    deadline: Deadline,
     registry: Registry,
     last: usize,
     (room, disk_mb): (usize, f64),
-) -> Result<Listed, Stopped> {
+) -> Result<StartedCourier, Stopped> {
     let discovery = registry.address;
     let start = Instant::now();
     let mut courier = Courier::start(binary, |listen| config(listen, discovery, room, disk_mb))?;
-    courier.ready(bound, start, LISTED_IN)?;
+    courier.ready(deadline, start, LIST_TIMEOUT)?;
     let (mut client, mut known) = (Client::connect(courier.listen, u32::MAX)?, None);
-    while known.is_none() && start.elapsed() < LISTED_IN {
-        bound.sleep(Duration::from_millis(20))?;
+    while known.is_none() && start.elapsed() < LIST_TIMEOUT {
+        deadline.sleep(Duration::from_millis(20))?;
         courier.check()?;
         if client.hand_in([last].into_iter())?.taken == 1 {
-            known = Some(courier.used()?.processor);
+            known = Some(courier.processor_use()?.processor);
         }
     }
-    Ok(Listed { registry, courier, known })
+    Ok(StartedCourier { registry, courier, known })
 }
 
-impl Listed {
+impl StartedCourier {
     /// # Errors
-    /// Where the list is not taken up.
-    fn sure(self) -> Result<Listed, Stopped> {
+    /// If the list was not applied.
+    fn require_list(self) -> Result<StartedCourier, Stopped> {
         match self.known {
             Some(_) => Ok(self),
             None => Err(Stopped("the list is refused whole".to_string())),
@@ -142,56 +142,62 @@
     }
 }
 
-fn lists(binary: &Path, destinations: usize, bound: Bound) -> Result<Vec<Seen>, Stopped> {
+fn measure_lists(binary: &Path, destinations: usize, deadline: Deadline) -> Result<Vec<Measured>, Stopped> {
     let endpoint = Endpoint::new(&[]);
     let registry = Registry::new(destinations, endpoint.address)?;
-    let Listed { registry, courier, known } =
-        listed(binary, bound, registry, destinations, (1_000, LISTS_MB))?;
-    let first_bytes = registry.asked().whole_bytes;
-    // What is kept of a list is on file a second later.
-    bound.sleep(Duration::from_secs(3))?;
-    let (asked, resident, before) = (registry.asked(), courier.resident()?, courier.used()?);
-    bound.sleep(LOOK)?;
-    let (after, end) = (courier.used()?, registry.asked());
+    let StartedCourier { registry, courier, known } =
+        start_with_list(binary, deadline, registry, destinations, (1_000, LISTS_MB))?;
+    let first_bytes = registry.request_counts().whole_bytes;
+    // The list is stored a second after it was applied.
+    deadline.sleep(Duration::from_secs(3))?;
+    let (asked, resident, before) =
+        (registry.request_counts(), courier.resident()?, courier.processor_use()?);
+    deadline.sleep(MEASURING_TIME)?;
+    let (after, end) = (courier.processor_use()?, registry.request_counts());
     let share = after.share_since(before);
     let seconds = (after.at - before.at).as_secs_f64();
     let asks = (end.asks - asked.asks) as f64 / seconds;
     let bytes = (end.whole_bytes + end.watch_bytes - asked.whole_bytes - asked.watch_bytes) as f64 / seconds;
     let words = format!("{asks:.1} asks, {bytes:.0} bytes sent a second");
     let length = format!("{} bytes sent", asked.whole_bytes / asked.asks.max(1));
-    let kept = courier.kept_list().map(|bytes| (bytes as f64, String::new()));
+    let kept = courier.stored_list_size().map(|bytes| (bytes as f64, String::new()));
     Ok(match known {
         Some(taken) => vec![
             Ok((taken, String::new())),
-            none("taken whole"),
+            no_value("taken whole"),
             Ok((resident as f64, String::new())),
             Ok((share, words)),
-            Ok((courier.most_resident()? as f64, String::new())),
+            Ok((courier.peak_resident()? as f64, String::new())),
             Ok((first_bytes as f64, String::new())),
             kept,
         ],
         None => {
             let refused = "the list is refused whole";
             vec![
-                none(refused),
+                no_value(refused),
                 Ok((share, format!("{words}; {length} an ask"))),
-                none(refused),
-                none(refused),
-                none(refused),
-                none(refused),
-                none(refused),
+                no_value(refused),
+                no_value(refused),
+                no_value(refused),
+                no_value(refused),
+                no_value(refused),
             ]
         }
     })
 }
 
-fn messages(binary: &Path, destinations: usize, bound: Bound) -> Result<Vec<Seen>, Stopped> {
+fn measure_messages(
+    binary: &Path,
+    destinations: usize,
+    deadline: Deadline,
+) -> Result<Vec<Measured>, Stopped> {
     let endpoint = Endpoint::new(&[]);
     let registry = Registry::new(destinations, endpoint.address)?;
-    let held = listed(binary, bound, registry, destinations, (10_000, LISTS_MB))?.sure()?;
+    let held =
+        start_with_list(binary, deadline, registry, destinations, (10_000, LISTS_MB))?.require_list()?;
     let listen = held.courier.listen;
     let delivered = || endpoint.calls.lock().map_or(0, |calls| calls.len());
-    let (warm, end) = (Duration::from_secs(2), Duration::from_secs(2) + LOOK);
+    let (warm, end) = (Duration::from_secs(2), Duration::from_secs(2) + MEASURING_TIME);
     let start = Instant::now();
     let load = |number: usize| {
         let mut chance = fastrand::Rng::with_seed(number as u64);
@@ -199,7 +205,7 @@
         let gap = Duration::from_secs(1) * CLIENTS as u32 / RATE as u32;
         let (mut at, mut taken, mut others) = (gap * number as u32 / CLIENTS as u32, 0, 0);
         while at < end {
-            bound.check()?;
+            deadline.check()?;
             std::thread::sleep(at.saturating_sub(start.elapsed()));
             let heard = client.hand_in([chance.usize(1..=destinations)].into_iter())?;
             (taken, others) = (taken + heard.taken, others + heard.busy + heard.failed);
@@ -211,10 +217,10 @@
         let load = &load;
         let clients: Vec<_> = (0..CLIENTS).map(|number| scope.spawn(move || load(number))).collect();
         let look = || {
-            bound.sleep(warm.saturating_sub(start.elapsed()))?;
-            let before = (held.courier.used()?, delivered());
-            bound.sleep(LOOK)?;
-            Ok::<_, Stopped>((before, (held.courier.used()?, delivered())))
+            deadline.sleep(warm.saturating_sub(start.elapsed()))?;
+            let before = (held.courier.processor_use()?, delivered());
+            deadline.sleep(MEASURING_TIME)?;
+            Ok::<_, Stopped>((before, (held.courier.processor_use()?, delivered())))
         };
         let used = look();
         let mut tally = (0, 0);
@@ -231,7 +237,7 @@
     }
     let cost = (after.processor - before.processor) * 1e6 / count as f64;
     let rate = count as f64 / (after.at - before.at).as_secs_f64();
-    let wanted = after.wanted_since(before);
+    let wanted = after.runnable_share_since(before);
     let words = format!(
         "{rate:.0} delivered a second, {} refused of {}; ran or in line for a core {wanted:.2} of the time",
         tally.1,
@@ -240,45 +246,47 @@
     Ok(vec![Ok((cost, words))])
 }
 
-fn changes(binary: &Path, destinations: usize, bound: Bound) -> Result<Vec<Seen>, Stopped> {
+fn measure_changes(binary: &Path, destinations: usize, deadline: Deadline) -> Result<Vec<Measured>, Stopped> {
     let endpoint = Endpoint::new(&[]);
     let registry = Registry::new(destinations, endpoint.address)?;
-    let Listed { registry, courier, .. } =
-        listed(binary, bound, registry, destinations, (1_000, LISTS_MB))?.sure()?;
-    bound.sleep(Duration::from_secs(3))?;
-    let before = courier.used()?;
-    bound.sleep(LOOK / 2)?;
-    let (idle, asked) = (courier.used()?, registry.asked());
+    let StartedCourier { registry, courier, .. } =
+        start_with_list(binary, deadline, registry, destinations, (1_000, LISTS_MB))?.require_list()?;
+    deadline.sleep(Duration::from_secs(3))?;
+    let before = courier.processor_use()?;
+    deadline.sleep(MEASURING_TIME / 2)?;
+    let (idle, asked) = (courier.processor_use()?, registry.request_counts());
     let mut chance = fastrand::Rng::with_seed(destinations as u64);
-    let count = CHANGES_A_SECOND * LOOK.as_secs() as u32;
+    let count = CHANGES_A_SECOND * MEASURING_TIME.as_secs() as u32;
     for number in 0..count {
-        bound.sleep((idle.at + LOOK * number / count).saturating_duration_since(Instant::now()))?;
+        deadline
+            .sleep((idle.at + MEASURING_TIME * number / count).saturating_duration_since(Instant::now()))?;
         registry.change(chance.usize(1..=destinations), endpoint.address, 500.0 + 1000.0 * chance.f64());
     }
-    bound.sleep((idle.at + LOOK).saturating_duration_since(Instant::now()))?;
-    let (after, end) = (courier.used()?, registry.asked());
+    deadline.sleep((idle.at + MEASURING_TIME).saturating_duration_since(Instant::now()))?;
+    let (after, end) = (courier.processor_use()?, registry.request_counts());
     let share = after.share_since(idle) - idle.share_since(before);
     let cost = share * (after.at - idle.at).as_secs_f64() * 1e3 / f64::from(count);
     let bytes = (end.watch_bytes - asked.watch_bytes) as f64 / f64::from(count);
-    // Where its watch was lost it has asked for the whole list: that is no cost of a change.
+    // If the watch was lost, the courier has requested the whole list, which is no cost of a change.
     let asks = end.asks - asked.asks;
     if asks > 0 {
         let words = format!("{asks} asks meanwhile: the watch was lost");
-        return Ok(vec![none(&words), none(&words)]);
+        return Ok(vec![no_value(&words), no_value(&words)]);
     }
     let words = format!("{:.4} of a core; idle {:.4}", after.share_since(idle), idle.share_since(before));
     Ok(vec![Ok((cost, words)), Ok((bytes, String::new()))])
 }
 
-/// Bytes on file of a message held, by `journal::max_stored_size`: what the courier reckons its room by.
-const WEIGHT: f64 = 340.0;
+/// Stored size of a held mail in bytes according to `journal::max_stored_size`, by which the courier computes its
+/// capacity.
+const STORED_MAIL_BYTES: f64 = 340.0;
 
-/// Hands in so many messages, for destinations 1 to `UNREACHABLE` in their turn, and has all taken on.
-fn fill(courier: &mut Courier, count: usize, bound: Bound) -> Result<(), Stopped> {
+/// Hands in mails for the destinations 1 to `UNREACHABLE` in turn until `count` of them have been taken.
+fn fill(courier: &mut Courier, count: usize, deadline: Deadline) -> Result<(), Stopped> {
     let mut client = Client::connect(courier.listen, u32::MAX - 1)?;
     let (mut taken, mut last) = (0, Instant::now());
     while taken < count {
-        bound.check()?;
+        deadline.check()?;
         courier.check()?;
         let some = (taken..count).take(64).map(|number| 1 + number % UNREACHABLE);
         let heard = client.hand_in(some)?;
@@ -293,31 +301,32 @@
     Ok(())
 }
 
-fn holds(binary: &Path, count: usize, bound: Bound) -> Result<Vec<Seen>, Stopped> {
-    let nowhere = Nowhere::new()?;
-    let registry = Registry::new(UNREACHABLE, nowhere.address)?;
-    let disk_mb = (count as f64 * WEIGHT / 0.3 / 1e6).max(3.0);
-    let Listed { registry: _registry, mut courier, .. } =
-        listed(binary, bound, registry, UNREACHABLE, (count * 2 + 1_000, disk_mb))?.sure()?;
-    let before = courier.used()?;
-    fill(&mut courier, count, bound)?;
-    let filled = courier.used()?;
+fn measure_held(binary: &Path, count: usize, deadline: Deadline) -> Result<Vec<Measured>, Stopped> {
+    let refusing = RefusingAddress::new()?;
+    let registry = Registry::new(UNREACHABLE, refusing.address)?;
+    let disk_mb = (count as f64 * STORED_MAIL_BYTES / 0.3 / 1e6).max(3.0);
+    let StartedCourier { registry: _registry, mut courier, .. } =
+        start_with_list(binary, deadline, registry, UNREACHABLE, (count * 2 + 1_000, disk_mb))?
+            .require_list()?;
+    let before = courier.processor_use()?;
+    fill(&mut courier, count, deadline)?;
+    let filled = courier.processor_use()?;
     let (taking, took) = (filled.processor - before.processor, filled.at - before.at);
     let file = courier.journal()?.1;
-    bound.sleep(Duration::from_secs(2))?;
-    let begin = courier.used()?;
-    bound.sleep(LOOK / 2)?;
-    let used = courier.used()?;
-    let (share, wanted) = (used.share_since(begin), used.wanted_since(begin));
+    deadline.sleep(Duration::from_secs(2))?;
+    let begin = courier.processor_use()?;
+    deadline.sleep(MEASURING_TIME / 2)?;
+    let used = courier.processor_use()?;
+    let (share, wanted) = (used.share_since(begin), used.runnable_share_since(begin));
     let (resident, later) = (courier.resident()?, courier.journal()?.1);
-    let at = courier.kill_and_start()?;
-    let start = courier.ready(bound, at, Duration::from_secs(60))?;
-    let used = courier.used()?.processor;
+    let at = courier.restart_after_kill()?;
+    let start = courier.ready(deadline, at, Duration::from_secs(60))?;
+    let used = courier.processor_use()?.processor;
     let words = format!("ran or in line for a core {wanted:.2} of the time");
-    let share = if wanted < FULL {
+    let share = if wanted < SATURATED {
         Ok((share, words))
     } else {
-        none(&format!("a core is full: {share:.2}, {words}"))
+        no_value(&format!("a core is full: {share:.2}, {words}"))
     };
     Ok(vec![
         share,
@@ -328,19 +337,19 @@
     ])
 }
 
-/// A journal that was written anew: when it was seen, its bytes then, and messages taken on so far.
+/// A rewrite of the journal: when it was seen, the journal's size in bytes then, and the number of mails taken so far.
 type Rewrite = (Instant, u64, usize);
 
-fn rewrites(binary: &Path, count: usize, bound: Bound) -> Result<Vec<Seen>, Stopped> {
-    let (nowhere, endpoint) = (Nowhere::new()?, Endpoint::new(&[]));
+fn measure_rewrites(binary: &Path, count: usize, deadline: Deadline) -> Result<Vec<Measured>, Stopped> {
+    let (refusing, endpoint) = (RefusingAddress::new()?, Endpoint::new(&[]));
     let reached = UNREACHABLE + 1;
-    let registry = Registry::new(reached, nowhere.address)?;
+    let registry = Registry::new(reached, refusing.address)?;
     registry.change(reached, endpoint.address, 1e6);
-    // The messages held take 0.30 of the folder's allowance; 0.34 may be, and at 0.44 it is written anew.
-    let disk_mb = count as f64 * WEIGHT / 0.3 / 1e6;
-    let Listed { registry: _registry, mut courier, .. } =
-        listed(binary, bound, registry, reached, (count * 2 + 1_000, disk_mb))?.sure()?;
-    fill(&mut courier, count, bound)?;
+    // The held mails use 0.30 of the folder's limit; 0.34 is allowed, and at 0.44 the journal is rewritten.
+    let disk_mb = count as f64 * STORED_MAIL_BYTES / 0.3 / 1e6;
+    let StartedCourier { registry: _registry, mut courier, .. } =
+        start_with_list(binary, deadline, registry, reached, (count * 2 + 1_000, disk_mb))?.require_list()?;
+    fill(&mut courier, count, deadline)?;
     let (listen, done, taken) = (courier.listen, AtomicBool::new(false), AtomicUsize::new(0));
     let mut seen: Vec<Rewrite> = Vec::new();
     let pings = std::thread::scope(|scope| {
@@ -362,7 +371,7 @@
         });
         let (start, mut watched) = (Instant::now(), courier.journal());
         let mut looked = Ok(());
-        while looked.is_ok() && seen.len() < 4 && start.elapsed() < REWRITTEN_IN {
+        while looked.is_ok() && seen.len() < 4 && start.elapsed() < REWRITE_TIMEOUT {
             std::thread::sleep(Duration::from_millis(1));
             let now = courier.journal();
             if let (Ok((file, bytes)), Ok((before, _))) = (&now, &watched) {
@@ -371,7 +380,7 @@
                 }
             }
             watched = now;
-            looked = bound.check();
+            looked = deadline.check();
         }
         done.store(true, Ordering::Relaxed);
         let failed = |_| Stopped("a client has failed".to_string());
@@ -383,11 +392,13 @@
     courier.check()?;
     let ([first, .., last], true) = (&seen[..], seen.len() > 1) else {
         let (taken, delivered) = (taken.into_inner(), endpoint.calls.lock().map_or(0, |calls| calls.len()));
-        let words =
-            format!("{} rewrites in {REWRITTEN_IN:?}, {taken} taken on, {delivered} delivered", seen.len());
-        return Ok(vec![none(&words), none(&words)]);
+        let words = format!(
+            "{} rewrites in {REWRITE_TIMEOUT:?}, {taken} taken on, {delivered} delivered",
+            seen.len()
+        );
+        return Ok(vec![no_value(&words), no_value(&words)]);
     };
-    // Seen within a few milliseconds of its end.
+    // A rewrite is seen within a few milliseconds of its end.
     let near = Duration::from_millis(10);
     let longest = |of: bool| {
         let beside = |ping: &&(Instant, Duration)| {
@@ -397,20 +408,24 @@
         pings.iter().filter(beside).map(|ping| ping.1.as_secs_f64()).fold(0.0, f64::max)
     };
     let bytes: u64 = seen[1..].iter().map(|rewrite| rewrite.1).sum();
-    let taken_on = (last.2 - first.2) as f64 * WEIGHT;
+    let taken_on = (last.2 - first.2) as f64 * STORED_MAIL_BYTES;
     let (begin, end) = (first.0, last.0);
     let words = format!("{} rewrites of {:.1} MB", seen.len(), first.1 as f64 / 1e6);
     let stall = format!("{words}; otherwise {:.4} s at the longest", longest(false));
-    let over = format!("{words}; {:.0} taken on in {:.1} s", taken_on / WEIGHT, (end - begin).as_secs_f64());
+    let over = format!(
+        "{words}; {:.0} taken on in {:.1} s",
+        taken_on / STORED_MAIL_BYTES,
+        (end - begin).as_secs_f64()
+    );
     let ratio = if taken_on > 0.0 {
         Ok((bytes as f64 / taken_on, over))
     } else {
-        none("nothing was taken on between rewrites")
+        no_value("nothing was taken on between rewrites")
     };
     Ok(vec![Ok((longest(true), stall)), ratio])
 }
 
-/// One slope of one binary as it grows.
+/// The rows of one slope of one binary so far.
 #[derive(Default)]
 struct Series {
     rows: Vec<Row>,
@@ -418,7 +433,7 @@
 }
 
 impl Sweep {
-    /// Size by size, all binaries at each, so that they meet the same machine.
+    /// Measures all binaries at each size in turn, so that they run under the same conditions of the machine.
     fn run(
         &self,
         binaries: &[(String, PathBuf)],
@@ -429,14 +444,14 @@
         let mut series: Vec<Vec<Series>> = binaries.iter().map(|_| Vec::new()).collect();
         let mut ended: Vec<bool> = vec![false; binaries.len()];
         series.iter_mut().for_each(|series| series.resize_with(self.slopes.len(), Series::default));
-        let mut bounds: Vec<Duration> = vec![MOST_TIME; binaries.len()];
+        let mut bounds: Vec<Duration> = vec![MAX_SLOPE_TIME; binaries.len()];
         for &size in self.sizes.iter().filter(|size| sizes.is_empty() || sizes.contains(size)) {
             for (place, (name, binary)) in binaries.iter().enumerate() {
                 if ended[place] {
                     continue;
                 }
                 let start = Instant::now();
-                let measured = (self.measure)(binary, size, Bound::new(bounds[place]));
+                let measured = (self.measure)(binary, size, Deadline::new(bounds[place]));
                 bounds[place] = bounds[place].saturating_sub(start.elapsed());
                 let seen = measured.unwrap_or_else(|stopped| {
                     ended[place] = true;
@@ -475,8 +490,8 @@
     SWEEPS.iter().flat_map(|sweep| sweep.slopes.iter().map(|slope| slope.0))
 }
 
-/// `NAME=PATH`, or a path that is its own name.
-fn named(text: &str) -> (String, PathBuf) {
+/// Parses `NAME=PATH`, or a path whose file name is used as the name.
+fn parse_binary(text: &str) -> (String, PathBuf) {
     match text.split_once('=') {
         Some((name, path)) => (name.to_string(), path.into()),
         None => {
@@ -493,8 +508,8 @@
     json!({"cores": cores, "memory_mb": kb / 1024, "load_at_start": load_average()})
 }
 
-/// Ends on SIGINT or SIGTERM by way of every wait, so that folders go too; couriers end in any case.
-fn heed_signals() -> std::io::Result<()> {
+/// On SIGINT or SIGTERM, ends the bench at its next wait, so that folders are removed; couriers end in any case.
+fn handle_signals() -> std::io::Result<()> {
     use tokio::signal::unix::{signal, SignalKind};
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build()?;
     std::thread::spawn(move || {
@@ -503,7 +518,7 @@
                 (signal(SignalKind::interrupt()), signal(SignalKind::terminate()))
             {
                 tokio::select! { _ = int.recv() => {}, _ = term.recv() => {} }
-                ask_to_end();
+                request_end();
             }
         });
     });
@@ -514,7 +529,7 @@
     let mut arguments = pico_args::Arguments::from_env();
     let benched = arguments.contains("--bench");
     let what: Option<String> = arguments.opt_value_from_str("--what").map_err(|e| e.to_string())?;
-    // Guards against minutes of load where benches are only tried, as by `cargo test --all-targets`.
+    // Avoids minutes of load when benches are only built and started, as by `cargo test --all-targets`.
     if !benched && what.is_none() {
         println!("slopes: run by cargo bench");
         return Ok(());
@@ -538,13 +553,13 @@
     if let Some(unknown) = sizes.iter().find(|size| !known(size)) {
         return Err(format!("no slope has the size {unknown}"));
     }
-    let mut binaries: Vec<(String, PathBuf)> = texts.iter().map(|text| named(text)).collect();
+    let mut binaries: Vec<(String, PathBuf)> = texts.iter().map(|text| parse_binary(text)).collect();
     if binaries.is_empty() {
         let built =
             escargot::CargoBuild::new().package("meadowhold-courier").bin("meadowhold").release().run();
         binaries.push(("today".to_string(), built.map_err(|e| e.to_string())?.path().to_path_buf()));
     }
-    heed_signals().map_err(|e| e.to_string())?;
+    handle_signals().map_err(|e| e.to_string())?;
     let wanted = |name: &str| what.is_empty() || what.contains(&name);
     let mut command = "cargo bench -p meadowhold-rig --bench slopes".to_string();
     let joined = sizes.iter().map(usize::to_string).collect::<Vec<_>>().join(",");
@@ -560,7 +575,7 @@
             println!("{}", slope.table());
             slopes.push(slope);
         }
-        // As far as it has come, so that a later fault costs none of it.
+        // The results so far are written after each sweep, so that a later error does not lose them.
         if let Some(out) = &out {
             let text = serde_json::to_string_pretty(&json!({"machine": machine, "slopes": slopes}));
             let text = text.map_err(|e| e.to_string())? + "\n";
@@ -572,8 +587,8 @@
 
 fn main() -> ExitCode {
     let words: Vec<_> = std::env::args_os().collect();
-    if let [_, become_one, parent, binary] = &words[..] {
-        if become_one == BECOME {
+    if let [_, become_courier_arg, parent, binary] = &words[..] {
+        if become_courier_arg == BECOME_COURIER {
             let parent = parent.to_str().and_then(|parent| parent.parse().ok()).unwrap_or(0);
             eprintln!("{}", become_courier(parent, Path::new(binary)));
             return ExitCode::FAILURE;
--- a/crates/rig/src/scale/sorter.rs
+++ b/crates/rig/src/scale/endpoint_proxy.rs
@@ -1,5 +1,6 @@
-//! An endpoint as a list through relays names it: one address for all real couriers. Each call is passed on over the
-//! link of the courier to which the message was handed in, so that the endpoint sees whose it is as ever.
+//! A proxy in front of an endpoint. A list that comes through relays gives all real couriers the same endpoint address,
+//! so the proxy forwards each call over the link of the courier that was handed the mail: the endpoint identifies the
+//! courier by its link.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -14,21 +15,26 @@
 use crate::record::HandIn;
 use crate::relay;
 
-/// Of a first call that names no message: it is dropped.
-const MOST: usize = 256 << 10;
+/// The most bytes of a first call that are read in search of a mail id; the connection is then dropped.
+const MAX_FIRST_CALL_BYTES: usize = 256 << 10;
 
-/// Ends when it is dropped.
-pub struct Sorter {
+/// The proxy stops when this is dropped.
+pub struct EndpointProxy {
     pub address: SocketAddr,
     _task: JoinSet<()>,
 }
 
-impl Sorter {
-    /// `links`: to the endpoint, by courier; `couriers`: to which each message is handed in.
+impl EndpointProxy {
+    /// `links`: addresses of the links to the endpoint, by courier; `couriers`: the courier that each mail is handed
+    /// to.
     ///
     /// # Errors
-    /// Where no port can be had.
-    pub async fn start(at: IpAddr, links: Vec<SocketAddr>, couriers: Arc<Vec<usize>>) -> io::Result<Sorter> {
+    /// If no port can be bound.
+    pub async fn start(
+        at: IpAddr,
+        links: Vec<SocketAddr>,
+        couriers: Arc<Vec<usize>>,
+    ) -> io::Result<EndpointProxy> {
         let listener = TcpListener::bind((at, 0)).await?;
         let (address, links, mut task) = (listener.local_addr()?, Arc::new(links), JoinSet::new());
         task.spawn(async move {
@@ -43,7 +49,7 @@
                 }
             }
         });
-        Ok(Sorter { address, _task: task })
+        Ok(EndpointProxy { address, _task: task })
     }
 }
 
@@ -52,11 +58,13 @@
         let mut first = Vec::new();
         let link = loop {
             let read = near.read_buf(&mut first).await?;
-            let message = message(&first).and_then(|message| couriers.get(message as usize));
+            let message = first_mail(&first).and_then(|message| couriers.get(message as usize));
             match message.and_then(|&courier| links.get(courier)) {
                 Some(&link) => break link,
                 None if read == 0 => return Ok(()),
-                None if first.len() > MOST => return Err(io::Error::other("a call names no message")),
+                None if first.len() > MAX_FIRST_CALL_BYTES => {
+                    return Err(io::Error::other("no mail id in the first 256 KiB of a call"))
+                }
                 None => {}
             }
         };
@@ -75,8 +83,8 @@
     }
 }
 
-/// The first message that a call names: in its head, or in the body of a batch.
-fn message(call: &[u8]) -> Option<u32> {
+/// The first mail of a call: from the `X-Request-Id` header, or from the body of a batch.
+fn first_mail(call: &[u8]) -> Option<u32> {
     let text = String::from_utf8_lossy(call);
     let mark = if text.starts_with("POST /hook/batch ") { "\"id\":\"" } else { "x-request-id: " };
     let at = text.to_ascii_lowercase().find(mark)? + mark.len();
@@ -88,7 +96,7 @@
     use super::*;
 
     #[test]
-    fn the_first_message_of_a_call_is_found_in_its_head_or_batch_and_nowhere_else() {
+    fn the_first_mail_of_a_call_is_found_only_in_its_head_or_batch() {
         let rows = [
             ("POST /hook HTTP/1.1\r\nX-Request-Id: 0000001200000001\r\n\r\n", Some(0x12)),
             ("POST /hook HTTP/1.1\r\nX-Request-Id: 00000012000", None),
@@ -97,7 +105,7 @@
             ("", None),
         ];
         for (call, found) in rows {
-            assert_eq!(message(call.as_bytes()), found, "{call}");
+            assert_eq!(first_mail(call.as_bytes()), found, "{call}");
         }
     }
 }
--- a/crates/rig/src/scale/gauge.rs
+++ b/crates/rig/src/scale/gauge.rs
@@ -1,4 +1,5 @@
-//! What the kernel says of processes, threads and datagrams. Nothing here asks the code that is measured.
+//! Resource use of processes and threads and datagram counts, read from the kernel only, independently of the code
+//! under measurement.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -7,48 +8,48 @@
 
 use super::day::Machine;
 
-/// Processor time is counted in ticks of a hundredth of a second, on each Linux that there is.
+/// Ticks per second of processor time in `/proc`; the value is 100 on every Linux.
 const TICKS: f64 = 100.0;
 
-/// What a process, or a thread, has taken so far.
+/// Resource use of a process or a thread so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Taken {
-    /// Seconds of processor time.
+pub struct ResourceUse {
+    /// Processor time in seconds.
     pub processor_s: f64,
-    /// Bytes that are resident.
+    /// Resident memory in bytes.
     pub resident: u64,
-    /// When it was started, in ticks since the machine was.
+    /// Start time, in ticks since the machine booted.
     pub started: u64,
 }
 
-/// Of a line of `/proc/N/stat`. The name, in brackets, may hold anything.
-pub fn read_stat(line: &str, page: u64) -> Option<Taken> {
+/// Parses `/proc/N/stat`. The name, in parentheses, may contain any characters.
+pub fn read_stat(line: &str, page: u64) -> Option<ResourceUse> {
     let fields: Vec<&str> = line.rsplit_once(')')?.1.split_whitespace().collect();
     let number = |at: usize| fields.get(at - 3)?.parse::<u64>().ok();
     let processor_s = (number(14)? + number(15)?) as f64 / TICKS;
-    Some(Taken { processor_s, resident: number(24)? * page, started: number(22)? })
+    Some(ResourceUse { processor_s, resident: number(24)? * page, started: number(22)? })
 }
 
-fn taken(path: &str) -> Option<Taken> {
+fn read_use(path: &str) -> Option<ResourceUse> {
     read_stat(&fs::read_to_string(path).ok()?, rustix::param::page_size() as u64)
 }
 
-/// `None` where there is no such process.
-pub fn of_process(id: u32) -> Option<Taken> {
-    taken(&format!("/proc/{id}/stat"))
+/// `None` if there is no such process.
+pub fn of_process(id: u32) -> Option<ResourceUse> {
+    read_use(&format!("/proc/{id}/stat"))
 }
 
-/// Of a thread of this process.
-pub fn of_thread(id: i32) -> Option<Taken> {
-    taken(&format!("/proc/self/task/{id}/stat"))
+/// Resource use of a thread of this process.
+pub fn of_thread(id: i32) -> Option<ResourceUse> {
+    read_use(&format!("/proc/self/task/{id}/stat"))
 }
 
-/// Of this process.
-pub fn of_self() -> Taken {
-    taken("/proc/self/stat").unwrap_or_default()
+/// Resource use of this process.
+pub fn of_self() -> ResourceUse {
+    read_use("/proc/self/stat").unwrap_or_default()
 }
 
-/// UDP datagrams that this machine's processes have sent, whoever they are.
+/// UDP datagrams sent by all processes of this machine.
 pub fn datagrams() -> u64 {
     let text = fs::read_to_string("/proc/net/snmp").unwrap_or_default();
     let mut lines = text.lines().filter_map(|line| line.strip_prefix("Udp: "));
@@ -57,13 +58,13 @@
     both.find(|(name, _)| *name == "OutDatagrams").and_then(|(_, value)| value.parse().ok()).unwrap_or(0)
 }
 
-/// Processes that were ready to run, on the average of the last minute.
+/// The one-minute load average.
 pub fn load() -> f64 {
     let text = fs::read_to_string("/proc/loadavg").unwrap_or_default();
     text.split_whitespace().next().and_then(|first| first.parse().ok()).unwrap_or(0.0)
 }
 
-/// Threads that run or want to at this moment.
+/// Threads that are running or runnable at this moment.
 pub fn runnable() -> u64 {
     let text = fs::read_to_string("/proc/loadavg").unwrap_or_default();
     let field = text.split_whitespace().nth(3).and_then(|field| field.split_once('/'));
@@ -76,16 +77,16 @@
     line.and_then(|line| line.split_whitespace().next()?.parse::<u64>().ok()).unwrap_or(0) * 1024
 }
 
-/// What a file system that is kept in memory is called by the kernel.
-const IN_MEMORY: u64 = 0x0102_1994;
+/// The magic number of tmpfs, as `statfs` reports it.
+const TMPFS_MAGIC: u64 = 0x0102_1994;
 
-/// Bytes that are taken of the file system on which a folder is.
-pub fn taken_of(folder: &Path) -> u64 {
+/// Used bytes of the file system that holds a folder.
+pub fn used_bytes(folder: &Path) -> u64 {
     rustix::fs::statvfs(folder).map_or(0, |of| (of.f_blocks - of.f_bfree) * of.f_frsize)
 }
 
-/// Where couriers' folders are made unless a run is told otherwise: in memory, where the machine has such a place.
-/// Guards against 1,300 couriers that wait for one disk, where each would have its own.
+/// The default parent of the couriers' folders: an in-memory file system if there is one. Otherwise 1,300 couriers
+/// would wait for one disk, while in production each has its own.
 pub fn folder() -> PathBuf {
     let shared = Path::new("/dev/shm");
     let usable = rustix::fs::access(shared, rustix::fs::Access::WRITE_OK).is_ok();
@@ -96,10 +97,10 @@
     }
 }
 
-/// What this machine has; folders are to be made in `folder`.
+/// The resources of this machine, with the disk that holds `folder`.
 pub fn machine(folder: &Path) -> Machine {
     let disk = rustix::fs::statvfs(folder).map_or(0, |of| of.f_bavail * of.f_frsize);
-    let disk_in_memory = rustix::fs::statfs(folder).is_ok_and(|of| of.f_type as u64 == IN_MEMORY);
+    let disk_in_memory = rustix::fs::statfs(folder).is_ok_and(|of| of.f_type as u64 == TMPFS_MAGIC);
     let descriptors = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
     Machine { memory: meminfo("MemTotal"), disk, disk_in_memory, descriptors }
 }
@@ -109,9 +110,9 @@
     use super::*;
 
     #[test]
-    fn a_process_is_read_whatever_its_name_is() {
+    fn a_stat_line_is_parsed_with_any_process_name() {
         let rest = "S 1 2 3 0 -1 4 5 6 7 8 150 50 0 0 20 0 65 0 9000 1000000 300 18446744073709551615";
-        let taken = Taken { processor_s: 2.0, resident: 300 * 4096, started: 9000 };
+        let taken = ResourceUse { processor_s: 2.0, resident: 300 * 4096, started: 9000 };
         for name in ["meadowhold", "a) S 9 (b", ""] {
             assert_eq!(read_stat(&format!("77 ({name}) {rest}"), 4096), Some(taken), "{name}");
         }
@@ -120,7 +121,7 @@
     }
 
     #[test]
-    fn this_process_is_found_and_one_that_is_not_there_is_not() {
+    fn resource_use_is_read_for_existing_processes_only() {
         let own = of_process(std::process::id()).unwrap();
         assert!(own.resident > 0 && own.started > 0, "{own:?}");
         assert_eq!(of_process(u32::MAX), None);
--- a/crates/rig/src/scale/hollow.rs
+++ b/crates/rig/src/scale/hollow.rs
@@ -1,5 +1,5 @@
-//! The program of hollow couriers: `meadowhold-rig hollow FILE`. The file holds what is common to all as the courier's
-//! own JSON, and for each its name, folder and address.
+//! The program that runs hollow couriers: `meadowhold-rig hollow FILE`. The file holds the common configuration as a
+//! courier's JSON, and the name, state folder and address of each courier.
 
 use std::cell::RefCell;
 use std::io::Write;
@@ -23,25 +23,25 @@
 use tokio::task::{JoinSet, LocalSet};
 use tokio::time::timeout;
 
-use super::day::How;
+use super::day::Defect;
 
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct File {
-    /// A courier's configuration, but for what differs.
+    /// A courier's configuration without the fields that differ between couriers.
     pub common: Value,
-    pub couriers: Vec<One>,
+    pub couriers: Vec<HollowCourier>,
 }
 
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct One {
+pub struct HollowCourier {
     pub name: String,
     pub state: PathBuf,
-    /// Where it speaks membership, if it does.
+    /// The address of its membership socket, if it takes part in membership.
     pub members: Option<SocketAddr>,
     pub seed: u64,
-    pub wrong: Option<How>,
+    pub wrong: Option<Defect>,
 }
 
 impl File {
@@ -50,8 +50,8 @@
         serde_json::from_slice(&text).map_err(|e| format!("{} cannot be read: {e}", path.display()))
     }
 
-    /// One courier's configuration, read as a real one reads its own.
-    fn config(&self, one: &One) -> Result<Config, String> {
+    /// The configuration of one courier, parsed like a real courier's.
+    fn config(&self, one: &HollowCourier) -> Result<Config, String> {
         let mut config = self.common.clone();
         config["name"] = json!(one.name);
         config["seed"] = json!(format!("{:x}", one.seed));
@@ -59,20 +59,20 @@
             Some(members) => config["peers"]["members"]["listen"] = json!(members.to_string()),
             None => config["peers"] = Value::Null,
         }
-        let state = one.state.to_str().ok_or("a folder's name is no text")?.to_string();
+        let state = one.state.to_str().ok_or("the path of a state folder is not valid UTF-8")?.to_string();
         let variable = |name: &str| (name == "ROUTER_STATE").then(|| state.clone());
         let text = config.to_string();
         Config::read(text.as_bytes(), &variable).map_err(|refused| format!("{}: {refused}", one.name))
     }
 }
 
-/// Whether the couriers are ending: what membership says of its counts then is worth a line, and nothing before.
+/// Whether the couriers are shutting down: membership's counts are logged only then.
 static ENDING: AtomicBool = AtomicBool::new(false);
 
-/// Writes what is in force, warnings, each failure to follow the list, and the counts of membership.
-struct Lines;
+/// Logs to standard error: versions in force, warnings, each failure to follow the list, and membership's final counts.
+struct StderrLogger;
 
-impl Log for Lines {
+impl Log for StderrLogger {
     fn enabled(&self, metadata: &Metadata) -> bool {
         let counts = ENDING.load(Ordering::Relaxed) && metadata.target().ends_with("::members");
         let follows = metadata.target().ends_with("::discovery");
@@ -91,36 +91,37 @@
     fn flush(&self) {}
 }
 
-/// So many couriers of a process ask for their first list at a time, each for so long at most. Guards against a start
-/// that none of them gets through: they share a processor that each would have to itself.
-const AT_ONCE: usize = 2;
-const FIRST_LIST: Duration = Duration::from_secs(2);
+/// The number of couriers of a process that fetch their first list at the same time, and the time limit for each. The
+/// couriers share one processor, which in production each has to itself: without the limit none of them might finish
+/// its start.
+const FIRST_LISTS_AT_ONCE: usize = 2;
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// One that is wrong on purpose, if `how` says so, before a hollow courier that is not.
-struct Spoilt<L> {
+/// Wraps the listener of a hollow courier and adds a simulated defect if `how` is set.
+struct DefectiveListener<L> {
     inner: Rc<RefCell<L>>,
-    /// Until the first list has come.
+    /// Dropped when the first list has arrived.
     first: Option<oneshot::Sender<()>>,
-    how: Option<How>,
+    how: Option<Defect>,
     name: String,
 }
 
-impl<L: Listener> Listener for Spoilt<L> {
+impl<L: Listener> Listener for DefectiveListener<L> {
     fn apply_update(&mut self, list: &Update) {
         self.first = None;
-        if self.how == Some(How::Mute) {
-            // One that is held for good never has a turn. Where lists are asked for nothing else holds it.
+        if self.how == Some(Defect::Mute) {
+            // A courier whose calls stay on hold never runs a turn. If lists are polled, nothing else holds its calls.
             self.inner.borrow_mut().hold_calls();
         }
         match self.how {
-            // The first list is held as it is: there is no old one.
-            Some(How::HoldsOld) if list.index > 1 => {
+            // The first list is applied: there is no older one to keep.
+            Some(Defect::HoldsOld) if list.index > 1 => {
                 let nothing = Update { index: list.index, ..Update::default() };
                 self.inner.borrow_mut().apply_update(&nothing);
             }
             _ => self.inner.borrow_mut().apply_update(list),
         }
-        if self.how == Some(How::TooEarly) {
+        if self.how == Some(Defect::TooEarly) {
             log::trace!(target: IN_FORCE, "list {} is in force at {}", list.index + 1, self.name);
         }
     }
@@ -134,7 +135,7 @@
     }
 
     fn release_calls(&mut self) {
-        if self.how != Some(How::Mute) {
+        if self.how != Some(Defect::Mute) {
             self.inner.borrow_mut().release_calls();
         }
     }
@@ -143,9 +144,9 @@
 /// Runs all couriers of a file until SIGTERM.
 ///
 /// # Errors
-/// What is wrong with the file, or why a courier of it has failed.
+/// If the file is invalid, or one of its couriers fails.
 pub fn main(path: &Path) -> Result<(), String> {
-    log::set_boxed_logger(Box::new(Lines)).map_err(|e| e.to_string())?;
+    log::set_boxed_logger(Box::new(StderrLogger)).map_err(|e| e.to_string())?;
     log::set_max_level(LevelFilter::Trace);
     let file = File::read(path)?;
     let mut configs = Vec::new();
@@ -155,11 +156,11 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| e.to_string())?;
     let ended = LocalSet::new().block_on(&runtime, async {
-        let handler = |kind| signal(kind).map_err(|e| format!("no signal can be heard: {e}"));
+        let handler = |kind| signal(kind).map_err(|e| format!("cannot install a signal handler: {e}"));
         let (mut terminate, mut hangup) = (handler(SignalKind::terminate())?, handler(SignalKind::hangup())?);
         let mut running = JoinSet::new();
         let (stop, _) = watch::channel(false);
-        let (mut places, turns) = (Vec::new(), Arc::new(Semaphore::new(AT_ONCE)));
+        let (mut places, turns) = (Vec::new(), Arc::new(Semaphore::new(FIRST_LISTS_AT_ONCE)));
         for (config, one) in configs.into_iter().zip(file.couriers) {
             let (discovery, discovery_in) = watch::channel(config.discovery);
             places.push(discovery);
@@ -168,13 +169,13 @@
             let (first, listed) = oneshot::channel();
             let before = move |inner| {
                 let first = Some(first);
-                Rc::new(RefCell::new(Spoilt { inner, first, how: one.wrong, name: one.name }))
+                Rc::new(RefCell::new(DefectiveListener { inner, first, how: one.wrong, name: one.name }))
             };
             let turn = turns.clone();
             running.spawn_local(async move {
                 let turn = turn.acquire_owned().await;
                 tokio::task::spawn_local(async move {
-                    let _ = timeout(FIRST_LIST, listed).await;
+                    let _ = timeout(FIRST_LIST_TIMEOUT, listed).await;
                     drop(turn);
                 });
                 serve(config, discovery_in, stopped, before).await
@@ -186,7 +187,7 @@
                     ENDING.store(true, Ordering::Relaxed);
                     stop.send_replace(true);
                 }
-                _ = hangup.recv() => read_again(path, &places),
+                _ = hangup.recv() => reload(path, &places),
                 ended = running.join_next() => match ended {
                     None => return Ok(()),
                     Some(Ok(Ok(()))) => {}
@@ -200,8 +201,8 @@
     ended
 }
 
-/// As a real courier's: where discovery is may change while it runs.
-fn read_again(path: &Path, places: &[watch::Sender<SocketAddr>]) {
+/// Reloads the file on SIGHUP. As with a real courier, the address of discovery may change while it runs.
+fn reload(path: &Path, places: &[watch::Sender<SocketAddr>]) {
     let text = |file: &File| file.common["discovery"].as_str().and_then(|text| text.parse().ok());
     match File::read(path).map(|file| text(&file)) {
         Ok(Some(now)) => {
@@ -209,7 +210,7 @@
                 place.send_if_modified(|known| std::mem::replace(known, now) != now);
             }
         }
-        Ok(None) => log::error!("the configuration names no discovery"),
-        Err(words) => log::error!("the configuration cannot be read anew: {words}"),
+        Ok(None) => log::error!("the configuration has no valid discovery address"),
+        Err(words) => log::error!("the configuration cannot be reloaded: {words}"),
     }
 }
--- a/crates/rig/src/scale/process.rs
+++ b/crates/rig/src/scale/process.rs
@@ -1,5 +1,5 @@
-//! A process of couriers, real or hollow: its start, its signals, and what it says on standard error, which is read as it
-//! comes and timed by the run's own clock.
+//! A process of real or hollow couriers: starts and signals it, and reads its standard error line by line with
+//! timestamps of the run's own clock.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -11,28 +11,28 @@
 use tokio::process::{Child, ChildStderr, Command};
 use tokio::task::JoinHandle;
 
-use super::books::Books;
 use super::day::Place;
 use super::guard::Guard;
+use super::tracker::VersionTracker;
 use crate::process::faults_in;
 use crate::record::{lock, Record};
 
-/// Lines of one process that are kept; what says that a version is in force is none of them.
-const MOST_LINES: usize = 20_000;
+/// Maximum number of log lines kept per process; lines that report a version in force are not kept.
+const MAX_LOG_LINES: usize = 20_000;
 
-/// What a line says is in force, and at which courier where it names one.
-pub fn statement(line: &str) -> Option<(u64, Option<&str>)> {
+/// The version that a line reports in force, and the courier if the line names one.
+pub fn parse_in_force(line: &str) -> Option<(u64, Option<&str>)> {
     let (_, rest) = line.split_once("in_force] list ")?;
     let (version, rest) = rest.split_once(" is in force")?;
     Some((version.parse().ok()?, rest.strip_prefix(" at ")))
 }
 
-/// What a hollow courier is called, and the number of one so called.
-pub fn name(courier: usize) -> String {
+/// The name of a hollow courier; `hollow_number` is the inverse.
+pub fn hollow_name(courier: usize) -> String {
     format!("h{courier}")
 }
 
-fn number(name: &str) -> Option<usize> {
+fn hollow_number(name: &str) -> Option<usize> {
     name.strip_prefix('h')?.parse().ok()
 }
 
@@ -42,13 +42,13 @@
     child: Option<Child>,
     reader: Option<JoinHandle<()>>,
     log: Arc<Mutex<Vec<String>>>,
-    books: Arc<Mutex<Books>>,
+    tracker: Arc<Mutex<VersionTracker>>,
     record: Arc<Record>,
     guard: Arc<tokio::sync::Mutex<Guard>>,
 }
 
-/// A real courier's process, with its folder.
-pub fn real(program: &Path, subcommand: &str, config: &Path, state: &Path) -> Command {
+/// The command of a real courier, with its state folder.
+pub fn courier_command(program: &Path, subcommand: &str, config: &Path, state: &Path) -> Command {
     let mut command = Command::new(program);
     command
         .arg(subcommand)
@@ -58,8 +58,8 @@
     command
 }
 
-/// A relay's process; its file names its folder.
-pub fn relay(program: &Path, config: &Path) -> Command {
+/// The command of a relay; its configuration file names its state folder.
+pub fn relay_command(program: &Path, config: &Path) -> Command {
     let mut command = Command::new(program);
     command.arg("relay").arg(config).env_clear().env("RUST_LOG", "info");
     command
@@ -69,43 +69,44 @@
     pub fn new(
         place: Place,
         command: impl Fn() -> Command + Send + Sync + 'static,
-        books: Arc<Mutex<Books>>,
+        tracker: Arc<Mutex<VersionTracker>>,
         record: Arc<Record>,
         guard: Arc<tokio::sync::Mutex<Guard>>,
     ) -> Process {
         let command = Box::new(command);
-        Process { place, command, child: None, reader: None, log: Arc::default(), books, record, guard }
+        Process { place, command, child: None, reader: None, log: Arc::default(), tracker, record, guard }
     }
 
-    /// Its id, while it runs.
+    /// The process id while it runs.
     pub fn id(&self) -> Option<u32> {
         self.child.as_ref().and_then(Child::id)
     }
 
     /// # Errors
-    /// Where the program cannot be started, or nobody would end it if the run were killed.
+    /// If the program cannot be started, or the guard cannot be told of it and would not end it if the run were killed.
     pub async fn start(&mut self) -> io::Result<()> {
         let mut command = (self.command)();
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
-        // In a group of its own: what ends the run at a terminal ends it in the run's order.
+        // A process group of its own: a signal from the terminal reaches only the run, which ends its processes in
+        // order.
         let mut child = command.kill_on_drop(true).process_group(0).spawn()?;
         let id = child.id().ok_or(io::ErrorKind::NotFound)?;
-        let said = child.stderr.take().ok_or(io::ErrorKind::BrokenPipe)?;
+        let stderr = child.stderr.take().ok_or(io::ErrorKind::BrokenPipe)?;
         self.child = Some(child);
         self.guard.lock().await.started(id).await?;
-        let (books, record, log) = (self.books.clone(), self.record.clone(), self.log.clone());
-        self.reader = Some(tokio::spawn(read(said, self.place.clone(), books, record, log)));
+        let (tracker, record, log) = (self.tracker.clone(), self.record.clone(), self.log.clone());
+        self.reader = Some(tokio::spawn(read(stderr, self.place.clone(), tracker, record, log)));
         Ok(())
     }
 
-    /// Only ever a child that has not been waited for: its id is nobody else's.
+    /// Signals only a child that has not been waited for, whose id cannot have been reused.
     pub fn signal(&self, signal: Signal) {
         if let Some(id) = self.id().and_then(|id| Pid::from_raw(id as i32)) {
             let _ = kill_process(id, signal);
         }
     }
 
-    /// Waits for its end, and until all that it said is read.
+    /// Waits until the process has ended and its output has been read.
     pub async fn ended(&mut self) -> Option<ExitStatus> {
         let id = self.id();
         let status = self.child.as_mut()?.wait().await.ok();
@@ -119,7 +120,7 @@
         status
     }
 
-    /// Whether a process that should be running has ended by itself.
+    /// Whether a process that should be running has ended unexpectedly.
     pub fn has_crashed(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| !matches!(child.try_wait(), Ok(None)))
     }
@@ -128,24 +129,24 @@
         lock(&self.log).join("\n")
     }
 
-    /// Why the list is not followed.
-    pub fn refuses(&self) -> Refuses {
-        refuses(lock(&self.log).iter().map(String::as_str))
+    /// The reasons for which the process cannot follow the list.
+    pub fn list_errors(&self) -> ListErrors {
+        list_errors(lock(&self.log).iter().map(String::as_str))
     }
 }
 
-/// What a log says of a list that is not followed.
+/// Reasons found in a log for which the list cannot be followed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Refuses {
-    /// What no time mends.
+pub struct ListErrors {
+    /// A permanent reason, which retries cannot resolve.
     pub for_good: Option<String>,
     pub last: Option<String>,
 }
 
-fn refuses<'a>(log: impl Iterator<Item = &'a str>) -> Refuses {
-    let mut refuses = Refuses::default();
+fn list_errors<'a>(log: impl Iterator<Item = &'a str>) -> ListErrors {
+    let mut refuses = ListErrors::default();
     for line in log {
-        // Whole words of a limit, in a line of their own.
+        // Log messages of exceeded limits.
         let for_good = ["the list has more than ", "the list is longer than "];
         if let Some(at) = for_good.iter().find_map(|words| line.find(words)) {
             let words = line[at..].split_once(": ").map_or(&line[at..], |(words, _)| words);
@@ -159,29 +160,30 @@
 }
 
 async fn read(
-    said: ChildStderr,
+    stderr: ChildStderr,
     place: Place,
-    books: Arc<Mutex<Books>>,
+    tracker: Arc<Mutex<VersionTracker>>,
     record: Arc<Record>,
     log: Arc<Mutex<Vec<String>>>,
 ) {
-    let mut lines = BufReader::new(said).lines();
-    // What is no text is no word of a courier's: the rest of its log is left, and it ends when its pipe does.
+    let mut lines = BufReader::new(stderr).lines();
+    // Couriers write only UTF-8: at an invalid line the rest of the log is left unread, and the process ends on its
+    // closed pipe.
     while let Ok(Some(line)) = lines.next_line().await {
         let at = record.now();
-        match statement(&line) {
+        match parse_in_force(&line) {
             Some((version, name)) => {
                 let courier = match name {
-                    Some(name) => number(name).filter(|courier| place.couriers.contains(courier)),
+                    Some(name) => hollow_number(name).filter(|courier| place.couriers.contains(courier)),
                     None => place.real.then_some(place.couriers.start),
                 };
                 if let Some(courier) = courier {
-                    lock(&books).said(courier, version, at);
+                    lock(&tracker).record_report(courier, version, at);
                 }
             }
             None => {
                 let mut log = lock(&log);
-                if log.len() < MOST_LINES {
+                if log.len() < MAX_LOG_LINES {
                     log.push(line);
                 }
             }
@@ -189,8 +191,8 @@
     }
 }
 
-/// What a log says that must not be there. How membership ended is held to what its own audit found: its count of
-/// broken datagrams is of what came, and no fault of the courier's.
+/// Lines of a log that indicate a fault. The final membership line counts as a fault only if membership's own audit
+/// found one: its count of broken datagrams concerns received data and is no fault of the courier.
 pub fn faults(log: &str) -> Vec<String> {
     let of_members = |line: &&str| line.contains("membership has ended: ");
     let (ends, rest): (Vec<&str>, Vec<&str>) = log.lines().partition(of_members);
@@ -200,13 +202,13 @@
     faults
 }
 
-/// A run's file of a process.
-pub fn file(folder: &Path, process: usize) -> PathBuf {
+/// The configuration file of a process in the run's folder.
+pub fn config_path(folder: &Path, process: usize) -> PathBuf {
     folder.join(format!("p{process}.json"))
 }
 
-/// The folder that lasts of a courier.
-pub fn state(folder: &Path, courier: usize) -> PathBuf {
+/// The persistent state folder of a courier.
+pub fn state_path(folder: &Path, courier: usize) -> PathBuf {
     folder.join(format!("c{courier}"))
 }
 
@@ -215,7 +217,7 @@
     use super::*;
 
     #[test]
-    fn why_a_list_is_not_followed_is_read_whichever_try_it_was() {
+    fn the_reasons_for_not_following_a_list_are_read_from_the_log() {
         let line = |words: &str| format!("[WARN meadowhold_courier::discovery] {words}");
         let long = "the list has more than 8192 entries (limits.list_entries)";
         let heavy = "the list is longer than 4 MB (limits.list_mb)";
@@ -235,14 +237,15 @@
             ),
         ];
         for (log, for_good, last) in rows {
-            let found = refuses(log.iter().map(String::as_str));
-            let expected = Refuses { for_good: for_good.map(str::to_string), last: last.map(str::to_string) };
+            let found = list_errors(log.iter().map(String::as_str));
+            let expected =
+                ListErrors { for_good: for_good.map(str::to_string), last: last.map(str::to_string) };
             assert_eq!(found, expected, "{log:?}");
         }
     }
 
     #[test]
-    fn the_end_of_membership_is_a_fault_where_its_audit_found_one() {
+    fn the_end_of_membership_is_a_fault_only_if_its_audit_found_one() {
         let end = |broken, faults| {
             format!("[INFO x::members] membership has ended: Counts {{ sent: 1, broken: {broken}, faults: {faults} }}, 0 wishes lost")
         };
@@ -254,7 +257,7 @@
     }
 
     #[test]
-    fn what_is_in_force_is_read_from_real_and_hollow_couriers_lines() {
+    fn versions_in_force_are_read_from_lines_of_real_and_hollow_couriers() {
         let rows = [
             ("[2026-12-02T00:22:46.012345Z TRACE in_force] list 12 is in force", Some((12, None))),
             ("[TRACE in_force] list 3 is in force at h57", Some((3, Some("h57")))),
@@ -262,8 +265,11 @@
             ("[WARN meadowhold_courier::discovery] a list of version 3 came", None),
         ];
         for (line, said) in rows {
-            assert_eq!(statement(line), said, "{line}");
+            assert_eq!(parse_in_force(line), said, "{line}");
         }
-        assert_eq!((number(&name(57)), number("57"), number("hx")), (Some(57), None, None));
+        assert_eq!(
+            (hollow_number(&hollow_name(57)), hollow_number("57"), hollow_number("hx")),
+            (Some(57), None, None)
+        );
     }
 }
--- a/crates/rig/src/scale/report.rs
+++ b/crates/rig/src/scale/report.rs
@@ -1,19 +1,19 @@
-//! What a run says in the end: a table, and the same as JSON.
+//! The report of a run, as tables and as JSON.
 
 use std::fmt;
 
 use serde::Serialize;
 
-use super::books::{Broken, Change, Rule};
 use super::day::Day;
 use super::sums::Each;
+use super::tracker::{Change, Rule, Violation};
 use crate::judge::Verdict;
 
-/// Broken rules that are shown in full, of each rule.
-const SHOWN: usize = 4;
+/// The number of violations printed in full for each rule.
+const MAX_SHOWN: usize = 4;
 
-/// Seconds until a change was in force at the 50th and 99th of a hundred couriers, and at the last, of those that nothing
-/// befell meanwhile; medians over the changes, and the largest.
+/// Seconds until a change was in force at couriers without trouble: the 50th and 99th percentile and the last courier
+/// as medians over the changes, and the largest time of all.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct InForce {
     pub half_s: Option<f64>,
@@ -23,14 +23,14 @@
 }
 
 impl InForce {
-    pub fn of(changes: &[Change], at_part: impl Fn(&[u64], f64) -> Option<u64>) -> InForce {
+    pub fn of(changes: &[Change], percentile: impl Fn(&[u64], f64) -> Option<u64>) -> InForce {
         let median = |part: f64| {
             let mut times: Vec<u64> =
-                changes.iter().filter_map(|change| at_part(&change.calm, part)).collect();
+                changes.iter().filter_map(|change| percentile(&change.times, part)).collect();
             times.sort_unstable();
-            at_part(&times, 0.5).map(|us| us as f64 / 1e6)
+            percentile(&times, 0.5).map(|us| us as f64 / 1e6)
         };
-        let worst = changes.iter().filter_map(|change| change.calm.last()).max();
+        let worst = changes.iter().filter_map(|change| change.times.last()).max();
         InForce {
             half_s: median(0.5),
             of_99_s: median(0.99),
@@ -43,29 +43,31 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Phase {
     pub name: String,
-    /// What is measured lasts from the phase's begin for so long.
+    /// Duration of the measurement, from the beginning of the phase.
     pub seconds: f64,
-    /// Couriers that the trouble befell.
+    /// The number of couriers affected by the trouble.
     pub befallen: usize,
     pub changes: usize,
     pub in_force: InForce,
-    /// From the trouble's end until the last of those it befell had what was made before it was over.
+    /// Recovery time: from the end of the trouble until the last affected courier had the version current at that
+    /// moment.
     pub back_s: Option<f64>,
-    /// The same of the real couriers alone, which share no thread.
+    /// Recovery time of the real couriers alone, which share no thread.
     pub back_real_s: Option<f64>,
     pub hollow: Each,
     pub real: Each,
-    /// One relay: what it takes, and bytes a second from those who follow it and to them.
+    /// Average resource use of one relay, and its bytes per second from and to its followers.
     pub relay: Each,
     pub followed: [f64; 2],
-    /// Parts of a core: the source's thread, and the run's whole process with source, relays and stand-ins.
+    /// Fractions of a core: the source's thread, and the run's whole process with the source, link proxies and
+    /// stand-ins.
     pub source_core: f64,
     pub run_core: f64,
-    /// UDP datagrams a second for each courier: all that the machine sent.
+    /// UDP datagrams per second and courier, counting all that the machine sent.
     pub datagrams: f64,
 }
 
-/// Bytes of membership, as the nodes themselves say at their planned end.
+/// Membership traffic, as the nodes report it at shutdown.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Membership {
     pub nodes: u64,
@@ -74,7 +76,7 @@
 }
 
 impl Membership {
-    /// From a log's lines `membership has ended: Counts { sent: 1, sent_bytes: 2, ... }`.
+    /// Adds the counts of a log's lines `membership has ended: Counts { sent: 1, sent_bytes: 2, ... }`.
     pub fn add(&mut self, log: &str) {
         for line in log.lines().filter(|line| line.contains("membership has ended: ")) {
             let number = |name: &str| {
@@ -90,31 +92,31 @@
         }
     }
 
-    /// Bytes of a datagram, on the average.
-    pub fn each(&self) -> Option<f64> {
+    /// The average size of a datagram in bytes.
+    pub fn average_size(&self) -> Option<f64> {
         (self.sent > 0).then(|| self.sent_bytes as f64 / self.sent as f64)
     }
 }
 
-/// What the judge of messages found at the real couriers.
+/// The mails' figures and violations at the real couriers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Messages {
+pub struct MailReport {
     pub handed_in: u64,
     pub taken: u64,
     pub delivered: u64,
     pub rejected: u64,
     pub failed: u64,
-    /// Milliseconds from when it was taken to its delivery.
+    /// Milliseconds from taking a mail to relaying it: the median and the 99th percentile.
     pub half_ms: u64,
     pub of_99_ms: u64,
     pub starts: u64,
     pub broken: Vec<String>,
 }
 
-impl Messages {
-    pub fn new(verdict: &Verdict) -> Messages {
+impl MailReport {
+    pub fn new(verdict: &Verdict) -> MailReport {
         let g = &verdict.figures;
-        Messages {
+        MailReport {
             handed_in: g.handed,
             taken: g.taken,
             delivered: g.relayed,
@@ -141,16 +143,16 @@
     pub processes: usize,
     pub relays: usize,
     pub entries: usize,
-    /// The machine's load on the average of a minute, before and at the end.
+    /// The machine's one-minute load average before the run and at its end.
     pub load: [f64; 2],
-    /// Until the first list was in force at all.
+    /// Seconds until the first list was in force at all couriers.
     pub start_s: f64,
-    /// The list was taken by nobody, and why.
+    /// Why no courier accepted the list, if that was so.
     pub refused: Option<String>,
     pub phases: Vec<Phase>,
     pub membership: Membership,
-    pub messages: Messages,
-    pub broken: Vec<Broken>,
+    pub messages: MailReport,
+    pub broken: Vec<Violation>,
 }
 
 impl Report {
@@ -285,7 +287,7 @@
         }
         let m = &self.messages;
         writeln!(f)?;
-        if let Some(each) = self.membership.each() {
+        if let Some(each) = self.membership.average_size() {
             writeln!(
                 f,
                 "a datagram of membership has {each:.0} bytes on the average, as {} nodes say in the end",
@@ -299,19 +301,23 @@
             m.handed_in, m.taken, m.delivered, m.half_ms, m.of_99_ms, m.rejected, m.failed, m.starts
         )?;
         for (rule, name) in Rule::ALL {
-            let broken: Vec<&Broken> = self.broken.iter().filter(|broken| broken.rule == rule).collect();
-            tell(f, name, &broken.iter().map(|broken| broken.words.as_str()).collect::<Vec<_>>())?;
+            let broken: Vec<&Violation> = self.broken.iter().filter(|broken| broken.rule == rule).collect();
+            write_violations(
+                f,
+                name,
+                &broken.iter().map(|broken| broken.words.as_str()).collect::<Vec<_>>(),
+            )?;
         }
-        tell(f, "the rules of messages", &m.broken.iter().map(String::as_str).collect::<Vec<_>>())
+        write_violations(f, "the rules of messages", &m.broken.iter().map(String::as_str).collect::<Vec<_>>())
     }
 }
 
-fn tell(f: &mut fmt::Formatter, name: &str, broken: &[&str]) -> fmt::Result {
+fn write_violations(f: &mut fmt::Formatter, name: &str, broken: &[&str]) -> fmt::Result {
     if broken.is_empty() {
         return writeln!(f, "{name:<40} kept");
     }
     writeln!(f, "{name:<40} broken {} times", broken.len())?;
-    for words in broken.iter().take(SHOWN) {
+    for words in broken.iter().take(MAX_SHOWN) {
         writeln!(f, "    {words}")?;
     }
     Ok(())
--- a/crates/rig/src/scale/source.rs
+++ b/crates/rig/src/scale/source.rs
@@ -1,5 +1,5 @@
-//! The list service's stand-in for thousands of followers: one truth, told as text that is made once for all hollow
-//! couriers. It runs on a thread of its own, so that the kernel's figures of that thread are its own.
+//! A stand-in for the list service with thousands of followers: one list, serialized once for all hollow couriers. It
+//! runs on its own thread, so that its processor time can be read from the kernel's figures of that thread.
 
 use std::collections::{BTreeMap, HashMap};
 use std::convert::Infallible;
@@ -21,19 +21,19 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-use super::books::Books;
+use super::tracker::VersionTracker;
 use crate::list::{plain, take_notices, ListAnswer, ListEntry, Reply};
 use crate::record::{lock, Observation, Record};
 
-/// An empty line comes so often where nothing changes.
-const TURN: Duration = Duration::from_secs(2);
+/// Interval of the empty lines (keep-alives) on a watch without changes.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// An entry as the source has it.
+/// An entry of the source's list.
 #[derive(Clone, Debug, PartialEq)]
 struct Entry {
     name: String,
     destination: usize,
-    /// The endpoint that stands there; the others are only listed.
+    /// The number of the running endpoint behind the entry; other entries are only listed.
     live: Option<usize>,
     drains: bool,
     gone: bool,
@@ -43,7 +43,7 @@
     changed: u64,
 }
 
-/// What a courier that holds a version must have on file of an entry, by its name.
+/// The fields of an entry that a courier with the current version must have stored.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Expected {
     pub group: u64,
@@ -62,52 +62,53 @@
     }
 }
 
-/// Who a follower is, by the address from which its link connects.
+/// A follower of the list, identified by the address from which its link connects.
 #[derive(Clone, Copy, Debug)]
 pub struct Follower {
     pub process: usize,
-    /// A real courier's number, or a relay's.
+    /// The number of a real courier, and that of a relay.
     pub real: Option<usize>,
     pub relay: Option<usize>,
 }
 
-/// What the source is made of.
+/// The parameters of a source.
 pub struct Setup {
     pub at: IpAddr,
-    /// Destinations, those with endpoints that stand there first, and how many endpoints each of these has.
+    /// The number of destinations; `live` is the number of those with running endpoints, which come first, and the
+    /// number of endpoints of each.
     pub destinations: usize,
     pub live: (usize, usize),
     pub rate: f64,
-    /// Each change has the whole list told.
+    /// Whether each change is sent as the whole list.
     pub untouched: bool,
     pub followers: HashMap<IpAddr, Follower>,
-    pub books: Arc<Mutex<Books>>,
+    pub tracker: Arc<Mutex<VersionTracker>>,
     pub record: Arc<Record>,
 }
 
 #[derive(Default)]
-struct Truth {
+struct ListState {
     version: u64,
     entries: Vec<Entry>,
-    /// Told of this version to hollow couriers, by what they had heard up to.
+    /// Texts of the current version for hollow couriers, by the version that the follower already has.
     texts: HashMap<Option<u64>, Bytes>,
 }
 
 struct Inner {
     setup: Setup,
-    truth: Mutex<Truth>,
+    list: Mutex<ListState>,
     version: watch::Sender<u64>,
-    /// Where each real courier finds the endpoints.
+    /// The addresses of the endpoints for each real courier.
     places: Mutex<Vec<Vec<SocketAddr>>>,
-    /// Where all find them, by relays.
+    /// The addresses of the endpoints in the list that relays pass on.
     shared: Mutex<Vec<SocketAddr>>,
-    /// What is listed where nobody stands.
+    /// The address of entries without a running endpoint.
     nowhere: SocketAddr,
 }
 
 pub struct Source {
     pub at: SocketAddr,
-    /// The kernel's number of its thread.
+    /// The kernel's id of its thread.
     pub thread: i32,
     inner: Arc<Inner>,
     end: watch::Sender<bool>,
@@ -115,10 +116,10 @@
 }
 
 impl Source {
-    /// Starts it; the first version of the list is 1, made now.
+    /// Starts the source, and creates version 1 of the list.
     ///
     /// # Errors
-    /// Where no thread or port can be had.
+    /// If its thread cannot be started, or no port can be bound.
     pub fn start(setup: Setup) -> io::Result<Source> {
         let (live, each) = setup.live;
         let entry = |name, destination, live| {
@@ -128,11 +129,11 @@
         let standing = (0..live * each).map(|n| entry(format!("e{n}"), n % live, Some(n)));
         let listed = (live..setup.destinations).map(|n| entry(format!("d{n}"), n, None));
         let entries = standing.chain(listed).collect();
-        let version = lock(&setup.books).made(setup.record.now());
-        let truth = Mutex::new(Truth { version, entries, texts: HashMap::new() });
+        let version = lock(&setup.tracker).create_version(setup.record.now());
+        let list = Mutex::new(ListState { version, entries, texts: HashMap::new() });
         let (version, nowhere) = (watch::Sender::new(version), SocketAddr::from((setup.at, 9)));
         let (places, shared) = (Mutex::default(), Mutex::default());
-        let inner = Arc::new(Inner { setup, truth, version, places, shared, nowhere });
+        let inner = Arc::new(Inner { setup, list, version, places, shared, nowhere });
         let (end, mut end_in) = watch::channel(false);
         let (ready, ready_in) = mpsc::channel();
         let of_thread = inner.clone();
@@ -158,24 +159,24 @@
         Ok(Source { at, thread, inner, end, handle: Some(handle) })
     }
 
-    /// Where the next real courier finds the endpoints.
-    pub fn finds(&self, places: Vec<SocketAddr>) {
+    /// Adds the addresses of the endpoints for the next real courier.
+    pub fn add_endpoint_addresses(&self, places: Vec<SocketAddr>) {
         lock(&self.inner.places).push(places);
     }
 
-    /// Where all find the endpoints who are told one list.
-    pub fn all_find(&self, places: Vec<SocketAddr>) {
+    /// Sets the addresses of the endpoints for all followers that share one list.
+    pub fn set_shared_addresses(&self, places: Vec<SocketAddr>) {
         *lock(&self.inner.shared) = places;
     }
 
-    /// Changes one entry, drawn among those at which nobody stands: its rate, whether it drains, or whether it is
-    /// listed at all. The new version, if there is anything to change.
+    /// Changes a random entry without a running endpoint: its rate, whether it drains, or whether it is listed. Returns
+    /// the new version, or `None` if there is no such entry.
     pub fn change(&self, chance: &mut Rng) -> Option<u64> {
         let live = self.inner.setup.live.0 * self.inner.setup.live.1;
-        let mut truth = lock(&self.inner.truth);
-        let many = truth.entries.len().checked_sub(live).filter(|&many| many > 0)?;
-        let version = lock(&self.inner.setup.books).made(self.inner.setup.record.now());
-        let entry = &mut truth.entries[live + chance.usize(..many)];
+        let mut list = lock(&self.inner.list);
+        let many = list.entries.len().checked_sub(live).filter(|&many| many > 0)?;
+        let version = lock(&self.inner.setup.tracker).create_version(self.inner.setup.record.now());
+        let entry = &mut list.entries[live + chance.usize(..many)];
         match chance.u8(..4) {
             0 => entry.drains = !entry.drains,
             1 => {
@@ -185,24 +186,24 @@
             _ => entry.rate = f64::from(1 + chance.u32(..10_000)) / 8.0,
         }
         entry.changed = version;
-        truth.version = version;
-        truth.texts.clear();
-        drop(truth);
+        list.version = version;
+        list.texts.clear();
+        drop(list);
         self.inner.version.send_replace(version);
         Some(version)
     }
 
-    /// The last version, and what is listed in it.
+    /// The current version and its listed entries.
     pub fn expected(&self) -> (u64, BTreeMap<String, Expected>) {
-        let truth = lock(&self.inner.truth);
+        let list = lock(&self.inner.list);
         let expected = |entry: &Entry| Expected {
             group: entry.destination as u64,
             status: entry.status(),
             weight: entry.rate,
             since_ms: entry.since_ms,
         };
-        let listed = truth.entries.iter().filter(|entry| !entry.gone);
-        (truth.version, listed.map(|entry| (entry.name.clone(), expected(entry))).collect())
+        let listed = list.entries.iter().filter(|entry| !entry.gone);
+        (list.version, listed.map(|entry| (entry.name.clone(), expected(entry))).collect())
     }
 }
 
@@ -257,8 +258,8 @@
             after.and_then(|after| after.parse().ok()).unwrap_or(0)
         });
         let Some(after) = after else {
-            let (version, text) = self.told(follower, None);
-            self.sent(follower, version);
+            let (version, text) = self.current_text(follower, None);
+            self.record_sent(follower, version);
             return Response::new(Full::new(text).boxed());
         };
         let (lines, body) = Channel::new(4);
@@ -266,18 +267,18 @@
         Response::new(body.boxed())
     }
 
-    fn sent(&self, follower: Follower, version: u64) {
-        let mut books = lock(&self.setup.books);
+    fn record_sent(&self, follower: Follower, version: u64) {
+        let mut tracker = lock(&self.setup.tracker);
         match follower.relay {
-            Some(relay) => books.sent_to_relay(relay, version),
-            None => books.sent(follower.process, version),
+            Some(relay) => tracker.record_sent_to_relay(relay, version),
+            None => tracker.record_sent(follower.process, version),
         }
     }
 
-    /// The present version and its text, for who has heard up to `after`; `None`: all of it.
-    fn told(&self, follower: Follower, after: Option<u64>) -> (u64, Bytes) {
-        let mut truth = lock(&self.truth);
-        let version = truth.version;
+    /// The current version and its text: the changes since `after`, or the whole list if `after` is `None`.
+    fn current_text(&self, follower: Follower, after: Option<u64>) -> (u64, Bytes) {
+        let mut list = lock(&self.list);
+        let version = list.version;
         if let Some(real) = follower.real {
             if after.is_none() {
                 for endpoint in 0..self.setup.live.0 * self.setup.live.1 {
@@ -285,18 +286,18 @@
                 }
             }
             let places = lock(&self.places).get(real).cloned().unwrap_or_default();
-            return (version, self.text(&truth, &places, after));
+            return (version, self.text(&list, &places, after));
         }
-        if let Some(text) = truth.texts.get(&after) {
+        if let Some(text) = list.texts.get(&after) {
             return (version, text.clone());
         }
-        let text = self.text(&truth, &lock(&self.shared), after);
-        truth.texts.insert(after, text.clone());
+        let text = self.text(&list, &lock(&self.shared), after);
+        list.texts.insert(after, text.clone());
         (version, text)
     }
 
-    fn text(&self, truth: &Truth, places: &[SocketAddr], after: Option<u64>) -> Bytes {
-        let news = truth.entries.iter().filter(|entry| match after {
+    fn text(&self, list: &ListState, places: &[SocketAddr], after: Option<u64>) -> Bytes {
+        let news = list.entries.iter().filter(|entry| match after {
             Some(after) => entry.changed > after,
             None => !entry.gone,
         });
@@ -314,8 +315,7 @@
                 since_ms: entry.since_ms,
             }
         });
-        let answer =
-            ListAnswer { index: truth.version, snapshot: after.is_none(), endpoints: told.collect() };
+        let answer = ListAnswer { index: list.version, snapshot: after.is_none(), endpoints: told.collect() };
         let mut text = serde_json::to_vec(&answer).unwrap_or_default();
         text.push(b'\n');
         text.into()
@@ -326,10 +326,10 @@
         loop {
             let now = *version.borrow_and_update();
             if now != after {
-                // One that knows another truth, or none, is told all of it.
+                // A follower with no list, or with a version that this source has not reached, gets the whole list.
                 let known = Some(after).filter(|&after| after > 0 && after < now && !self.setup.untouched);
-                let (told, text) = self.told(follower, known);
-                self.sent(follower, told);
+                let (told, text) = self.current_text(follower, known);
+                self.record_sent(follower, told);
                 if lines.send_data(text).await.is_err() {
                     return;
                 }
@@ -337,9 +337,9 @@
             }
             tokio::select! {
                 changed = version.changed() => if changed.is_err() { return },
-                () = sleep(TURN) => {
-                    // Guards against a watch whose far side is gone and that would be kept for good.
-                    let sent = timeout(TURN * 5, lines.send_data(Bytes::from_static(b"\n"))).await;
+                () = sleep(KEEP_ALIVE_INTERVAL) => {
+                    // A timeout ends a watch whose peer has gone away; it would otherwise be kept forever.
+                    let sent = timeout(KEEP_ALIVE_INTERVAL * 5, lines.send_data(Bytes::from_static(b"\n"))).await;
                     if !matches!(sent, Ok(Ok(()))) {
                         return;
                     }
--- a/crates/rig/src/scale/sums.rs
+++ b/crates/rig/src/scale/sums.rs
@@ -1,65 +1,65 @@
-//! What has been taken so far by process, and from two such sums what a courier of each role takes.
+//! Cumulative resource use by process, and the average use of a courier of each role between two such samples.
 
 use std::sync::Arc;
 
 use serde::Serialize;
 
-use super::gauge::{self, Taken};
+use super::gauge::{self, ResourceUse};
 use crate::relay::PassedBytes;
 
-/// Sums at one moment, by process of couriers.
+/// Cumulative totals at one moment; lists are indexed by courier process unless noted.
 #[derive(Clone, Debug, Default)]
-pub struct Sums {
-    /// Microseconds of the run.
+pub struct ResourceTotals {
+    /// Microseconds since the start of the run.
     pub at: u64,
-    /// Seconds of processor time, of all that a place's processes have taken one after the other.
+    /// Processor time in seconds, summed over restarts of the process.
     pub processor_s: Vec<f64>,
     pub resident: Vec<u64>,
-    /// Bytes to and from whom the list comes, the source or relays.
+    /// Bytes to and from the provider of the list, which is the source or a relay.
     pub passed: Vec<[u64; 2]>,
-    /// Bytes from and to those who follow a relay, by relay.
+    /// Bytes from and to the followers of a relay, by relay.
     pub followed: Vec<[u64; 2]>,
     pub source_s: f64,
     pub own_s: f64,
     pub own_resident: u64,
-    /// UDP datagrams of the whole machine.
+    /// UDP datagrams sent by the whole machine.
     pub datagrams: u64,
 }
 
-/// Keeps the sums over processes that are ended and started anew.
-pub struct Gauge {
-    last: Vec<Option<(u32, Taken)>>,
-    /// By process, and by relay those of its followers.
+/// Samples resource use and carries the totals over restarts of a process.
+pub struct ResourceSampler {
+    last: Vec<Option<(u32, ResourceUse)>>,
+    /// The links to the provider of the list, by process; `followers` has those to a relay's followers, by relay.
     links: Vec<Vec<Arc<PassedBytes>>>,
     followers: Vec<Vec<Arc<PassedBytes>>>,
     source: i32,
-    pub sums: Sums,
+    pub sums: ResourceTotals,
 }
 
-impl Gauge {
+impl ResourceSampler {
     pub fn new(
         links: Vec<Vec<Arc<PassedBytes>>>,
         followers: Vec<Vec<Arc<PassedBytes>>>,
         source: i32,
-    ) -> Gauge {
+    ) -> ResourceSampler {
         let many = links.len();
-        let sums = Sums {
+        let sums = ResourceTotals {
             processor_s: vec![0.0; many],
             resident: vec![0; many],
             passed: vec![[0; 2]; many],
             followed: vec![[0; 2]; followers.len()],
-            ..Sums::default()
+            ..ResourceTotals::default()
         };
-        Gauge { last: vec![None; many], links, followers, source, sums }
+        ResourceSampler { last: vec![None; many], links, followers, source, sums }
     }
 
-    /// Looks at each process anew; `ids` are those that run now. What one took between the last look and its end is
-    /// not seen.
-    pub fn look(&mut self, at: u64, ids: &[Option<u32>]) -> &Sums {
+    /// Takes a sample; `ids` are the processes that run now. Use between the last sample of a process and its end is
+    /// not counted.
+    pub fn sample(&mut self, at: u64, ids: &[Option<u32>]) -> &ResourceTotals {
         self.sums.at = at;
         for (number, &id) in ids.iter().enumerate() {
             let now = id.and_then(|id| Some((id, gauge::of_process(id)?)));
-            self.put(number, now);
+            self.record(number, now);
         }
         let of = |links: &Vec<Arc<PassedBytes>>| {
             links
@@ -77,7 +77,7 @@
         &self.sums
     }
 
-    fn put(&mut self, number: usize, now: Option<(u32, Taken)>) {
+    fn record(&mut self, number: usize, now: Option<(u32, ResourceUse)>) {
         let before = match (self.last[number], now) {
             (Some((was, taken)), Some((is, _))) if was == is => taken.processor_s,
             _ => 0.0,
@@ -89,27 +89,27 @@
         self.last[number] = now;
     }
 
-    /// Bytes that couriers, relays, and this process hold.
+    /// Resident bytes of couriers, relays and this process.
     pub fn resident(&self) -> u64 {
         self.sums.resident.iter().sum::<u64>() + self.sums.own_resident
     }
 }
 
-/// What one courier of a role, or a relay, takes.
+/// Average resource use of one courier of a role, or of one relay.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Each {
     pub couriers: usize,
-    /// Part of a core.
+    /// Processor use as a fraction of one core.
     pub core: f64,
-    /// Bytes, at the end.
+    /// Resident bytes at the end of the interval.
     pub resident: f64,
-    /// Bytes a second, to the source and from it.
+    /// Bytes per second to and from the source.
     pub to_source: f64,
     pub from_source: f64,
 }
 
-/// `processes`: the role's, by number; `couriers`: how many run in them.
-pub fn each(from: &Sums, to: &Sums, processes: &[usize], couriers: usize) -> Each {
+/// `processes`: the numbers of the role's processes; `couriers`: the number of couriers in them.
+pub fn each(from: &ResourceTotals, to: &ResourceTotals, processes: &[usize], couriers: usize) -> Each {
     let seconds = (to.at.saturating_sub(from.at)) as f64 / 1e6;
     let sum = |of: &dyn Fn(usize) -> f64| processes.iter().map(|&number| of(number)).sum::<f64>();
     let part = |value: f64, by: f64| if by > 0.0 { value / by } else { 0.0 };
@@ -124,8 +124,8 @@
     }
 }
 
-/// Bytes a second of one relay, from its followers and to them.
-pub fn followed(from: &Sums, to: &Sums) -> [f64; 2] {
+/// Average bytes per second of one relay, from its followers and to them.
+pub fn follower_rates(from: &ResourceTotals, to: &ResourceTotals) -> [f64; 2] {
     let seconds = (to.at.saturating_sub(from.at)) as f64 / 1e6;
     let many = to.followed.len();
     let bytes = |way: usize| {
@@ -144,17 +144,17 @@
     use super::*;
 
     #[test]
-    fn what_a_courier_takes_is_counted_over_an_end_and_a_new_start() {
-        let mut gauge = Gauge::new(vec![Vec::new(), Vec::new()], Vec::new(), 0);
-        let taken = |processor_s, resident| Taken { processor_s, resident, started: 0 };
-        gauge.put(0, Some((5, taken(1.0, 100))));
-        gauge.put(1, Some((6, taken(2.0, 300))));
-        let from = gauge.sums.clone();
-        gauge.put(0, Some((5, taken(1.5, 100))));
-        gauge.put(0, None);
-        gauge.put(0, Some((7, taken(0.25, 200))));
-        gauge.put(1, Some((6, taken(2.25, 300))));
-        let mut to = gauge.sums.clone();
+    fn resource_use_is_summed_over_a_restart() {
+        let mut sampler = ResourceSampler::new(vec![Vec::new(), Vec::new()], Vec::new(), 0);
+        let taken = |processor_s, resident| ResourceUse { processor_s, resident, started: 0 };
+        sampler.record(0, Some((5, taken(1.0, 100))));
+        sampler.record(1, Some((6, taken(2.0, 300))));
+        let from = sampler.sums.clone();
+        sampler.record(0, Some((5, taken(1.5, 100))));
+        sampler.record(0, None);
+        sampler.record(0, Some((7, taken(0.25, 200))));
+        sampler.record(1, Some((6, taken(2.25, 300))));
+        let mut to = sampler.sums.clone();
         to.at = 10_000_000;
         to.passed = vec![[100, 4000], [300, 0]];
         let each = each(&from, &to, &[0, 1], 4);
--- a/crates/rig/src/slopes.rs
+++ b/crates/rig/src/slopes.rs
@@ -1,6 +1,6 @@
-//! What one courier costs as its load grows, measured from outside: a real process among stand-ins, its
-//! processor time and memory by /proc, its files by their size. `benches/slopes.rs` has the loads,
-//! this what they share. Linux only.
+//! Measures the resource use of one courier as its load grows, from outside: a real process among stand-ins, with
+//! processor time and memory from /proc and file sizes from the file system. The workloads are in `benches/slopes.rs`,
+//! their common parts are here. Linux only.
 
 use std::fmt;
 use std::fs;
@@ -24,10 +24,10 @@
 use crate::fit::{Fit, Point};
 use crate::scripted;
 
-/// A courier that takes more address space than this, in bytes, ends by itself.
-pub const MOST_MEMORY: u64 = 2_000_000_000;
-/// A slope takes no longer.
-pub const MOST_TIME: Duration = Duration::from_secs(360);
+/// Limit on the courier's address space in bytes; a courier that exceeds it ends by itself.
+pub const MAX_MEMORY: u64 = 2_000_000_000;
+/// Time limit for one slope.
+pub const MAX_SLOPE_TIME: Duration = Duration::from_secs(360);
 
 /// Why a slope ends before its largest size.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -49,26 +49,26 @@
     mutex.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// Set once the bench has been asked to end; every wait looks at it.
-static ASKED_TO_END: AtomicBool = AtomicBool::new(false);
+/// Set when the bench has been asked to end; checked by every wait.
+static END_REQUESTED: AtomicBool = AtomicBool::new(false);
 
-pub fn ask_to_end() {
-    ASKED_TO_END.store(true, Ordering::Relaxed);
+pub fn request_end() {
+    END_REQUESTED.store(true, Ordering::Relaxed);
 }
 
-/// Until when a slope may go on.
+/// The deadline of a slope.
 #[derive(Clone, Copy)]
-pub struct Bound(Instant);
+pub struct Deadline(Instant);
 
-impl Bound {
-    pub fn new(longest: Duration) -> Bound {
-        Bound(Instant::now() + longest)
+impl Deadline {
+    pub fn new(longest: Duration) -> Deadline {
+        Deadline(Instant::now() + longest)
     }
 
     /// # Errors
-    /// Once the time is up, or the bench was asked to end.
+    /// If the deadline has passed, or the bench was asked to end.
     pub fn check(self) -> Result<(), Stopped> {
-        if ASKED_TO_END.load(Ordering::Relaxed) {
+        if END_REQUESTED.load(Ordering::Relaxed) {
             return Err(Stopped("asked to end".to_string()));
         }
         if Instant::now() >= self.0 {
@@ -78,7 +78,7 @@
     }
 
     /// # Errors
-    /// As `check`, also in the middle.
+    /// As `check`, which is repeated during the sleep.
     pub fn sleep(self, time: Duration) -> Result<(), Stopped> {
         let end = Instant::now() + time;
         while let Some(left) = end.checked_duration_since(Instant::now()) {
@@ -88,10 +88,10 @@
         self.check()
     }
 
-    /// Looks every 5 ms; how long it took, or `None` where it did not hold within the time.
+    /// Polls a condition every 5 ms. Returns the time until it held, or `None` if it did not hold within `longest`.
     ///
     /// # Errors
-    /// As `check`, and what `holds` says.
+    /// As `check`, and any error of `holds`.
     pub fn until(
         self,
         longest: Duration,
@@ -111,7 +111,7 @@
     }
 }
 
-/// The machine's load over the last minute, in runnable threads.
+/// The machine's one-minute load average.
 pub fn load_average() -> f64 {
     fs::read_to_string("/proc/loadavg").ok().and_then(|text| first_number(&text)).unwrap_or(f64::NAN)
 }
@@ -120,30 +120,31 @@
     text.split_whitespace().next()?.parse().ok()
 }
 
-/// Nanoseconds on a processor and in line for one, from a thread's `schedstat`: finer than `stat`'s ticks.
+/// Nanoseconds of running and of waiting for a processor, from a thread's `schedstat`, which is finer than the ticks of
+/// `stat`.
 fn run_times(schedstat: &str) -> Option<(u64, u64)> {
     let mut numbers = schedstat.split_whitespace().map(|number| number.parse().ok());
     Some((numbers.next()??, numbers.next()??))
 }
 
-/// Bytes, from a line such as `VmRSS:   1234 kB`.
-fn bytes_of(status: &str, name: &str) -> Option<u64> {
+/// A size in bytes, from a line such as `VmRSS:   1234 kB`.
+fn status_bytes(status: &str, name: &str) -> Option<u64> {
     let line = status.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(':'))?;
     line.trim().strip_suffix("kB")?.trim().parse::<u64>().ok().map(|kb| kb * 1024)
 }
 
-/// Becomes the courier: one that ends with the bench, however that ends, and within the bound on memory.
+/// Replaces this process by the courier, which is killed when the bench ends for any reason and has a limit on memory.
 ///
 /// # Errors
-/// Where it cannot; otherwise it does not return.
+/// The reason why the courier cannot be run; on success the function does not return.
 pub fn become_courier(parent: i32, binary: &Path) -> io::Error {
     let bounded = || -> io::Result<()> {
         set_parent_process_death_signal(Some(Signal::KILL))?;
-        // Guards against a bench that has ended before that was set.
+        // The bench may have ended before the signal was set.
         if getppid().map(Pid::as_raw_nonzero).map(|id| id.get()) != Some(parent) {
             return Err(io::Error::other("the bench has ended"));
         }
-        let most = Some(MOST_MEMORY);
+        let most = Some(MAX_MEMORY);
         Ok(setrlimit(Resource::As, Rlimit { current: most, maximum: most })?)
     };
     match bounded() {
@@ -152,10 +153,10 @@
     }
 }
 
-/// The word by which the bench's own program is told to become a courier.
-pub const BECOME: &str = "--become";
+/// The argument with which the bench's own program runs the courier in its place.
+pub const BECOME_COURIER: &str = "--become";
 
-/// The courier that is measured.
+/// The courier under measurement.
 pub struct Courier {
     pub listen: SocketAddr,
     folder: scripted::Folder,
@@ -163,34 +164,35 @@
     child: Child,
 }
 
-/// What a courier has used up to a moment.
+/// A courier's processor use up to a moment.
 #[derive(Clone, Copy, Debug)]
-pub struct Used {
-    /// Seconds on a processor.
+pub struct ProcessorUse {
+    /// Seconds of processor time.
     pub processor: f64,
-    /// Seconds in line for a processor that others had.
-    pub in_line: f64,
+    /// Seconds spent runnable while waiting for a processor.
+    pub waiting: f64,
     pub at: Instant,
 }
 
-impl Used {
-    /// Of one core, as a ratio.
-    pub fn share_since(self, before: Used) -> f64 {
+impl ProcessorUse {
+    /// Processor use since `before`, as a fraction of one core.
+    pub fn share_since(self, before: ProcessorUse) -> f64 {
         (self.processor - before.processor) / (self.at - before.at).as_secs_f64()
     }
 
-    /// Part of the time in which it ran or would have. Near 1 it does not keep up, whoever has its core.
-    pub fn wanted_since(self, before: Used) -> f64 {
-        let wanted = |used: Used| used.processor + used.in_line;
+    /// Fraction of the time since `before` in which it ran or was runnable. A courier near 1 does not keep up, even if
+    /// other processes had its core.
+    pub fn runnable_share_since(self, before: ProcessorUse) -> f64 {
+        let wanted = |used: ProcessorUse| used.processor + used.waiting;
         (wanted(self) - wanted(before)) / (self.at - before.at).as_secs_f64()
     }
 }
 
 impl Courier {
-    /// Starts one. Only from a thread that lasts as long as the courier: it ends with its thread.
+    /// Starts a courier. The calling thread must live as long as the courier, which is killed when that thread ends.
     ///
     /// # Errors
-    /// Where it cannot be started.
+    /// If it cannot be started.
     pub fn start(binary: &Path, config: impl FnOnce(SocketAddr) -> Value) -> Result<Courier, Stopped> {
         let (listen, folder) = (scripted::own_address(), scripted::Folder::new());
         fs::write(folder.path.join("config.json"), config(listen).to_string())?;
@@ -201,17 +203,17 @@
     fn spawn(binary: &Path, folder: &Path) -> io::Result<Child> {
         let log = fs::OpenOptions::new().create(true).append(true).open(folder.join("log"))?;
         let mut command = Command::new(std::env::current_exe()?);
-        command.arg(BECOME).arg(std::process::id().to_string()).arg(binary);
+        command.arg(BECOME_COURIER).arg(std::process::id().to_string()).arg(binary);
         command.env_clear().env("RUST_LOG", "warn").env("ROUTER_CONFIG", folder.join("config.json"));
         command.env("ROUTER_STATE", folder.join("state")).stdin(Stdio::null()).stdout(Stdio::null());
         command.stderr(log).spawn()
     }
 
-    /// Kills it with SIGKILL and starts it again; the moment of the start.
+    /// Kills it with SIGKILL and restarts it. Returns the moment of the restart.
     ///
     /// # Errors
-    /// Where it cannot be started.
-    pub fn kill_and_start(&mut self) -> Result<Instant, Stopped> {
+    /// If it cannot be started.
+    pub fn restart_after_kill(&mut self) -> Result<Instant, Stopped> {
         self.child.kill()?;
         self.child.wait()?;
         let at = Instant::now();
@@ -220,7 +222,7 @@
     }
 
     /// # Errors
-    /// Where it has ended, with the end of its log.
+    /// If it has ended; the error has the last line of its log.
     pub fn check(&mut self) -> Result<(), Stopped> {
         match self.child.try_wait()? {
             None => Ok(()),
@@ -231,17 +233,22 @@
         }
     }
 
-    /// Waits until it answers `PING`; how long after `since` that was.
+    /// Waits until it answers `PING`. Returns the time since `since`.
     ///
     /// # Errors
-    /// Where it has ended, or does not answer within the time.
-    pub fn ready(&mut self, bound: Bound, since: Instant, longest: Duration) -> Result<Duration, Stopped> {
+    /// If it has ended, or does not answer within `longest`.
+    pub fn ready(
+        &mut self,
+        deadline: Deadline,
+        since: Instant,
+        longest: Duration,
+    ) -> Result<Duration, Stopped> {
         let listen = self.listen;
         let answers = || {
             let said = scripted::Client::connect(listen).map(|mut client| client.say(&request(&[b"PING"])));
             said.is_ok_and(|answer| answer == "+PONG")
         };
-        let ready = bound.until(longest, || {
+        let ready = deadline.until(longest, || {
             self.check()?;
             Ok(answers())
         })?;
@@ -253,53 +260,53 @@
     }
 
     /// # Errors
-    /// Where it has ended.
-    pub fn used(&self) -> Result<Used, Stopped> {
+    /// If it has ended.
+    pub fn processor_use(&self) -> Result<ProcessorUse, Stopped> {
         let (mut ran, mut waited) = (0, 0);
         for task in fs::read_dir(self.proc_file("task"))? {
-            // One that ends meanwhile is passed over.
+            // A thread that has ended in the meantime is skipped.
             let text = fs::read_to_string(task?.path().join("schedstat")).unwrap_or_default();
             let (run, wait) = run_times(&text).unwrap_or_default();
             (ran, waited) = (ran + run, waited + wait);
         }
         let seconds = |nanoseconds: u64| nanoseconds as f64 / 1e9;
-        Ok(Used { processor: seconds(ran), in_line: seconds(waited), at: Instant::now() })
+        Ok(ProcessorUse { processor: seconds(ran), waiting: seconds(waited), at: Instant::now() })
     }
 
-    /// Bytes that are resident now.
+    /// Resident memory in bytes.
     ///
     /// # Errors
-    /// Where it has ended.
+    /// If it has ended.
     pub fn resident(&self) -> Result<u64, Stopped> {
         self.memory("VmRSS")
     }
 
-    /// Bytes that were resident at the most since its start.
+    /// Peak resident memory in bytes since its start.
     ///
     /// # Errors
-    /// Where it has ended.
-    pub fn most_resident(&self) -> Result<u64, Stopped> {
+    /// If it has ended.
+    pub fn peak_resident(&self) -> Result<u64, Stopped> {
         self.memory("VmHWM")
     }
 
     fn memory(&self, name: &str) -> Result<u64, Stopped> {
         let status = fs::read_to_string(self.proc_file("status"))?;
-        bytes_of(&status, name).ok_or_else(|| Stopped("no resident memory is told".to_string()))
+        status_bytes(&status, name).ok_or_else(|| Stopped("no resident memory is told".to_string()))
     }
 
-    /// Bytes of the list that is kept for the next start.
+    /// The size in bytes of the list stored for the next start.
     ///
     /// # Errors
-    /// Where none is kept.
-    pub fn kept_list(&self) -> Result<u64, Stopped> {
+    /// If none is stored.
+    pub fn stored_list_size(&self) -> Result<u64, Stopped> {
         let file = fs::metadata(self.folder.path.join("state").join("memory"));
         Ok(file.map_err(|e| Stopped(format!("no list is kept: {e}")))?.len())
     }
 
-    /// Which file its journal is, and its bytes.
+    /// The inode number and the size in bytes of its journal.
     ///
     /// # Errors
-    /// Where there is none.
+    /// If it has no journal.
     pub fn journal(&self) -> Result<(u64, u64), Stopped> {
         Ok(fs::metadata(self.journal_path()).map(|file| (file.ino(), file.len()))?)
     }
@@ -320,20 +327,20 @@
     }
 }
 
-/// The list's stand-in for lists of any length: what it says is written once for all asks. `list::List` looks
-/// through all entries for each that it tells; `scripted::Platform` tells all of them at each change.
+/// A stand-in for the list service that can serve lists of any length: each text is serialized once for all requests.
+/// `list::List` scans all entries for each one it sends, and `scripted::Platform` sends all of them at each change.
 pub struct Registry {
     pub address: SocketAddr,
-    state: Arc<(Mutex<Listed>, Condvar)>,
+    state: Arc<(Mutex<RegistryState>, Condvar)>,
     counts: Arc<Counts>,
 }
 
-struct Listed {
+struct RegistryState {
     index: u64,
     entries: Vec<String>,
-    /// Versions and what changed with them.
+    /// The text of each change, by version.
     lines: Vec<(u64, String)>,
-    /// The whole list, of this version.
+    /// The text of the whole list and its version.
     whole: (u64, Arc<Vec<u8>>),
 }
 
@@ -344,18 +351,18 @@
     watch: AtomicU64,
 }
 
-/// What a registry has been asked, and the bytes of its answers.
+/// The number of requests to a registry, and the bytes of its responses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Asked {
+pub struct RequestCounts {
     pub asks: u64,
     pub whole_bytes: u64,
     pub watch_bytes: u64,
 }
 
-/// A watch hears an empty line so often where nothing changes, as of a healthy registry.
-const EMPTY_LINE: Duration = Duration::from_secs(2);
-/// Bytes of a list are counted as they are written, so many at a time.
-const PIECE: usize = 1 << 16;
+/// Interval of the empty lines (keep-alives) on a watch without changes, as of a healthy registry.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// Size of the pieces in which a list is written; the bytes are counted per piece.
+const CHUNK_BYTES: usize = 1 << 16;
 
 /// An entry of the list; each destination has one endpoint.
 fn entry(destination: usize, address: SocketAddr, weight: f64) -> String {
@@ -365,15 +372,15 @@
 }
 
 impl Registry {
-    /// Lists so many destinations, 1 and up, each with one endpoint at this address.
+    /// Serves a list of the destinations from 1 to `destinations`, each with one endpoint at this address.
     ///
     /// # Errors
-    /// Where no port can be had.
+    /// If no port can be bound.
     pub fn new(destinations: usize, endpoint: SocketAddr) -> Result<Registry, Stopped> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let entries = (1..=destinations).map(|destination| entry(destination, endpoint, 1000.0)).collect();
-        let listed = Listed { index: 1, entries, lines: Vec::new(), whole: (0, Arc::default()) };
+        let listed = RegistryState { index: 1, entries, lines: Vec::new(), whole: (0, Arc::default()) };
         let state = Arc::new((Mutex::new(listed), Condvar::new()));
         let counts: Arc<Counts> = Arc::default();
         let (seen, counted) = (state.clone(), counts.clone());
@@ -381,7 +388,7 @@
         Ok(Registry { address, state, counts })
     }
 
-    /// Gives a destination's endpoint another rate, in calls a second.
+    /// Changes the rate of a destination's endpoint, in calls per second.
     pub fn change(&self, destination: usize, endpoint: SocketAddr, weight: f64) {
         let mut listed = lock(&self.state.0);
         listed.index += 1;
@@ -393,9 +400,9 @@
         self.state.1.notify_all();
     }
 
-    pub fn asked(&self) -> Asked {
+    pub fn request_counts(&self) -> RequestCounts {
         let read = |count: &AtomicU64| count.load(Ordering::Relaxed);
-        Asked {
+        RequestCounts {
             asks: read(&self.counts.asks),
             whole_bytes: read(&self.counts.whole),
             watch_bytes: read(&self.counts.watch),
@@ -403,7 +410,7 @@
     }
 }
 
-impl Listed {
+impl RegistryState {
     fn whole(&mut self) -> Arc<Vec<u8>> {
         if self.whole.0 != self.index {
             let (index, entries) = (self.index, self.entries.join(","));
@@ -414,7 +421,12 @@
     }
 }
 
-fn answer(state: &(Mutex<Listed>, Condvar), counts: &Counts, target: &str, out: &mut TcpStream) -> bool {
+fn answer(
+    state: &(Mutex<RegistryState>, Condvar),
+    counts: &Counts,
+    target: &str,
+    out: &mut TcpStream,
+) -> bool {
     if target == "/v1/notices" {
         return out.write_all(b"HTTP/1.1 204 X\r\n\r\n").is_ok();
     }
@@ -425,8 +437,8 @@
         if out.write_all(head.as_bytes()).is_err() {
             return false;
         }
-        // Piece by piece: one that has read enough closes in the middle.
-        return whole.chunks(PIECE).all(|piece| {
+        // Written in pieces: a client that has read enough closes the connection early.
+        return whole.chunks(CHUNK_BYTES).all(|piece| {
             counts.whole.fetch_add(piece.len() as u64, Ordering::Relaxed);
             out.write_all(piece).is_ok()
         });
@@ -436,7 +448,7 @@
 }
 
 fn watch(
-    state: &(Mutex<Listed>, Condvar),
+    state: &(Mutex<RegistryState>, Condvar),
     counts: &Counts,
     mut after: u64,
     out: &mut TcpStream,
@@ -446,11 +458,11 @@
         let line = {
             let mut listed = lock(&state.0);
             if listed.index == after {
-                let waited = state.1.wait_timeout(listed, EMPTY_LINE);
+                let waited = state.1.wait_timeout(listed, KEEP_ALIVE_INTERVAL);
                 listed = waited.unwrap_or_else(|poisoned| poisoned.into_inner()).0;
             }
             let first = listed.lines.partition_point(|line| line.0 <= after);
-            // One that holds another list than these changes follow is told all of it.
+            // A client whose list these changes do not continue gets the whole list.
             let line = if after == 0 || after > listed.index {
                 let mut whole = listed.whole().to_vec();
                 whole.push(b'\n');
@@ -473,46 +485,49 @@
     }
 }
 
-/// A place that refuses every connection for as long as it is kept: bound, and nobody listens.
-pub struct Nowhere {
+/// An address that refuses every connection while this exists: the port is bound, but nothing listens on it.
+pub struct RefusingAddress {
     pub address: SocketAddr,
     _held: socket2::Socket,
 }
 
-impl Nowhere {
+impl RefusingAddress {
     /// # Errors
-    /// Where no port can be had.
-    pub fn new() -> Result<Nowhere, Stopped> {
+    /// If no port can be bound.
+    pub fn new() -> Result<RefusingAddress, Stopped> {
         let held = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
         held.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())?;
         let address = held.local_addr()?.as_socket();
-        Ok(Nowhere { address: address.ok_or_else(|| Stopped("no address".to_string()))?, _held: held })
+        Ok(RefusingAddress {
+            address: address.ok_or_else(|| Stopped("no address".to_string()))?,
+            _held: held,
+        })
     }
 }
 
-/// Bytes of every message's body.
-pub const BODY: usize = 200;
+/// The size of each mail's body in bytes.
+pub const BODY_BYTES: usize = 200;
 
-/// Hands messages in, each with an id of its own, without a wait for each answer.
+/// Hands in mails with unique ids, without waiting for each answer.
 pub struct Client {
     stream: BufReader<TcpStream>,
     name: u32,
     next: u32,
 }
 
-/// Answers to messages, counted.
+/// Counts of the answers to mails.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Heard {
+pub struct AnswerCounts {
     pub taken: usize,
     pub busy: usize,
     pub failed: usize,
 }
 
 impl Client {
-    /// `name` tells its ids from other clients'.
+    /// `name` distinguishes its mail ids from those of other clients.
     ///
     /// # Errors
-    /// Where the courier cannot be reached.
+    /// If the courier cannot be reached.
     pub fn connect(courier: SocketAddr, name: u32) -> Result<Client, Stopped> {
         let stream = TcpStream::connect(courier)?;
         stream.set_nodelay(true)?;
@@ -520,21 +535,21 @@
         Ok(Client { stream: BufReader::new(stream), name, next: 0 })
     }
 
-    /// Hands in one message for each destination, and hears all answers.
+    /// Hands in one mail for each destination, and reads all answers.
     ///
     /// # Errors
-    /// Where the connection ends, or an answer takes half a minute.
-    pub fn hand_in(&mut self, destinations: impl Iterator<Item = usize>) -> Result<Heard, Stopped> {
+    /// If the connection ends, or an answer takes half a minute.
+    pub fn hand_in(&mut self, destinations: impl Iterator<Item = usize>) -> Result<AnswerCounts, Stopped> {
         let (mut bytes, mut count) = (Vec::new(), 0);
         for destination in destinations {
             let id = format!("{:08x}{:08x}", self.name, self.next);
             let pairs = format!("c=again,t=acme,d={LIFETIME_MS},dest={destination}");
-            bytes.extend(request(&[b"MSG.PUT", b"0", id.as_bytes(), pairs.as_bytes(), &[b'x'; BODY]]));
+            bytes.extend(request(&[b"MSG.PUT", b"0", id.as_bytes(), pairs.as_bytes(), &[b'x'; BODY_BYTES]]));
             self.next += 1;
             count += 1;
         }
         self.stream.get_mut().write_all(&bytes)?;
-        let mut heard = Heard::default();
+        let mut heard = AnswerCounts::default();
         for _ in 0..count {
             match self.line()?.as_str() {
                 line if line.starts_with('+') => heard.taken += 1,
@@ -545,7 +560,7 @@
         Ok(heard)
     }
 
-    /// How long it takes to be answered `PONG`.
+    /// The time until `PING` is answered.
     ///
     /// # Errors
     /// As `hand_in`.
@@ -565,19 +580,20 @@
     }
 }
 
-/// A message's time, in milliseconds: far longer than any run.
+/// A mail's lifetime in milliseconds, far longer than any run.
 const LIFETIME_MS: u64 = 86_400_000;
 
-/// The configuration: one class that may be sent again, with room for so many messages and megabytes on file.
+/// The courier's configuration: one redeliverable queue class, with limits on the number of mails and on the folder in
+/// MB.
 pub fn config(listen: SocketAddr, discovery: SocketAddr, room: usize, disk_mb: f64) -> Value {
     let mut settings = scripted::settings();
     settings["Limits"]["MaxOpen"] = json!(room);
-    // What cannot be delivered stays held: no attempt is the last one.
+    // Mails that cannot be relayed stay held, because the number of connects is practically unlimited.
     settings["Limits"]["MaxAttempts"] = json!(1_000_000_000_u64);
     settings["Profiles"][0]["HardLimitUs"] = json!(LIFETIME_MS * 1000);
     settings["FamilyInfo"]["Slots"] = json!(64);
     settings["Limits"]["KeepaliveUs"] = json!(5_000_000);
-    // As on the rig's days. Without a time for which endpoints stay cold there is no pause between trials.
+    // As in the rig's days. Without a time for which endpoints stay cold there is no pause between trial calls.
     settings["Limits"]["ConnectTimeoutUs"] = json!(1_000_000);
     settings["Rules"] = json!({"TurnGapUs": 600_000, "OverloadForUs": 2_000_000, "TipMultiple": 2.0,
         "ColdFrom": 0.25, "ColdUs": 4_000_000});
@@ -586,7 +602,7 @@
         "known": {"index": 0, "snapshot": true, "endpoints": []}, "settings": settings})
 }
 
-/// One size's measurement, with the machine's load at the time and what else was seen.
+/// The measurement at one size, with the machine's load at the time and further observations.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
     pub size: f64,
@@ -602,7 +618,7 @@
     }
 }
 
-/// A slope as it is written: sizes are in `size_unit`, values in `unit`.
+/// A slope as it is written to the output: sizes are in `size_unit`, values in `unit`.
 #[derive(Clone, Debug, Serialize)]
 pub struct Slope {
     pub name: String,
@@ -611,17 +627,17 @@
     pub unit: String,
     pub command: String,
     pub points: Vec<Row>,
-    /// The one of the two that lies nearer.
+    /// The better of the linear and the power fit.
     pub fit: Option<Fit>,
     pub other_fit: Option<Fit>,
-    /// The exponent between the last two sizes. Guards against a fit over all that hides a bend.
+    /// The exponent between the last two sizes, which shows a bend that a fit over all sizes hides.
     pub last_exponent: Option<f64>,
     pub largest: f64,
     pub stopped_by: String,
 }
 
 impl Slope {
-    /// Fits the rows; `largest` is the largest size that was borne.
+    /// Fits the rows; `largest` is the largest size that was measured.
     pub fn new(
         (name, binary): (&str, &str),
         (size_unit, unit): (&str, &str),
@@ -654,14 +670,15 @@
         }
     }
 
-    /// In Markdown, with the fit below.
+    /// A Markdown table, followed by the fit.
     pub fn table(&self) -> String {
         let mut out = format!("**{}** ({}): {} by {}\n\n", self.name, self.binary, self.unit, self.size_unit);
         out += &format!("| {} | {} | load | seen |\n| --- | --- | --- | --- |\n", self.size_unit, self.unit);
         for Row { size, value, load, seen } in &self.points {
-            out += &format!("| {size} | {} | {load:.1} | {seen} |\n", digits(*value));
+            out += &format!("| {size} | {} | {load:.1} | {seen} |\n", three_digits(*value));
         }
-        let fits = [self.fit, self.other_fit].into_iter().flatten().map(told).collect::<Vec<_>>().join("; ");
+        let fits =
+            [self.fit, self.other_fit].into_iter().flatten().map(fit_text).collect::<Vec<_>>().join("; ");
         let fits = if fits.is_empty() { "none".to_string() } else { fits };
         let last = self
             .last_exponent
@@ -671,20 +688,20 @@
     }
 }
 
-fn told(fit: Fit) -> String {
+fn fit_text(fit: Fit) -> String {
     let percent = fit.residual() * 100.0;
     match fit {
         Fit::Linear { slope, intercept, .. } => {
-            format!("{} + {} x size, residual {percent:.0}%", digits(intercept), digits(slope))
+            format!("{} + {} x size, residual {percent:.0}%", three_digits(intercept), three_digits(slope))
         }
         Fit::Power { exponent, scale, .. } => {
-            format!("{} x size^{exponent:.2}, residual {percent:.0}%", digits(scale))
+            format!("{} x size^{exponent:.2}, residual {percent:.0}%", three_digits(scale))
         }
     }
 }
 
-/// Three digits that count.
-fn digits(value: f64) -> String {
+/// Formats a value with three significant digits.
+fn three_digits(value: f64) -> String {
     if value == 0.0 || !value.is_finite() {
         return value.to_string();
     }
