--- a/crates/courier/tests/courier.rs
+++ b/crates/courier/tests/courier.rs
@@ -250,7 +250,7 @@
     // The first calls are never answered; all calls after the restart are.
     let silence = vec![Reply::Silence; 3];
     let (platform, endpoint, mut courier) = setup("single", &silence);
-    platform.told.lock().unwrap().refuse = 2;
+    platform.state.lock().unwrap().notices_to_reject = 2;
     let mut client = courier.client();
     for (id, class) in [("01", "again"), ("02", "once"), ("03", "tagged")] {
         // Timeouts are long before anything has been measured, so the kill comes first.
@@ -450,7 +450,7 @@
     goes_to(&first, "the first endpoint");
     platform.list("e1", second.address, "single", 7, "SERVING");
     goes_to(&second, "the new address of an endpoint");
-    platform.told.lock().unwrap().end_watches = 1;
+    platform.state.lock().unwrap().watches_to_end = 1;
     platform.list("e1", second.address, "single", 7, "DRAINING");
     platform.list("e2", first.address, "single", 7, "SERVING");
     goes_to(&first, "a change reported by a reopened watch");
@@ -458,9 +458,9 @@
     goes_to(&first, "only the endpoint that is not draining");
     assert_eq!(second.calls().len(), drained);
     // A watch that goes silent, without even empty lines.
-    let watches = platform.told.lock().unwrap().watches;
-    platform.told.lock().unwrap().silent = true;
-    until("a new watch", || platform.told.lock().unwrap().watches > watches);
+    let watches = platform.state.lock().unwrap().watches;
+    platform.state.lock().unwrap().watches_silent = true;
+    until("a new watch", || platform.state.lock().unwrap().watches > watches);
 }
 
 #[test]
@@ -469,13 +469,13 @@
     let (old, first, courier) = setup("single", &script);
     let (new, second) = (Platform::new(), Endpoint::new(&[]));
     new.list("e2", second.address, "single", 7, "SERVING");
-    old.told.lock().unwrap().refuse = usize::MAX;
+    old.state.lock().unwrap().notices_to_reject = usize::MAX;
     let mut client = courier.client();
     for (id, calls) in [("01", 1), ("02", 2)] {
         assert_eq!(client.put(id, "once", LIFETIME), "+OK");
         until("its call", || first.calls().len() == calls);
     }
-    until("a rejected notice", || old.told.lock().unwrap().refuse < usize::MAX);
+    until("a rejected notice", || old.state.lock().unwrap().notices_to_reject < usize::MAX);
     // A configuration that is malformed or truncated changes nothing.
     let mut config = courier.config.clone();
     config["discovery"] = json!("nowhere");
@@ -484,8 +484,8 @@
         courier.reconfigure(bad);
         assert_eq!(client.say(b"PING\r\n"), "+PONG");
     }
-    let watches = old.told.lock().unwrap().watches;
-    assert_eq!((watches, new.told.lock().unwrap().watches), (1, 0));
+    let watches = old.state.lock().unwrap().watches;
+    assert_eq!((watches, new.state.lock().unwrap().watches), (1, 0));
     config["discovery"] = json!(new.address.to_string());
     courier.reconfigure(&config.to_string());
     until("the notice at the new address", || new.notices() == [("02".into(), "dead".into())]);
--- a/crates/courier/tests/crossing_clients.rs
+++ b/crates/courier/tests/crossing_clients.rs
@@ -267,7 +267,7 @@
 #[test]
 fn undelivered_notices_keep_no_bodies_in_memory() {
     let platform = Platform::new();
-    platform.told.lock().unwrap().refuse = usize::MAX;
+    platform.state.lock().unwrap().notices_to_reject = usize::MAX;
     platform.list("e1", own_address(), "single", 7, "DRAINING");
     let (folder, listen) = (Folder::new(), own_address());
     let config = common::config(&platform, listen);
--- a/crates/courier/tests/descriptors.rs
+++ b/crates/courier/tests/descriptors.rs
@@ -94,7 +94,7 @@
     config["discovery"] = json!(platform.address.to_string());
     fs::write(folder.path.join("config.json"), config.to_string()).unwrap();
     signal(&child, "-HUP");
-    until("a watch", || platform.told.lock().unwrap().watches > 0);
+    until("a watch", || platform.state.lock().unwrap().watches > 0);
     connect_idle(60);
     platform.list("e9", other.address, "single", 10, "SERVING");
     until("a new destination", || {
--- a/crates/courier/tests/relay.rs
+++ b/crates/courier/tests/relay.rs
@@ -346,7 +346,7 @@
     assert!(pair.second.ids().is_empty());
     // Notices go to the platform all the same: what can't be delivered is told there.
     assert_eq!(courier.client().say(&common::put("0000000000000000", "02", "again", "d=50", b"x")), "+OK");
-    assert_eq!(platform.told.lock().unwrap().watches, 0, "the platform's list is not followed");
+    assert_eq!(platform.state.lock().unwrap().watches, 0, "the platform's list is not followed");
 }
 
 #[test]
--- a/crates/courier/tests/restart.rs
+++ b/crates/courier/tests/restart.rs
@@ -150,7 +150,7 @@
     let (old, endpoint, mut courier) =
         courier_with_endpoint(&[Reply::After(900, Box::new(OK)), Reply::Status(500, "")]);
     let new = Platform::new();
-    old.told.lock().unwrap().refuse = usize::MAX;
+    old.state.lock().unwrap().notices_to_reject = usize::MAX;
     let mut client = courier.client();
     for (id, calls) in [("01", 1), ("02", 2)] {
         assert_eq!(client.put(id, "once", LONG_LIFETIME), "+OK");
@@ -174,7 +174,7 @@
     // One mail is given up while the platform rejects notices; two calls take longer than the shutdown waits.
     let late = Reply::After(6000, Box::new(OK));
     let (platform, replies) = (Platform::new(), [Reply::Status(500, ""), late.clone(), late]);
-    platform.told.lock().unwrap().refuse = usize::MAX;
+    platform.state.lock().unwrap().notices_to_reject = usize::MAX;
     let endpoints = replies.map(|reply| Endpoint::new(&[reply]));
     for (group, endpoint) in (7..).zip(&endpoints) {
         platform.list(&format!("e{group}"), endpoint.address, "single", group, "SERVING");
@@ -189,7 +189,7 @@
     courier.signal("-TERM");
     until("exit of the courier", || courier.ended().is_some());
     assert!(asked.elapsed() < Duration::from_millis(3700), "the platform sends SIGKILL by then");
-    platform.told.lock().unwrap().refuse = 0;
+    platform.state.lock().unwrap().notices_to_reject = 0;
     courier.restart();
     until("settling of all mails", || courier.owes_nothing());
     let mut notices = platform.notices();
--- a/crates/rig/src/scripted.rs
+++ b/crates/rig/src/scripted.rs
@@ -280,17 +280,17 @@
     index: u64,
     notices: Vec<Value>,
     /// Number of notice requests still to be answered 500, and of watches still to be ended immediately.
-    pub refuse: usize,
-    pub end_watches: usize,
+    pub notices_to_reject: usize,
+    pub watches_to_end: usize,
     /// Watches send nothing.
-    pub silent: bool,
+    pub watches_silent: bool,
     pub watches: usize,
 }
 
 /// Mock platform: discovery, and the receiver of notices.
 pub struct Platform {
     pub address: SocketAddr,
-    pub told: Arc<Mutex<PlatformState>>,
+    pub state: Arc<Mutex<PlatformState>>,
 }
 
 impl Default for Platform {
@@ -303,87 +303,87 @@
     pub fn new() -> Platform {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let told = PlatformState {
+        let state = PlatformState {
             entries: Vec::new(),
             index: 1,
             notices: Vec::new(),
-            refuse: 0,
-            end_watches: 0,
-            silent: false,
+            notices_to_reject: 0,
+            watches_to_end: 0,
+            watches_silent: false,
             watches: 0,
         };
-        let told = Arc::new(Mutex::new(told));
-        let state = told.clone();
+        let state = Arc::new(Mutex::new(state));
+        let shared = state.clone();
         serve(listener, move |request, out| {
             if request.target == "/v1/notices" {
-                return take_notices(&state, &request, out);
+                return take_notices(&shared, &request, out);
             }
             if !request.target.contains("watch=1") {
-                let text = list(&state.lock().unwrap());
+                let text = list(&shared.lock().unwrap());
                 return write!(out, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len())
                     .is_ok();
             }
-            watch(&state, out)
+            watch(&shared, out)
         });
-        Platform { address, told }
+        Platform { address, state }
     }
 
     /// Adds an entry to the list; replaces one of the same name.
     pub fn list(&self, name: &str, address: SocketAddr, kind: &str, group: u64, status: &str) {
-        let mut told = self.told.lock().unwrap();
-        told.entries.retain(|entry| entry["name"] != name);
-        told.entries.push(json!({"name": name, "address": address.to_string(), "zone": "a", "type": kind,
+        let mut state = self.state.lock().unwrap();
+        state.entries.retain(|entry| entry["name"] != name);
+        state.entries.push(json!({"name": name, "address": address.to_string(), "zone": "a", "type": kind,
             "group": group, "status": status, "weight": 1000.0, "since_ms": 0}));
         // The list always contains one entry that couriers cannot read.
-        told.entries.retain(|entry| entry["name"] != "odd");
-        told.entries.push(json!({"name": "odd", "group": -1}));
-        told.index += 1;
+        state.entries.retain(|entry| entry["name"] != "odd");
+        state.entries.push(json!({"name": "odd", "group": -1}));
+        state.index += 1;
     }
 
     pub fn known(&self) -> Value {
-        serde_json::from_str(&list(&self.told.lock().unwrap())).unwrap()
+        serde_json::from_str(&list(&self.state.lock().unwrap())).unwrap()
     }
 
     pub fn notices(&self) -> Vec<(String, String)> {
         let text = |value: &Value| value.as_str().unwrap_or("").to_string();
-        let told = self.told.lock().unwrap();
-        told.notices.iter().map(|n| (text(&n["ref"]), text(&n["result"]))).collect()
+        let state = self.state.lock().unwrap();
+        state.notices.iter().map(|n| (text(&n["ref"]), text(&n["result"]))).collect()
     }
 }
 
-fn list(told: &PlatformState) -> String {
-    json!({"index": told.index, "snapshot": true, "endpoints": told.entries}).to_string()
+fn list(state: &PlatformState) -> String {
+    json!({"index": state.index, "snapshot": true, "endpoints": state.entries}).to_string()
 }
 
-fn take_notices(state: &Mutex<PlatformState>, request: &Request, out: &mut TcpStream) -> bool {
-    let mut told = state.lock().unwrap();
-    let status = if told.refuse > 0 { 500 } else { 204 };
-    if told.refuse > 0 {
-        told.refuse -= 1;
+fn take_notices(shared: &Mutex<PlatformState>, request: &Request, out: &mut TcpStream) -> bool {
+    let mut state = shared.lock().unwrap();
+    let status = if state.notices_to_reject > 0 { 500 } else { 204 };
+    if state.notices_to_reject > 0 {
+        state.notices_to_reject -= 1;
     } else {
         let lines = request.body.split(|&b| b == b'\n').filter(|line| !line.is_empty());
-        told.notices.extend(lines.map(|line| serde_json::from_slice::<Value>(line).unwrap()));
+        state.notices.extend(lines.map(|line| serde_json::from_slice::<Value>(line).unwrap()));
     }
     let length = if status == 204 { "" } else { "Content-Length: 0\r\n" };
     write!(out, "HTTP/1.1 {status} X\r\n{length}\r\n").is_ok()
 }
 
-fn watch(state: &Mutex<PlatformState>, out: &mut TcpStream) -> bool {
+fn watch(shared: &Mutex<PlatformState>, out: &mut TcpStream) -> bool {
     let mut seen = 0;
-    state.lock().unwrap().watches += 1;
+    shared.lock().unwrap().watches += 1;
     if write!(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").is_err() {
         return false;
     }
     loop {
         let line = {
-            let mut told = state.lock().unwrap();
-            if told.end_watches > 0 {
-                told.end_watches -= 1;
+            let mut state = shared.lock().unwrap();
+            if state.watches_to_end > 0 {
+                state.watches_to_end -= 1;
                 return false;
             }
-            let news = !told.silent && told.index != seen;
-            seen = if news { told.index } else { seen };
-            news.then(|| list(&told) + "\n")
+            let news = !state.watches_silent && state.index != seen;
+            seen = if news { state.index } else { seen };
+            news.then(|| list(&state) + "\n")
         };
         if let Some(line) = line {
             if write!(out, "{:x}\r\n{line}\r\n", line.len()).is_err() {
