--- a/crates/courier/tests/audit.rs
+++ b/crates/courier/tests/audit.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use common::{
-    command, config, own_address, put, settings, until, Client, Endpoint, Folder, Platform, Reply, OK,
+    command, config, own_address, put, settings, wait_until, Client, Endpoint, Folder, Platform, Reply, OK,
 };
 use meadowhold::interface::{Outcome, PeerNote, Time, SECOND};
 use meadowhold_courier::discovery::List;
@@ -614,7 +614,7 @@
     }
 
     fn ready(&self) {
-        until("the courier's first answer", || {
+        wait_until("the courier's first answer", || {
             Client::connect(self.listen).is_ok_and(|mut client| client.say(b"PING\r\n") == "+PONG")
         });
     }
@@ -627,7 +627,7 @@
         } else {
             let id = self.child.id().to_string();
             assert!(Command::new("kill").args(["-TERM", &id]).status().unwrap().success());
-            until("exit of the courier", || self.child.try_wait().unwrap().is_some());
+            wait_until("exit of the courier", || self.child.try_wait().unwrap().is_some());
         }
         let well = self.child.wait().unwrap().success();
         let log = self.log();
--- a/crates/courier/tests/big_list.rs
+++ b/crates/courier/tests/big_list.rs
@@ -12,7 +12,8 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    answers, command, config, own_address, serve, until, until_for, Client, Endpoint, Folder, Platform,
+    command, config, own_address, serve, wait_until, wait_until_ready, wait_until_within, Client, Endpoint,
+    Folder, Platform,
 };
 use serde_json::{json, Value};
 
@@ -109,7 +110,7 @@
         let child = command(&folder, &config, "serve").stderr(Stdio::piped()).spawn().unwrap();
         let mut courier = LoggedCourier { child, folder, config, listen, log: Arc::default() };
         courier.read_log();
-        answers(listen);
+        wait_until_ready(listen);
         courier
     }
 
@@ -126,7 +127,7 @@
         self.child.wait().unwrap();
         self.child = command(&self.folder, &self.config, "serve").stderr(Stdio::piped()).spawn().unwrap();
         self.read_log();
-        answers(self.listen);
+        wait_until_ready(self.listen);
     }
 
     fn count_lines(&self, part: &str) -> usize {
@@ -192,11 +193,11 @@
                     let courier = LoggedCourier::start(address, mode, &known, json!({limit: value}));
                     let begun = Instant::now();
                     assert_eq!(courier.put("first", 7), "+OK");
-                    until("a call by the old list", || old.ids() == ["first"]);
+                    wait_until("a call by the old list", || old.ids() == ["first"]);
                     // A watch is enough to receive the next change.
-                    until("the change", || courier.put("second", 8) == "+OK");
-                    until("its call", || new.ids() == ["second"]);
-                    until("some time", || begun.elapsed() > Duration::from_secs(4));
+                    wait_until("the change", || courier.put("second", 8) == "+OK");
+                    wait_until("its call", || new.ids() == ["second"]);
+                    wait_until("some time", || begun.elapsed() > Duration::from_secs(4));
                     let seen: Vec<bool> = requests.lock().unwrap().iter().map(|request| request.1).collect();
                     assert_eq!(seen, [false, true], "{mode} {limit}");
                     assert_eq!(courier.count_lines(words), 1);
@@ -218,9 +219,9 @@
     let known = list(5, true, &[entry("old", old.address, 7, "SERVING")]);
     let courier = LoggedCourier::start(address, "push", &known, json!({"list_entries": 400}));
     let begun = Instant::now();
-    until_for(Duration::from_secs(20), "three requests", || requests.lock().unwrap().len() >= 3);
+    wait_until_within(Duration::from_secs(20), "three requests", || requests.lock().unwrap().len() >= 3);
     assert_eq!(courier.put("first", 7), "+OK");
-    until("a call by the old list", || old.ids() == ["first"]);
+    wait_until("a call by the old list", || old.ids() == ["first"]);
     // The first two pauses are at least one and two seconds.
     assert!(begun.elapsed() > Duration::from_millis(2500), "{:?}", begun.elapsed());
     let seen: Vec<bool> = requests.lock().unwrap().iter().map(|request| request.1).collect();
@@ -253,13 +254,13 @@
         true => out.write_all(CHUNKED_HEADERS.as_bytes()).is_ok() && idle_watch(out),
     });
     let courier = LoggedCourier::start(address, "push", &first, json!({"list_entries": 100}));
-    until("the changes within the limit", || courier.put("first", 9) == "+OK");
-    until("the log line", || courier.count_lines("limits.list_entries") == 1);
-    until("the call", || old.ids() == ["first"]);
+    wait_until("the changes within the limit", || courier.put("first", 9) == "+OK");
+    wait_until("the log line", || courier.count_lines("limits.list_entries") == 1);
+    wait_until("the call", || old.ids() == ["first"]);
     assert_eq!(courier.put("second", 7), "+OK");
-    until("a call by the list still in force", || old.ids() == ["first", "second"]);
+    wait_until("a call by the list still in force", || old.ids() == ["first", "second"]);
     let begun = Instant::now();
-    until("some time", || begun.elapsed() > Duration::from_secs(3));
+    wait_until("some time", || begun.elapsed() > Duration::from_secs(3));
     // The list, a watch, and both again after the pause. A busy machine may cause some more requests by time-outs.
     let count = requests.lock().unwrap().len();
     assert!(count <= 6, "{count}");
@@ -290,9 +291,9 @@
     let known = list(5, true, &[entry("old", old.address, 40_000, "SERVING")]);
     let courier = LoggedCourier::start(address, "push", &known, json!({}));
     assert_eq!(courier.put("first", 40_000), "+OK");
-    until("a call by the old list", || old.ids() == ["first"]);
-    until_for(Duration::from_secs(30), "the new list", || courier.put("second", 30_000) == "+OK");
-    until("a call by the new list", || new.ids() == ["second"]);
+    wait_until("a call by the old list", || old.ids() == ["first"]);
+    wait_until_within(Duration::from_secs(30), "the new list", || courier.put("second", 30_000) == "+OK");
+    wait_until("a call by the new list", || new.ids() == ["second"]);
     assert!(requests.lock().unwrap().iter().any(|request| request.1));
     assert_eq!(courier.count_lines("a long list was unusable"), 1);
 }
@@ -342,11 +343,11 @@
         }
         longest
     });
-    until_for(Duration::from_secs(60), "the list", || courier.put("first", count) == "+OK");
+    wait_until_within(Duration::from_secs(60), "the list", || courier.put("first", count) == "+OK");
     let (in_force, cpu) = (begun.elapsed().as_secs_f64(), courier.cpu_seconds());
     taken.store(true, Ordering::SeqCst);
     let stall = asking.join().unwrap();
-    until("its call", || endpoint.ids() == ["first"]);
+    wait_until("its call", || endpoint.ids() == ["first"]);
     thread::sleep(Duration::from_millis(2500));
     let (before, span) = (courier.cpu_seconds(), Instant::now());
     thread::sleep(Duration::from_millis(3000));
@@ -363,7 +364,7 @@
         courier.restart();
         restart_in = begun.elapsed().as_secs_f64();
         assert_eq!(courier.put("second", count), "+OK");
-        until("a call by the stored list", || endpoint.ids() == ["first", "second"]);
+        wait_until("a call by the stored list", || endpoint.ids() == ["first", "second"]);
         thread::sleep(Duration::from_secs(1));
         [restart_held, restart_peak] = ["VmRSS:", "VmHWM:"].map(|what| courier.memory_bytes(what));
     }
--- a/crates/courier/tests/common/process.rs
+++ b/crates/courier/tests/common/process.rs
@@ -12,7 +12,7 @@
 use serde_json::json;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 
-use crate::common::{settings, until, Folder};
+use crate::common::{settings, wait_until, Folder};
 
 /// When the clock begins.
 pub const START: Time = 1_700_000_000 * SECOND;
@@ -33,7 +33,7 @@
     pub fn start(folder: &Folder, allowance: u64, now: Time, window: Option<u64>) -> Process {
         // A process that another test has just begun to start holds all our descriptors for a moment, locks too.
         let mut journal = None;
-        until("the folder's lock", || match Journal::open(&folder.path, allowance) {
+        wait_until("the folder's lock", || match Journal::open(&folder.path, allowance) {
             Err(e) if e.to_string().contains("another courier") => false,
             opened => journal.replace(opened.unwrap()).is_none(),
         });
--- a/crates/courier/tests/config.rs
+++ b/crates/courier/tests/config.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::thread;
 
-use common::{command, own_address, settings, until, Folder};
+use common::{command, own_address, settings, wait_until, Folder};
 use meadowhold_courier::config::Config;
 use meadowhold_courier::journal::Journal;
 use serde_json::{json, Value};
@@ -419,14 +419,14 @@
     let id = running.0.id().to_string();
     let signal = |name: &str| assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
     // The third attempt begins after the second has been logged.
-    until("attempts to read the list", || asked.load(Ordering::SeqCst) >= 3);
+    wait_until("attempts to read the list", || asked.load(Ordering::SeqCst) >= 3);
     fs::write(folder.path.join("config.json"), "{").unwrap();
     signal("-HUP");
     if rust_log != Some("off") {
-        until("the error for the invalid file", || log().contains("cannot reload the configuration"));
+        wait_until("the error for the invalid file", || log().contains("cannot reload the configuration"));
     }
     signal("-TERM");
-    until("its end", || running.0.try_wait().unwrap().is_some());
+    wait_until("its end", || running.0.try_wait().unwrap().is_some());
     log()
 }
 
--- a/crates/courier/tests/courier.rs
+++ b/crates/courier/tests/courier.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    command, output, own_address, put, until, until_for, Client, Courier, Endpoint, Folder, Limit, Platform,
-    Reply, OK,
+    command, output, own_address, put, wait_until, wait_until_within, Client, Courier, Endpoint, Folder,
+    Limit, Platform, Reply, OK,
 };
 use serde_json::{json, Value};
 
@@ -63,7 +63,7 @@
                 let (platform, endpoint, courier) = setup("single", &[reply]);
                 let answered = courier.client().put("9b1f", class, "d=4000,k=5c0f");
                 assert_eq!(answered, "+OK", "{name}");
-                until(&name, || courier.owes_nothing());
+                wait_until(&name, || courier.owes_nothing());
                 let seen = endpoint.calls();
                 assert_eq!(endpoint.ids(), vec!["9b1f"; calls], "{name}");
                 let expected = if notice.is_empty() { vec![] } else { vec![("9b1f".into(), notice.into())] };
@@ -118,14 +118,14 @@
                         });
                     let long = Duration::from_secs(40);
                     assert_eq!(courier.client().put("01", class, "d=60000"), "+OK");
-                    until_for(long, answer, || courier.owes_nothing());
+                    wait_until_within(long, answer, || courier.owes_nothing());
                     let expected =
                         if notice.is_empty() { vec![] } else { vec![("01".into(), notice.into())] };
                     assert_eq!((endpoint.calls().len(), platform.notices()), (calls, expected), "{answer}");
                     // Leftover bytes on the connection are not taken for an answer: the next mail uses
                     // another connection.
                     assert_eq!(courier.client().put("02", "again", "d=60000"), "+OK");
-                    until_for(long, answer, || courier.owes_nothing());
+                    wait_until_within(long, answer, || courier.owes_nothing());
                     assert!(platform.notices().iter().all(|n| n.0 == "01"), "{answer}");
                     let good = calls == 2 && class == "once";
                     assert!(good || endpoint.connections().0 > 1, "{answer}");
@@ -142,10 +142,10 @@
     let courier = Courier::start(&platform, unchanged);
     let start = Instant::now();
     assert_eq!(courier.client().put("9b1f", "once", "d=500"), "+OK");
-    until("the notice", || !platform.notices().is_empty());
+    wait_until("the notice", || !platform.notices().is_empty());
     assert_eq!(platform.notices(), [("9b1f".to_string(), "bounced".to_string())]);
     assert!(start.elapsed() < Duration::from_millis(1500));
-    until("the mail to be finished in the journal", || courier.owes_nothing());
+    wait_until("the mail to be finished in the journal", || courier.owes_nothing());
 }
 
 /// Timeouts that no machine is too slow for. The decision module stops sending once-only mails to an endpoint
@@ -194,10 +194,10 @@
                 platform.list("e1", endpoint.address, "many", 7, "SERVING");
                 // Checked first, since each look at the journal starts a process.
                 let long = Duration::from_secs(50);
-                until_for(long, &name, || {
+                wait_until_within(long, &name, || {
                     endpoint.ids().len() >= 5 + again.len() && platform.notices().len() >= dead.len()
                 });
-                until_for(long, &name, || courier.owes_nothing());
+                wait_until_within(long, &name, || courier.owes_nothing());
                 let calls = endpoint.calls();
                 assert_eq!((&calls[0].target[..], calls[0].ids().len()), ("/hook/batch", 5), "{name}");
                 let mut later: Vec<String> = calls[1..].iter().flat_map(|call| call.ids()).collect();
@@ -223,7 +223,7 @@
     let mut mails = put("0", "again", "again", "d=60000", b"x");
     mails.extend(put("0", "once", "once", "d=60000", b"x"));
     assert_eq!(courier.client().say(&mails), "+OK");
-    until("the mails to be finished", || courier.owes_nothing());
+    wait_until("the mails to be finished", || courier.owes_nothing());
     let calls = endpoint.calls();
     assert_eq!(calls[0].ids().len(), 2, "one call has both mails");
     // It may have been sent again meanwhile in a call that is never answered: the first call's answer
@@ -238,7 +238,7 @@
     let mut mails = put("0", "again", "again", "d=500", b"x");
     mails.extend(put("0", "once", "once", LIFETIME, b"x"));
     assert_eq!(courier.client().say(&mails), "+OK");
-    until("the mails to be finished", || courier.owes_nothing());
+    wait_until("the mails to be finished", || courier.owes_nothing());
     assert_eq!(endpoint.calls().len(), 1);
     let expected =
         [("again", "bounced"), ("once", "dead")].map(|(id, end)| (id.to_string(), end.to_string()));
@@ -256,14 +256,16 @@
         // Timeouts are long before anything has been measured, so the kill comes first.
         assert_eq!(client.put(id, class, "d=4000,k=77"), "+OK");
     }
-    until("the calls", || endpoint.calls().len() == 3);
+    wait_until("the calls", || endpoint.calls().len() == 3);
     platform.list("e9", own_address(), "single", 9, "DRAINING");
-    until("a destination without a ready endpoint", || client.put("04", "again", "d=900,dest=9") == "+OK");
+    wait_until("a destination without a ready endpoint", || {
+        client.put("04", "again", "d=900,dest=9") == "+OK"
+    });
     courier.kill();
     assert_eq!(courier.owed().lines().filter(|line| line.ends_with("a connect is out")).count(), 3);
     thread::sleep(Duration::from_millis(1000));
     courier.restart();
-    until("all mails to be finished", || courier.owes_nothing());
+    wait_until("all mails to be finished", || courier.owes_nothing());
     let again: Vec<String> = endpoint.ids()[3..].to_vec();
     assert!(!again.contains(&"02".to_string()), "a once-only mail whose connect was out is never sent again");
     assert!(again.contains(&"01".to_string()) && again.contains(&"03".to_string()));
@@ -280,11 +282,11 @@
     for id in ["01", "02", "03"] {
         assert_eq!(client.say(&put("beef", id, "turns", LIFETIME, b"x")), "+OK");
     }
-    until("the first call", || !endpoint.calls().is_empty());
+    wait_until("the first call", || !endpoint.calls().is_empty());
     courier.kill();
     courier.restart();
     let restarted = Instant::now();
-    until("all mails to be finished", || courier.owes_nothing());
+    wait_until("all mails to be finished", || courier.owes_nothing());
     let calls = endpoint.calls();
     assert_eq!(endpoint.ids(), ["01", "01", "02", "03"]);
     // A connect of the first mail may still have been running when the process ended, so the others wait for
@@ -311,7 +313,7 @@
         courier.kill();
         courier.restart();
     }
-    until("all mails to be finished", || courier.owes_nothing());
+    wait_until("all mails to be finished", || courier.owes_nothing());
     let (ids, notices) = (endpoint.ids(), platform.notices());
     for id in &sent {
         let came = ids.iter().filter(|other| *other == id).count();
@@ -327,13 +329,13 @@
     let (mut idle, mut client) = (courier.client(), courier.client());
     assert_eq!(idle.say(b"PING\r\n"), "+PONG");
     assert_eq!(client.put("01", "once", LIFETIME), "+OK");
-    until("the call", || !endpoint.calls().is_empty());
+    wait_until("the call", || !endpoint.calls().is_empty());
     courier.signal("-TERM");
     assert_eq!(idle.line(), "", "the connection of an idle client is closed");
     let mut late = courier.client();
     assert_eq!(late.put("02", "once", LIFETIME), "+OK", "a new client is answered");
     assert_eq!(late.line(), "", "and its connection closed");
-    until("the process to exit", || courier.ended().is_some());
+    wait_until("the process to exit", || courier.ended().is_some());
     assert!(courier.ended().unwrap().success());
     assert!(Client::connect(courier.listen).is_err());
     assert_eq!((endpoint.ids(), platform.notices()), (vec!["01".into(), "02".into()], vec![]));
@@ -439,7 +441,7 @@
     let mut client = courier.client();
     let mut next = 0;
     let mut goes_to = |endpoint: &Endpoint, what: &str| {
-        until(what, || {
+        wait_until(what, || {
             next += 1;
             let (id, before) = (next.to_string(), endpoint.calls().len());
             assert_eq!(client.put(&id, "again", LIFETIME), "+OK");
@@ -460,7 +462,7 @@
     // A watch that goes silent, without even empty lines.
     let watches = platform.state.lock().unwrap().watches;
     platform.state.lock().unwrap().watches_silent = true;
-    until("a new watch", || platform.state.lock().unwrap().watches > watches);
+    wait_until("a new watch", || platform.state.lock().unwrap().watches > watches);
 }
 
 #[test]
@@ -473,9 +475,9 @@
     let mut client = courier.client();
     for (id, calls) in [("01", 1), ("02", 2)] {
         assert_eq!(client.put(id, "once", LIFETIME), "+OK");
-        until("its call", || first.calls().len() == calls);
+        wait_until("its call", || first.calls().len() == calls);
     }
-    until("a rejected notice", || old.state.lock().unwrap().notices_to_reject < usize::MAX);
+    wait_until("a rejected notice", || old.state.lock().unwrap().notices_to_reject < usize::MAX);
     // A configuration that is malformed or truncated changes nothing.
     let mut config = courier.config.clone();
     config["discovery"] = json!("nowhere");
@@ -488,14 +490,14 @@
     assert_eq!((watches, new.state.lock().unwrap().watches), (1, 0));
     config["discovery"] = json!(new.address.to_string());
     courier.reconfigure(&config.to_string());
-    until("the notice at the new address", || new.notices() == [("02".into(), "dead".into())]);
-    until("the list of the new address", || {
+    wait_until("the notice at the new address", || new.notices() == [("02".into(), "dead".into())]);
+    wait_until("the list of the new address", || {
         let id = format!("n{}", second.calls().len());
         assert_eq!(client.put(&id, "again", LIFETIME), "+OK");
         thread::sleep(Duration::from_millis(30));
         !second.calls().is_empty()
     });
-    until("all mails to be finished", || courier.owes_nothing());
+    wait_until("all mails to be finished", || courier.owes_nothing());
     assert_eq!(first.ids().iter().filter(|id| id.starts_with('0')).count(), 2, "calls in flight went on");
     assert_eq!((new.notices().len(), old.notices()), (1, vec![]));
 }
@@ -510,7 +512,7 @@
     let endpoint = Endpoint::new(&[]);
     platform.list("e9", endpoint.address, "single", 8, "SERVING");
     platform.list("e1", endpoint.address, "single", 7, "SERVING");
-    until("the mail to be finished", || courier.owes_nothing());
+    wait_until("the mail to be finished", || courier.owes_nothing());
     assert_eq!((endpoint.ids(), platform.notices()), (vec!["01".to_string()], vec![]));
 }
 
@@ -520,12 +522,12 @@
     let mut client = courier.client();
     for i in 0..5 {
         assert_eq!(client.put(&i.to_string(), "again", LIFETIME), "+OK");
-        until("the call", || endpoint.calls().len() == i + 1);
+        wait_until("the call", || endpoint.calls().len() == i + 1);
     }
     // One connection carries consecutive calls; it is closed within two seconds of idleness.
     assert_eq!(endpoint.connections(), (1, 1));
     let idle = Instant::now();
-    until("the close", || endpoint.connections() == (1, 0));
+    wait_until("the close", || endpoint.connections() == (1, 0));
     let idle = idle.elapsed();
     assert!(idle > Duration::from_millis(1500) && idle < Duration::from_millis(2500), "{idle:?}");
 }
@@ -544,7 +546,7 @@
         let mut client = courier.client();
         for i in 0..4 {
             assert_eq!(client.put(&i.to_string(), "again", LIFETIME), "+OK");
-            until("the mail to be finished", || courier.owes_nothing());
+            wait_until("the mail to be finished", || courier.owes_nothing());
         }
         assert_eq!((endpoint.calls().len(), endpoint.connections().0), (5, connections), "{fields}");
     }
@@ -564,7 +566,7 @@
     for i in 0..20 {
         assert_eq!(client.put(&i.to_string(), "once", LIFETIME), "+OK");
     }
-    until("the mails to be finished", || courier.owes_nothing());
+    wait_until("the mails to be finished", || courier.owes_nothing());
     assert_eq!((first.calls().len(), platform.notices()), (20, vec![]));
     assert!(first.connections().0 <= 11);
 }
@@ -578,7 +580,7 @@
         [("tagged", 1), ("tagged", 2), ("tagged", 2), ("once", 3)].iter().enumerate()
     {
         assert_eq!(client.put(&i.to_string(), class, "d=4000,k=77"), "+OK");
-        until("the mail to be finished", || courier.owes_nothing());
+        wait_until("the mail to be finished", || courier.owes_nothing());
         assert_eq!(endpoint.connections().0, *connections, "{i}");
     }
     assert_eq!((endpoint.calls().len(), platform.notices()), (5, vec![]));
@@ -608,7 +610,7 @@
     let mut note = [0; 64];
     let (length, from) = other.recv_from(&mut note).unwrap();
     assert_eq!((from, &note[..length]), (hears, &b"\x01\x00\x01\x2ce1"[..]));
-    until("the mail to be finished", || courier.owes_nothing());
+    wait_until("the mail to be finished", || courier.owes_nothing());
     // Notes from unknown senders, truncated or malformed ones, and ones about unlisted endpoints are ignored.
     for bad in
         [&b""[..], b"\x01", b"\x01\x00\x0b\xb8", b"\x02\x00\x0b\xb8e1", b"\x01\x07\x0b\xb8e1", &[1; 300]]
@@ -623,11 +625,11 @@
         // Answered after the note was read, since both were waiting in the courier's sockets.
         assert_eq!(client.say(b"PING\r\n"), "+PONG");
         assert_eq!(client.put(id, "again", LIFETIME), "+OK");
-        until(id, || endpoint.ids().last().is_some_and(|last| last == id));
+        wait_until(id, || endpoint.ids().last().is_some_and(|last| last == id));
         let took = endpoint.calls().last().unwrap().at - start;
         assert!(took >= Duration::from_millis(wait), "{id}: {took:?}");
         assert!(wait > 0 || took < Duration::from_millis(2900), "{id}: {took:?}");
-        until("the mail to be finished", || courier.owes_nothing());
+        wait_until("the mail to be finished", || courier.owes_nothing());
     }
 }
 
@@ -663,7 +665,7 @@
         }
     }
     for courier in couriers.iter().flatten() {
-        until("all mails to be finished", || courier.owes_nothing());
+        wait_until("all mails to be finished", || courier.owes_nothing());
     }
     let seen = limit.seen.lock().unwrap().clone();
     let ended: Vec<String> = platform.notices().into_iter().map(|notice| notice.0).collect();
--- a/crates/courier/tests/crash_points.rs
+++ b/crates/courier/tests/crash_points.rs
@@ -12,7 +12,8 @@
 use std::thread;
 
 use common::{
-    answers, command, config, own_address, put, until, Client, Courier, Endpoint, Folder, Platform, Reply, OK,
+    command, config, own_address, put, wait_until, wait_until_ready, Client, Courier, Endpoint, Folder,
+    Platform, Reply, OK,
 };
 use meadowhold::interface::{Outcome, Time, SECOND};
 use meadowhold_courier::exchange::{Answer, ConnectReport};
@@ -294,7 +295,7 @@
                 let (folder, listen) = (Folder::new(), own_address());
                 let config = config(&platform, listen);
                 let process = start_with_file_size_limit(&folder, &config);
-                answers(listen);
+                wait_until_ready(listen);
                 let mut client = Client::connect(listen).unwrap();
                 let (mut taken, mut busy) = (Vec::new(), 0);
                 for i in 0..60 {
@@ -318,7 +319,7 @@
                 }
                 drop(process);
                 let mut courier = RestartedCourier::new(&folder, &config, listen);
-                until("settling of all mails", || courier.owes_nothing());
+                wait_until("settling of all mails", || courier.owes_nothing());
                 courier.end();
                 let (calls, notices) = (endpoint.ids(), platform.notices());
                 for id in &taken {
@@ -344,7 +345,7 @@
         listen: std::net::SocketAddr,
     ) -> RestartedCourier<'a> {
         let child = command(folder, config, "serve").spawn().unwrap();
-        answers(listen);
+        wait_until_ready(listen);
         RestartedCourier(folder, config, child)
     }
 
@@ -398,10 +399,10 @@
     courier.restart();
     let _held = asked.join().unwrap();
     courier.signal("-TERM");
-    until("exit of the courier", || courier.ended().is_some());
+    wait_until("exit of the courier", || courier.ended().is_some());
     courier.config["discovery"] = json!(platform.address.to_string());
     courier.restart();
-    until("settling of all mails", || courier.owes_nothing());
+    wait_until("settling of all mails", || courier.owes_nothing());
     let mut ids = endpoint.ids();
     ids.sort();
     assert_eq!(ids, ["01", "02", "03", "04"]);
@@ -420,13 +421,13 @@
     let mut client = courier.client();
     for (i, class) in ["once", "again", "tagged"].iter().enumerate() {
         assert_eq!(client.put(class, class, &format!("d=20000,k=5c0f,dest={}", 7 + i)), "+OK");
-        until("the call", || !endpoints[i].calls().is_empty());
+        wait_until("the call", || !endpoints[i].calls().is_empty());
     }
     courier.signal("-TERM");
     assert_eq!(client.line(), "", "shutdown has begun");
     courier.kill();
     courier.restart();
-    until("settling of all mails", || courier.owes_nothing());
+    wait_until("settling of all mails", || courier.owes_nothing());
     assert_eq!(endpoints[0].calls().len(), 1, "a once-only mail was repeated");
     assert!(endpoints[1..].iter().all(|endpoint| endpoint.calls().len() > 1), "the others are repeated");
     assert_eq!(platform.notices(), [("once".to_string(), "dead".to_string())]);
@@ -460,7 +461,7 @@
     courier.kill();
     assert_eq!(platform.notices(), []);
     courier.restart();
-    until("settling of the mail", || courier.owes_nothing());
+    wait_until("settling of the mail", || courier.owes_nothing());
     assert_eq!(platform.notices(), [("01".to_string(), "dead".to_string())]);
     assert_eq!(endpoint.calls().len(), 1);
 }
--- a/crates/courier/tests/crossing_clients.rs
+++ b/crates/courier/tests/crossing_clients.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    command, own_address, put, settings, until, Client, Courier, Endpoint, Folder, Platform, Reply,
+    command, own_address, put, settings, wait_until, Client, Courier, Endpoint, Folder, Platform, Reply,
 };
 use meadowhold_courier::clients::{listen, Phase};
 use meadowhold_courier::discovery::List;
@@ -210,7 +210,7 @@
     courier.signal("-CONT");
     let answers: Vec<String> = clients.iter_mut().map(Client::line).collect();
     assert_eq!(answers, ["+OK"; 3]);
-    until("their calls", || endpoint.calls().len() == 3);
+    wait_until("their calls", || endpoint.calls().len() == 3);
 }
 
 #[test]
@@ -219,7 +219,7 @@
     // A third of the sockets is for clients. None of these sends a command, or closes its side when the
     // courier does.
     let idle: Vec<TcpStream> = (0..330).map(|_| TcpStream::connect(courier.listen).unwrap()).collect();
-    until("the connections to be used up", || courier.sockets() >= 300);
+    wait_until("the connections to be used up", || courier.sockets() >= 300);
     for i in 0..10 {
         let asked = Instant::now();
         assert_eq!(courier.client().put(&i.to_string(), "again", LIFETIME), "+OK");
@@ -253,7 +253,7 @@
     assert!(courier.ended().is_none(), "the process exited before the close: {end:?}");
     assert_eq!(end, Ok(()));
     steady.stream.get_ref().shutdown(Shutdown::Both).unwrap();
-    until("the process to exit", || courier.ended().is_some());
+    wait_until("the process to exit", || courier.ended().is_some());
     assert!(asked.elapsed() < Duration::from_millis(3700), "the platform kills then");
 }
 
@@ -272,7 +272,7 @@
     let (folder, listen) = (Folder::new(), own_address());
     let config = common::config(&platform, listen);
     let mut child = command(&folder, &config, "serve").spawn().unwrap();
-    common::answers(listen);
+    common::wait_until_ready(listen);
     let mut client = Client::connect(listen).unwrap();
     let (mut before, mut taken) = (0, 0);
     let start = Instant::now();
@@ -348,13 +348,13 @@
         let posts = posts.lock().unwrap();
         posts.iter().filter(|post| post.0 == 204).map(|post| post.1.lines().count()).sum::<usize>()
     };
-    until("the others' notices", || accepted_count() == count - 3);
+    wait_until("the others' notices", || accepted_count() == count - 3);
     // Found by bisection. Earlier, a batch with one of them was sent again after each accepted notice.
     let refused = posts.lock().unwrap().iter().filter(|post| post.0 == 400).count();
     assert!(refused < 60, "{refused}");
     // Rejected notices are sent again, but rarely.
     let before = posts.lock().unwrap().len();
-    until("another try", || posts.lock().unwrap().len() > before);
+    wait_until("another try", || posts.lock().unwrap().len() > before);
     sleep_until(Instant::now(), 1000);
     let more = posts.lock().unwrap().len() - before;
     assert!(more < 10, "{more}");
@@ -372,14 +372,14 @@
         platform.list("e1", endpoint.address, "single", 7, "SERVING");
         let mut courier = Courier::start(&platform, |c| c["discovery"] = json!(address.to_string()));
         assert_eq!(courier.client().put("01", "once", LIFETIME), "+OK");
-        until("its notice", || !posts.lock().unwrap().is_empty());
+        wait_until("its notice", || !posts.lock().unwrap().is_empty());
         courier.signal(name);
-        until("the process to exit", || courier.ended().is_some());
+        wait_until("the process to exit", || courier.ended().is_some());
         assert!(courier.owed().contains("notice not yet heard"), "{name}");
         answers.store(true, Ordering::SeqCst);
         let before = posts.lock().unwrap().len();
         courier.restart();
-        until("all mails to be finished", || courier.owes_nothing());
+        wait_until("all mails to be finished", || courier.owes_nothing());
         let posts = posts.lock().unwrap();
         assert!(posts.len() > before && posts.iter().all(|post| post.1 == posts[0].1), "{name}: {posts:?}");
         assert_eq!(endpoint.ids(), ["01"], "{name}");
--- a/crates/courier/tests/crossing_endpoints.rs
+++ b/crates/courier/tests/crossing_endpoints.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use common::{put, serve, until_for, Courier, Platform, Request};
+use common::{put, serve, wait_until_within, Courier, Platform, Request};
 use serde_json::{json, Value};
 use socket2::{Domain, Socket, Type};
 
@@ -20,7 +20,7 @@
 
 /// Polls for as long as a loaded machine may need.
 fn until(what: &str, holds: impl FnMut() -> bool) {
-    until_for(Duration::from_secs(50), what, holds);
+    wait_until_within(Duration::from_secs(50), what, holds);
 }
 
 /// Makes the answer to a call.
--- a/crates/courier/tests/descriptors.rs
+++ b/crates/courier/tests/descriptors.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use common::{command, output, own_address, put, until, Client, Endpoint, Folder, Platform, Reply, OK};
+use common::{command, output, own_address, put, wait_until, Client, Endpoint, Folder, Platform, Reply, OK};
 use serde_json::json;
 
 const LONG_LIFETIME: &str = "d=8000";
@@ -61,7 +61,7 @@
     config["discovery"] = json!(agent.to_string());
     // The system enforces the same limit.
     let mut child = with_descriptor_limit(&command(&folder, &config, "serve"), min_sockets);
-    common::answers(listen);
+    common::wait_until_ready(listen);
     let id = child.id();
     let open = || fs::read_dir(format!("/proc/{id}/fd")).unwrap().count();
     let mut idle: Vec<TcpStream> = Vec::new();
@@ -73,7 +73,7 @@
     for i in 0..16 {
         assert_eq!(Client::connect(listen).unwrap().put(&format!("s{i}"), "once", LONG_LIFETIME), "+OK");
     }
-    until("calls on all connections", || slow.connections().1 >= 9);
+    wait_until("calls on all connections", || slow.connections().1 >= 9);
     connect_idle(60);
     let mut most = 0;
     for i in 0..5 {
@@ -85,7 +85,7 @@
         // This once took seconds: all idle clients were closed before the first descriptor was freed.
         assert!(asked.elapsed() < Duration::from_secs(3), "{:?}", asked.elapsed());
         most = most.max(open());
-        until("the notice", || notices.lock().unwrap().contains(&format!("\"n{i}\"")));
+        wait_until("the notice", || notices.lock().unwrap().contains(&format!("\"n{i}\"")));
     }
     assert!(most <= min_sockets, "{most}");
     connect_idle(60);
@@ -94,22 +94,22 @@
     config["discovery"] = json!(platform.address.to_string());
     fs::write(folder.path.join("config.json"), config.to_string()).unwrap();
     signal(&child, "-HUP");
-    until("a watch", || platform.state.lock().unwrap().watches > 0);
+    wait_until("a watch", || platform.state.lock().unwrap().watches > 0);
     connect_idle(60);
     platform.list("e9", other.address, "single", 10, "SERVING");
-    until("a new destination", || {
+    wait_until("a new destination", || {
         let said = Client::connect(listen).unwrap().say(&put("0", "new", "once", "d=4000,dest=10", b"x"));
         said == "+OK"
     });
     let owed = || String::from_utf8(command(&folder, &config, "owed").output().unwrap().stdout).unwrap();
-    until("settling of all mails", || owed().starts_with("0 mails owed; 0 bytes"));
+    wait_until("settling of all mails", || owed().starts_with("0 mails owed; 0 bytes"));
     let mut ids = slow.ids();
     ids.sort();
     ids.dedup();
     assert_eq!((ids.len(), other.ids()), (17, vec!["new".to_string()]));
     signal(&child, "-TERM");
     drop(idle);
-    until("exit of the courier", || child.try_wait().unwrap().is_some());
+    wait_until("exit of the courier", || child.try_wait().unwrap().is_some());
 }
 
 #[test]
--- a/crates/courier/tests/list.rs
+++ b/crates/courier/tests/list.rs
@@ -11,7 +11,8 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    answers, command, config, own_address, serve, until, Client, Courier, Endpoint, Folder, Platform,
+    command, config, own_address, serve, wait_until, wait_until_ready, Client, Courier, Endpoint, Folder,
+    Platform,
 };
 use serde_json::{json, Value};
 
@@ -110,11 +111,11 @@
 impl Barrier {
     fn wait(&self) {
         self.reached.store(true, Ordering::SeqCst);
-        until("the release by the test", || self.go.load(Ordering::SeqCst));
+        wait_until("the release by the test", || self.go.load(Ordering::SeqCst));
     }
 
     fn wait_until_reached(&self) {
-        until("the server to reach the barrier", || self.reached.load(Ordering::SeqCst));
+        wait_until("the server to reach the barrier", || self.reached.load(Ordering::SeqCst));
     }
 
     fn release(&self) {
@@ -173,7 +174,7 @@
 fn expect_call_at(client: &mut Client, endpoint: &Endpoint, what: &str) {
     static NEXT: Mutex<usize> = Mutex::new(0);
     let before = endpoint.calls().len();
-    until(what, || {
+    wait_until(what, || {
         let id = {
             let mut next = NEXT.lock().unwrap();
             *next += 1;
@@ -198,7 +199,7 @@
 
 /// Waits until every mail has its outcome, so that no call is in flight any more.
 fn wait_until_idle(courier: &Courier) {
-    until("an outcome for every mail", || courier.owes_nothing());
+    wait_until("an outcome for every mail", || courier.owes_nothing());
 }
 
 /// Two endpoints of one destination; the second replaces the first.
@@ -310,7 +311,7 @@
     // The mail is owed from the start, and the configuration still lists the first endpoint as serving.
     courier.config["known"] = old;
     courier.restart();
-    until("its outcome", || courier.owes_nothing());
+    wait_until("its outcome", || courier.owes_nothing());
     assert_eq!((pair.first.ids(), pair.second.ids()), (vec![], vec!["01".to_string()]));
 }
 
@@ -330,9 +331,9 @@
         // A mail whose queue lifetime ends while the courier waits for the agent still gets its outcome.
         assert_eq!(client.put("01", "again", "d=20"), "+OK");
         assert_eq!(client.put("02", "again", LIFETIME), "+OK");
-        until("its call", || endpoint.ids().contains(&"02".to_string()));
+        wait_until("its call", || endpoint.ids().contains(&"02".to_string()));
         assert!(start.elapsed() < Duration::from_secs(2));
-        until("the outcome of both", || !there || courier.owes_nothing());
+        wait_until("the outcome of both", || !there || courier.owes_nothing());
     }
 }
 
@@ -361,13 +362,13 @@
     });
     let courier = start(&discovery, "push", &old);
     let mut client = courier.client();
-    until("the last change", || client.put("m", "again", "d=4000,dest=8") == "+OK");
+    wait_until("the last change", || client.put("m", "again", "d=4000,dest=8") == "+OK");
     let calls = pair.first.calls().len();
     expect_call_at(&mut client, &pair.second, "the endpoint that serves");
     // The watch ends, and after it the whole list is the old one again.
     let asked = discovery.count(Request::List);
     ended.store(true, Ordering::Relaxed);
-    until("further whole lists", || discovery.count(Request::List) > asked + 1);
+    wait_until("further whole lists", || discovery.count(Request::List) > asked + 1);
     (0..5).for_each(|_| expect_call_at(&mut client, &pair.second, "the endpoint that still serves"));
     assert_eq!(pair.first.calls().len(), calls);
 }
@@ -404,7 +405,7 @@
         });
         let courier = start(&down, mode, &old);
         expect_call_at(&mut courier.client(), &pair.first, "a call by the configured list");
-        until("a second request", || down.requests().len() > 1);
+        wait_until("a second request", || down.requests().len() > 1);
         let mut config = courier.config.clone();
         config["discovery"] = json!(up.address.to_string());
         let moved = Instant::now();
@@ -723,7 +724,7 @@
         let known = list(4, true, &pair.before());
         let courier = start_with(&discovery, "push", &known, json!({"list_entries": 8192, "list_mb": 4.2}));
         let mut client = courier.client();
-        until(name, || {
+        wait_until(name, || {
             put(&mut client, "m");
             is_left.load(Ordering::SeqCst)
         });
@@ -826,7 +827,7 @@
     let (before, requests) = (pair.first.calls().len(), down.requests().len());
     barrier.release();
     if stage != Stage::Refusals {
-        until("the end of the old connection", || is_closed.load(Ordering::SeqCst));
+        wait_until("the end of the old connection", || is_closed.load(Ordering::SeqCst));
     }
     (0..5).for_each(|_| {
         expect_call_at(&mut client, &pair.second, "another call by the list of the new address")
@@ -887,7 +888,7 @@
         let at_first = courier.sockets();
         let seen = |which: usize| most[which].lock().unwrap().1;
         let enough = if mode == "push" { 16 } else { 7 };
-        until("requests", || seen(0) >= enough);
+        wait_until("requests", || seen(0) >= enough);
         // Back and forth between the addresses, each time at another stage of a request.
         let mut config = courier.config.clone();
         for turn in 1..12 {
@@ -895,10 +896,10 @@
             let before = seen(which);
             config["discovery"] = json!(addresses[which].to_string());
             courier.reconfigure(&config.to_string());
-            until("a request there", || seen(which) > before);
+            wait_until("a request there", || seen(which) > before);
         }
         assert!(most.iter().all(|most| most.lock().unwrap().0 <= 2), "{mode}: {most:?}");
-        until("no more than at first", || courier.sockets() <= at_first + 1);
+        wait_until("no more than at first", || courier.sockets() <= at_first + 1);
     }
 }
 
@@ -925,7 +926,7 @@
         command.env_clear().envs(variables);
         let child = command.spawn().unwrap();
         let courier = LimitedCourier { child, folder, config, listen };
-        answers(listen);
+        wait_until_ready(listen);
         courier
     }
 
@@ -935,7 +936,7 @@
 
     /// Hands in a mail on a new connection, again if that one is closed to make room for others.
     fn put(&self, id: &str, more: &str) {
-        until("an answer", || Client::connect(self.listen).unwrap().put(id, "again", more) == "+OK");
+        wait_until("an answer", || Client::connect(self.listen).unwrap().put(id, "again", more) == "+OK");
     }
 
     fn owes_nothing(&self) -> bool {
@@ -990,7 +991,7 @@
         thread::scope(|scope| {
             scope.spawn(|| idle_clients(courier.listen, SOCKETS / 2, &end));
             // A third of them is for clients, and all those are taken; one client may be among those at first.
-            until("all sockets for clients to be taken", || {
+            wait_until("all sockets for clients to be taken", || {
                 courier.descriptors() >= at_first + SOCKETS / 3 - 1
             });
             for i in 0..20 {
@@ -999,20 +1000,20 @@
                 courier.put(&format!("brief-{i}"), "d=1");
                 most = most.max(courier.descriptors());
             }
-            until("calls", || (0..20).all(|i| pair.first.ids().contains(&format!("call-{i}"))));
-            until("an outcome for every mail in the journal", || courier.owes_nothing());
+            wait_until("calls", || (0..20).all(|i| pair.first.ids().contains(&format!("call-{i}"))));
+            wait_until("an outcome for every mail in the journal", || courier.owes_nothing());
             // Discovery comes back.
             let back = Instant::now();
             up.store(true, Ordering::SeqCst);
             let mut id = 0;
-            until("calls by the new list", || {
+            wait_until("calls by the new list", || {
                 id += 1;
                 courier.put(&format!("new-{id}"), LIFETIME);
                 most = most.max(courier.descriptors());
                 !pair.second.calls().is_empty()
             });
             assert!(back.elapsed() < Duration::from_secs(6), "{mode}: {:?}", back.elapsed());
-            until("an outcome for every mail", || courier.owes_nothing());
+            wait_until("an outcome for every mail", || courier.owes_nothing());
             end.store(true, Ordering::SeqCst);
         });
         // Never at the limit, where connecting to discovery or opening a file would fail.
@@ -1050,7 +1051,7 @@
         });
         let courier = start(&discovery, "push", &list(4, true, &pair.before()));
         let mut client = courier.client();
-        until("a watch", || discovery.count(Request::Watch) > 0);
+        wait_until("a watch", || discovery.count(Request::Watch) > 0);
         (0..30).for_each(|_| expect_call_at(&mut client, &pair.first, name));
         end.store(true, Ordering::SeqCst);
         expect_call_at(&mut client, &pair.second, name);
@@ -1087,7 +1088,9 @@
                 });
                 let courier = start(&discovery, mode, &list(5, true, &pair.before()));
                 // After these the pauses have reached their longest.
-                until("a chain of requests", || discovery.requests().len() >= if refuses { 6 } else { 5 });
+                wait_until("a chain of requests", || {
+                    discovery.requests().len() >= if refuses { 6 } else { 5 }
+                });
                 let back = Instant::now();
                 up.store(true, Ordering::SeqCst);
                 expect_call_at(
--- a/crates/courier/tests/members.rs
+++ b/crates/courier/tests/members.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use common::{answers, command, config, output, own_address, until, Folder, Platform};
+use common::{command, config, output, own_address, wait_until, wait_until_ready, Folder, Platform};
 use serde_json::{json, Value};
 
 struct Process {
@@ -29,7 +29,7 @@
         config["peers"] = peers(own_address(), members);
         let child = spawn(&folder, &config);
         let process = Process { name: name.to_string(), listen, folder, config, child };
-        answers(process.listen);
+        wait_until_ready(process.listen);
         process
     }
 
@@ -100,7 +100,7 @@
         .collect();
     let line = |i: usize, what: &str| format!("member m{i} at {} is {what}", addresses[i]);
     for one in &all {
-        until("that it knows all", || {
+        wait_until("that it knows all", || {
             (0..5).filter(|&i| one.name != format!("m{i}")).all(|i| one.count(&line(i, "up")) == 1)
         });
         assert_eq!(one.count("joined with the other couriers: "), 1);
@@ -114,29 +114,29 @@
     let begin = Instant::now();
     all[1].child.kill().unwrap();
     all[1].child.wait().unwrap();
-    until("that m1 is down", || known(&all, 1, "down", 1));
+    wait_until("that m1 is down", || known(&all, 1, "down", 1));
     eprintln!("m1 found down after {:?}", begin.elapsed());
     all[1].child = spawn(&all[1].folder, &all[1].config);
-    answers(all[1].listen);
-    until("that m1 is back", || known(&all, 1, "back", 1));
+    wait_until_ready(all[1].listen);
+    wait_until("that m1 is back", || known(&all, 1, "back", 1));
 
     // One is stopped for five seconds: it is down, and back as soon as it continues.
     let begin = Instant::now();
     all[3].signal("-STOP");
-    until("that m3 is down", || known(&all, 3, "down", 1));
+    wait_until("that m3 is down", || known(&all, 3, "down", 1));
     eprintln!("m3 found down after {:?}", begin.elapsed());
     thread::sleep(Duration::from_secs(5).saturating_sub(begin.elapsed()));
     let begin = Instant::now();
     all[3].signal("-CONT");
-    until("that m3 is back", || known(&all, 3, "back", 1));
+    wait_until("that m3 is back", || known(&all, 3, "back", 1));
     eprintln!("m3 found back after {:?}", begin.elapsed());
 
     // One shuts down: it tells the others, which do not have to wait for a probe to fail.
     all[4].signal("-TERM");
-    until("its end", || all[4].child.try_wait().unwrap().is_some());
+    wait_until("its end", || all[4].child.try_wait().unwrap().is_some());
     assert_eq!(all[4].count("membership has ended"), 1);
     assert!(all[4].log().contains("faults: 0"));
-    until("that m4 is down", || known(&all[..4], 4, "down", 1));
+    wait_until("that m4 is down", || known(&all[..4], 4, "down", 1));
     // No other member was ever considered down.
     for i in [0, 2] {
         assert!(known(&all, i, "down", 0));
@@ -153,7 +153,7 @@
     assert_eq!((without.threads(), with.threads()), (1, 2));
     assert_eq!((without.datagram_sockets(), with.datagram_sockets()), (1, 2));
     // The socket, the poller and its waker; connections of the test itself may still be closing.
-    until("three more open files", || with.open_files() == without.open_files() + 3);
+    wait_until("three more open files", || with.open_files() == without.open_files() + 3);
 }
 
 #[test]
--- a/crates/courier/tests/other_folder.rs
+++ b/crates/courier/tests/other_folder.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use common::{settings, until, Courier, Endpoint, Folder, Platform};
+use common::{settings, wait_until, Courier, Endpoint, Folder, Platform};
 use meadowhold::interface::{Outcome, Time, SECOND};
 use meadowhold_courier::discovery::List;
 use meadowhold_courier::exchange::{Answer, Call, Clock, ConnectReport, Exchange, Notice, Offer, Order};
@@ -50,7 +50,7 @@
     let (notices_in, notices) = unbounded_channel();
     // A child process that another test is starting holds all our descriptors for a moment, including locks.
     let mut journal = None;
-    until("the folder's lock", || match Journal::open(&folder.path, 3_000_000) {
+    wait_until("the folder's lock", || match Journal::open(&folder.path, 3_000_000) {
         Err(e) if e.to_string().contains("another courier") => false,
         opened => journal.replace(opened.unwrap()).is_none(),
     });
@@ -502,7 +502,9 @@
     platform.list("e1", endpoint.address, "single", 7, "SERVING");
     let mut courier = Courier::start(&platform, |_| {});
     let kept = courier.folder.path.join("state").join("memory");
-    until("the list on file", || fs::read(&kept).is_ok_and(|file| file.windows(4).any(|at| at == b"\"e1\"")));
+    wait_until("the list on file", || {
+        fs::read(&kept).is_ok_and(|file| file.windows(4).any(|at| at == b"\"e1\""))
+    });
     courier.kill();
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     courier.config["known"] = json!({"index": 0, "snapshot": true, "endpoints": []});
@@ -510,7 +512,7 @@
     // With the same settings the saved list is still used, and names the destinations.
     courier.restart();
     assert_eq!(courier.client().put("01", "once", "d=8000"), "+OK");
-    until("the mail to be finished", || courier.owes_nothing());
+    wait_until("the mail to be finished", || courier.owes_nothing());
     courier.kill();
     courier.config["settings"]["Profiles"][0]["Name"] = json!("renamed");
     courier.restart();
--- a/crates/courier/tests/relay.rs
+++ b/crates/courier/tests/relay.rs
@@ -13,7 +13,9 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime};
 
-use common::{command, output, own_address, serve, until, until_for, Courier, Endpoint, Folder, Platform};
+use common::{
+    command, output, own_address, serve, wait_until, wait_until_within, Courier, Endpoint, Folder, Platform,
+};
 use meadowhold_catalog::choice::rank_relays;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
@@ -148,7 +150,7 @@
     }
 
     fn answers(&self) {
-        until("the relay's first answer", || TcpStream::connect(self.address).is_ok());
+        wait_until("the relay's first answer", || TcpStream::connect(self.address).is_ok());
     }
 
     fn restart(&mut self) {
@@ -169,7 +171,7 @@
     fn end(&mut self) -> ExitStatus {
         self.signal(Signal::TERM);
         let start = Instant::now();
-        until("the relay's end", || self.child.try_wait().unwrap().is_some());
+        wait_until("the relay's end", || self.child.try_wait().unwrap().is_some());
         assert!(start.elapsed() < Duration::from_secs(4));
         self.child.wait().unwrap()
     }
@@ -186,7 +188,7 @@
     }
 
     fn holds(&self, index: u64) {
-        until("the relay holds it", || self.index() == index);
+        wait_until("the relay holds it", || self.index() == index);
     }
 
     /// What followers state that they hold.
@@ -322,13 +324,13 @@
 /// Attempts go to this endpoint, before long.
 fn delivers(courier: &Courier, id: &str, endpoint: &Endpoint) {
     assert_eq!(courier.client().put(id, "again", LATE), "+OK");
-    until("the delivery", || endpoint.ids().iter().any(|seen| seen.contains(id)));
+    wait_until("the delivery", || endpoint.ids().iter().any(|seen| seen.contains(id)));
 }
 
 /// All of these state that they hold this version, at one relay or another; says how long that took.
 fn in_force(relays: &[&Relay], names: &[&str], index: u64, longest: Duration) -> Duration {
     let start = Instant::now();
-    until_for(longest, "in force everywhere", || {
+    wait_until_within(longest, "in force everywhere", || {
         let stated: Vec<_> = relays.iter().flat_map(|relay| relay.stated()).collect();
         names.iter().all(|name| stated.iter().any(|(by, _, at)| by == name && *at == index))
     });
@@ -505,7 +507,7 @@
     ahead.kill();
     // At the stale one for longer than a lower list is waited for after a move.
     let there = || behind.stated().iter().any(|(name, _, at)| name == "c1" && *at == index);
-    until("it turns to the other", there);
+    wait_until("it turns to the other", there);
     let start = Instant::now();
     while start.elapsed() < Duration::from_secs(6) {
         let stated = behind.stated();
@@ -548,7 +550,7 @@
     relay.config["source"] = json!(gone.to_string());
     relay.restart();
     assert_eq!(relay.index(), 5);
-    until("it is back", || relay.stated().iter().any(|(name, _, at)| name == "c1" && *at == index));
+    wait_until("it is back", || relay.stated().iter().any(|(name, _, at)| name == "c1" && *at == index));
     let start = Instant::now();
     while start.elapsed() < Duration::from_secs(5) {
         assert!(relay.stated().iter().all(|(_, _, at)| *at == index));
@@ -583,7 +585,7 @@
     let start = Instant::now();
     reconfigure(&first);
     let there = || second.stated() == [("c1".to_string(), 1, 3)];
-    until_for(Duration::from_secs(20), "it is followed", there);
+    wait_until_within(Duration::from_secs(20), "it is followed", there);
     println!("a source that counts anew is in force behind two relays after {:?}", start.elapsed());
     delivers(&courier, "01", &pair.second);
     // And what it tells from there on.
@@ -690,7 +692,7 @@
     assert!(latest < IN_FORCE, "{latest:?}");
     assert!(most < at_rest + 24_000, "{at_rest} kB at rest, and then {most}");
     // They are closed in the end; who reads is not.
-    until_for(Duration::from_secs(20), "they are closed", || relay.sockets() < 30);
+    wait_until_within(Duration::from_secs(20), "they are closed", || relay.sockets() < 30);
     let index = source.put(entry("last", reader_address(), 1, "SERVING"));
     assert_eq!(reader.next().unwrap()["index"], json!(index));
 }
@@ -873,7 +875,7 @@
         }
     }
     assert_eq!(get_list(relay.address, "/catalog/members")["index"], json!(5));
-    until("the rest is closed", || relay.sockets() < 8 * 3 + 256 + 40);
+    wait_until("the rest is closed", || relay.sockets() < 8 * 3 + 256 + 40);
     let mut chance = fastrand::Rng::with_seed(5);
     let garbage = |chance: &mut fastrand::Rng| (0..2000).map(|_| chance.u8(..)).collect::<Vec<u8>>();
     let huge = format!("GET /catalog/members HTTP/1.1\r\nHost: {}\r\n", "x".repeat(200_000)).into_bytes();
--- a/crates/courier/tests/restart.rs
+++ b/crates/courier/tests/restart.rs
@@ -13,7 +13,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use common::{command, own_address, put, until, Client, Courier, Endpoint, Folder, Platform, Reply, OK};
+use common::{command, own_address, put, wait_until, Client, Courier, Endpoint, Folder, Platform, Reply, OK};
 use serde_json::{json, Value};
 
 const LONG_LIFETIME: &str = "d=8000";
@@ -58,7 +58,7 @@
     for (i, client) in waiting.iter_mut().enumerate() {
         assert_eq!((client.line(), client.line()), ("+OK".into(), String::new()), "{i}");
     }
-    until("exit of the courier", || courier.ended().is_some());
+    wait_until("exit of the courier", || courier.ended().is_some());
     assert!(Client::connect(courier.listen).is_err());
     let mut ids = endpoint.ids();
     ids.sort();
@@ -81,7 +81,7 @@
     client.stream.get_mut().write_all(&[first, second].concat()).unwrap();
     courier.signal("-CONT");
     assert_eq!((client.line(), client.line(), client.line()), ("+OK".into(), "+OK".into(), String::new()));
-    until("exit of the courier", || courier.ended().is_some());
+    wait_until("exit of the courier", || courier.ended().is_some());
     let mut ids = endpoint.ids();
     ids.sort();
     assert_eq!(ids, ["01", "02"]);
@@ -98,7 +98,7 @@
     sleep_until(asked, 900);
     assert_eq!(silent.put("silent", "once", LONG_LIFETIME), "+OK");
     assert_eq!(slow.say(&late[20..]), "+OK");
-    until("exit of the courier", || courier.ended().is_some());
+    wait_until("exit of the courier", || courier.ended().is_some());
     assert!(asked.elapsed() < Duration::from_millis(3700), "the platform sends SIGKILL by then");
     assert_eq!((endpoint.calls().len(), courier.owes_nothing()), (2, true));
 }
@@ -125,7 +125,7 @@
     writer.join().unwrap();
     assert!(alive && end.is_ok_and(|end| end < Duration::from_millis(3400)), "{end:?}");
     assert!(answers > 1000, "{answers}");
-    until("exit of the courier", || courier.ended().is_some());
+    wait_until("exit of the courier", || courier.ended().is_some());
 }
 
 #[test]
@@ -138,10 +138,10 @@
     slow.stream.get_mut().write_all(&late[..20]).unwrap();
     sleep_until(asked, 2700);
     assert_eq!((slow.say(&late[20..]), slow.line()), ("+OK".into(), String::new()));
-    until("exit of the courier", || courier.ended().is_some());
+    wait_until("exit of the courier", || courier.ended().is_some());
     assert_eq!((endpoint.calls().len(), courier.owes_nothing()), (0, false));
     courier.restart();
-    until("settling of the mail", || courier.owes_nothing());
+    wait_until("settling of the mail", || courier.owes_nothing());
     assert_eq!((endpoint.ids(), platform.notices()), (vec!["late".to_string()], vec![]));
 }
 
@@ -154,7 +154,7 @@
     let mut client = courier.client();
     for (id, calls) in [("01", 1), ("02", 2)] {
         assert_eq!(client.put(id, "once", LONG_LIFETIME), "+OK");
-        until("the call", || endpoint.calls().len() == calls);
+        wait_until("the call", || endpoint.calls().len() == calls);
     }
     let mut config = courier.config.clone();
     config["discovery"] = json!(new.address.to_string());
@@ -163,7 +163,7 @@
     courier.signal("-TERM");
     courier.reconfigure(&config.to_string());
     courier.signal("-INT");
-    until("exit of the courier", || courier.ended().is_some());
+    wait_until("exit of the courier", || courier.ended().is_some());
     assert!(courier.ended().unwrap().success());
     assert_eq!((new.notices(), old.notices()), (vec![("02".into(), "dead".into())], vec![]));
     assert_eq!((endpoint.ids(), courier.owes_nothing()), (vec!["01".into(), "02".into()], true));
@@ -183,15 +183,15 @@
     let mut client = courier.client();
     for (i, (id, class)) in [("dead", "once"), ("out", "once"), ("again", "again")].iter().enumerate() {
         assert_eq!(client.put(id, class, &format!("d=20000,dest={}", 7 + i)), "+OK");
-        until("the call", || !endpoints[i].calls().is_empty());
+        wait_until("the call", || !endpoints[i].calls().is_empty());
     }
     let asked = Instant::now();
     courier.signal("-TERM");
-    until("exit of the courier", || courier.ended().is_some());
+    wait_until("exit of the courier", || courier.ended().is_some());
     assert!(asked.elapsed() < Duration::from_millis(3700), "the platform sends SIGKILL by then");
     platform.state.lock().unwrap().notices_to_reject = 0;
     courier.restart();
-    until("settling of all mails", || courier.owes_nothing());
+    wait_until("settling of all mails", || courier.owes_nothing());
     let mut notices = platform.notices();
     notices.sort();
     assert_eq!(notices, ["dead", "out"].map(|id| (id.to_string(), "dead".to_string())));
@@ -212,10 +212,10 @@
     platform.list("e1", endpoint.address, "single", 7, "SERVING");
     let (folder, listen) = (Folder::new(), own_address());
     let mut child = command(&folder, &common::config(&platform, listen), "serve").spawn().unwrap();
-    until("acceptance of the mail", || {
+    wait_until("acceptance of the mail", || {
         Client::connect(listen).is_ok_and(|mut client| client.put("01", "once", "d=20000") == "+OK")
     });
-    until("the call", || !endpoint.calls().is_empty());
+    wait_until("the call", || !endpoint.calls().is_empty());
     let asked = Instant::now();
     assert!(Command::new("kill").args(["-TERM", &child.id().to_string()]).status().unwrap().success());
     sleep_until(asked, 2700);
@@ -223,7 +223,7 @@
     sleep_until(asked, 3200);
     // The figures of an exited process remain readable until it is reaped.
     let used = cpu_ticks(child.id()) - before;
-    until("exit of the courier", || child.try_wait().unwrap().is_some());
+    wait_until("exit of the courier", || child.try_wait().unwrap().is_some());
     assert!(used < 10, "{used} ticks of 50");
 }
 
@@ -357,7 +357,7 @@
                         sleep_until(asked, 300);
                         announced.store(false, Ordering::Relaxed);
                         if i < 4 {
-                            until("exit of the courier", || courier.ended().is_some());
+                            wait_until("exit of the courier", || courier.ended().is_some());
                             assert!(
                                 asked.elapsed() < Duration::from_millis(3700),
                                 "the platform sends SIGKILL by then"
@@ -377,7 +377,7 @@
         over.store(true, Ordering::Relaxed);
     });
     for courier in &couriers {
-        until("settling of all mails", || courier.owes_nothing());
+        wait_until("settling of all mails", || courier.owes_nothing());
     }
     let observations = observations.into_inner().unwrap();
     assert_eq!(observations.violations, Vec::<String>::new());
@@ -431,7 +431,7 @@
         assert_eq!(courier.client().put(&format!("after{i}"), "again", time), answer);
     }
     assert_eq!(platform.notices(), []);
-    until("exit of the courier", || courier.ended().is_some());
+    wait_until("exit of the courier", || courier.ended().is_some());
     assert!(asked.elapsed() < Duration::from_millis(3700), "the platform sends SIGKILL by then");
     assert_eq!(platform.notices(), [("short".to_string(), "bounced".to_string())]);
     let owed = courier.owed();
--- a/crates/courier/tests/settings.rs
+++ b/crates/courier/tests/settings.rs
@@ -13,7 +13,8 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    answers, command, config, output, own_address, put, serve, settings, until_for, Client, Folder, Platform,
+    command, config, output, own_address, put, serve, settings, wait_until_ready, wait_until_within, Client,
+    Folder, Platform,
 };
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
@@ -37,7 +38,7 @@
         change(&mut config);
         let child = Process::spawn(&folder, &config.to_string(), 0);
         let process = Process { listen, folder, config, child, started: 0 };
-        answers(listen);
+        wait_until_ready(listen);
         process
     }
 
@@ -63,7 +64,7 @@
     fn restart_with(&mut self, text: &str) {
         self.started += 1;
         self.child = Process::spawn(&self.folder, text, self.started);
-        answers(self.listen);
+        wait_until_ready(self.listen);
     }
 
     fn sighup(&self) {
@@ -79,7 +80,7 @@
     }
 
     fn wait_for_log(&self, words: &str) {
-        until_for(TIMEOUT, words, || self.log().contains(words));
+        wait_until_within(TIMEOUT, words, || self.log().contains(words));
     }
 
     /// The versions that this process has logged as in force.
@@ -106,7 +107,7 @@
 
     fn ends_without_errors(mut self) {
         kill_process(Pid::from_child(&self.child), Signal::TERM).unwrap();
-        until_for(TIMEOUT, "its end", || self.child.try_wait().unwrap().is_some());
+        wait_until_within(TIMEOUT, "its end", || self.child.try_wait().unwrap().is_some());
         let log = self.log();
         let last = log.lines().last().unwrap_or_default();
         assert!(last.contains("has ended") && last.contains("broken: 0"), "{log}");
@@ -272,7 +273,7 @@
         };
         let lines = rejections(&courier.log()).len();
         courier.offer(&offered.to_string());
-        until_for(TIMEOUT, "the rejection", || rejections(&courier.log()).len() > lines);
+        wait_until_within(TIMEOUT, "the rejection", || rejections(&courier.log()).len() > lines);
         let log = rejections(&courier.log());
         assert!(words.iter().all(|words| log[lines].contains(words)), "{}", log[lines]);
         assert_eq!(log.len(), lines + 1, "one line");
@@ -413,22 +414,24 @@
     };
     let far = || Instant::now() + TIMEOUT;
     let start = Instant::now();
-    until_for(TIMEOUT, "the old limit", || begun(start, far()).iter().filter(|&&now| now == 12).count() > 20);
+    wait_until_within(TIMEOUT, "the old limit", || {
+        begun(start, far()).iter().filter(|&&now| now == 12).count() > 20
+    });
     courier.offer(&slots(&base, 2, 4).to_string());
     courier.wait_for_log("settings version 2 are in force");
     // Connecting takes time: calls decided before the change may arrive shortly after it.
     let lowered = Instant::now() + Duration::from_millis(400);
-    until_for(TIMEOUT, "many calls within the new limit", || begun(lowered, far()).len() > 30);
+    wait_until_within(TIMEOUT, "many calls within the new limit", || begun(lowered, far()).len() > 30);
     let raised = Instant::now();
     courier.offer(&slots(&base, 3, 16).to_string());
-    until_for(TIMEOUT, "more calls again", || begun(raised, far()).iter().any(|&now| now > 6));
+    wait_until_within(TIMEOUT, "more calls again", || begun(raised, far()).iter().any(|&now| now > 6));
     end.store(true, Ordering::Relaxed);
     let taken = load.join().unwrap();
     let within = begun(lowered, raised);
     assert!(within.iter().all(|&now| now <= 3), "{within:?}");
     assert!(begun(start, far()).iter().all(|&now| now <= 12));
     // No mail is lost, and none is relayed twice.
-    until_for(TIMEOUT, "all ends", || {
+    wait_until_within(TIMEOUT, "all ends", || {
         let (relayed, notices) = (calls.lock().unwrap().begun.len(), platform.notices().len());
         (relayed + notices) as u64 >= taken && calls.lock().unwrap().in_progress == 0
     });
@@ -484,7 +487,7 @@
             }
         }
     }
-    until_for(TIMEOUT, "all ends", || {
+    wait_until_within(TIMEOUT, "all ends", || {
         let (ran, told) = (ran.lock().unwrap().1.clone(), platform.notices());
         owed.keys().all(|id| ran.contains_key(id) || told.iter().any(|notice| notice.0 == *id))
             && couriers.iter().all(|courier| {
@@ -575,7 +578,7 @@
     fs::remove_file(courier.folder.path.join("config.json")).unwrap();
     courier.child = absent.env("RUST_LOG", "info").stderr(log).spawn().unwrap();
     courier.started = 99;
-    answers(courier.listen);
+    wait_until_ready(courier.listen);
     assert_eq!(courier.in_force(), [6]);
     courier.kill();
     // The saved settings are corrupted: a valid file is used, and an invalid one ends the start.
--- a/crates/courier/tests/settings_exchange.rs
+++ b/crates/courier/tests/settings_exchange.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use common::{settings, until, Folder};
+use common::{settings, wait_until, Folder};
 use meadowhold::interface::{Effect, Outcome, QueueClass, Time, SECOND};
 use meadowhold_courier::config::Candidate;
 use meadowhold_courier::discovery::List;
@@ -83,7 +83,7 @@
         let (notices_in, notices) = unbounded_channel();
         // A process that another test is starting briefly inherits all our descriptors, including the lock's.
         let mut journal = None;
-        until("the folder's lock", || match Journal::open(&folder.path, ALLOWANCE) {
+        wait_until("the folder's lock", || match Journal::open(&folder.path, ALLOWANCE) {
             Err(e) if e.to_string().contains("another courier") => false,
             opened => journal.replace(opened.unwrap()).is_none(),
         });
--- a/crates/courier/tests/start.rs
+++ b/crates/courier/tests/start.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use common::{put, until, Courier, Endpoint, Platform, Reply, OK};
+use common::{put, wait_until, Courier, Endpoint, Platform, Reply, OK};
 use meadowhold_courier::exchange::Clock;
 use meadowhold_courier::journal::{Journal, OwedMail, Record};
 use serde_json::{json, Value};
@@ -54,13 +54,13 @@
     for kill in 1..=3 {
         courier.restart();
         // Some mails have been sent and others not.
-        until("calls after a start", || endpoint.calls().len() >= seen_before + 2);
+        wait_until("calls after a start", || endpoint.calls().len() >= seen_before + 2);
         courier.kill();
         seen_before = endpoint.calls().len();
         assert!(seen_before < owed, "kill {kill} came after the start was complete");
     }
     courier.restart();
-    until("settling of all mails", || courier.owes_nothing());
+    wait_until("settling of all mails", || courier.owes_nothing());
 
     let calls = endpoint.ids();
     let times = |id: &str| calls.iter().filter(|call| *call == id).count();
@@ -110,7 +110,7 @@
     courier.restart();
     let came = Instant::now();
     assert_eq!(courier.client().say(&put("7f3a", "second", "turns", "d=4000", b"hello")), "+OK");
-    until("settling of all mails", || courier.owes_nothing());
+    wait_until("settling of all mails", || courier.owes_nothing());
     assert!(came.elapsed() < Duration::from_secs(4));
     let ids = endpoint.ids();
     let place = |id: &str| ids.iter().position(|seen| seen == id);
@@ -130,10 +130,10 @@
         assert_eq!(client.put(&format!("p{i}"), "once", "d=20000"), "+OK");
     }
     courier.kill();
-    until("expiry of the mail", || handed_in.elapsed() > Duration::from_millis(320));
+    wait_until("expiry of the mail", || handed_in.elapsed() > Duration::from_millis(320));
     courier.restart();
     let ready = Instant::now();
-    until("the notice", || platform.notices().iter().any(|n| n.0 == "late"));
+    wait_until("the notice", || platform.notices().iter().any(|n| n.0 == "late"));
     assert!(ready.elapsed() < Duration::from_millis(1500), "the notice is overdue");
 }
 
@@ -147,7 +147,7 @@
     platform.list("e1", endpoint.address, "single", 7, "SERVING");
     let file = courier.folder.path.join("state").join("memory");
     let here = endpoint.address.to_string();
-    until("the saved list", || {
+    wait_until("the saved list", || {
         let text = std::fs::read(&file).unwrap_or_default();
         String::from_utf8_lossy(&text).contains(&here)
     });
@@ -155,7 +155,7 @@
     courier.config["discovery"] = json!(closed_address.to_string());
     courier.restart();
     assert_eq!(courier.client().put("9b1f", "again", "d=3000"), "+OK");
-    until("the call", || endpoint.ids() == ["9b1f"]);
+    wait_until("the call", || endpoint.ids() == ["9b1f"]);
     // A truncated file is ignored, and the start uses the list of the configuration.
     courier.kill();
     let text = std::fs::read(&file).unwrap();
@@ -163,7 +163,7 @@
     courier.restart();
     assert_eq!(courier.client().put("late", "again", "d=500"), "+OK");
     // The notice stays undelivered, since discovery is down.
-    until("giving up by the old list", || {
+    wait_until("giving up by the old list", || {
         courier.owed().contains("late destination 7 connects") && courier.owed().contains("given up")
     });
     assert_eq!(endpoint.ids(), ["9b1f"]);
--- a/crates/rig/src/scripted.rs
+++ b/crates/rig/src/scripted.rs
@@ -46,12 +46,12 @@
 }
 
 /// Polls a condition until it holds; panics after 8 seconds.
-pub fn until(what: &str, holds: impl FnMut() -> bool) {
-    until_for(Duration::from_secs(8), what, holds);
+pub fn wait_until(what: &str, holds: impl FnMut() -> bool) {
+    wait_until_within(Duration::from_secs(8), what, holds);
 }
 
-/// Like `until`, with a time limit of its own: for conditions whose duration is not under test, on a busy machine.
-pub fn until_for(longest: Duration, what: &str, mut holds: impl FnMut() -> bool) {
+/// Like `wait_until`, with a time limit of its own: for conditions whose duration is not under test, on a busy machine.
+pub fn wait_until_within(longest: Duration, what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
         assert!(start.elapsed() < longest, "timed out waiting for: {what}");
@@ -443,8 +443,8 @@
 }
 
 /// Waits until the courier at an address answers `PING`.
-pub fn answers(listen: SocketAddr) {
-    until("the courier's first answer", || {
+pub fn wait_until_ready(listen: SocketAddr) {
+    wait_until("the courier's first answer", || {
         let ping = Client::connect(listen).map(|mut client| client.say(b"PING\r\n"));
         ping.is_ok_and(|answer| answer == "+PONG")
     });
@@ -462,7 +462,7 @@
     }
 
     fn ready(&self) {
-        answers(self.listen);
+        wait_until_ready(self.listen);
     }
 
     pub fn client(&self) -> Client {
