--- a/crates/courier/tests/audit.rs
+++ b/crates/courier/tests/audit.rs
@@ -669,9 +669,9 @@
             Reply::Status(429, "Retry-After: 0.050\r\n"),
             Reply::Status(503, "X-Over-Slots: 1\r\n"),
             Reply::Status(410, ""),
-            Reply::Break,
-            Reply::Silence,
-            Reply::After(200, Box::new(OK)),
+            Reply::CloseConnection,
+            Reply::NoAnswer,
+            Reply::Delayed(200, Box::new(OK)),
             Reply::Raw("HTTP/1.1 20"),
         ];
         let one = |_| if rng.bool() { OK } else { replies[rng.usize(..9)].clone() };
--- a/crates/courier/tests/courier.rs
+++ b/crates/courier/tests/courier.rs
@@ -37,7 +37,7 @@
 
 #[test]
 fn each_outcome_of_a_single_mail_call_is_handled() {
-    use Reply::{Break, Silence, Status};
+    use Reply::{CloseConnection, NoAnswer, Status};
     // (class, the endpoint's first reply, total calls, notice, minimum time before the second call in ms)
     let rows: [(&str, Reply, usize, &str, u64); 15] = [
         ("once", OK, 1, "", 0),
@@ -51,10 +51,10 @@
         ("once", Status(410, ""), 1, "", 0),
         ("again", Status(410, ""), 1, "", 0),
         ("once", Status(418, ""), 1, "dead", 0),
-        ("once", Break, 1, "dead", 0),
-        ("tagged", Break, 2, "", 0),
-        ("again", Silence, 2, "", 100),
-        ("tagged", Silence, 2, "", 100),
+        ("once", CloseConnection, 1, "dead", 0),
+        ("tagged", CloseConnection, 2, "", 0),
+        ("again", NoAnswer, 2, "", 100),
+        ("tagged", NoAnswer, 2, "", 100),
     ];
     thread::scope(|scope| {
         for (class, reply, calls, notice, pause) in rows {
@@ -161,19 +161,19 @@
 
 #[test]
 fn a_batch_is_answered_mail_by_mail() {
-    use Reply::{Break, Items, Raw, Status};
+    use Reply::{BatchStates, CloseConnection, Raw, Status};
     const MIXED: &[&str] = &["ok", "error", "later", "gone", "exhausted"];
     // (class, first reply, ids sent again, ids given up)
     let rows: [(&str, Reply, &[&str], &[&str]); 9] = [
         ("once", Raw("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n[{"), &[], &["a", "b", "c", "d", "e"]),
-        ("again", Items(MIXED, "Retry-After: 0.100\r\n"), &["b", "c", "e"], &[]),
-        ("once", Items(MIXED, ""), &["c", "e"], &["b"]),
-        ("once", Items(&["ok", "ok", "ok", "what"], ""), &[], &["d", "e"]),
+        ("again", BatchStates(MIXED, "Retry-After: 0.100\r\n"), &["b", "c", "e"], &[]),
+        ("once", BatchStates(MIXED, ""), &["c", "e"], &["b"]),
+        ("once", BatchStates(&["ok", "ok", "ok", "what"], ""), &[], &["d", "e"]),
         ("once", Status(200, ""), &[], &["a", "b", "c", "d", "e"]),
         ("once", Status(413, ""), &["a", "b", "c", "d", "e"], &[]),
         ("once", Status(400, ""), &["a", "b", "c", "d", "e"], &[]),
         ("once", Status(429, "Retry-After: 0.200\r\n"), &["a", "b", "c", "d", "e"], &[]),
-        ("once", Break, &[], &["a", "b", "c", "d", "e"]),
+        ("once", CloseConnection, &[], &["a", "b", "c", "d", "e"]),
     ];
     thread::scope(|scope| {
         for (class, reply, again, dead) in rows {
@@ -218,8 +218,8 @@
 /// including that one. An answer after a mail has expired is a different case, see `crossing_endpoints`.
 #[test]
 fn one_mail_of_a_batch_may_time_out_and_still_be_relayed() {
-    let reply = Reply::After(1000, Box::new(Reply::Items(&["ok", "ok"], "")));
-    let (platform, endpoint, courier) = setup("many", &[reply, Reply::Silence]);
+    let reply = Reply::Delayed(1000, Box::new(Reply::BatchStates(&["ok", "ok"], "")));
+    let (platform, endpoint, courier) = setup("many", &[reply, Reply::NoAnswer]);
     let mut mails = put("0", "again", "again", "d=60000", b"x");
     mails.extend(put("0", "once", "once", "d=60000", b"x"));
     assert_eq!(courier.client().say(&mails), "+OK");
@@ -234,7 +234,8 @@
 
 #[test]
 fn a_call_that_breaks_after_one_mail_timed_out_reports_only_the_others() {
-    let (platform, endpoint, courier) = setup("many", &[Reply::After(1000, Box::new(Reply::Break))]);
+    let (platform, endpoint, courier) =
+        setup("many", &[Reply::Delayed(1000, Box::new(Reply::CloseConnection))]);
     let mut mails = put("0", "again", "again", "d=500", b"x");
     mails.extend(put("0", "once", "once", LIFETIME, b"x"));
     assert_eq!(courier.client().say(&mails), "+OK");
@@ -248,7 +249,7 @@
 #[test]
 fn a_killed_courier_finishes_every_mail_after_its_restart() {
     // The first calls are never answered; all calls after the restart are.
-    let silence = vec![Reply::Silence; 3];
+    let silence = vec![Reply::NoAnswer; 3];
     let (platform, endpoint, mut courier) = setup("single", &silence);
     platform.state.lock().unwrap().notices_to_reject = 2;
     let mut client = courier.client();
@@ -277,7 +278,7 @@
 
 #[test]
 fn mails_of_one_key_keep_their_order_and_gap_across_a_restart() {
-    let (platform, endpoint, mut courier) = setup("single", &[Reply::Silence]);
+    let (platform, endpoint, mut courier) = setup("single", &[Reply::NoAnswer]);
     let mut client = courier.client();
     for id in ["01", "02", "03"] {
         assert_eq!(client.say(&put("beef", id, "turns", LIFETIME, b"x")), "+OK");
@@ -325,7 +326,7 @@
 
 #[test]
 fn a_graceful_shutdown_accepts_mails_for_a_moment_and_finishes_calls_in_flight() {
-    let (platform, endpoint, mut courier) = setup("single", &[Reply::After(1200, Box::new(OK))]);
+    let (platform, endpoint, mut courier) = setup("single", &[Reply::Delayed(1200, Box::new(OK))]);
     let (mut idle, mut client) = (courier.client(), courier.client());
     assert_eq!(idle.say(b"PING\r\n"), "+PONG");
     assert_eq!(client.put("01", "once", LIFETIME), "+OK");
@@ -467,7 +468,7 @@
 
 #[test]
 fn a_new_discovery_address_takes_effect_without_disturbing_calls() {
-    let script = [Reply::After(900, Box::new(OK)), Reply::Status(500, "")];
+    let script = [Reply::Delayed(900, Box::new(OK)), Reply::Status(500, "")];
     let (old, first, courier) = setup("single", &script);
     let (new, second) = (Platform::new(), Endpoint::new(&[]));
     new.list("e2", second.address, "single", 7, "SERVING");
@@ -555,7 +556,7 @@
 #[test]
 fn running_out_of_descriptors_is_not_blamed_on_an_endpoint() {
     let platform = Platform::new();
-    let first = Endpoint::new(&vec![Reply::After(300, Box::new(OK)); 40]);
+    let first = Endpoint::new(&vec![Reply::Delayed(300, Box::new(OK)); 40]);
     platform.list("e1", first.address, "single", 7, "SERVING");
     let courier = Courier::start(&platform, |config| {
         // A third for clients and 32 for the process itself leave eleven for calls.
@@ -573,7 +574,7 @@
 
 #[test]
 fn once_only_mails_use_new_connections_while_reused_ones_break() {
-    let (platform, endpoint, courier) = setup("single", &[OK, Reply::Break]);
+    let (platform, endpoint, courier) = setup("single", &[OK, Reply::CloseConnection]);
     let mut client = courier.client();
     // The second breaks on the first's connection and is sent again on another, which the third uses too.
     for (i, (class, connections)) in
--- a/crates/courier/tests/crash_points.rs
+++ b/crates/courier/tests/crash_points.rs
@@ -375,7 +375,7 @@
 #[test]
 fn a_shutdown_during_recovery_loses_no_mail_and_repeats_none() {
     let platform = Platform::new();
-    let slow = Endpoint::new(&[Reply::After(9000, Box::new(OK))]);
+    let slow = Endpoint::new(&[Reply::Delayed(9000, Box::new(OK))]);
     let endpoint = Endpoint::new(&[]);
     // The endpoints are known but draining, so the mails stay untried.
     platform.list("e1", endpoint.address, "single", 7, "DRAINING");
@@ -411,7 +411,7 @@
 
 #[test]
 fn a_kill_during_shutdown_repeats_only_mails_that_may_be_repeated() {
-    let late = Reply::After(9000, Box::new(OK));
+    let late = Reply::Delayed(9000, Box::new(OK));
     let (platform, endpoints) =
         (Platform::new(), [(); 3].map(|()| Endpoint::new(std::slice::from_ref(&late))));
     for (group, endpoint) in (7..).zip(&endpoints) {
@@ -435,7 +435,7 @@
 
 #[test]
 fn a_notice_in_flight_at_a_kill_is_sent_again() {
-    let (platform, endpoint) = (Platform::new(), Endpoint::new(&[Reply::Break]));
+    let (platform, endpoint) = (Platform::new(), Endpoint::new(&[Reply::CloseConnection]));
     platform.list("e1", endpoint.address, "single", 7, "SERVING");
     let mut courier = Courier::start(&platform, |_| {});
     // From here on notices are read and never answered.
--- a/crates/courier/tests/descriptors.rs
+++ b/crates/courier/tests/descriptors.rs
@@ -48,7 +48,7 @@
 #[test]
 fn mails_are_delivered_with_the_minimum_of_sockets_idle_clients_and_unresponsive_discovery() {
     let (platform, min_sockets) = (Platform::new(), 64);
-    let slow = Endpoint::new(&vec![Reply::After(1500, Box::new(OK)); 16]);
+    let slow = Endpoint::new(&vec![Reply::Delayed(1500, Box::new(OK)); 16]);
     platform.list("e1", slow.address, "single", 7, "SERVING");
     let other = Endpoint::new(&[]);
     platform.list("e2", other.address, "single", 8, "SERVING");
--- a/crates/courier/tests/restart.rs
+++ b/crates/courier/tests/restart.rs
@@ -148,7 +148,7 @@
 #[test]
 fn signals_do_not_shorten_a_shutdown_and_notices_follow_a_changed_discovery() {
     let (old, endpoint, mut courier) =
-        courier_with_endpoint(&[Reply::After(900, Box::new(OK)), Reply::Status(500, "")]);
+        courier_with_endpoint(&[Reply::Delayed(900, Box::new(OK)), Reply::Status(500, "")]);
     let new = Platform::new();
     old.state.lock().unwrap().notices_to_reject = usize::MAX;
     let mut client = courier.client();
@@ -172,7 +172,7 @@
 #[test]
 fn calls_in_flight_and_undelivered_notices_at_the_exit_are_left_to_the_next_process() {
     // One mail is given up while the platform rejects notices; two calls take longer than the shutdown waits.
-    let late = Reply::After(6000, Box::new(OK));
+    let late = Reply::Delayed(6000, Box::new(OK));
     let (platform, replies) = (Platform::new(), [Reply::Status(500, ""), late.clone(), late]);
     platform.state.lock().unwrap().notices_to_reject = usize::MAX;
     let endpoints = replies.map(|reply| Endpoint::new(&[reply]));
@@ -208,7 +208,7 @@
 
 #[test]
 fn waiting_for_calls_in_flight_uses_no_processor_time() {
-    let (platform, endpoint) = (Platform::new(), Endpoint::new(&[Reply::After(6000, Box::new(OK))]));
+    let (platform, endpoint) = (Platform::new(), Endpoint::new(&[Reply::Delayed(6000, Box::new(OK))]));
     platform.list("e1", endpoint.address, "single", 7, "SERVING");
     let (folder, listen) = (Folder::new(), own_address());
     let mut child = command(&folder, &common::config(&platform, listen), "serve").spawn().unwrap();
--- a/crates/courier/tests/start.rs
+++ b/crates/courier/tests/start.rs
@@ -28,7 +28,7 @@
 #[test]
 fn three_kills_during_the_start_lose_no_mail_and_repeat_no_once_only_mail() {
     // Slow enough that each kill finds a call in flight and other mails waiting.
-    let slow: Vec<Reply> = (0..64).map(|_| Reply::After(40, Box::new(OK))).collect();
+    let slow: Vec<Reply> = (0..64).map(|_| Reply::Delayed(40, Box::new(OK))).collect();
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&slow));
     let closed_address = common::own_address();
     // No endpoint listens while the mails are handed in, so all of them stay owed.
--- a/crates/rig/src/scripted.rs
+++ b/crates/rig/src/scripted.rs
@@ -141,12 +141,12 @@
     /// Status and header fields, each field with its line end.
     Status(u16, &'static str),
     /// 200 with a state for each mail of a batch, in the order of their ids, and header fields.
-    Items(&'static [&'static str], &'static str),
-    After(u64, Box<Reply>),
+    BatchStates(&'static [&'static str], &'static str),
+    Delayed(u64, Box<Reply>),
     /// Raw bytes; the connection stays open.
     Raw(&'static str),
-    Break,
-    Silence,
+    CloseConnection,
+    NoAnswer,
 }
 
 pub const OK: Reply = Reply::Status(200, "");
@@ -203,9 +203,9 @@
         let connections = serve(listener, move |request, out| {
             let ids = request.ids();
             seen.lock().unwrap().push(request);
-            let served = if ids.len() > 1 { Reply::Items(&["ok"; 64], "") } else { OK };
+            let served = if ids.len() > 1 { Reply::BatchStates(&["ok"; 64], "") } else { OK };
             let reply = script.lock().unwrap().pop_front().unwrap_or(served);
-            carry_out(reply, &ids, out)
+            send_reply(reply, &ids, out)
         });
         Endpoint { address, calls, connections }
     }
@@ -246,7 +246,7 @@
     }
 }
 
-fn carry_out(reply: Reply, ids: &[String], out: &mut TcpStream) -> bool {
+fn send_reply(reply: Reply, ids: &[String], out: &mut TcpStream) -> bool {
     let write = |out: &mut TcpStream, status: u16, fields: &str, body: &str| {
         let length = body.len();
         let text = format!("HTTP/1.1 {status} X\r\n{fields}Content-Length: {length}\r\n\r\n{body}");
@@ -254,20 +254,20 @@
     };
     match reply {
         Reply::Status(status, fields) => write(out, status, fields, ""),
-        Reply::Items(states, fields) => {
+        Reply::BatchStates(states, fields) => {
             let mut ids = ids.to_vec();
             ids.sort();
             let items = ids.iter().zip(states).map(|(id, state)| json!({"id": id, "state": state}));
             let body = Value::from(items.collect::<Vec<_>>()).to_string();
             write(out, 200, fields, &body)
         }
-        Reply::After(ms, reply) => {
+        Reply::Delayed(ms, reply) => {
             thread::sleep(Duration::from_millis(ms));
-            carry_out(*reply, ids, out)
+            send_reply(*reply, ids, out)
         }
         Reply::Raw(text) => out.write_all(text.as_bytes()).is_ok(),
-        Reply::Break => false,
-        Reply::Silence => {
+        Reply::CloseConnection => false,
+        Reply::NoAnswer => {
             // Wait until the courier closes the connection.
             let _ = out.try_clone().unwrap().read(&mut [0]);
             false
