--- a/crates/courier/tests/audit.rs
+++ b/crates/courier/tests/audit.rs
@@ -680,7 +680,7 @@
     let endpoints: Vec<Endpoint> = (0..4).map(|_| Endpoint::new(&script(&mut rng))).collect();
     let list = |i: usize, status: &str| {
         let (kind, destination) = [("single", 7), ("many", 8)][i % 2];
-        platform.list(&format!("e{i}"), endpoints[i].address, kind, destination, status);
+        platform.set_entry(&format!("e{i}"), endpoints[i].address, kind, destination, status);
     };
     (0..4).for_each(|i| list(i, "SERVING"));
     let peer_addresses = [0; 3].map(|_| own_address());
--- a/crates/courier/tests/courier.rs
+++ b/crates/courier/tests/courier.rs
@@ -30,7 +30,7 @@
     change: impl FnOnce(&mut Value),
 ) -> (Platform, Endpoint, Courier) {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(script));
-    platform.list("e1", endpoint.address, kind, 7, "SERVING");
+    platform.set_entry("e1", endpoint.address, kind, 7, "SERVING");
     let courier = Courier::start(&platform, change);
     (platform, endpoint, courier)
 }
@@ -138,7 +138,7 @@
 #[test]
 fn a_mail_whose_endpoint_is_unreachable_is_deferred_when_it_expires() {
     let platform = Platform::new();
-    platform.list("e1", own_address(), "single", 7, "SERVING");
+    platform.set_entry("e1", own_address(), "single", 7, "SERVING");
     let courier = Courier::start(&platform, unchanged);
     let start = Instant::now();
     assert_eq!(courier.client().put("9b1f", "once", "d=500"), "+OK");
@@ -180,7 +180,7 @@
             scope.spawn(move || {
                 let name = format!("{class} {reply:?}");
                 let (platform, endpoint) = (Platform::new(), Endpoint::new(&[reply]));
-                platform.list("e1", endpoint.address, "many", 7, "DRAINING");
+                platform.set_entry("e1", endpoint.address, "many", 7, "DRAINING");
                 let courier = Courier::start(&platform, with_long_timeouts);
                 let mut mails = Vec::new();
                 for id in ["a", "b", "c", "d", "e"] {
@@ -191,7 +191,7 @@
                 (1..5).for_each(|_| assert_eq!(client.line(), "+OK", "{name}"));
                 assert_eq!(endpoint.calls().len(), 0, "{name}");
                 // All mails are in hand: one turn sees the endpoint become ready and makes one call of them.
-                platform.list("e1", endpoint.address, "many", 7, "SERVING");
+                platform.set_entry("e1", endpoint.address, "many", 7, "SERVING");
                 // Checked first, since each look at the journal starts a process.
                 let long = Duration::from_secs(50);
                 wait_until_within(long, &name, || {
@@ -258,7 +258,7 @@
         assert_eq!(client.put(id, class, "d=4000,k=77"), "+OK");
     }
     wait_until("the calls", || endpoint.calls().len() == 3);
-    platform.list("e9", own_address(), "single", 9, "DRAINING");
+    platform.set_entry("e9", own_address(), "single", 9, "DRAINING");
     wait_until("a destination without a ready endpoint", || {
         client.put("04", "again", "d=900,dest=9") == "+OK"
     });
@@ -418,7 +418,7 @@
 #[test]
 fn a_courier_answers_busy_when_its_disk_allowance_is_nearly_used() {
     let platform = Platform::new();
-    platform.list("e1", own_address(), "single", 7, "DRAINING");
+    platform.set_entry("e1", own_address(), "single", 7, "DRAINING");
     let courier = Courier::start(&platform, |config| {
         config["limits"]["disk_mb"] = json!(0.5);
         config["settings"]["Limits"]["MaxOpen"] = json!(10_000);
@@ -451,11 +451,11 @@
         });
     };
     goes_to(&first, "the first endpoint");
-    platform.list("e1", second.address, "single", 7, "SERVING");
+    platform.set_entry("e1", second.address, "single", 7, "SERVING");
     goes_to(&second, "the new address of an endpoint");
     platform.state.lock().unwrap().watches_to_end = 1;
-    platform.list("e1", second.address, "single", 7, "DRAINING");
-    platform.list("e2", first.address, "single", 7, "SERVING");
+    platform.set_entry("e1", second.address, "single", 7, "DRAINING");
+    platform.set_entry("e2", first.address, "single", 7, "SERVING");
     goes_to(&first, "a change reported by a reopened watch");
     let drained = second.calls().len();
     goes_to(&first, "only the endpoint that is not draining");
@@ -471,7 +471,7 @@
     let script = [Reply::Delayed(900, Box::new(OK)), Reply::Status(500, "")];
     let (old, first, courier) = setup("single", &script);
     let (new, second) = (Platform::new(), Endpoint::new(&[]));
-    new.list("e2", second.address, "single", 7, "SERVING");
+    new.set_entry("e2", second.address, "single", 7, "SERVING");
     old.state.lock().unwrap().notices_to_reject = usize::MAX;
     let mut client = courier.client();
     for (id, calls) in [("01", 1), ("02", 2)] {
@@ -506,13 +506,13 @@
 #[test]
 fn a_mail_waits_for_an_endpoint_of_its_destination_and_unlisted_destinations_are_rejected() {
     let platform = Platform::new();
-    platform.list("e0", own_address(), "single", 7, "DRAINING");
+    platform.set_entry("e0", own_address(), "single", 7, "DRAINING");
     let courier = Courier::start(&platform, unchanged);
     assert_eq!(courier.client().put("02", "once", "d=4000,dest=8"), "-ERR unknown destination");
     assert_eq!(courier.client().put("01", "once", LIFETIME), "+OK");
     let endpoint = Endpoint::new(&[]);
-    platform.list("e9", endpoint.address, "single", 8, "SERVING");
-    platform.list("e1", endpoint.address, "single", 7, "SERVING");
+    platform.set_entry("e9", endpoint.address, "single", 8, "SERVING");
+    platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
     wait_until("the mail to be finished", || courier.owes_nothing());
     assert_eq!((endpoint.ids(), platform.notices()), (vec!["01".to_string()], vec![]));
 }
@@ -557,7 +557,7 @@
 fn running_out_of_descriptors_is_not_blamed_on_an_endpoint() {
     let platform = Platform::new();
     let first = Endpoint::new(&vec![Reply::Delayed(300, Box::new(OK)); 40]);
-    platform.list("e1", first.address, "single", 7, "SERVING");
+    platform.set_entry("e1", first.address, "single", 7, "SERVING");
     let courier = Courier::start(&platform, |config| {
         // A third for clients and 32 for the process itself leave eleven for calls.
         config["limits"]["sockets"] = json!(64);
@@ -597,7 +597,7 @@
 fn a_courier_tells_what_is_full_and_keeps_away_from_what_it_is_told_of() {
     let (platform, refusing) = (Platform::new(), Reply::Status(429, "Retry-After: 0.300\r\n"));
     let endpoint = Endpoint::new(&[refusing]);
-    platform.list("e1", endpoint.address, "single", 7, "SERVING");
+    platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
     let (other, stranger) =
         (UdpSocket::bind("127.0.0.1:0").unwrap(), UdpSocket::bind("127.0.0.1:0").unwrap());
     other.set_read_timeout(Some(Duration::from_secs(7))).unwrap();
@@ -639,7 +639,7 @@
     let limit = Limit::new(16, Duration::from_millis(400));
     let (platform, ends) = (Platform::new(), [Endpoint::limited(&limit), Endpoint::limited(&limit)]);
     for (name, end) in ["e1", "e2"].iter().zip(&ends) {
-        platform.list(name, end.address, "many", 7, "SERVING");
+        platform.set_entry(name, end.address, "many", 7, "SERVING");
     }
     let hears = [own_address(), own_address()];
     let start = |shape: usize, i: usize| {
--- a/crates/courier/tests/crash_points.rs
+++ b/crates/courier/tests/crash_points.rs
@@ -291,7 +291,7 @@
         .map(|run| {
             thread::spawn(move || {
                 let (platform, endpoint) = (Platform::new(), Endpoint::new(&[]));
-                platform.list("e1", endpoint.address, "single", 7, "SERVING");
+                platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
                 let (folder, listen) = (Folder::new(), own_address());
                 let config = config(&platform, listen);
                 let process = start_with_file_size_limit(&folder, &config);
@@ -378,8 +378,8 @@
     let slow = Endpoint::new(&[Reply::Delayed(9000, Box::new(OK))]);
     let endpoint = Endpoint::new(&[]);
     // The endpoints are known but draining, so the mails stay untried.
-    platform.list("e1", endpoint.address, "single", 7, "DRAINING");
-    platform.list("e2", slow.address, "single", 8, "DRAINING");
+    platform.set_entry("e1", endpoint.address, "single", 7, "DRAINING");
+    platform.set_entry("e2", slow.address, "single", 8, "DRAINING");
     let mut courier = Courier::start(&platform, |_| {});
     let mut client = courier.client();
     for (id, class) in [("01", "once"), ("02", "again"), ("03", "tagged"), ("04", "turns")] {
@@ -388,10 +388,10 @@
     assert_eq!(client.put("out", "once", "dest=8,d=20000"), "+OK");
     courier.kill();
     // Discovery does not answer now, and the configuration lists both endpoints as serving.
-    platform.list("e1", endpoint.address, "single", 7, "SERVING");
-    platform.list("e2", slow.address, "single", 8, "SERVING");
+    platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
+    platform.set_entry("e2", slow.address, "single", 8, "SERVING");
     let (address, listener) = unresponsive_discovery();
-    courier.config["known"] = platform.known();
+    courier.config["known"] = platform.list_json();
     courier.config["known"]["index"] = json!(1000);
     courier.config["discovery"] = json!(address.to_string());
     // SIGTERM arrives as soon as the courier asks for the list, before any call can begin.
@@ -415,7 +415,7 @@
     let (platform, endpoints) =
         (Platform::new(), [(); 3].map(|()| Endpoint::new(std::slice::from_ref(&late))));
     for (group, endpoint) in (7..).zip(&endpoints) {
-        platform.list(&format!("e{group}"), endpoint.address, "single", group, "SERVING");
+        platform.set_entry(&format!("e{group}"), endpoint.address, "single", group, "SERVING");
     }
     let mut courier = Courier::start(&platform, |_| {});
     let mut client = courier.client();
@@ -436,7 +436,7 @@
 #[test]
 fn a_notice_in_flight_at_a_kill_is_sent_again() {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&[Reply::CloseConnection]));
-    platform.list("e1", endpoint.address, "single", 7, "SERVING");
+    platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
     let mut courier = Courier::start(&platform, |_| {});
     // From here on notices are read and never answered.
     let (address, listener) = unresponsive_discovery();
--- a/crates/courier/tests/crossing_clients.rs
+++ b/crates/courier/tests/crossing_clients.rs
@@ -30,7 +30,7 @@
 
 fn setup(change: impl FnOnce(&mut Value)) -> (Platform, Endpoint, Courier) {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&[]));
-    platform.list("e1", endpoint.address, "single", 7, "SERVING");
+    platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
     let courier = Courier::start(&platform, change);
     (platform, endpoint, courier)
 }
@@ -268,7 +268,7 @@
 fn undelivered_notices_keep_no_bodies_in_memory() {
     let platform = Platform::new();
     platform.state.lock().unwrap().notices_to_reject = usize::MAX;
-    platform.list("e1", own_address(), "single", 7, "DRAINING");
+    platform.set_entry("e1", own_address(), "single", 7, "DRAINING");
     let (folder, listen) = (Folder::new(), own_address());
     let config = common::config(&platform, listen);
     let mut child = command(&folder, &config, "serve").spawn().unwrap();
@@ -325,7 +325,7 @@
 #[test]
 fn a_notice_that_the_platform_rejects_does_not_delay_the_others() {
     let platform = Platform::new();
-    platform.list("e1", own_address(), "single", 7, "DRAINING");
+    platform.set_entry("e1", own_address(), "single", 7, "DRAINING");
     let (address, posts) = agent(|text| Some(if text.contains("\"odd-") { 400 } else { 204 }));
     let courier = Courier::start(&platform, |config| {
         config["discovery"] = json!(address.to_string());
@@ -369,7 +369,7 @@
         let says = answers.clone();
         let (address, posts) = agent(move |_| says.load(Ordering::SeqCst).then_some(204));
         let endpoint = Endpoint::new(&[Reply::Status(500, "")]);
-        platform.list("e1", endpoint.address, "single", 7, "SERVING");
+        platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
         let mut courier = Courier::start(&platform, |c| c["discovery"] = json!(address.to_string()));
         assert_eq!(courier.client().put("01", "once", LIFETIME), "+OK");
         wait_until("its notice", || !posts.lock().unwrap().is_empty());
--- a/crates/courier/tests/crossing_endpoints.rs
+++ b/crates/courier/tests/crossing_endpoints.rs
@@ -83,7 +83,7 @@
 /// timeout ends within a test.
 fn courier_at(address: SocketAddr, connect_us: u64) -> (Platform, Courier) {
     let platform = Platform::new();
-    platform.list("e1", address, "many", 7, "DRAINING");
+    platform.set_entry("e1", address, "many", 7, "DRAINING");
     let courier = Courier::start(&platform, |config| {
         config["settings"]["Limits"]["ConnectTimeoutUs"] = json!(connect_us);
         for class in config["settings"]["Profiles"].as_array_mut().unwrap() {
@@ -108,7 +108,7 @@
         messages.iter().flat_map(|&(id, class, time)| put("0", id, class, time, b"x")).collect::<Vec<_>>();
     assert_eq!(client.say(&all), "+OK");
     messages[1..].iter().for_each(|_| assert_eq!(client.line(), "+OK"));
-    platform.list("e1", address, "many", 7, "SERVING");
+    platform.set_entry("e1", address, "many", 7, "SERVING");
 }
 
 fn notices(platform: &Platform) -> Vec<(String, String)> {
--- a/crates/courier/tests/descriptors.rs
+++ b/crates/courier/tests/descriptors.rs
@@ -49,10 +49,10 @@
 fn mails_are_delivered_with_the_minimum_of_sockets_idle_clients_and_unresponsive_discovery() {
     let (platform, min_sockets) = (Platform::new(), 64);
     let slow = Endpoint::new(&vec![Reply::Delayed(1500, Box::new(OK)); 16]);
-    platform.list("e1", slow.address, "single", 7, "SERVING");
+    platform.set_entry("e1", slow.address, "single", 7, "SERVING");
     let other = Endpoint::new(&[]);
-    platform.list("e2", other.address, "single", 8, "SERVING");
-    platform.list("e3", own_address(), "single", 9, "DRAINING");
+    platform.set_entry("e2", other.address, "single", 8, "SERVING");
+    platform.set_entry("e3", own_address(), "single", 9, "DRAINING");
     let (agent, notices) = unresponsive_discovery();
     let (folder, listen) = (Folder::new(), own_address());
     let mut config = common::config(&platform, listen);
@@ -96,7 +96,7 @@
     signal(&child, "-HUP");
     wait_until("a watch", || platform.state.lock().unwrap().watches > 0);
     connect_idle(60);
-    platform.list("e9", other.address, "single", 10, "SERVING");
+    platform.set_entry("e9", other.address, "single", 10, "SERVING");
     wait_until("a new destination", || {
         let said = Client::connect(listen).unwrap().say(&put("0", "new", "once", "d=4000,dest=10", b"x"));
         said == "+OK"
--- a/crates/courier/tests/other_folder.rs
+++ b/crates/courier/tests/other_folder.rs
@@ -499,7 +499,7 @@
 #[test]
 fn a_list_saved_by_another_deployment_is_not_used_while_discovery_is_silent() {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&[]));
-    platform.list("e1", endpoint.address, "single", 7, "SERVING");
+    platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
     let mut courier = Courier::start(&platform, |_| {});
     let kept = courier.folder.path.join("state").join("memory");
     wait_until("the list on file", || {
--- a/crates/courier/tests/restart.rs
+++ b/crates/courier/tests/restart.rs
@@ -20,7 +20,7 @@
 
 fn courier_with_endpoint(script: &[Reply]) -> (Platform, Endpoint, Courier) {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(script));
-    platform.list("e1", endpoint.address, "single", 7, "SERVING");
+    platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
     let courier = Courier::start(&platform, |_| {});
     (platform, endpoint, courier)
 }
@@ -177,7 +177,7 @@
     platform.state.lock().unwrap().notices_to_reject = usize::MAX;
     let endpoints = replies.map(|reply| Endpoint::new(&[reply]));
     for (group, endpoint) in (7..).zip(&endpoints) {
-        platform.list(&format!("e{group}"), endpoint.address, "single", group, "SERVING");
+        platform.set_entry(&format!("e{group}"), endpoint.address, "single", group, "SERVING");
     }
     let mut courier = Courier::start(&platform, |_| {});
     let mut client = courier.client();
@@ -209,7 +209,7 @@
 #[test]
 fn waiting_for_calls_in_flight_uses_no_processor_time() {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&[Reply::Delayed(6000, Box::new(OK))]));
-    platform.list("e1", endpoint.address, "single", 7, "SERVING");
+    platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
     let (folder, listen) = (Folder::new(), own_address());
     let mut child = command(&folder, &common::config(&platform, listen), "serve").spawn().unwrap();
     wait_until("acceptance of the mail", || {
@@ -329,7 +329,7 @@
 fn rolling_restarts_answer_every_request_and_settle_every_mail_once() {
     let (platform, endpoints) = (Platform::new(), [Endpoint::new(&[]), Endpoint::new(&[])]);
     for (name, endpoint) in ["e1", "e2"].iter().zip(&endpoints) {
-        platform.list(name, endpoint.address, "single", 7, "SERVING");
+        platform.set_entry(name, endpoint.address, "single", 7, "SERVING");
     }
     let room = |config: &mut Value| config["settings"]["Limits"]["MaxOpen"] = json!(10_000);
     let mut couriers: Vec<Courier> = (0..5).map(|_| Courier::start(&platform, room)).collect();
@@ -409,7 +409,7 @@
 fn a_planned_end_takes_on_and_keeps_only_what_can_still_be_tried() {
     let platform = Platform::new();
     // An address at which nothing listens.
-    platform.list("e1", own_address(), "single", 7, "SERVING");
+    platform.set_entry("e1", own_address(), "single", 7, "SERVING");
     // Enough connects, with pauses between them.
     let patient = |config: &mut Value| {
         config["settings"]["Limits"]["MaxAttempts"] = json!(64);
--- a/crates/courier/tests/settings.rs
+++ b/crates/courier/tests/settings.rs
@@ -181,7 +181,7 @@
 fn platform() -> Platform {
     let platform = Platform::new();
     // Nothing listens at this address.
-    platform.list("e0", "127.0.0.1:9".parse().unwrap(), "single", 7, "SERVING");
+    platform.set_entry("e0", "127.0.0.1:9".parse().unwrap(), "single", 7, "SERVING");
     platform
 }
 
@@ -382,7 +382,7 @@
 fn a_limit_lowered_under_load_is_never_exceeded_by_a_new_call() {
     let platform = Platform::new();
     let (address, calls) = slow_endpoint(Duration::from_millis(120));
-    platform.list("e0", address, "many", 7, "SERVING");
+    platform.set_entry("e0", address, "many", 7, "SERVING");
     let slots = |config: &Value, number: u64, slots: usize| {
         let mut config = config.clone();
         config["version"] = json!(number);
@@ -468,7 +468,7 @@
         };
         write!(out, "HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").is_ok()
     });
-    platform.list("e0", address, "single", 7, "SERVING");
+    platform.set_entry("e0", address, "single", 7, "SERVING");
     let couriers = [0, 1, 2].map(|_| Process::start(&platform, |config| *config = version(config, 1)));
     let mut owed: BTreeMap<String, usize> = BTreeMap::new();
     let mut number = 1;
--- a/crates/courier/tests/start.rs
+++ b/crates/courier/tests/start.rs
@@ -32,7 +32,7 @@
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&slow));
     let closed_address = common::own_address();
     // No endpoint listens while the mails are handed in, so all of them stay owed.
-    platform.list("e1", closed_address, "single", 7, "SERVING");
+    platform.set_entry("e1", closed_address, "single", 7, "SERVING");
     let mut courier = Courier::start(&platform, one_slot_and_importance_by_class);
     let mut class_of = HashMap::new();
     let mut client = courier.client();
@@ -48,8 +48,8 @@
     }
     courier.kill();
     let owed = class_of.len();
-    platform.list("e1", endpoint.address, "single", 7, "SERVING");
-    courier.config["known"] = platform.known();
+    platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
+    courier.config["known"] = platform.list_json();
     let mut seen_before = 0;
     for kill in 1..=3 {
         courier.restart();
@@ -94,7 +94,7 @@
 #[test]
 fn a_new_mail_does_not_overtake_a_restored_mail_of_the_same_key() {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&[]));
-    platform.list("e1", common::own_address(), "single", 7, "SERVING");
+    platform.set_entry("e1", common::own_address(), "single", 7, "SERVING");
     let mut courier = Courier::start(&platform, |config| {
         config["settings"]["Rules"]["TurnGapUs"] = json!(1000);
     });
@@ -105,8 +105,8 @@
     }
     assert_eq!(client.say(&put("7f3a", "first", "turns", "d=4000", b"hello")), "+OK");
     courier.kill();
-    platform.list("e1", endpoint.address, "single", 7, "SERVING");
-    courier.config["known"] = platform.known();
+    platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
+    courier.config["known"] = platform.list_json();
     courier.restart();
     let came = Instant::now();
     assert_eq!(courier.client().say(&put("7f3a", "second", "turns", "d=4000", b"hello")), "+OK");
@@ -121,7 +121,7 @@
 #[test]
 fn a_mail_that_expired_while_the_courier_was_down_is_given_up_at_once() {
     let platform = Platform::new();
-    platform.list("e1", common::own_address(), "single", 7, "SERVING");
+    platform.set_entry("e1", common::own_address(), "single", 7, "SERVING");
     let mut courier = Courier::start(&platform, one_slot_and_importance_by_class);
     let mut client = courier.client();
     let handed_in = Instant::now();
@@ -141,10 +141,10 @@
 fn without_discovery_a_start_uses_the_saved_list() {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&[]));
     let closed_address = common::own_address();
-    platform.list("e1", closed_address, "single", 7, "SERVING");
+    platform.set_entry("e1", closed_address, "single", 7, "SERVING");
     // The list in the configuration keeps this address.
     let mut courier = Courier::start(&platform, |_| {});
-    platform.list("e1", endpoint.address, "single", 7, "SERVING");
+    platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
     let file = courier.folder.path.join("state").join("memory");
     let here = endpoint.address.to_string();
     wait_until("the saved list", || {
@@ -172,7 +172,7 @@
 #[test]
 fn a_full_journal_and_unresponsive_discovery_do_not_hold_up_a_start() {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&[]));
-    platform.list("e1", endpoint.address, "single", 7, "SERVING");
+    platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
     let agent = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = agent.local_addr().unwrap();
     // It reads requests for the list and never answers; notices are answered.
--- a/crates/rig/src/scripted.rs
+++ b/crates/rig/src/scripted.rs
@@ -316,20 +316,20 @@
         let shared = state.clone();
         serve(listener, move |request, out| {
             if request.target == "/v1/notices" {
-                return take_notices(&shared, &request, out);
+                return receive_notices(&shared, &request, out);
             }
             if !request.target.contains("watch=1") {
-                let text = list(&shared.lock().unwrap());
+                let text = list_text(&shared.lock().unwrap());
                 return write!(out, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len())
                     .is_ok();
             }
-            watch(&shared, out)
+            serve_watch(&shared, out)
         });
         Platform { address, state }
     }
 
     /// Adds an entry to the list; replaces one of the same name.
-    pub fn list(&self, name: &str, address: SocketAddr, kind: &str, group: u64, status: &str) {
+    pub fn set_entry(&self, name: &str, address: SocketAddr, kind: &str, group: u64, status: &str) {
         let mut state = self.state.lock().unwrap();
         state.entries.retain(|entry| entry["name"] != name);
         state.entries.push(json!({"name": name, "address": address.to_string(), "zone": "a", "type": kind,
@@ -340,8 +340,8 @@
         state.index += 1;
     }
 
-    pub fn known(&self) -> Value {
-        serde_json::from_str(&list(&self.state.lock().unwrap())).unwrap()
+    pub fn list_json(&self) -> Value {
+        serde_json::from_str(&list_text(&self.state.lock().unwrap())).unwrap()
     }
 
     pub fn notices(&self) -> Vec<(String, String)> {
@@ -351,11 +351,11 @@
     }
 }
 
-fn list(state: &PlatformState) -> String {
+fn list_text(state: &PlatformState) -> String {
     json!({"index": state.index, "snapshot": true, "endpoints": state.entries}).to_string()
 }
 
-fn take_notices(shared: &Mutex<PlatformState>, request: &Request, out: &mut TcpStream) -> bool {
+fn receive_notices(shared: &Mutex<PlatformState>, request: &Request, out: &mut TcpStream) -> bool {
     let mut state = shared.lock().unwrap();
     let status = if state.notices_to_reject > 0 { 500 } else { 204 };
     if state.notices_to_reject > 0 {
@@ -368,7 +368,7 @@
     write!(out, "HTTP/1.1 {status} X\r\n{length}\r\n").is_ok()
 }
 
-fn watch(shared: &Mutex<PlatformState>, out: &mut TcpStream) -> bool {
+fn serve_watch(shared: &Mutex<PlatformState>, out: &mut TcpStream) -> bool {
     let mut seen = 0;
     shared.lock().unwrap().watches += 1;
     if write!(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").is_err() {
@@ -381,9 +381,9 @@
                 state.watches_to_end -= 1;
                 return false;
             }
-            let news = !state.watches_silent && state.index != seen;
-            seen = if news { state.index } else { seen };
-            news.then(|| list(&state) + "\n")
+            let changed = !state.watches_silent && state.index != seen;
+            seen = if changed { state.index } else { seen };
+            changed.then(|| list_text(&state) + "\n")
         };
         if let Some(line) = line {
             if write!(out, "{:x}\r\n{line}\r\n", line.len()).is_err() {
@@ -414,7 +414,7 @@
 pub fn config(platform: &Platform, listen: SocketAddr) -> Value {
     json!({"name": "n1", "listen": listen.to_string(), "discovery": platform.address.to_string(),
         "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256, "disk_mb": 3},
-        "known": platform.known(), "settings": settings()})
+        "known": platform.list_json(), "settings": settings()})
 }
 
 /// Path of the courier's binary, which is built into the parent of the running test's folder.
