--- a/crates/courier/tests/audit.rs
+++ b/crates/courier/tests/audit.rs
@@ -615,7 +615,7 @@
 
     fn ready(&self) {
         wait_until("the courier's first answer", || {
-            Client::connect(self.listen).is_ok_and(|mut client| client.say(b"PING\r\n") == "+PONG")
+            Client::connect(self.listen).is_ok_and(|mut client| client.request(b"PING\r\n") == "+PONG")
         });
     }
 
@@ -701,7 +701,7 @@
                         let at = mail.windows(6).position(|six| six == b"dest=7").unwrap();
                         mail[at + 5] = b'8';
                     }
-                    taken += usize::from(client.say(&mail) == "+OK");
+                    taken += usize::from(client.request(&mail) == "+OK");
                 }
             }
             14..=16 => list(rng.usize(..4), ["SERVING", "SERVING", "DRAINING", "DELETED"][rng.usize(..4)]),
--- a/crates/courier/tests/big_list.rs
+++ b/crates/courier/tests/big_list.rs
@@ -337,7 +337,7 @@
         let mut longest: f64 = 0.0;
         while !is_taken.load(Ordering::SeqCst) {
             let (asked, mut client) = (Instant::now(), Client::connect(listen).unwrap());
-            assert_eq!(client.say(b"PING\r\n"), "+PONG");
+            assert_eq!(client.request(b"PING\r\n"), "+PONG");
             longest = longest.max(asked.elapsed().as_secs_f64());
             thread::sleep(Duration::from_millis(2));
         }
--- a/crates/courier/tests/courier.rs
+++ b/crates/courier/tests/courier.rs
@@ -187,8 +187,8 @@
                     mails.extend(put("0", id, class, "d=60000", id.as_bytes()));
                 }
                 let mut client = courier.client();
-                assert_eq!(client.say(&mails), "+OK", "{name}");
-                (1..5).for_each(|_| assert_eq!(client.line(), "+OK", "{name}"));
+                assert_eq!(client.request(&mails), "+OK", "{name}");
+                (1..5).for_each(|_| assert_eq!(client.read_line(), "+OK", "{name}"));
                 assert_eq!(endpoint.calls().len(), 0, "{name}");
                 // All mails are in hand: one turn sees the endpoint become ready and makes one call of them.
                 platform.set_entry("e1", endpoint.address, "many", 7, "SERVING");
@@ -222,7 +222,7 @@
     let (platform, endpoint, courier) = setup("many", &[reply, Reply::NoAnswer]);
     let mut mails = put("0", "again", "again", "d=60000", b"x");
     mails.extend(put("0", "once", "once", "d=60000", b"x"));
-    assert_eq!(courier.client().say(&mails), "+OK");
+    assert_eq!(courier.client().request(&mails), "+OK");
     wait_until("the mails to be finished", || courier.owes_nothing());
     let calls = endpoint.calls();
     assert_eq!(calls[0].ids().len(), 2, "one call has both mails");
@@ -238,7 +238,7 @@
         setup("many", &[Reply::Delayed(1000, Box::new(Reply::CloseConnection))]);
     let mut mails = put("0", "again", "again", "d=500", b"x");
     mails.extend(put("0", "once", "once", LIFETIME, b"x"));
-    assert_eq!(courier.client().say(&mails), "+OK");
+    assert_eq!(courier.client().request(&mails), "+OK");
     wait_until("the mails to be finished", || courier.owes_nothing());
     assert_eq!(endpoint.calls().len(), 1);
     let expected =
@@ -281,7 +281,7 @@
     let (platform, endpoint, mut courier) = setup("single", &[Reply::NoAnswer]);
     let mut client = courier.client();
     for id in ["01", "02", "03"] {
-        assert_eq!(client.say(&put("beef", id, "turns", LIFETIME, b"x")), "+OK");
+        assert_eq!(client.request(&put("beef", id, "turns", LIFETIME, b"x")), "+OK");
     }
     wait_until("the first call", || !endpoint.calls().is_empty());
     courier.kill();
@@ -328,14 +328,14 @@
 fn a_graceful_shutdown_accepts_mails_for_a_moment_and_finishes_calls_in_flight() {
     let (platform, endpoint, mut courier) = setup("single", &[Reply::Delayed(1200, Box::new(OK))]);
     let (mut idle, mut client) = (courier.client(), courier.client());
-    assert_eq!(idle.say(b"PING\r\n"), "+PONG");
+    assert_eq!(idle.request(b"PING\r\n"), "+PONG");
     assert_eq!(client.put("01", "once", LIFETIME), "+OK");
     wait_until("the call", || !endpoint.calls().is_empty());
     courier.signal("-TERM");
-    assert_eq!(idle.line(), "", "the connection of an idle client is closed");
+    assert_eq!(idle.read_line(), "", "the connection of an idle client is closed");
     let mut late = courier.client();
     assert_eq!(late.put("02", "once", LIFETIME), "+OK", "a new client is answered");
-    assert_eq!(late.line(), "", "and its connection closed");
+    assert_eq!(late.read_line(), "", "and its connection closed");
     wait_until("the process to exit", || courier.ended().is_some());
     assert!(courier.ended().unwrap().success());
     assert!(Client::connect(courier.listen).is_err());
@@ -366,13 +366,13 @@
     ];
     for (bytes, answer) in rows {
         let name = String::from_utf8_lossy(&bytes[..bytes.len().min(60)]).into_owned();
-        assert_eq!(courier.client().say(bytes), answer, "{name}");
+        assert_eq!(courier.client().request(bytes), answer, "{name}");
     }
     // Commands sent without a pause, each cut in two, do not count as slow ones.
     let (start, mut steady) = (Instant::now(), courier.client());
     steady.stream.get_mut().write_all(b"PI").unwrap();
     while start.elapsed() < Duration::from_millis(1300) {
-        assert_eq!(steady.say(b"NG\r\nPI"), "+PONG");
+        assert_eq!(steady.request(b"NG\r\nPI"), "+PONG");
         thread::sleep(Duration::from_millis(20));
     }
     // A command that arrives byte by byte is waited for no longer than a client waits for its answer.
@@ -383,25 +383,25 @@
             thread::sleep(Duration::from_millis(50));
         }
     });
-    assert_eq!(slow.line(), "");
+    assert_eq!(slow.read_line(), "");
     assert!(start.elapsed() > Duration::from_millis(400) && start.elapsed() < Duration::from_secs(5));
     // A stream of empty lines, and silence: both connections are closed.
     let (start, mut blank) = (Instant::now(), courier.client());
     let mut silent = courier.client();
     let mut drip = blank.stream.get_ref().try_clone().unwrap();
     thread::spawn(move || while drip.write_all(b"\r\n").is_ok() {});
-    assert_eq!((blank.line(), silent.line()), (String::new(), String::new()));
+    assert_eq!((blank.read_line(), silent.read_line()), (String::new(), String::new()));
     assert!(start.elapsed() > Duration::from_millis(1900) && start.elapsed() < Duration::from_secs(3));
     // A client that is still sending gets the reason for the close, and others are answered meanwhile.
     let mut huge = b"*5\r\n$7\r\nMSG.PUT\r\n$60000000\r\n".to_vec();
     huge.resize(60_000_000, b'x');
     let mut sends = courier.client();
     assert!(sends.stream.get_mut().write_all(&huge).is_ok(), "all input is read");
-    assert_eq!((sends.line(), sends.line()), ("-ERR a word is too long".into(), String::new()));
+    assert_eq!((sends.read_line(), sends.read_line()), ("-ERR a word is too long".into(), String::new()));
     // A client that leaves in the middle, and more connections than are kept open for clients.
     let mut half = courier.client();
     half.stream.get_mut().shutdown(Shutdown::Write).unwrap();
-    assert_eq!(half.say(b""), "");
+    assert_eq!(half.request(b""), "");
     let mut many: Vec<Client> = (0..200).map(|_| courier.client()).collect();
     let most = (0..50).map(|_| courier.sockets()).max().unwrap();
     assert!(most < 85 + 20, "{most} sockets, more than a third and the process's own");
@@ -410,7 +410,7 @@
         "+OK",
         "the longest idle connection is evicted"
     );
-    let answers = many.iter_mut().map(|client| client.say(b"PING\r\n"));
+    let answers = many.iter_mut().map(|client| client.request(b"PING\r\n"));
     let kept = answers.filter(|answer| answer == "+PONG").count();
     assert!((20..200).contains(&kept), "{kept}");
 }
@@ -426,7 +426,7 @@
     let mut client = courier.client();
     let mut answers = Vec::new();
     for i in 0..60 {
-        answers.push(client.say(&put("0", &format!("{i}"), "again", LIFETIME, &[b'x'; 8000])));
+        answers.push(client.request(&put("0", &format!("{i}"), "again", LIFETIME, &[b'x'; 8000])));
     }
     let taken = answers.iter().filter(|answer| *answer == "+OK").count();
     assert!((10..30).contains(&taken) && answers[59] == "-BUSY", "{taken}");
@@ -485,7 +485,7 @@
     let text = config.to_string();
     for bad in [&text[..], &text[..text.len() / 2], ""] {
         courier.reconfigure(bad);
-        assert_eq!(client.say(b"PING\r\n"), "+PONG");
+        assert_eq!(client.request(b"PING\r\n"), "+PONG");
     }
     let watches = old.state.lock().unwrap().watches;
     assert_eq!((watches, new.state.lock().unwrap().watches), (1, 0));
@@ -624,7 +624,7 @@
         let start = Instant::now();
         other.send_to(note, hears).unwrap();
         // Answered after the note was read, since both were waiting in the courier's sockets.
-        assert_eq!(client.say(b"PING\r\n"), "+PONG");
+        assert_eq!(client.request(b"PING\r\n"), "+PONG");
         assert_eq!(client.put(id, "again", LIFETIME), "+OK");
         wait_until(id, || endpoint.ids().last().is_some_and(|last| last == id));
         let took = endpoint.calls().last().unwrap().at - start;
--- a/crates/courier/tests/crash_points.rs
+++ b/crates/courier/tests/crash_points.rs
@@ -301,7 +301,7 @@
                 for i in 0..60 {
                     let id = format!("{run}-{i:02}");
                     let body = vec![b'x'; 100 + 17 * run];
-                    match &client.say(&put("0", &id, "once", "d=8000,k=5c0f", &body))[..] {
+                    match &client.request(&put("0", &id, "once", "d=8000,k=5c0f", &body))[..] {
                         "+OK" => taken.push(id),
                         "-BUSY" => busy += 1,
                         other => panic!("{other}"),
@@ -424,7 +424,7 @@
         wait_until("the call", || !endpoints[i].calls().is_empty());
     }
     courier.signal("-TERM");
-    assert_eq!(client.line(), "", "shutdown has begun");
+    assert_eq!(client.read_line(), "", "shutdown has begun");
     courier.kill();
     courier.restart();
     wait_until("settling of all mails", || courier.owes_nothing());
--- a/crates/courier/tests/crossing_clients.rs
+++ b/crates/courier/tests/crossing_clients.rs
@@ -197,7 +197,7 @@
     let mut clients: Vec<Client> = (0..3).map(|_| courier.client()).collect();
     let first: [&[u8]; 3] = [b"PING\r\n", b"PING\r\n", &[b"PING\r\n", &half[..100]].concat()];
     for (client, first) in clients.iter_mut().zip(first) {
-        assert_eq!(client.say(first), "+PONG");
+        assert_eq!(client.request(first), "+PONG");
     }
     courier.signal("-STOP");
     let stopped = Instant::now();
@@ -208,7 +208,7 @@
         client.stream.get_mut().write_all(rest).unwrap();
     }
     courier.signal("-CONT");
-    let answers: Vec<String> = clients.iter_mut().map(Client::line).collect();
+    let answers: Vec<String> = clients.iter_mut().map(Client::read_line).collect();
     assert_eq!(answers, ["+OK"; 3]);
     wait_until("their calls", || endpoint.calls().len() == 3);
 }
@@ -234,7 +234,7 @@
     let (_platform, _endpoint, mut courier) = setup(|_| {});
     let mut steady = courier.client();
     steady.stream.get_mut().write_all(b"PI").unwrap();
-    assert_eq!(steady.say(b"NG\r\nPI"), "+PONG");
+    assert_eq!(steady.request(b"NG\r\nPI"), "+PONG");
     let asked = Instant::now();
     courier.signal("-TERM");
     let mut line = String::new();
@@ -277,7 +277,7 @@
     let (mut before, mut taken) = (0, 0);
     let start = Instant::now();
     while taken < 1200 {
-        match &client.say(&put("0", &taken.to_string(), "again", "d=1", &[b'x'; 60_000]))[..] {
+        match &client.request(&put("0", &taken.to_string(), "again", "d=1", &[b'x'; 60_000]))[..] {
             "+OK" => taken += 1,
             "-BUSY" => thread::sleep(Duration::from_millis(1)),
             other => panic!("{other}"),
@@ -341,7 +341,7 @@
     let writer = client.stream.get_ref().try_clone().unwrap();
     let sent = thread::spawn(move || (&writer).write_all(&mails));
     for i in 0..count {
-        assert_eq!(client.line(), "+OK", "{i}");
+        assert_eq!(client.read_line(), "+OK", "{i}");
     }
     sent.join().unwrap().unwrap();
     let accepted_count = || {
--- a/crates/courier/tests/crossing_endpoints.rs
+++ b/crates/courier/tests/crossing_endpoints.rs
@@ -106,8 +106,8 @@
     let mut client = courier.client();
     let all =
         messages.iter().flat_map(|&(id, class, time)| put("0", id, class, time, b"x")).collect::<Vec<_>>();
-    assert_eq!(client.say(&all), "+OK");
-    messages[1..].iter().for_each(|_| assert_eq!(client.line(), "+OK"));
+    assert_eq!(client.request(&all), "+OK");
+    messages[1..].iter().for_each(|_| assert_eq!(client.read_line(), "+OK"));
     platform.set_entry("e1", address, "many", 7, "SERVING");
 }
 
--- a/crates/courier/tests/descriptors.rs
+++ b/crates/courier/tests/descriptors.rs
@@ -79,8 +79,13 @@
     for i in 0..5 {
         connect_idle(20);
         let asked = Instant::now();
-        let said =
-            Client::connect(listen).unwrap().say(&put("0", &format!("n{i}"), "once", "d=200,dest=9", b"x"));
+        let said = Client::connect(listen).unwrap().request(&put(
+            "0",
+            &format!("n{i}"),
+            "once",
+            "d=200,dest=9",
+            b"x",
+        ));
         assert_eq!(said, "+OK");
         // This once took seconds: all idle clients were closed before the first descriptor was freed.
         assert!(asked.elapsed() < Duration::from_secs(3), "{:?}", asked.elapsed());
@@ -98,7 +103,7 @@
     connect_idle(60);
     platform.set_entry("e9", other.address, "single", 10, "SERVING");
     wait_until("a new destination", || {
-        let said = Client::connect(listen).unwrap().say(&put("0", "new", "once", "d=4000,dest=10", b"x"));
+        let said = Client::connect(listen).unwrap().request(&put("0", "new", "once", "d=4000,dest=10", b"x"));
         said == "+OK"
     });
     let owed = || String::from_utf8(command(&folder, &config, "owed").output().unwrap().stdout).unwrap();
--- a/crates/courier/tests/relay.rs
+++ b/crates/courier/tests/relay.rs
@@ -347,7 +347,10 @@
     delivers(&courier, "01", &pair.first);
     assert!(pair.second.ids().is_empty());
     // Notices go to the platform all the same: what can't be delivered is told there.
-    assert_eq!(courier.client().say(&common::put("0000000000000000", "02", "again", "d=50", b"x")), "+OK");
+    assert_eq!(
+        courier.client().request(&common::put("0000000000000000", "02", "again", "d=50", b"x")),
+        "+OK"
+    );
     assert_eq!(platform.state.lock().unwrap().watches, 0, "the platform's list is not followed");
 }
 
--- a/crates/courier/tests/restart.rs
+++ b/crates/courier/tests/restart.rs
@@ -28,10 +28,10 @@
 /// Sends SIGTERM and waits until the shutdown has begun, which is when an idle client is disconnected.
 fn begin_shutdown(courier: &Courier) -> Instant {
     let mut idle = courier.client();
-    assert_eq!(idle.say(b"PING\r\n"), "+PONG");
+    assert_eq!(idle.request(b"PING\r\n"), "+PONG");
     let asked = Instant::now();
     courier.signal("-TERM");
-    assert_eq!(idle.line(), "", "an idle client is disconnected");
+    assert_eq!(idle.read_line(), "", "an idle client is disconnected");
     asked
 }
 
@@ -56,7 +56,7 @@
     sleep_until(asked, 700);
     courier.signal("-CONT");
     for (i, client) in waiting.iter_mut().enumerate() {
-        assert_eq!((client.line(), client.line()), ("+OK".into(), String::new()), "{i}");
+        assert_eq!((client.read_line(), client.read_line()), ("+OK".into(), String::new()), "{i}");
     }
     wait_until("exit of the courier", || courier.ended().is_some());
     assert!(Client::connect(courier.listen).is_err());
@@ -80,7 +80,10 @@
     let second = put("0", "02", "once", LONG_LIFETIME, b"x");
     client.stream.get_mut().write_all(&[first, second].concat()).unwrap();
     courier.signal("-CONT");
-    assert_eq!((client.line(), client.line(), client.line()), ("+OK".into(), "+OK".into(), String::new()));
+    assert_eq!(
+        (client.read_line(), client.read_line(), client.read_line()),
+        ("+OK".into(), "+OK".into(), String::new())
+    );
     wait_until("exit of the courier", || courier.ended().is_some());
     let mut ids = endpoint.ids();
     ids.sort();
@@ -97,7 +100,7 @@
     slow.stream.get_mut().write_all(&late[..20]).unwrap();
     sleep_until(asked, 900);
     assert_eq!(silent.put("silent", "once", LONG_LIFETIME), "+OK");
-    assert_eq!(slow.say(&late[20..]), "+OK");
+    assert_eq!(slow.request(&late[20..]), "+OK");
     wait_until("exit of the courier", || courier.ended().is_some());
     assert!(asked.elapsed() < Duration::from_millis(3700), "the platform sends SIGKILL by then");
     assert_eq!((endpoint.calls().len(), courier.owes_nothing()), (2, true));
@@ -137,7 +140,7 @@
     sleep_until(asked, 2100);
     slow.stream.get_mut().write_all(&late[..20]).unwrap();
     sleep_until(asked, 2700);
-    assert_eq!((slow.say(&late[20..]), slow.line()), ("+OK".into(), String::new()));
+    assert_eq!((slow.request(&late[20..]), slow.read_line()), ("+OK".into(), String::new()));
     wait_until("exit of the courier", || courier.ended().is_some());
     assert_eq!((endpoint.calls().len(), courier.owes_nothing()), (0, false));
     courier.restart();
@@ -159,7 +162,7 @@
     let mut config = courier.config.clone();
     config["discovery"] = json!(new.address.to_string());
     courier.signal("-TERM");
-    assert_eq!(client.line(), "", "the client is disconnected");
+    assert_eq!(client.read_line(), "", "the client is disconnected");
     courier.signal("-TERM");
     courier.reconfigure(&config.to_string());
     courier.signal("-INT");
--- a/crates/courier/tests/settings.rs
+++ b/crates/courier/tests/settings.rs
@@ -480,7 +480,7 @@
             for n in 0..4 {
                 let id = format!("m{i}-{step}-{n}");
                 let class = ["once", "again", "tagged", "turns"][n];
-                let answer = client.say(&put("7f3a", &id, class, "d=3500,k=77", b"hello"));
+                let answer = client.request(&put("7f3a", &id, class, "d=3500,k=77", b"hello"));
                 if answer == "+OK" {
                     owed.insert(id, i);
                 }
--- a/crates/courier/tests/start.rs
+++ b/crates/courier/tests/start.rs
@@ -42,7 +42,7 @@
             let id = format!("{letter}{i}");
             // Each has an earlier deadline than the one before, so within a class the last one goes first.
             let text = format!("d={},k=k{id}", 29_000 - 1000 * i);
-            assert_eq!(client.say(&put("00", &id, class, &text, b"hello")), "+OK");
+            assert_eq!(client.request(&put("00", &id, class, &text, b"hello")), "+OK");
             class_of.insert(id, class);
         }
     }
@@ -103,13 +103,13 @@
     for i in 0..30 {
         assert_eq!(client.put(&format!("p{i}"), "again", "d=3000"), "+OK");
     }
-    assert_eq!(client.say(&put("7f3a", "first", "turns", "d=4000", b"hello")), "+OK");
+    assert_eq!(client.request(&put("7f3a", "first", "turns", "d=4000", b"hello")), "+OK");
     courier.kill();
     platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
     courier.config["known"] = platform.list_json();
     courier.restart();
     let came = Instant::now();
-    assert_eq!(courier.client().say(&put("7f3a", "second", "turns", "d=4000", b"hello")), "+OK");
+    assert_eq!(courier.client().request(&put("7f3a", "second", "turns", "d=4000", b"hello")), "+OK");
     wait_until("settling of all mails", || courier.owes_nothing());
     assert!(came.elapsed() < Duration::from_secs(4));
     let ids = endpoint.ids();
--- a/crates/rig/src/scripted.rs
+++ b/crates/rig/src/scripted.rs
@@ -445,7 +445,7 @@
 /// Waits until the courier at an address answers `PING`.
 pub fn wait_until_ready(listen: SocketAddr) {
     wait_until("the courier's first answer", || {
-        let ping = Client::connect(listen).map(|mut client| client.say(b"PING\r\n"));
+        let ping = Client::connect(listen).map(|mut client| client.request(b"PING\r\n"));
         ping.is_ok_and(|answer| answer == "+PONG")
     });
 }
@@ -538,19 +538,19 @@
     }
 
     /// Sends bytes and reads one line; empty if the connection has ended.
-    pub fn say(&mut self, bytes: &[u8]) -> String {
+    pub fn request(&mut self, bytes: &[u8]) -> String {
         let _ = self.stream.get_mut().write_all(bytes);
-        self.line()
+        self.read_line()
     }
 
-    pub fn line(&mut self) -> String {
+    pub fn read_line(&mut self) -> String {
         let mut line = String::new();
         let _ = self.stream.read_line(&mut line);
         line.trim_end().to_string()
     }
 
     pub fn put(&mut self, id: &str, class: &str, more: &str) -> String {
-        self.say(&put("0000000000000000", id, class, more, b"hello"))
+        self.request(&put("0000000000000000", id, class, more, b"hello"))
     }
 }
 
--- a/crates/rig/src/slopes.rs
+++ b/crates/rig/src/slopes.rs
@@ -238,7 +238,8 @@
     pub fn ready(&mut self, bound: Bound, since: Instant, longest: Duration) -> Result<Duration, Stopped> {
         let listen = self.listen;
         let answers = || {
-            let said = scripted::Client::connect(listen).map(|mut client| client.say(&request(&[b"PING"])));
+            let said =
+                scripted::Client::connect(listen).map(|mut client| client.request(&request(&[b"PING"])));
             said.is_ok_and(|answer| answer == "+PONG")
         };
         let ready = bound.until(longest, || {
