--- a/crates/courier/tests/common/process.rs
+++ b/crates/courier/tests/common/process.rs
@@ -37,20 +37,20 @@
             Err(e) if e.to_string().contains("another courier") => false,
             opened => journal.replace(opened.unwrap()).is_none(),
         });
-        Process::with(journal.unwrap(), now, window)
+        Process::with_journal(journal.unwrap(), now, window)
     }
 
     /// The same with a journal that has been opened; `window`: for how long a repeat of a tagged message is dropped.
-    pub fn with(journal: (Journal, JournalContents), now: Time, window: Option<u64>) -> Process {
-        let (orders_in, orders) = unbounded_channel();
-        let (notices_in, notices) = unbounded_channel();
+    pub fn with_journal(journal: (Journal, JournalContents), now: Time, window: Option<u64>) -> Process {
+        let (order_sender, orders) = unbounded_channel();
+        let (notice_sender, notices) = unbounded_channel();
         let mut settings = settings();
         if let Some(window) = window {
             settings["Profiles"][1]["DedupWindowUs"] = json!(window);
         }
         let decoded = decode_json(1, &settings).unwrap();
         let clock = Clock::still(now);
-        let mut exchange = Exchange::with_clock(clock, decoded, journal, orders_in, notices_in, None);
+        let mut exchange = Exchange::with_clock(clock, decoded, journal, order_sender, notice_sender, None);
         // Two endpoints of each destination, so that a sick one keeps no other mail waiting.
         let entry = |i: u64| {
             json!({"name": format!("e{i}"), "address": "127.0.0.1:9", "zone": "a", "type": "single",
@@ -63,19 +63,19 @@
         Process { exchange, orders, notices, now }
     }
 
-    pub fn put(&mut self, id: &str, class: &str, dest: u64) -> Answer {
+    pub fn put(&mut self, id: &str, class: &str, destination: u64) -> Answer {
         self.exchange.hand_in(Offer {
             id: text(id),
             key: text("5c0f"),
             order_key: text("0000"),
             class: text(class),
-            destination: dest,
+            destination,
             lifetime: Duration::from_secs(4),
             body: text("hello"),
         })
     }
 
-    pub fn pass(&mut self, time: Time) {
+    pub fn advance(&mut self, time: Time) {
         self.now += time;
         self.exchange.clock = Clock::still(self.now);
     }
@@ -90,7 +90,7 @@
     pub fn call(&mut self) -> Option<Call> {
         (0..200).find_map(|_| {
             let call = self.calls().pop();
-            self.pass(if call.is_none() { 50 } else { 0 });
+            self.advance(if call.is_none() { 50 } else { 0 });
             call
         })
     }
@@ -99,23 +99,23 @@
         !self.exchange.begin(call, call.mails.clone()).is_empty()
     }
 
-    pub fn ends(&mut self) -> Vec<(String, Verdict)> {
+    pub fn verdicts(&mut self) -> Vec<(String, Verdict)> {
         let notices = std::iter::from_fn(|| self.notices.try_recv().ok());
         notices.map(|n| (String::from_utf8(n.id.to_vec()).unwrap(), n.verdict)).collect()
     }
 
     /// Serves all for so long, each call with this outcome; the ids that were sent, and the ends.
-    pub fn play(&mut self, time: Time, outcome: Outcome) -> (Vec<String>, Vec<(String, Verdict)>) {
-        let (mut sent, until) = (Vec::new(), self.now + time);
-        while self.now < until {
+    pub fn run_for(&mut self, time: Time, outcome: Outcome) -> (Vec<String>, Vec<(String, Verdict)>) {
+        let (mut sent, end) = (Vec::new(), self.now + time);
+        while self.now < end {
             for call in self.calls() {
                 for mail in self.exchange.begin(&call, call.mails.clone()) {
                     sent.push(String::from_utf8(mail.id.to_vec()).unwrap());
                     self.exchange.connect_ended(mail.serial, ConnectReport::of(outcome));
                 }
             }
-            self.pass(200);
+            self.advance(200);
         }
-        (sent, self.ends())
+        (sent, self.verdicts())
     }
 }
--- a/crates/courier/tests/crash_points.rs
+++ b/crates/courier/tests/crash_points.rs
@@ -70,7 +70,7 @@
                 process.exchange.relayed_late(serial);
             }
             process.exchange.turn();
-            process.ends().iter().for_each(|(_, verdict)| assert_eq!(*verdict, Verdict::Dead));
+            process.verdicts().iter().for_each(|(_, verdict)| assert_eq!(*verdict, Verdict::Dead));
             if id == "broken" {
                 process.exchange.notice_accepted(serial);
             }
@@ -87,11 +87,11 @@
     let call = {
         assert!(matches!(process.put("untried", "once", 9), Answer::Taken(_)));
         owed.insert("untried", (journal_size(&folder), usize::MAX));
-        process.pass(5 * SECOND);
+        process.advance(5 * SECOND);
         process.calls()
     };
     assert!(call.is_empty());
-    assert_eq!(process.ends().len(), 1);
+    assert_eq!(process.verdicts().len(), 1);
     given_up_at.insert("untried", journal_size(&folder));
     RecordedRun { folder, owed, begun, never_ran, given_up_at }
 }
@@ -106,7 +106,7 @@
         // A compaction that was cut off at the same time.
         fs::write(next.path.join("journal.new"), &whole[..cut / 2]).unwrap();
         let mut process = Process::start(&next, ALLOWANCE, START + SECOND, None);
-        let (sent, ends) = process.play(SECOND, Outcome::Relayed);
+        let (sent, ends) = process.run_for(SECOND, Outcome::Relayed);
         let mut settled: BTreeSet<&str> = sent.iter().map(String::as_str).collect();
         settled.extend(ends.iter().map(|(id, _)| id.as_str()));
         for (id, &(from, to)) in &run.owed {
@@ -170,14 +170,14 @@
 fn on_a_full_disk_no_mail_is_accepted_no_call_begins_and_no_bounced_mail_is_sent_later() {
     let folder = Folder::new();
     let mut process = process_on_full_disk(&folder);
-    let (sent, ends) = process.play(2 * SECOND, Outcome::Relayed);
+    let (sent, ends) = process.run_for(2 * SECOND, Outcome::Relayed);
     assert!(sent.is_empty(), "a call began without a journal record");
     assert!(!ends.is_empty(), "mails are given up after the maximum number of connects");
     assert_eq!(process.put("more", "once", 1), Answer::Busy);
     drop(process);
     unblock_compaction(&folder);
     let mut next = Process::start(&folder, 100_000, START + 3 * SECOND, None);
-    let (sent, _) = next.play(SECOND, Outcome::Relayed);
+    let (sent, _) = next.run_for(SECOND, Outcome::Relayed);
     assert!(
         ends.iter().any(|(id, _)| sent.contains(id)),
         "a verdict that could not be written is not on file"
@@ -207,13 +207,13 @@
         fs::write(&path, bytes).unwrap();
         block_compaction(&folder);
         let mut next = Process::start(&folder, ALLOWANCE, START + SECOND, None);
-        let (sent, ends) = next.play(SECOND, Outcome::Error);
+        let (sent, ends) = next.run_for(SECOND, Outcome::Error);
         assert_eq!(sent, ["untried"], "{torn}");
         assert_eq!(ends.iter().map(|(id, _)| id.as_str()).collect::<Vec<_>>(), ["out", "untried"], "{torn}");
         drop(next);
         // Records that were appended after the truncation are read.
         let mut last = Process::start(&folder, ALLOWANCE, START + 2 * SECOND, None);
-        let (sent, ends) = last.play(SECOND, Outcome::Relayed);
+        let (sent, ends) = last.run_for(SECOND, Outcome::Relayed);
         assert_eq!((sent.len(), ends.len()), (0, 2), "{torn}");
     }
 }
@@ -231,21 +231,21 @@
             assert!(matches!(process.put("01", "tagged", 1), Answer::Taken(_)));
             let first = process.call().unwrap();
             // The first connect waited for a connection as well: the window starts when it was sent.
-            process.pass(300);
+            process.advance(300);
             assert!(process.begin(&first));
             let sent = process.now;
             if restart {
                 drop(process);
                 process = Process::start(&folder, ALLOWANCE, sent + decided * 10, Some(1_000_000));
             } else {
-                process.pass(decided * 10);
+                process.advance(decided * 10);
                 process.exchange.connect_ended(first.mails[0].serial, ConnectReport::of(Outcome::Silent));
             }
             let repeat = process.calls().pop().unwrap();
             assert_eq!(repeat.mails[0].send_before, sent + SECOND, "the latest time for the last byte");
             let mut mails = repeat.mails.clone();
             mails[0].times_out_at = Time::MAX;
-            process.pass(connected * 10);
+            process.advance(connected * 10);
             let begun = process.exchange.begin(&repeat, mails).len();
             assert_eq!(begun == 1, begins, "{restart} {decided} {connected}");
         }
@@ -261,7 +261,7 @@
     assert!(process.begin(&call));
     drop(process);
     let mut next = Process::start(&folder, ALLOWANCE, START, None);
-    let (sent, ends) = next.play(SECOND, Outcome::Relayed);
+    let (sent, ends) = next.run_for(SECOND, Outcome::Relayed);
     assert_eq!((sent, ends.len()), (vec![], 1));
 }
 
--- a/crates/courier/tests/disk.rs
+++ b/crates/courier/tests/disk.rs
@@ -122,9 +122,9 @@
         format!("from {} for {}, error {}", files.fail_from.get(), files.fail_count.get(), files.error_code);
     let journal = Journal::open_with(files.clone(), &folder.path, ALLOWANCE);
     let journal = journal.unwrap_or_else(|e| panic!("{case}: the start failed with {e}"));
-    let mut process = Process::with(journal, START + SECOND, None);
+    let mut process = Process::with_journal(journal, START + SECOND, None);
     submit(&mut process, &mut taken, "early", 20);
-    let (mut sent, mut ends) = process.play(SECOND / 10, Outcome::Relayed);
+    let (mut sent, mut ends) = process.run_for(SECOND / 10, Outcome::Relayed);
     submit(&mut process, &mut taken, "late", 20);
     files.repair();
     let before = taken.len();
@@ -132,7 +132,7 @@
     assert_eq!(taken.len(), before + 4, "{case}: mails are not accepted after the repair");
     drop(process);
     let mut next = Process::start(folder, ALLOWANCE, START + 2 * SECOND, None);
-    let (sent_next, ends_next) = next.play(5 * SECOND, Outcome::Relayed);
+    let (sent_next, ends_next) = next.run_for(5 * SECOND, Outcome::Relayed);
     sent.extend(sent_next);
     ends.extend(ends_next);
     let ended = ends.into_iter().map(|(id, _)| id);
--- a/crates/courier/tests/replaced.rs
+++ b/crates/courier/tests/replaced.rs
@@ -31,14 +31,14 @@
         let list = json!({"index": i + 3, "snapshot": false, "endpoints": changes});
         process.exchange.listed(&serde_json::from_value::<List>(list).unwrap());
         assert!(matches!(process.put(&format!("m{i}"), "again", i % 10), Answer::Taken(_)));
-        let (call, _) = (process.call().unwrap(), process.pass(10));
+        let (call, _) = (process.call().unwrap(), process.advance(10));
         largest = largest.max(call.endpoint);
         process.begin(&call);
         let serial = call.mails[0].serial;
         process
             .exchange
             .connect_ended(serial, meadowhold_courier::exchange::ConnectReport::of(Outcome::Relayed));
-        process.pass(SECOND / 100);
+        process.advance(SECOND / 100);
         process.calls();
     }
     assert_eq!(process.exchange.count_after(&Update::default()), held);
