--- a/crates/courier/tests/audit.rs
+++ b/crates/courier/tests/audit.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use common::{
-    command, config, own_address, put, settings, wait_until, Client, Endpoint, Folder, Platform, Reply, OK,
+    command, config, put, settings, unique_address, wait_until, Client, Endpoint, Folder, Platform, Reply, OK,
 };
 use meadowhold::interface::{Outcome, PeerNote, Time, SECOND};
 use meadowhold_courier::discovery::List;
@@ -595,7 +595,7 @@
 
 impl Process {
     fn start(platform: &Platform, peer_addresses: [SocketAddr; 3], i: usize) -> Process {
-        let (listen, folder) = (own_address(), Folder::new());
+        let (listen, folder) = (unique_address(), Folder::new());
         let mut config = config(platform, listen);
         let others: Vec<String> = (0..3).filter(|&o| o != i).map(|o| peer_addresses[o].to_string()).collect();
         config["settings"]["Limits"]["MayTell"] = json!(true);
@@ -683,7 +683,7 @@
         platform.set_entry(&format!("e{i}"), endpoints[i].address, kind, destination, status);
     };
     (0..4).for_each(|i| list(i, "SERVING"));
-    let peer_addresses = [0; 3].map(|_| own_address());
+    let peer_addresses = [0; 3].map(|_| unique_address());
     let mut couriers = [0, 1, 2].map(|i| Process::start(&platform, peer_addresses, i));
     let mut taken = 0;
     for step in 0..60 {
--- a/crates/courier/tests/big_list.rs
+++ b/crates/courier/tests/big_list.rs
@@ -12,8 +12,8 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    command, config, own_address, serve, wait_until, wait_until_ready, wait_until_within, Client, Endpoint,
-    Folder, Platform,
+    command, config, serve, unique_address, wait_until, wait_until_ready, wait_until_within, Client,
+    Endpoint, Folder, Platform,
 };
 use serde_json::{json, Value};
 
@@ -98,7 +98,7 @@
 
 impl LoggedCourier {
     fn start(discovery: SocketAddr, mode: &str, known: &str, limits: Value) -> LoggedCourier {
-        let (folder, listen) = (Folder::new(), own_address());
+        let (folder, listen) = (Folder::new(), unique_address());
         let mut config = config(&Platform::new(), listen);
         config["discovery"] = json!(discovery.to_string());
         config["known"] = serde_json::from_str(known).unwrap();
@@ -176,7 +176,7 @@
                 scope.spawn(move || {
                     let (old, new) = (Endpoint::new(&[]), Endpoint::new(&[]));
                     // If it were applied, the old endpoint would be gone.
-                    let many = list(9, true, &destinations(300, own_address()));
+                    let many = list(9, true, &destinations(300, unique_address()));
                     assert!(many.len() > 50_000);
                     let change = list(10, false, &[entry("new", new.address, 8, "SERVING")]);
                     let (address, requests) = discovery(move |watch, after, out| match watch {
@@ -211,7 +211,7 @@
 #[test]
 fn lists_over_a_limit_also_on_a_watch_are_requested_less_and_less_often() {
     let old = Endpoint::new(&[]);
-    let many = list(9, true, &destinations(300, own_address()));
+    let many = list(9, true, &destinations(300, unique_address()));
     let (address, requests) = discovery(move |watch, _, out| match watch {
         false => whole(out, &many),
         true => out.write_all(CHUNKED_HEADERS.as_bytes()).is_ok() && chunk(out, &many) && idle_watch(out),
@@ -232,7 +232,7 @@
 
 #[test]
 fn changes_cannot_grow_a_list_over_its_limit() {
-    let (old, new) = (Endpoint::new(&[]), own_address());
+    let (old, new) = (Endpoint::new(&[]), unique_address());
     let change = |index: u64, status: &str| {
         let names = (0..60).map(|i| format!("c{index}-{i}"));
         list(index, false, &names.map(|name| entry(&name, new, 8, status)).collect::<Vec<_>>())
--- a/crates/courier/tests/config.rs
+++ b/crates/courier/tests/config.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::thread;
 
-use common::{command, own_address, settings, wait_until, Folder};
+use common::{command, settings, unique_address, wait_until, Folder};
 use meadowhold_courier::config::Config;
 use meadowhold_courier::journal::Journal;
 use serde_json::{json, Value};
@@ -401,7 +401,7 @@
 fn log_of_failing_courier(rust_log: Option<&str>) -> String {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let (folder, mut config) = (Folder::new(), example());
-    config["listen"] = json!(own_address().to_string());
+    config["listen"] = json!(unique_address().to_string());
     config["discovery"] = json!(discovery.local_addr().unwrap().to_string());
     let asked = Arc::new(AtomicUsize::new(0));
     let count = asked.clone();
--- a/crates/courier/tests/courier.rs
+++ b/crates/courier/tests/courier.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    command, output, own_address, put, wait_until, wait_until_within, Client, Courier, Endpoint, Folder,
+    command, output, put, unique_address, wait_until, wait_until_within, Client, Courier, Endpoint, Folder,
     Limit, Platform, Reply, OK,
 };
 use serde_json::{json, Value};
@@ -138,7 +138,7 @@
 #[test]
 fn a_mail_whose_endpoint_is_unreachable_is_deferred_when_it_expires() {
     let platform = Platform::new();
-    platform.set_entry("e1", own_address(), "single", 7, "SERVING");
+    platform.set_entry("e1", unique_address(), "single", 7, "SERVING");
     let courier = Courier::start(&platform, unchanged);
     let start = Instant::now();
     assert_eq!(courier.client().put("9b1f", "once", "d=500"), "+OK");
@@ -258,7 +258,7 @@
         assert_eq!(client.put(id, class, "d=4000,k=77"), "+OK");
     }
     wait_until("the calls", || endpoint.calls().len() == 3);
-    platform.set_entry("e9", own_address(), "single", 9, "DRAINING");
+    platform.set_entry("e9", unique_address(), "single", 9, "DRAINING");
     wait_until("a destination without a ready endpoint", || {
         client.put("04", "again", "d=900,dest=9") == "+OK"
     });
@@ -418,7 +418,7 @@
 #[test]
 fn a_courier_answers_busy_when_its_disk_allowance_is_nearly_used() {
     let platform = Platform::new();
-    platform.set_entry("e1", own_address(), "single", 7, "DRAINING");
+    platform.set_entry("e1", unique_address(), "single", 7, "DRAINING");
     let courier = Courier::start(&platform, |config| {
         config["limits"]["disk_mb"] = json!(0.5);
         config["settings"]["Limits"]["MaxOpen"] = json!(10_000);
@@ -506,7 +506,7 @@
 #[test]
 fn a_mail_waits_for_an_endpoint_of_its_destination_and_unlisted_destinations_are_rejected() {
     let platform = Platform::new();
-    platform.set_entry("e0", own_address(), "single", 7, "DRAINING");
+    platform.set_entry("e0", unique_address(), "single", 7, "DRAINING");
     let courier = Courier::start(&platform, unchanged);
     assert_eq!(courier.client().put("02", "once", "d=4000,dest=8"), "-ERR unknown destination");
     assert_eq!(courier.client().put("01", "once", LIFETIME), "+OK");
@@ -601,7 +601,7 @@
     let (other, stranger) =
         (UdpSocket::bind("127.0.0.1:0").unwrap(), UdpSocket::bind("127.0.0.1:0").unwrap());
     other.set_read_timeout(Some(Duration::from_secs(7))).unwrap();
-    let hears = own_address();
+    let hears = unique_address();
     let courier = Courier::start(&platform, |c| {
         c["settings"]["Limits"]["MayTell"] = json!(true);
         c["peers"] = peers(hears, &[other.local_addr().unwrap()]);
@@ -641,7 +641,7 @@
     for (name, end) in ["e1", "e2"].iter().zip(&ends) {
         platform.set_entry(name, end.address, "many", 7, "SERVING");
     }
-    let hears = [own_address(), own_address()];
+    let hears = [unique_address(), unique_address()];
     let start = |shape: usize, i: usize| {
         Courier::start(&platform, |c| {
             c["settings"]["NInstances"] = json!(4);
@@ -668,7 +668,7 @@
     for courier in couriers.iter().flatten() {
         wait_until("all mails to be finished", || courier.owes_nothing());
     }
-    let seen = limit.seen.lock().unwrap().clone();
+    let seen = limit.calls.lock().unwrap().clone();
     let ended: Vec<String> = platform.notices().into_iter().map(|notice| notice.0).collect();
     let mut relayed = [0, 0];
     for (shape, i, n) in (0..120).map(|mail| (mail / 60, mail / 30 % 2, mail % 30)) {
--- a/crates/courier/tests/crash_points.rs
+++ b/crates/courier/tests/crash_points.rs
@@ -12,7 +12,7 @@
 use std::thread;
 
 use common::{
-    command, config, own_address, put, wait_until, wait_until_ready, Client, Courier, Endpoint, Folder,
+    command, config, put, unique_address, wait_until, wait_until_ready, Client, Courier, Endpoint, Folder,
     Platform, Reply, OK,
 };
 use meadowhold::interface::{Outcome, Time, SECOND};
@@ -292,7 +292,7 @@
             thread::spawn(move || {
                 let (platform, endpoint) = (Platform::new(), Endpoint::new(&[]));
                 platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
-                let (folder, listen) = (Folder::new(), own_address());
+                let (folder, listen) = (Folder::new(), unique_address());
                 let config = config(&platform, listen);
                 let process = start_with_file_size_limit(&folder, &config);
                 wait_until_ready(listen);
--- a/crates/courier/tests/crossing_clients.rs
+++ b/crates/courier/tests/crossing_clients.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    command, own_address, put, settings, wait_until, Client, Courier, Endpoint, Folder, Platform, Reply,
+    command, put, settings, unique_address, wait_until, Client, Courier, Endpoint, Folder, Platform, Reply,
 };
 use meadowhold_courier::clients::{listen, Phase};
 use meadowhold_courier::discovery::List;
@@ -268,8 +268,8 @@
 fn undelivered_notices_keep_no_bodies_in_memory() {
     let platform = Platform::new();
     platform.state.lock().unwrap().notices_to_reject = usize::MAX;
-    platform.set_entry("e1", own_address(), "single", 7, "DRAINING");
-    let (folder, listen) = (Folder::new(), own_address());
+    platform.set_entry("e1", unique_address(), "single", 7, "DRAINING");
+    let (folder, listen) = (Folder::new(), unique_address());
     let config = common::config(&platform, listen);
     let mut child = command(&folder, &config, "serve").spawn().unwrap();
     common::wait_until_ready(listen);
@@ -325,7 +325,7 @@
 #[test]
 fn a_notice_that_the_platform_rejects_does_not_delay_the_others() {
     let platform = Platform::new();
-    platform.set_entry("e1", own_address(), "single", 7, "DRAINING");
+    platform.set_entry("e1", unique_address(), "single", 7, "DRAINING");
     let (address, posts) = agent(|text| Some(if text.contains("\"odd-") { 400 } else { 204 }));
     let courier = Courier::start(&platform, |config| {
         config["discovery"] = json!(address.to_string());
--- a/crates/courier/tests/descriptors.rs
+++ b/crates/courier/tests/descriptors.rs
@@ -9,7 +9,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use common::{command, output, own_address, put, wait_until, Client, Endpoint, Folder, Platform, Reply, OK};
+use common::{
+    command, output, put, unique_address, wait_until, Client, Endpoint, Folder, Platform, Reply, OK,
+};
 use serde_json::json;
 
 const LONG_LIFETIME: &str = "d=8000";
@@ -52,9 +54,9 @@
     platform.set_entry("e1", slow.address, "single", 7, "SERVING");
     let other = Endpoint::new(&[]);
     platform.set_entry("e2", other.address, "single", 8, "SERVING");
-    platform.set_entry("e3", own_address(), "single", 9, "DRAINING");
+    platform.set_entry("e3", unique_address(), "single", 9, "DRAINING");
     let (agent, notices) = unresponsive_discovery();
-    let (folder, listen) = (Folder::new(), own_address());
+    let (folder, listen) = (Folder::new(), unique_address());
     let mut config = common::config(&platform, listen);
     config["limits"]["sockets"] = json!(min_sockets);
     config["settings"]["FamilyInfo"]["Slots"] = json!(32);
@@ -123,13 +125,13 @@
     for (few, words) in
         [(json!(63), "under 64"), (json!(0), "under 64"), (json!(-1), "sockets"), (json!(1e30), "sockets")]
     {
-        let (folder, mut config) = (Folder::new(), common::config(&platform, own_address()));
+        let (folder, mut config) = (Folder::new(), common::config(&platform, unique_address()));
         config["limits"]["sockets"] = few;
         let (success, said) = output(command(&folder, &config, "serve"));
         assert!(!success && said.contains(words) && said.trim_end().lines().count() == 1, "{said}");
     }
     for much in [json!(64), json!(u64::MAX)] {
-        let (folder, mut config) = (Folder::new(), common::config(&platform, own_address()));
+        let (folder, mut config) = (Folder::new(), common::config(&platform, unique_address()));
         config["limits"]["sockets"] = much;
         assert_eq!(output(command(&folder, &config, "check")), (true, String::new()));
     }
--- a/crates/courier/tests/list.rs
+++ b/crates/courier/tests/list.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    command, config, own_address, serve, wait_until, wait_until_ready, Client, Courier, Endpoint, Folder,
+    command, config, serve, unique_address, wait_until, wait_until_ready, Client, Courier, Endpoint, Folder,
     Platform,
 };
 use serde_json::{json, Value};
@@ -291,7 +291,7 @@
     let pair = Pair::new();
     let (old, new) = (list(5, true, &pair.before()), list(6, true, &pair.after()));
     // Before the restart no endpoint is up.
-    let nobody = list(5, true, &[entry("e1", own_address(), 7, "SERVING")]);
+    let nobody = list(5, true, &[entry("e1", unique_address(), 7, "SERVING")]);
     let restarted = Arc::new(AtomicBool::new(false));
     let (anew, early) = (restarted.clone(), nobody.clone());
     let discovery = Discovery::new(move |_, request, out| {
@@ -323,7 +323,7 @@
         let known = list(5, true, &[entry("e1", endpoint.address, 7, "SERVING")]);
         let mut discovery = Discovery::new(|_, _, out| stay_silent(out));
         if !there {
-            discovery.address = own_address();
+            discovery.address = unique_address();
         }
         let courier = start(&discovery, mode, &known);
         let start = Instant::now();
@@ -383,7 +383,8 @@
         Request::Watch => {
             let sent = out.write_all(CHUNKED_HEADERS.as_bytes()).is_ok();
             // The change to the second endpoint, between these versions, was lost.
-            let lines = [list(6, false, &[]), list(15, false, &[entry("e3", own_address(), 8, "SERVING")])];
+            let lines =
+                [list(6, false, &[]), list(15, false, &[entry("e3", unique_address(), 8, "SERVING")])];
             sent && (nth > 1 || lines.iter().all(|line| chunk(out, &format!("{line}\n")))) && idle_watch(out)
         }
     });
@@ -449,7 +450,8 @@
     for mode in ["push", "ask"] {
         let pair = Pair::new();
         let (old, new) = (list(5, true, &pair.before()), list(15, true, &pair.after()));
-        let lines = vec![list(6, false, &[]), list(15, false, &[entry("e3", own_address(), 8, "SERVING")])];
+        let lines =
+            vec![list(6, false, &[]), list(15, false, &[entry("e3", unique_address(), 8, "SERVING")])];
         // A list older than the gap, as from a lagging replica of discovery.
         let between = vec![list(9, true, &pair.before())];
         let discovery = faulty_discovery(old, lines, between, new);
@@ -472,7 +474,7 @@
     for mode in ["push", "ask"] {
         let pair = Pair::new();
         let old = list(5, true, &pair.before());
-        let others = ["e3", "e4"].map(|name| entry(name, own_address(), 8, "SERVING"));
+        let others = ["e3", "e4"].map(|name| entry(name, unique_address(), 8, "SERVING"));
         let new = list(8, true, &[&pair.after()[..], &others].concat());
         // As many entries as versions, so that no change seems to be missing.
         let lines = vec![list(6, false, &[]), list(8, false, &others), list(7, false, &pair.after())];
@@ -913,7 +915,7 @@
 
 impl LimitedCourier {
     fn start(discovery: &Discovery, mode: &str, known: &Value, sockets: usize) -> LimitedCourier {
-        let (folder, listen) = (Folder::new(), own_address());
+        let (folder, listen) = (Folder::new(), unique_address());
         let mut config = config(&Platform::new(), listen);
         config["discovery"] = json!(discovery.address.to_string());
         config["known"] = known.clone();
--- a/crates/courier/tests/members.rs
+++ b/crates/courier/tests/members.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use common::{command, config, output, own_address, wait_until, wait_until_ready, Folder, Platform};
+use common::{command, config, output, unique_address, wait_until, wait_until_ready, Folder, Platform};
 use serde_json::{json, Value};
 
 struct Process {
@@ -22,11 +22,11 @@
 impl Process {
     /// `members`: the address for membership, on a port that is currently free, and those of the others.
     fn start(platform: &Platform, name: &str, members: Option<(SocketAddr, &[SocketAddr])>) -> Process {
-        let listen = own_address();
+        let listen = unique_address();
         let (folder, mut config) = (Folder::new(), config(platform, listen));
         config["name"] = json!(name);
         config["settings"]["Limits"]["MayTell"] = json!(true);
-        config["peers"] = peers(own_address(), members);
+        config["peers"] = peers(unique_address(), members);
         let child = spawn(&folder, &config);
         let process = Process { name: name.to_string(), listen, folder, config, child };
         wait_until_ready(process.listen);
@@ -94,7 +94,7 @@
 #[test]
 fn five_processes_know_who_is_killed_who_stands_still_and_who_is_back() {
     let platform = Platform::new();
-    let addresses: Vec<SocketAddr> = (0..5).map(|_| own_address()).collect();
+    let addresses: Vec<SocketAddr> = (0..5).map(|_| unique_address()).collect();
     let mut all: Vec<Process> = (0..5)
         .map(|i| Process::start(&platform, &format!("m{i}"), Some((addresses[i], &addresses))))
         .collect();
@@ -147,7 +147,7 @@
 #[test]
 fn without_members_there_is_neither_thread_nor_socket() {
     let platform = Platform::new();
-    let addresses = [own_address(), own_address()];
+    let addresses = [unique_address(), unique_address()];
     let without = Process::start(&platform, "m0", None);
     let with = Process::start(&platform, "m1", Some((addresses[0], &addresses)));
     assert_eq!((without.threads(), with.threads()), (1, 2));
@@ -191,9 +191,9 @@
         (json!({"listen": taken, "others": []}), "cannot listen for membership messages at"),
     ];
     for (members, words) in rows {
-        let (folder, mut config) = (Folder::new(), config(&platform, own_address()));
+        let (folder, mut config) = (Folder::new(), config(&platform, unique_address()));
         config["settings"]["Limits"]["MayTell"] = json!(true);
-        config["peers"] = peers(own_address(), None);
+        config["peers"] = peers(unique_address(), None);
         config["peers"]["members"] = members;
         let (success, log) = output(command(&folder, &config, "serve"));
         assert!(!success && log.contains(words) && log.trim_end().lines().count() == 1, "{words}: {log}");
--- a/crates/courier/tests/relay.rs
+++ b/crates/courier/tests/relay.rs
@@ -14,7 +14,8 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use common::{
-    command, output, own_address, serve, wait_until, wait_until_within, Courier, Endpoint, Folder, Platform,
+    command, output, serve, unique_address, wait_until, wait_until_within, Courier, Endpoint, Folder,
+    Platform,
 };
 use meadowhold_catalog::choice::rank_relays;
 use rustix::process::{kill_process, Pid, Signal};
@@ -122,7 +123,7 @@
 
 impl Relay {
     fn configured(change: impl FnOnce(&mut Value)) -> Relay {
-        let (address, folder) = (own_address(), Folder::new());
+        let (address, folder) = (unique_address(), Folder::new());
         let state = folder.path.join("state");
         let mut config =
             json!({"name": "r", "listen": address.to_string(), "state": state, "partitions": 16});
@@ -972,7 +973,7 @@
     assert!(meadowhold_courier::relay::config::Config::read(worked).is_ok());
     // A courier's as well.
     let platform = Platform::new();
-    let mut config = common::config(&platform, own_address());
+    let mut config = common::config(&platform, unique_address());
     config["relays"] = json!(["127.0.0.1:1", "127.0.0.1:2"]);
     let said = command(&folder, &config, "check").output().unwrap();
     let said = String::from_utf8(said.stdout).unwrap();
--- a/crates/courier/tests/restart.rs
+++ b/crates/courier/tests/restart.rs
@@ -13,7 +13,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use common::{command, own_address, put, wait_until, Client, Courier, Endpoint, Folder, Platform, Reply, OK};
+use common::{
+    command, put, unique_address, wait_until, Client, Courier, Endpoint, Folder, Platform, Reply, OK,
+};
 use serde_json::{json, Value};
 
 const LONG_LIFETIME: &str = "d=8000";
@@ -213,7 +215,7 @@
 fn waiting_for_calls_in_flight_uses_no_processor_time() {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&[Reply::Delayed(6000, Box::new(OK))]));
     platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
-    let (folder, listen) = (Folder::new(), own_address());
+    let (folder, listen) = (Folder::new(), unique_address());
     let mut child = command(&folder, &common::config(&platform, listen), "serve").spawn().unwrap();
     wait_until("acceptance of the mail", || {
         Client::connect(listen).is_ok_and(|mut client| client.put("01", "once", "d=20000") == "+OK")
@@ -412,7 +414,7 @@
 fn a_planned_end_takes_on_and_keeps_only_what_can_still_be_tried() {
     let platform = Platform::new();
     // An address at which nothing listens.
-    platform.set_entry("e1", own_address(), "single", 7, "SERVING");
+    platform.set_entry("e1", unique_address(), "single", 7, "SERVING");
     // Enough connects, with pauses between them.
     let patient = |config: &mut Value| {
         config["settings"]["Limits"]["MaxAttempts"] = json!(64);
--- a/crates/courier/tests/settings.rs
+++ b/crates/courier/tests/settings.rs
@@ -13,8 +13,8 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    command, config, output, own_address, put, serve, settings, wait_until_ready, wait_until_within, Client,
-    Folder, Platform,
+    command, config, output, put, serve, settings, unique_address, wait_until_ready, wait_until_within,
+    Client, Folder, Platform,
 };
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
@@ -33,7 +33,7 @@
 
 impl Process {
     fn start(platform: &Platform, change: impl FnOnce(&mut Value)) -> Process {
-        let (listen, folder) = (own_address(), Folder::new());
+        let (listen, folder) = (unique_address(), Folder::new());
         let mut config = config(platform, listen);
         change(&mut config);
         let child = Process::spawn(&folder, &config.to_string(), 0);
@@ -599,7 +599,7 @@
 #[test]
 fn check_prints_the_version_if_there_is_one() {
     let (platform, folder) = (platform(), Folder::new());
-    let base = config(&platform, own_address());
+    let base = config(&platform, unique_address());
     for (config, words) in [(version(&base, 12), Some("settings version 12\n")), (base, None)] {
         let output = command(&folder, &config, "check").output().unwrap();
         let out = String::from_utf8(output.stdout).unwrap();
--- a/crates/courier/tests/start.rs
+++ b/crates/courier/tests/start.rs
@@ -30,7 +30,7 @@
     // Slow enough that each kill finds a call in flight and other mails waiting.
     let slow: Vec<Reply> = (0..64).map(|_| Reply::Delayed(40, Box::new(OK))).collect();
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&slow));
-    let closed_address = common::own_address();
+    let closed_address = common::unique_address();
     // No endpoint listens while the mails are handed in, so all of them stay owed.
     platform.set_entry("e1", closed_address, "single", 7, "SERVING");
     let mut courier = Courier::start(&platform, one_slot_and_importance_by_class);
@@ -94,7 +94,7 @@
 #[test]
 fn a_new_mail_does_not_overtake_a_restored_mail_of_the_same_key() {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&[]));
-    platform.set_entry("e1", common::own_address(), "single", 7, "SERVING");
+    platform.set_entry("e1", common::unique_address(), "single", 7, "SERVING");
     let mut courier = Courier::start(&platform, |config| {
         config["settings"]["Rules"]["TurnGapUs"] = json!(1000);
     });
@@ -121,7 +121,7 @@
 #[test]
 fn a_mail_that_expired_while_the_courier_was_down_is_given_up_at_once() {
     let platform = Platform::new();
-    platform.set_entry("e1", common::own_address(), "single", 7, "SERVING");
+    platform.set_entry("e1", common::unique_address(), "single", 7, "SERVING");
     let mut courier = Courier::start(&platform, one_slot_and_importance_by_class);
     let mut client = courier.client();
     let handed_in = Instant::now();
@@ -140,7 +140,7 @@
 #[test]
 fn without_discovery_a_start_uses_the_saved_list() {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&[]));
-    let closed_address = common::own_address();
+    let closed_address = common::unique_address();
     platform.set_entry("e1", closed_address, "single", 7, "SERVING");
     // The list in the configuration keeps this address.
     let mut courier = Courier::start(&platform, |_| {});
--- a/crates/rig/src/scripted.rs
+++ b/crates/rig/src/scripted.rs
@@ -20,13 +20,13 @@
 /// A temporary folder for one test, removed at its end.
 pub struct Folder {
     pub path: PathBuf,
-    _held: tempfile::TempDir,
+    _guard: tempfile::TempDir,
 }
 
 impl Folder {
     pub fn new() -> Folder {
-        let held = tempfile::Builder::new().prefix("meadowhold-").tempdir().unwrap();
-        Folder { path: held.path().to_path_buf(), _held: held }
+        let guard = tempfile::Builder::new().prefix("meadowhold-").tempdir().unwrap();
+        Folder { path: guard.path().to_path_buf(), _guard: guard }
     }
 }
 
@@ -38,7 +38,7 @@
 
 /// An address that no other test uses, in this process or another. Picking a free port instead would be racy: another
 /// test may take it before it is used.
-pub fn own_address() -> SocketAddr {
+pub fn unique_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let (process, next) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
     assert!(next < 250);
@@ -84,7 +84,7 @@
     }
 }
 
-fn request(stream: &mut BufReader<TcpStream>) -> Option<Request> {
+fn read_request(stream: &mut BufReader<TcpStream>) -> Option<Request> {
     let mut line = String::new();
     stream.read_line(&mut line).ok().filter(|&n| n > 0)?;
     let target = line.split(' ').nth(1)?.to_string();
@@ -122,7 +122,7 @@
             thread::spawn(move || {
                 let mut out = stream.try_clone().unwrap();
                 let mut stream = BufReader::new(stream);
-                while let Some(request) = request(&mut stream) {
+                while let Some(request) = read_request(&mut stream) {
                     if !answer(request, &mut out) {
                         let _ = out.shutdown(Shutdown::Both);
                         break;
@@ -158,13 +158,13 @@
     start: Instant,
     used: Mutex<(u128, usize)>,
     /// Each mail's call: when it came, the mail's id, and the wait it was told if it was refused.
-    pub seen: Mutex<Vec<(Instant, String, Option<Duration>)>>,
+    pub calls: Mutex<Vec<(Instant, String, Option<Duration>)>>,
 }
 
 impl Limit {
     pub fn new(count: usize, span: Duration) -> Arc<Limit> {
-        let (start, used, seen) = (Instant::now(), Mutex::default(), Mutex::default());
-        Arc::new(Limit { count, span, start, used, seen })
+        let (start, used, calls) = (Instant::now(), Mutex::default(), Mutex::default());
+        Arc::new(Limit { count, span, start, used, calls })
     }
 
     pub fn rate(&self) -> f64 {
@@ -173,15 +173,15 @@
 
     /// Returns the remaining calls if this call is within the limit, and the seconds to the end of the span.
     fn take(&self, request: &Request) -> (Option<usize>, f64) {
-        let since = self.start.elapsed();
-        let span = since.as_nanos() / self.span.as_nanos();
-        let rest = self.span.as_secs_f64() * (span + 1) as f64 - since.as_secs_f64();
+        let elapsed = self.start.elapsed();
+        let index = elapsed.as_nanos() / self.span.as_nanos();
+        let rest = self.span.as_secs_f64() * (index + 1) as f64 - elapsed.as_secs_f64();
         let mut used = self.used.lock().unwrap();
-        *used = if used.0 == span { *used } else { (span, 0) };
+        *used = if used.0 == index { *used } else { (index, 0) };
         let left = self.count.checked_sub(used.1 + 1);
         used.1 += usize::from(left.is_some());
         let wait = left.is_none().then(|| Duration::from_secs_f64(rest));
-        self.seen.lock().unwrap().extend(request.ids().into_iter().map(|id| (Instant::now(), id, wait)));
+        self.calls.lock().unwrap().extend(request.ids().into_iter().map(|id| (Instant::now(), id, wait)));
         (left, rest)
     }
 }
@@ -198,13 +198,13 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let calls: Arc<Mutex<Vec<Request>>> = Arc::default();
-        let seen = calls.clone();
+        let recorded = calls.clone();
         let script: Mutex<VecDeque<Reply>> = Mutex::new(script.iter().cloned().collect());
         let connections = serve(listener, move |request, out| {
             let ids = request.ids();
-            seen.lock().unwrap().push(request);
-            let served = if ids.len() > 1 { Reply::BatchStates(&["ok"; 64], "") } else { OK };
-            let reply = script.lock().unwrap().pop_front().unwrap_or(served);
+            recorded.lock().unwrap().push(request);
+            let relayed = if ids.len() > 1 { Reply::BatchStates(&["ok"; 64], "") } else { OK };
+            let reply = script.lock().unwrap().pop_front().unwrap_or(relayed);
             send_reply(reply, &ids, out)
         });
         Endpoint { address, calls, connections }
@@ -216,10 +216,10 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let calls: Arc<Mutex<Vec<Request>>> = Arc::default();
-        let (seen, limit) = (calls.clone(), limit.clone());
+        let (recorded, limit) = (calls.clone(), limit.clone());
         let connections = serve(listener, move |request, out| {
             let (left, wait) = limit.take(&request);
-            seen.lock().unwrap().push(request);
+            recorded.lock().unwrap().push(request);
             let share = left.unwrap_or(0) as f64 / limit.count as f64;
             let load = format!("X-Load: x0={share:.2},x1={:.1}", limit.rate());
             let status = if left.is_some() { "200 X" } else { "429 X" };
@@ -452,7 +452,7 @@
 
 impl Courier {
     pub fn start(platform: &Platform, change: impl FnOnce(&mut Value)) -> Courier {
-        let listen = own_address();
+        let listen = unique_address();
         let (folder, mut config) = (Folder::new(), config(platform, listen));
         change(&mut config);
         let child = command(&folder, &config, "serve").spawn().unwrap();
--- a/crates/rig/src/slopes.rs
+++ b/crates/rig/src/slopes.rs
@@ -192,7 +192,7 @@
     /// # Errors
     /// Where it cannot be started.
     pub fn start(binary: &Path, config: impl FnOnce(SocketAddr) -> Value) -> Result<Courier, Stopped> {
-        let (listen, folder) = (scripted::own_address(), scripted::Folder::new());
+        let (listen, folder) = (scripted::unique_address(), scripted::Folder::new());
         fs::write(folder.path.join("config.json"), config(listen).to_string())?;
         let child = Courier::spawn(binary, &folder.path)?;
         Ok(Courier { listen, folder, binary: binary.to_path_buf(), child })
