--- a/crates/courier/tests/common/mod.rs
+++ b/crates/courier/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins on loopback that go through scripts, and a courier to put among them: the rig's.
+//! The rig's scripted mock services on loopback, and a courier process to run against them.
 #![allow(unused_imports)]
 
 pub use meadowhold_rig::scripted::*;
--- a/crates/courier/tests/common/process.rs
+++ b/crates/courier/tests/common/process.rs
@@ -1,4 +1,4 @@
-//! A courier's process without sockets, on a folder and by a clock that a test plays.
+//! A courier's exchange and journal without sockets, on a folder and with a clock that the test sets.
 #![allow(dead_code)]
 
 use std::time::Duration;
@@ -14,10 +14,10 @@
 
 use crate::common::{settings, wait_until, Folder};
 
-/// When the clock begins.
+/// Initial time of the clock.
 pub const START: Time = 1_700_000_000 * SECOND;
 
-/// A process without sockets, on a folder.
+/// A courier process without sockets, on a folder.
 pub struct Process {
     pub exchange: Exchange,
     orders: UnboundedReceiver<Order>,
@@ -31,7 +31,8 @@
 
 impl Process {
     pub fn start(folder: &Folder, allowance: u64, now: Time, window: Option<u64>) -> Process {
-        // A process that another test has just begun to start holds all our descriptors for a moment, locks too.
+        // A child process that another test is just spawning holds all descriptors of this process for a moment, and
+        // with them the lock.
         let mut journal = None;
         wait_until("the folder's lock", || match Journal::open(&folder.path, allowance) {
             Err(e) if e.to_string().contains("another courier") => false,
@@ -40,7 +41,7 @@
         Process::with_journal(journal.unwrap(), now, window)
     }
 
-    /// The same with a journal that has been opened; `window`: for how long a repeat of a tagged message is dropped.
+    /// Like `start`, with an open journal. `window`: for how long a repeat of a tagged mail is dropped.
     pub fn with_journal(journal: (Journal, JournalContents), now: Time, window: Option<u64>) -> Process {
         let (order_sender, orders) = unbounded_channel();
         let (notice_sender, notices) = unbounded_channel();
@@ -51,7 +52,7 @@
         let decoded = decode_json(1, &settings).unwrap();
         let clock = Clock::still(now);
         let mut exchange = Exchange::with_clock(clock, decoded, journal, order_sender, notice_sender, None);
-        // Two endpoints of each destination, so that a sick one keeps no other mail waiting.
+        // Two endpoints for each destination, so that a failing one does not delay other mails.
         let entry = |i: u64| {
             json!({"name": format!("e{i}"), "address": "127.0.0.1:9", "zone": "a", "type": "single",
                 "group": i / 2, "status": "SERVING", "weight": 1000.0})
@@ -86,7 +87,7 @@
         orders.filter_map(|order| if let Order::Call(call) = order { Some(call) } else { None }).collect()
     }
 
-    /// The next call within a second, not begun yet.
+    /// Advances the clock in steps of 5 ms until there is a call, for at most a second. The call is not begun yet.
     pub fn call(&mut self) -> Option<Call> {
         (0..200).find_map(|_| {
             let call = self.calls().pop();
@@ -104,7 +105,8 @@
         notices.map(|n| (String::from_utf8(n.id.to_vec()).unwrap(), n.verdict)).collect()
     }
 
-    /// Serves all for so long, each call with this outcome; the ids that were sent, and the ends.
+    /// Runs the exchange for this time and ends every connect with this outcome. Returns the ids of the mails sent and the
+    /// verdicts.
     pub fn run_for(&mut self, time: Time, outcome: Outcome) -> (Vec<String>, Vec<(String, Verdict)>) {
         let (mut sent, end) = (Vec::new(), self.now + time);
         while self.now < end {
