--- a/crates/courier/tests/audit.rs
+++ b/crates/courier/tests/audit.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use common::{
-    command, config, own_address, put, settings, until, Client, Endpoint, Folder, Platform, Reply, OK,
+    command, config, put, settings, unique_address, wait_until, Client, Endpoint, Folder, Platform, Reply, OK,
 };
 use meadowhold::interface::{Outcome, PeerNote, Time, SECOND};
 use meadowhold_courier::discovery::List;
@@ -595,7 +595,7 @@
 
 impl Process {
     fn start(platform: &Platform, peer_addresses: [SocketAddr; 3], i: usize) -> Process {
-        let (listen, folder) = (own_address(), Folder::new());
+        let (listen, folder) = (unique_address(), Folder::new());
         let mut config = config(platform, listen);
         let others: Vec<String> = (0..3).filter(|&o| o != i).map(|o| peer_addresses[o].to_string()).collect();
         config["settings"]["Limits"]["MayTell"] = json!(true);
@@ -614,8 +614,8 @@
     }
 
     fn ready(&self) {
-        until("the courier's first answer", || {
-            Client::connect(self.listen).is_ok_and(|mut client| client.say(b"PING\r\n") == "+PONG")
+        wait_until("the courier's first answer", || {
+            Client::connect(self.listen).is_ok_and(|mut client| client.request(b"PING\r\n") == "+PONG")
         });
     }
 
@@ -627,7 +627,7 @@
         } else {
             let id = self.child.id().to_string();
             assert!(Command::new("kill").args(["-TERM", &id]).status().unwrap().success());
-            until("exit of the courier", || self.child.try_wait().unwrap().is_some());
+            wait_until("exit of the courier", || self.child.try_wait().unwrap().is_some());
         }
         let well = self.child.wait().unwrap().success();
         let log = self.log();
@@ -669,9 +669,9 @@
             Reply::Status(429, "Retry-After: 0.050\r\n"),
             Reply::Status(503, "X-Over-Slots: 1\r\n"),
             Reply::Status(410, ""),
-            Reply::Break,
-            Reply::Silence,
-            Reply::After(200, Box::new(OK)),
+            Reply::CloseConnection,
+            Reply::NoAnswer,
+            Reply::Delayed(200, Box::new(OK)),
             Reply::Raw("HTTP/1.1 20"),
         ];
         let one = |_| if rng.bool() { OK } else { replies[rng.usize(..9)].clone() };
@@ -680,10 +680,10 @@
     let endpoints: Vec<Endpoint> = (0..4).map(|_| Endpoint::new(&script(&mut rng))).collect();
     let list = |i: usize, status: &str| {
         let (kind, destination) = [("single", 7), ("many", 8)][i % 2];
-        platform.list(&format!("e{i}"), endpoints[i].address, kind, destination, status);
+        platform.set_entry(&format!("e{i}"), endpoints[i].address, kind, destination, status);
     };
     (0..4).for_each(|i| list(i, "SERVING"));
-    let peer_addresses = [0; 3].map(|_| own_address());
+    let peer_addresses = [0; 3].map(|_| unique_address());
     let mut couriers = [0, 1, 2].map(|i| Process::start(&platform, peer_addresses, i));
     let mut taken = 0;
     for step in 0..60 {
@@ -701,7 +701,7 @@
                         let at = mail.windows(6).position(|six| six == b"dest=7").unwrap();
                         mail[at + 5] = b'8';
                     }
-                    taken += usize::from(client.say(&mail) == "+OK");
+                    taken += usize::from(client.request(&mail) == "+OK");
                 }
             }
             14..=16 => list(rng.usize(..4), ["SERVING", "SERVING", "DRAINING", "DELETED"][rng.usize(..4)]),
--- a/crates/courier/tests/common/process.rs
+++ b/crates/courier/tests/common/process.rs
@@ -1,4 +1,4 @@
-//! A courier's process without sockets, on a folder and by a clock that a test plays.
+//! A courier's exchange and journal without sockets, on a folder and with a clock that the test sets.
 #![allow(dead_code)]
 
 use std::time::Duration;
@@ -12,12 +12,12 @@
 use serde_json::json;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 
-use crate::common::{settings, until, Folder};
+use crate::common::{settings, wait_until, Folder};
 
-/// When the clock begins.
+/// Initial time of the clock.
 pub const START: Time = 1_700_000_000 * SECOND;
 
-/// A process without sockets, on a folder.
+/// A courier process without sockets, on a folder.
 pub struct Process {
     pub exchange: Exchange,
     orders: UnboundedReceiver<Order>,
@@ -31,27 +31,28 @@
 
 impl Process {
     pub fn start(folder: &Folder, allowance: u64, now: Time, window: Option<u64>) -> Process {
-        // A process that another test has just begun to start holds all our descriptors for a moment, locks too.
+        // A child process that another test is just spawning holds all descriptors of this process for a moment, and
+        // with them the lock.
         let mut journal = None;
-        until("the folder's lock", || match Journal::open(&folder.path, allowance) {
+        wait_until("the folder's lock", || match Journal::open(&folder.path, allowance) {
             Err(e) if e.to_string().contains("another courier") => false,
             opened => journal.replace(opened.unwrap()).is_none(),
         });
-        Process::with(journal.unwrap(), now, window)
+        Process::with_journal(journal.unwrap(), now, window)
     }
 
-    /// The same with a journal that has been opened; `window`: for how long a repeat of a tagged message is dropped.
-    pub fn with(journal: (Journal, JournalContents), now: Time, window: Option<u64>) -> Process {
-        let (orders_in, orders) = unbounded_channel();
-        let (notices_in, notices) = unbounded_channel();
+    /// Like `start`, with an open journal. `window`: for how long a repeat of a tagged mail is dropped.
+    pub fn with_journal(journal: (Journal, JournalContents), now: Time, window: Option<u64>) -> Process {
+        let (order_sender, orders) = unbounded_channel();
+        let (notice_sender, notices) = unbounded_channel();
         let mut settings = settings();
         if let Some(window) = window {
             settings["Profiles"][1]["DedupWindowUs"] = json!(window);
         }
         let decoded = decode_json(1, &settings).unwrap();
         let clock = Clock::still(now);
-        let mut exchange = Exchange::with_clock(clock, decoded, journal, orders_in, notices_in, None);
-        // Two endpoints of each destination, so that a sick one keeps no other mail waiting.
+        let mut exchange = Exchange::with_clock(clock, decoded, journal, order_sender, notice_sender, None);
+        // Two endpoints for each destination, so that a failing one does not delay other mails.
         let entry = |i: u64| {
             json!({"name": format!("e{i}"), "address": "127.0.0.1:9", "zone": "a", "type": "single",
                 "group": i / 2, "status": "SERVING", "weight": 1000.0})
@@ -63,19 +64,19 @@
         Process { exchange, orders, notices, now }
     }
 
-    pub fn put(&mut self, id: &str, class: &str, dest: u64) -> Answer {
+    pub fn put(&mut self, id: &str, class: &str, destination: u64) -> Answer {
         self.exchange.hand_in(Offer {
             id: text(id),
             key: text("5c0f"),
             order_key: text("0000"),
             class: text(class),
-            destination: dest,
+            destination,
             lifetime: Duration::from_secs(4),
             body: text("hello"),
         })
     }
 
-    pub fn pass(&mut self, time: Time) {
+    pub fn advance(&mut self, time: Time) {
         self.now += time;
         self.exchange.clock = Clock::still(self.now);
     }
@@ -86,11 +87,11 @@
         orders.filter_map(|order| if let Order::Call(call) = order { Some(call) } else { None }).collect()
     }
 
-    /// The next call within a second, not begun yet.
+    /// Advances the clock in steps of 5 ms until there is a call, for at most a second. The call is not begun yet.
     pub fn call(&mut self) -> Option<Call> {
         (0..200).find_map(|_| {
             let call = self.calls().pop();
-            self.pass(if call.is_none() { 50 } else { 0 });
+            self.advance(if call.is_none() { 50 } else { 0 });
             call
         })
     }
@@ -99,23 +100,24 @@
         !self.exchange.begin(call, call.mails.clone()).is_empty()
     }
 
-    pub fn ends(&mut self) -> Vec<(String, Verdict)> {
+    pub fn verdicts(&mut self) -> Vec<(String, Verdict)> {
         let notices = std::iter::from_fn(|| self.notices.try_recv().ok());
         notices.map(|n| (String::from_utf8(n.id.to_vec()).unwrap(), n.verdict)).collect()
     }
 
-    /// Serves all for so long, each call with this outcome; the ids that were sent, and the ends.
-    pub fn play(&mut self, time: Time, outcome: Outcome) -> (Vec<String>, Vec<(String, Verdict)>) {
-        let (mut sent, until) = (Vec::new(), self.now + time);
-        while self.now < until {
+    /// Runs the exchange for this time and ends every connect with this outcome. Returns the ids of the mails sent and the
+    /// verdicts.
+    pub fn run_for(&mut self, time: Time, outcome: Outcome) -> (Vec<String>, Vec<(String, Verdict)>) {
+        let (mut sent, end) = (Vec::new(), self.now + time);
+        while self.now < end {
             for call in self.calls() {
                 for mail in self.exchange.begin(&call, call.mails.clone()) {
                     sent.push(String::from_utf8(mail.id.to_vec()).unwrap());
                     self.exchange.connect_ended(mail.serial, ConnectReport::of(outcome));
                 }
             }
-            self.pass(200);
+            self.advance(200);
         }
-        (sent, self.ends())
+        (sent, self.verdicts())
     }
 }
--- a/crates/courier/tests/courier.rs
+++ b/crates/courier/tests/courier.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    command, output, own_address, put, until, until_for, Client, Courier, Endpoint, Folder, Limit, Platform,
-    Reply, OK,
+    command, output, put, unique_address, wait_until, wait_until_within, Client, Courier, Endpoint, Folder,
+    Limit, Platform, Reply, OK,
 };
 use serde_json::{json, Value};
 
@@ -30,14 +30,14 @@
     change: impl FnOnce(&mut Value),
 ) -> (Platform, Endpoint, Courier) {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(script));
-    platform.list("e1", endpoint.address, kind, 7, "SERVING");
+    platform.set_entry("e1", endpoint.address, kind, 7, "SERVING");
     let courier = Courier::start(&platform, change);
     (platform, endpoint, courier)
 }
 
 #[test]
 fn each_outcome_of_a_single_mail_call_is_handled() {
-    use Reply::{Break, Silence, Status};
+    use Reply::{CloseConnection, NoAnswer, Status};
     // (class, the endpoint's first reply, total calls, notice, minimum time before the second call in ms)
     let rows: [(&str, Reply, usize, &str, u64); 15] = [
         ("once", OK, 1, "", 0),
@@ -51,10 +51,10 @@
         ("once", Status(410, ""), 1, "", 0),
         ("again", Status(410, ""), 1, "", 0),
         ("once", Status(418, ""), 1, "dead", 0),
-        ("once", Break, 1, "dead", 0),
-        ("tagged", Break, 2, "", 0),
-        ("again", Silence, 2, "", 100),
-        ("tagged", Silence, 2, "", 100),
+        ("once", CloseConnection, 1, "dead", 0),
+        ("tagged", CloseConnection, 2, "", 0),
+        ("again", NoAnswer, 2, "", 100),
+        ("tagged", NoAnswer, 2, "", 100),
     ];
     thread::scope(|scope| {
         for (class, reply, calls, notice, pause) in rows {
@@ -63,7 +63,7 @@
                 let (platform, endpoint, courier) = setup("single", &[reply]);
                 let answered = courier.client().put("9b1f", class, "d=4000,k=5c0f");
                 assert_eq!(answered, "+OK", "{name}");
-                until(&name, || courier.owes_nothing());
+                wait_until(&name, || courier.owes_nothing());
                 let seen = endpoint.calls();
                 assert_eq!(endpoint.ids(), vec!["9b1f"; calls], "{name}");
                 let expected = if notice.is_empty() { vec![] } else { vec![("9b1f".into(), notice.into())] };
@@ -118,14 +118,14 @@
                         });
                     let long = Duration::from_secs(40);
                     assert_eq!(courier.client().put("01", class, "d=60000"), "+OK");
-                    until_for(long, answer, || courier.owes_nothing());
+                    wait_until_within(long, answer, || courier.owes_nothing());
                     let expected =
                         if notice.is_empty() { vec![] } else { vec![("01".into(), notice.into())] };
                     assert_eq!((endpoint.calls().len(), platform.notices()), (calls, expected), "{answer}");
                     // Leftover bytes on the connection are not taken for an answer: the next mail uses
                     // another connection.
                     assert_eq!(courier.client().put("02", "again", "d=60000"), "+OK");
-                    until_for(long, answer, || courier.owes_nothing());
+                    wait_until_within(long, answer, || courier.owes_nothing());
                     assert!(platform.notices().iter().all(|n| n.0 == "01"), "{answer}");
                     let good = calls == 2 && class == "once";
                     assert!(good || endpoint.connections().0 > 1, "{answer}");
@@ -138,14 +138,14 @@
 #[test]
 fn a_mail_whose_endpoint_is_unreachable_is_deferred_when_it_expires() {
     let platform = Platform::new();
-    platform.list("e1", own_address(), "single", 7, "SERVING");
+    platform.set_entry("e1", unique_address(), "single", 7, "SERVING");
     let courier = Courier::start(&platform, unchanged);
     let start = Instant::now();
     assert_eq!(courier.client().put("9b1f", "once", "d=500"), "+OK");
-    until("the notice", || !platform.notices().is_empty());
+    wait_until("the notice", || !platform.notices().is_empty());
     assert_eq!(platform.notices(), [("9b1f".to_string(), "bounced".to_string())]);
     assert!(start.elapsed() < Duration::from_millis(1500));
-    until("the mail to be finished in the journal", || courier.owes_nothing());
+    wait_until("the mail to be finished in the journal", || courier.owes_nothing());
 }
 
 /// Timeouts that no machine is too slow for. The decision module stops sending once-only mails to an endpoint
@@ -161,43 +161,43 @@
 
 #[test]
 fn a_batch_is_answered_mail_by_mail() {
-    use Reply::{Break, Items, Raw, Status};
+    use Reply::{BatchStates, CloseConnection, Raw, Status};
     const MIXED: &[&str] = &["ok", "error", "later", "gone", "exhausted"];
     // (class, first reply, ids sent again, ids given up)
     let rows: [(&str, Reply, &[&str], &[&str]); 9] = [
         ("once", Raw("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n[{"), &[], &["a", "b", "c", "d", "e"]),
-        ("again", Items(MIXED, "Retry-After: 0.100\r\n"), &["b", "c", "e"], &[]),
-        ("once", Items(MIXED, ""), &["c", "e"], &["b"]),
-        ("once", Items(&["ok", "ok", "ok", "what"], ""), &[], &["d", "e"]),
+        ("again", BatchStates(MIXED, "Retry-After: 0.100\r\n"), &["b", "c", "e"], &[]),
+        ("once", BatchStates(MIXED, ""), &["c", "e"], &["b"]),
+        ("once", BatchStates(&["ok", "ok", "ok", "what"], ""), &[], &["d", "e"]),
         ("once", Status(200, ""), &[], &["a", "b", "c", "d", "e"]),
         ("once", Status(413, ""), &["a", "b", "c", "d", "e"], &[]),
         ("once", Status(400, ""), &["a", "b", "c", "d", "e"], &[]),
         ("once", Status(429, "Retry-After: 0.200\r\n"), &["a", "b", "c", "d", "e"], &[]),
-        ("once", Break, &[], &["a", "b", "c", "d", "e"]),
+        ("once", CloseConnection, &[], &["a", "b", "c", "d", "e"]),
     ];
     thread::scope(|scope| {
         for (class, reply, again, dead) in rows {
             scope.spawn(move || {
                 let name = format!("{class} {reply:?}");
                 let (platform, endpoint) = (Platform::new(), Endpoint::new(&[reply]));
-                platform.list("e1", endpoint.address, "many", 7, "DRAINING");
+                platform.set_entry("e1", endpoint.address, "many", 7, "DRAINING");
                 let courier = Courier::start(&platform, with_long_timeouts);
                 let mut mails = Vec::new();
                 for id in ["a", "b", "c", "d", "e"] {
                     mails.extend(put("0", id, class, "d=60000", id.as_bytes()));
                 }
                 let mut client = courier.client();
-                assert_eq!(client.say(&mails), "+OK", "{name}");
-                (1..5).for_each(|_| assert_eq!(client.line(), "+OK", "{name}"));
+                assert_eq!(client.request(&mails), "+OK", "{name}");
+                (1..5).for_each(|_| assert_eq!(client.read_line(), "+OK", "{name}"));
                 assert_eq!(endpoint.calls().len(), 0, "{name}");
                 // All mails are in hand: one turn sees the endpoint become ready and makes one call of them.
-                platform.list("e1", endpoint.address, "many", 7, "SERVING");
+                platform.set_entry("e1", endpoint.address, "many", 7, "SERVING");
                 // Checked first, since each look at the journal starts a process.
                 let long = Duration::from_secs(50);
-                until_for(long, &name, || {
+                wait_until_within(long, &name, || {
                     endpoint.ids().len() >= 5 + again.len() && platform.notices().len() >= dead.len()
                 });
-                until_for(long, &name, || courier.owes_nothing());
+                wait_until_within(long, &name, || courier.owes_nothing());
                 let calls = endpoint.calls();
                 assert_eq!((&calls[0].target[..], calls[0].ids().len()), ("/hook/batch", 5), "{name}");
                 let mut later: Vec<String> = calls[1..].iter().flat_map(|call| call.ids()).collect();
@@ -218,12 +218,12 @@
 /// including that one. An answer after a mail has expired is a different case, see `crossing_endpoints`.
 #[test]
 fn one_mail_of_a_batch_may_time_out_and_still_be_relayed() {
-    let reply = Reply::After(1000, Box::new(Reply::Items(&["ok", "ok"], "")));
-    let (platform, endpoint, courier) = setup("many", &[reply, Reply::Silence]);
+    let reply = Reply::Delayed(1000, Box::new(Reply::BatchStates(&["ok", "ok"], "")));
+    let (platform, endpoint, courier) = setup("many", &[reply, Reply::NoAnswer]);
     let mut mails = put("0", "again", "again", "d=60000", b"x");
     mails.extend(put("0", "once", "once", "d=60000", b"x"));
-    assert_eq!(courier.client().say(&mails), "+OK");
-    until("the mails to be finished", || courier.owes_nothing());
+    assert_eq!(courier.client().request(&mails), "+OK");
+    wait_until("the mails to be finished", || courier.owes_nothing());
     let calls = endpoint.calls();
     assert_eq!(calls[0].ids().len(), 2, "one call has both mails");
     // It may have been sent again meanwhile in a call that is never answered: the first call's answer
@@ -234,11 +234,12 @@
 
 #[test]
 fn a_call_that_breaks_after_one_mail_timed_out_reports_only_the_others() {
-    let (platform, endpoint, courier) = setup("many", &[Reply::After(1000, Box::new(Reply::Break))]);
+    let (platform, endpoint, courier) =
+        setup("many", &[Reply::Delayed(1000, Box::new(Reply::CloseConnection))]);
     let mut mails = put("0", "again", "again", "d=500", b"x");
     mails.extend(put("0", "once", "once", LIFETIME, b"x"));
-    assert_eq!(courier.client().say(&mails), "+OK");
-    until("the mails to be finished", || courier.owes_nothing());
+    assert_eq!(courier.client().request(&mails), "+OK");
+    wait_until("the mails to be finished", || courier.owes_nothing());
     assert_eq!(endpoint.calls().len(), 1);
     let expected =
         [("again", "bounced"), ("once", "dead")].map(|(id, end)| (id.to_string(), end.to_string()));
@@ -248,22 +249,24 @@
 #[test]
 fn a_killed_courier_finishes_every_mail_after_its_restart() {
     // The first calls are never answered; all calls after the restart are.
-    let silence = vec![Reply::Silence; 3];
+    let silence = vec![Reply::NoAnswer; 3];
     let (platform, endpoint, mut courier) = setup("single", &silence);
-    platform.told.lock().unwrap().refuse = 2;
+    platform.state.lock().unwrap().notices_to_reject = 2;
     let mut client = courier.client();
     for (id, class) in [("01", "again"), ("02", "once"), ("03", "tagged")] {
         // Timeouts are long before anything has been measured, so the kill comes first.
         assert_eq!(client.put(id, class, "d=4000,k=77"), "+OK");
     }
-    until("the calls", || endpoint.calls().len() == 3);
-    platform.list("e9", own_address(), "single", 9, "DRAINING");
-    until("a destination without a ready endpoint", || client.put("04", "again", "d=900,dest=9") == "+OK");
+    wait_until("the calls", || endpoint.calls().len() == 3);
+    platform.set_entry("e9", unique_address(), "single", 9, "DRAINING");
+    wait_until("a destination without a ready endpoint", || {
+        client.put("04", "again", "d=900,dest=9") == "+OK"
+    });
     courier.kill();
     assert_eq!(courier.owed().lines().filter(|line| line.ends_with("a connect is out")).count(), 3);
     thread::sleep(Duration::from_millis(1000));
     courier.restart();
-    until("all mails to be finished", || courier.owes_nothing());
+    wait_until("all mails to be finished", || courier.owes_nothing());
     let again: Vec<String> = endpoint.ids()[3..].to_vec();
     assert!(!again.contains(&"02".to_string()), "a once-only mail whose connect was out is never sent again");
     assert!(again.contains(&"01".to_string()) && again.contains(&"03".to_string()));
@@ -275,16 +278,16 @@
 
 #[test]
 fn mails_of_one_key_keep_their_order_and_gap_across_a_restart() {
-    let (platform, endpoint, mut courier) = setup("single", &[Reply::Silence]);
+    let (platform, endpoint, mut courier) = setup("single", &[Reply::NoAnswer]);
     let mut client = courier.client();
     for id in ["01", "02", "03"] {
-        assert_eq!(client.say(&put("beef", id, "turns", LIFETIME, b"x")), "+OK");
+        assert_eq!(client.request(&put("beef", id, "turns", LIFETIME, b"x")), "+OK");
     }
-    until("the first call", || !endpoint.calls().is_empty());
+    wait_until("the first call", || !endpoint.calls().is_empty());
     courier.kill();
     courier.restart();
     let restarted = Instant::now();
-    until("all mails to be finished", || courier.owes_nothing());
+    wait_until("all mails to be finished", || courier.owes_nothing());
     let calls = endpoint.calls();
     assert_eq!(endpoint.ids(), ["01", "01", "02", "03"]);
     // A connect of the first mail may still have been running when the process ended, so the others wait for
@@ -311,7 +314,7 @@
         courier.kill();
         courier.restart();
     }
-    until("all mails to be finished", || courier.owes_nothing());
+    wait_until("all mails to be finished", || courier.owes_nothing());
     let (ids, notices) = (endpoint.ids(), platform.notices());
     for id in &sent {
         let came = ids.iter().filter(|other| *other == id).count();
@@ -323,17 +326,17 @@
 
 #[test]
 fn a_graceful_shutdown_accepts_mails_for_a_moment_and_finishes_calls_in_flight() {
-    let (platform, endpoint, mut courier) = setup("single", &[Reply::After(1200, Box::new(OK))]);
+    let (platform, endpoint, mut courier) = setup("single", &[Reply::Delayed(1200, Box::new(OK))]);
     let (mut idle, mut client) = (courier.client(), courier.client());
-    assert_eq!(idle.say(b"PING\r\n"), "+PONG");
+    assert_eq!(idle.request(b"PING\r\n"), "+PONG");
     assert_eq!(client.put("01", "once", LIFETIME), "+OK");
-    until("the call", || !endpoint.calls().is_empty());
+    wait_until("the call", || !endpoint.calls().is_empty());
     courier.signal("-TERM");
-    assert_eq!(idle.line(), "", "the connection of an idle client is closed");
+    assert_eq!(idle.read_line(), "", "the connection of an idle client is closed");
     let mut late = courier.client();
     assert_eq!(late.put("02", "once", LIFETIME), "+OK", "a new client is answered");
-    assert_eq!(late.line(), "", "and its connection closed");
-    until("the process to exit", || courier.ended().is_some());
+    assert_eq!(late.read_line(), "", "and its connection closed");
+    wait_until("the process to exit", || courier.ended().is_some());
     assert!(courier.ended().unwrap().success());
     assert!(Client::connect(courier.listen).is_err());
     assert_eq!((endpoint.ids(), platform.notices()), (vec!["01".into(), "02".into()], vec![]));
@@ -363,13 +366,13 @@
     ];
     for (bytes, answer) in rows {
         let name = String::from_utf8_lossy(&bytes[..bytes.len().min(60)]).into_owned();
-        assert_eq!(courier.client().say(bytes), answer, "{name}");
+        assert_eq!(courier.client().request(bytes), answer, "{name}");
     }
     // Commands sent without a pause, each cut in two, do not count as slow ones.
     let (start, mut steady) = (Instant::now(), courier.client());
     steady.stream.get_mut().write_all(b"PI").unwrap();
     while start.elapsed() < Duration::from_millis(1300) {
-        assert_eq!(steady.say(b"NG\r\nPI"), "+PONG");
+        assert_eq!(steady.request(b"NG\r\nPI"), "+PONG");
         thread::sleep(Duration::from_millis(20));
     }
     // A command that arrives byte by byte is waited for no longer than a client waits for its answer.
@@ -380,25 +383,25 @@
             thread::sleep(Duration::from_millis(50));
         }
     });
-    assert_eq!(slow.line(), "");
+    assert_eq!(slow.read_line(), "");
     assert!(start.elapsed() > Duration::from_millis(400) && start.elapsed() < Duration::from_secs(5));
     // A stream of empty lines, and silence: both connections are closed.
     let (start, mut blank) = (Instant::now(), courier.client());
     let mut silent = courier.client();
     let mut drip = blank.stream.get_ref().try_clone().unwrap();
     thread::spawn(move || while drip.write_all(b"\r\n").is_ok() {});
-    assert_eq!((blank.line(), silent.line()), (String::new(), String::new()));
+    assert_eq!((blank.read_line(), silent.read_line()), (String::new(), String::new()));
     assert!(start.elapsed() > Duration::from_millis(1900) && start.elapsed() < Duration::from_secs(3));
     // A client that is still sending gets the reason for the close, and others are answered meanwhile.
     let mut huge = b"*5\r\n$7\r\nMSG.PUT\r\n$60000000\r\n".to_vec();
     huge.resize(60_000_000, b'x');
     let mut sends = courier.client();
     assert!(sends.stream.get_mut().write_all(&huge).is_ok(), "all input is read");
-    assert_eq!((sends.line(), sends.line()), ("-ERR a word is too long".into(), String::new()));
+    assert_eq!((sends.read_line(), sends.read_line()), ("-ERR a word is too long".into(), String::new()));
     // A client that leaves in the middle, and more connections than are kept open for clients.
     let mut half = courier.client();
     half.stream.get_mut().shutdown(Shutdown::Write).unwrap();
-    assert_eq!(half.say(b""), "");
+    assert_eq!(half.request(b""), "");
     let mut many: Vec<Client> = (0..200).map(|_| courier.client()).collect();
     let most = (0..50).map(|_| courier.sockets()).max().unwrap();
     assert!(most < 85 + 20, "{most} sockets, more than a third and the process's own");
@@ -407,7 +410,7 @@
         "+OK",
         "the longest idle connection is evicted"
     );
-    let answers = many.iter_mut().map(|client| client.say(b"PING\r\n"));
+    let answers = many.iter_mut().map(|client| client.request(b"PING\r\n"));
     let kept = answers.filter(|answer| answer == "+PONG").count();
     assert!((20..200).contains(&kept), "{kept}");
 }
@@ -415,7 +418,7 @@
 #[test]
 fn a_courier_answers_busy_when_its_disk_allowance_is_nearly_used() {
     let platform = Platform::new();
-    platform.list("e1", own_address(), "single", 7, "DRAINING");
+    platform.set_entry("e1", unique_address(), "single", 7, "DRAINING");
     let courier = Courier::start(&platform, |config| {
         config["limits"]["disk_mb"] = json!(0.5);
         config["settings"]["Limits"]["MaxOpen"] = json!(10_000);
@@ -423,7 +426,7 @@
     let mut client = courier.client();
     let mut answers = Vec::new();
     for i in 0..60 {
-        answers.push(client.say(&put("0", &format!("{i}"), "again", LIFETIME, &[b'x'; 8000])));
+        answers.push(client.request(&put("0", &format!("{i}"), "again", LIFETIME, &[b'x'; 8000])));
     }
     let taken = answers.iter().filter(|answer| *answer == "+OK").count();
     assert!((10..30).contains(&taken) && answers[59] == "-BUSY", "{taken}");
@@ -439,7 +442,7 @@
     let mut client = courier.client();
     let mut next = 0;
     let mut goes_to = |endpoint: &Endpoint, what: &str| {
-        until(what, || {
+        wait_until(what, || {
             next += 1;
             let (id, before) = (next.to_string(), endpoint.calls().len());
             assert_eq!(client.put(&id, "again", LIFETIME), "+OK");
@@ -448,54 +451,54 @@
         });
     };
     goes_to(&first, "the first endpoint");
-    platform.list("e1", second.address, "single", 7, "SERVING");
+    platform.set_entry("e1", second.address, "single", 7, "SERVING");
     goes_to(&second, "the new address of an endpoint");
-    platform.told.lock().unwrap().end_watches = 1;
-    platform.list("e1", second.address, "single", 7, "DRAINING");
-    platform.list("e2", first.address, "single", 7, "SERVING");
+    platform.state.lock().unwrap().watches_to_end = 1;
+    platform.set_entry("e1", second.address, "single", 7, "DRAINING");
+    platform.set_entry("e2", first.address, "single", 7, "SERVING");
     goes_to(&first, "a change reported by a reopened watch");
     let drained = second.calls().len();
     goes_to(&first, "only the endpoint that is not draining");
     assert_eq!(second.calls().len(), drained);
     // A watch that goes silent, without even empty lines.
-    let watches = platform.told.lock().unwrap().watches;
-    platform.told.lock().unwrap().silent = true;
-    until("a new watch", || platform.told.lock().unwrap().watches > watches);
+    let watches = platform.state.lock().unwrap().watches;
+    platform.state.lock().unwrap().watches_silent = true;
+    wait_until("a new watch", || platform.state.lock().unwrap().watches > watches);
 }
 
 #[test]
 fn a_new_discovery_address_takes_effect_without_disturbing_calls() {
-    let script = [Reply::After(900, Box::new(OK)), Reply::Status(500, "")];
+    let script = [Reply::Delayed(900, Box::new(OK)), Reply::Status(500, "")];
     let (old, first, courier) = setup("single", &script);
     let (new, second) = (Platform::new(), Endpoint::new(&[]));
-    new.list("e2", second.address, "single", 7, "SERVING");
-    old.told.lock().unwrap().refuse = usize::MAX;
+    new.set_entry("e2", second.address, "single", 7, "SERVING");
+    old.state.lock().unwrap().notices_to_reject = usize::MAX;
     let mut client = courier.client();
     for (id, calls) in [("01", 1), ("02", 2)] {
         assert_eq!(client.put(id, "once", LIFETIME), "+OK");
-        until("its call", || first.calls().len() == calls);
+        wait_until("its call", || first.calls().len() == calls);
     }
-    until("a rejected notice", || old.told.lock().unwrap().refuse < usize::MAX);
+    wait_until("a rejected notice", || old.state.lock().unwrap().notices_to_reject < usize::MAX);
     // A configuration that is malformed or truncated changes nothing.
     let mut config = courier.config.clone();
     config["discovery"] = json!("nowhere");
     let text = config.to_string();
     for bad in [&text[..], &text[..text.len() / 2], ""] {
         courier.reconfigure(bad);
-        assert_eq!(client.say(b"PING\r\n"), "+PONG");
+        assert_eq!(client.request(b"PING\r\n"), "+PONG");
     }
-    let watches = old.told.lock().unwrap().watches;
-    assert_eq!((watches, new.told.lock().unwrap().watches), (1, 0));
+    let watches = old.state.lock().unwrap().watches;
+    assert_eq!((watches, new.state.lock().unwrap().watches), (1, 0));
     config["discovery"] = json!(new.address.to_string());
     courier.reconfigure(&config.to_string());
-    until("the notice at the new address", || new.notices() == [("02".into(), "dead".into())]);
-    until("the list of the new address", || {
+    wait_until("the notice at the new address", || new.notices() == [("02".into(), "dead".into())]);
+    wait_until("the list of the new address", || {
         let id = format!("n{}", second.calls().len());
         assert_eq!(client.put(&id, "again", LIFETIME), "+OK");
         thread::sleep(Duration::from_millis(30));
         !second.calls().is_empty()
     });
-    until("all mails to be finished", || courier.owes_nothing());
+    wait_until("all mails to be finished", || courier.owes_nothing());
     assert_eq!(first.ids().iter().filter(|id| id.starts_with('0')).count(), 2, "calls in flight went on");
     assert_eq!((new.notices().len(), old.notices()), (1, vec![]));
 }
@@ -503,14 +506,14 @@
 #[test]
 fn a_mail_waits_for_an_endpoint_of_its_destination_and_unlisted_destinations_are_rejected() {
     let platform = Platform::new();
-    platform.list("e0", own_address(), "single", 7, "DRAINING");
+    platform.set_entry("e0", unique_address(), "single", 7, "DRAINING");
     let courier = Courier::start(&platform, unchanged);
     assert_eq!(courier.client().put("02", "once", "d=4000,dest=8"), "-ERR unknown destination");
     assert_eq!(courier.client().put("01", "once", LIFETIME), "+OK");
     let endpoint = Endpoint::new(&[]);
-    platform.list("e9", endpoint.address, "single", 8, "SERVING");
-    platform.list("e1", endpoint.address, "single", 7, "SERVING");
-    until("the mail to be finished", || courier.owes_nothing());
+    platform.set_entry("e9", endpoint.address, "single", 8, "SERVING");
+    platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
+    wait_until("the mail to be finished", || courier.owes_nothing());
     assert_eq!((endpoint.ids(), platform.notices()), (vec!["01".to_string()], vec![]));
 }
 
@@ -520,12 +523,12 @@
     let mut client = courier.client();
     for i in 0..5 {
         assert_eq!(client.put(&i.to_string(), "again", LIFETIME), "+OK");
-        until("the call", || endpoint.calls().len() == i + 1);
+        wait_until("the call", || endpoint.calls().len() == i + 1);
     }
     // One connection carries consecutive calls; it is closed within two seconds of idleness.
     assert_eq!(endpoint.connections(), (1, 1));
     let idle = Instant::now();
-    until("the close", || endpoint.connections() == (1, 0));
+    wait_until("the close", || endpoint.connections() == (1, 0));
     let idle = idle.elapsed();
     assert!(idle > Duration::from_millis(1500) && idle < Duration::from_millis(2500), "{idle:?}");
 }
@@ -544,7 +547,7 @@
         let mut client = courier.client();
         for i in 0..4 {
             assert_eq!(client.put(&i.to_string(), "again", LIFETIME), "+OK");
-            until("the mail to be finished", || courier.owes_nothing());
+            wait_until("the mail to be finished", || courier.owes_nothing());
         }
         assert_eq!((endpoint.calls().len(), endpoint.connections().0), (5, connections), "{fields}");
     }
@@ -553,8 +556,8 @@
 #[test]
 fn running_out_of_descriptors_is_not_blamed_on_an_endpoint() {
     let platform = Platform::new();
-    let first = Endpoint::new(&vec![Reply::After(300, Box::new(OK)); 40]);
-    platform.list("e1", first.address, "single", 7, "SERVING");
+    let first = Endpoint::new(&vec![Reply::Delayed(300, Box::new(OK)); 40]);
+    platform.set_entry("e1", first.address, "single", 7, "SERVING");
     let courier = Courier::start(&platform, |config| {
         // A third for clients and 32 for the process itself leave eleven for calls.
         config["limits"]["sockets"] = json!(64);
@@ -564,21 +567,21 @@
     for i in 0..20 {
         assert_eq!(client.put(&i.to_string(), "once", LIFETIME), "+OK");
     }
-    until("the mails to be finished", || courier.owes_nothing());
+    wait_until("the mails to be finished", || courier.owes_nothing());
     assert_eq!((first.calls().len(), platform.notices()), (20, vec![]));
     assert!(first.connections().0 <= 11);
 }
 
 #[test]
 fn once_only_mails_use_new_connections_while_reused_ones_break() {
-    let (platform, endpoint, courier) = setup("single", &[OK, Reply::Break]);
+    let (platform, endpoint, courier) = setup("single", &[OK, Reply::CloseConnection]);
     let mut client = courier.client();
     // The second breaks on the first's connection and is sent again on another, which the third uses too.
     for (i, (class, connections)) in
         [("tagged", 1), ("tagged", 2), ("tagged", 2), ("once", 3)].iter().enumerate()
     {
         assert_eq!(client.put(&i.to_string(), class, "d=4000,k=77"), "+OK");
-        until("the mail to be finished", || courier.owes_nothing());
+        wait_until("the mail to be finished", || courier.owes_nothing());
         assert_eq!(endpoint.connections().0, *connections, "{i}");
     }
     assert_eq!((endpoint.calls().len(), platform.notices()), (5, vec![]));
@@ -594,11 +597,11 @@
 fn a_courier_tells_what_is_full_and_keeps_away_from_what_it_is_told_of() {
     let (platform, refusing) = (Platform::new(), Reply::Status(429, "Retry-After: 0.300\r\n"));
     let endpoint = Endpoint::new(&[refusing]);
-    platform.list("e1", endpoint.address, "single", 7, "SERVING");
+    platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
     let (other, stranger) =
         (UdpSocket::bind("127.0.0.1:0").unwrap(), UdpSocket::bind("127.0.0.1:0").unwrap());
     other.set_read_timeout(Some(Duration::from_secs(7))).unwrap();
-    let hears = own_address();
+    let hears = unique_address();
     let courier = Courier::start(&platform, |c| {
         c["settings"]["Limits"]["MayTell"] = json!(true);
         c["peers"] = peers(hears, &[other.local_addr().unwrap()]);
@@ -608,7 +611,7 @@
     let mut note = [0; 64];
     let (length, from) = other.recv_from(&mut note).unwrap();
     assert_eq!((from, &note[..length]), (hears, &b"\x01\x00\x01\x2ce1"[..]));
-    until("the mail to be finished", || courier.owes_nothing());
+    wait_until("the mail to be finished", || courier.owes_nothing());
     // Notes from unknown senders, truncated or malformed ones, and ones about unlisted endpoints are ignored.
     for bad in
         [&b""[..], b"\x01", b"\x01\x00\x0b\xb8", b"\x02\x00\x0b\xb8e1", b"\x01\x07\x0b\xb8e1", &[1; 300]]
@@ -621,13 +624,13 @@
         let start = Instant::now();
         other.send_to(note, hears).unwrap();
         // Answered after the note was read, since both were waiting in the courier's sockets.
-        assert_eq!(client.say(b"PING\r\n"), "+PONG");
+        assert_eq!(client.request(b"PING\r\n"), "+PONG");
         assert_eq!(client.put(id, "again", LIFETIME), "+OK");
-        until(id, || endpoint.ids().last().is_some_and(|last| last == id));
+        wait_until(id, || endpoint.ids().last().is_some_and(|last| last == id));
         let took = endpoint.calls().last().unwrap().at - start;
         assert!(took >= Duration::from_millis(wait), "{id}: {took:?}");
         assert!(wait > 0 || took < Duration::from_millis(2900), "{id}: {took:?}");
-        until("the mail to be finished", || courier.owes_nothing());
+        wait_until("the mail to be finished", || courier.owes_nothing());
     }
 }
 
@@ -636,9 +639,9 @@
     let limit = Limit::new(16, Duration::from_millis(400));
     let (platform, ends) = (Platform::new(), [Endpoint::limited(&limit), Endpoint::limited(&limit)]);
     for (name, end) in ["e1", "e2"].iter().zip(&ends) {
-        platform.list(name, end.address, "many", 7, "SERVING");
+        platform.set_entry(name, end.address, "many", 7, "SERVING");
     }
-    let hears = [own_address(), own_address()];
+    let hears = [unique_address(), unique_address()];
     let start = |shape: usize, i: usize| {
         Courier::start(&platform, |c| {
             c["settings"]["NInstances"] = json!(4);
@@ -663,9 +666,9 @@
         }
     }
     for courier in couriers.iter().flatten() {
-        until("all mails to be finished", || courier.owes_nothing());
+        wait_until("all mails to be finished", || courier.owes_nothing());
     }
-    let seen = limit.seen.lock().unwrap().clone();
+    let seen = limit.calls.lock().unwrap().clone();
     let ended: Vec<String> = platform.notices().into_iter().map(|notice| notice.0).collect();
     let mut relayed = [0, 0];
     for (shape, i, n) in (0..120).map(|mail| (mail / 60, mail / 30 % 2, mail % 30)) {
--- a/crates/courier/tests/crash_points.rs
+++ b/crates/courier/tests/crash_points.rs
@@ -12,7 +12,8 @@
 use std::thread;
 
 use common::{
-    answers, command, config, own_address, put, until, Client, Courier, Endpoint, Folder, Platform, Reply, OK,
+    command, config, put, unique_address, wait_until, wait_until_ready, Client, Courier, Endpoint, Folder,
+    Platform, Reply, OK,
 };
 use meadowhold::interface::{Outcome, Time, SECOND};
 use meadowhold_courier::exchange::{Answer, ConnectReport};
@@ -69,7 +70,7 @@
                 process.exchange.relayed_late(serial);
             }
             process.exchange.turn();
-            process.ends().iter().for_each(|(_, verdict)| assert_eq!(*verdict, Verdict::Dead));
+            process.verdicts().iter().for_each(|(_, verdict)| assert_eq!(*verdict, Verdict::Dead));
             if id == "broken" {
                 process.exchange.notice_accepted(serial);
             }
@@ -86,11 +87,11 @@
     let call = {
         assert!(matches!(process.put("untried", "once", 9), Answer::Taken(_)));
         owed.insert("untried", (journal_size(&folder), usize::MAX));
-        process.pass(5 * SECOND);
+        process.advance(5 * SECOND);
         process.calls()
     };
     assert!(call.is_empty());
-    assert_eq!(process.ends().len(), 1);
+    assert_eq!(process.verdicts().len(), 1);
     given_up_at.insert("untried", journal_size(&folder));
     RecordedRun { folder, owed, begun, never_ran, given_up_at }
 }
@@ -105,7 +106,7 @@
         // A compaction that was cut off at the same time.
         fs::write(next.path.join("journal.new"), &whole[..cut / 2]).unwrap();
         let mut process = Process::start(&next, ALLOWANCE, START + SECOND, None);
-        let (sent, ends) = process.play(SECOND, Outcome::Relayed);
+        let (sent, ends) = process.run_for(SECOND, Outcome::Relayed);
         let mut settled: BTreeSet<&str> = sent.iter().map(String::as_str).collect();
         settled.extend(ends.iter().map(|(id, _)| id.as_str()));
         for (id, &(from, to)) in &run.owed {
@@ -169,14 +170,14 @@
 fn on_a_full_disk_no_mail_is_accepted_no_call_begins_and_no_bounced_mail_is_sent_later() {
     let folder = Folder::new();
     let mut process = process_on_full_disk(&folder);
-    let (sent, ends) = process.play(2 * SECOND, Outcome::Relayed);
+    let (sent, ends) = process.run_for(2 * SECOND, Outcome::Relayed);
     assert!(sent.is_empty(), "a call began without a journal record");
     assert!(!ends.is_empty(), "mails are given up after the maximum number of connects");
     assert_eq!(process.put("more", "once", 1), Answer::Busy);
     drop(process);
     unblock_compaction(&folder);
     let mut next = Process::start(&folder, 100_000, START + 3 * SECOND, None);
-    let (sent, _) = next.play(SECOND, Outcome::Relayed);
+    let (sent, _) = next.run_for(SECOND, Outcome::Relayed);
     assert!(
         ends.iter().any(|(id, _)| sent.contains(id)),
         "a verdict that could not be written is not on file"
@@ -206,13 +207,13 @@
         fs::write(&path, bytes).unwrap();
         block_compaction(&folder);
         let mut next = Process::start(&folder, ALLOWANCE, START + SECOND, None);
-        let (sent, ends) = next.play(SECOND, Outcome::Error);
+        let (sent, ends) = next.run_for(SECOND, Outcome::Error);
         assert_eq!(sent, ["untried"], "{torn}");
         assert_eq!(ends.iter().map(|(id, _)| id.as_str()).collect::<Vec<_>>(), ["out", "untried"], "{torn}");
         drop(next);
         // Records that were appended after the truncation are read.
         let mut last = Process::start(&folder, ALLOWANCE, START + 2 * SECOND, None);
-        let (sent, ends) = last.play(SECOND, Outcome::Relayed);
+        let (sent, ends) = last.run_for(SECOND, Outcome::Relayed);
         assert_eq!((sent.len(), ends.len()), (0, 2), "{torn}");
     }
 }
@@ -230,21 +231,21 @@
             assert!(matches!(process.put("01", "tagged", 1), Answer::Taken(_)));
             let first = process.call().unwrap();
             // The first connect waited for a connection as well: the window starts when it was sent.
-            process.pass(300);
+            process.advance(300);
             assert!(process.begin(&first));
             let sent = process.now;
             if restart {
                 drop(process);
                 process = Process::start(&folder, ALLOWANCE, sent + decided * 10, Some(1_000_000));
             } else {
-                process.pass(decided * 10);
+                process.advance(decided * 10);
                 process.exchange.connect_ended(first.mails[0].serial, ConnectReport::of(Outcome::Silent));
             }
             let repeat = process.calls().pop().unwrap();
             assert_eq!(repeat.mails[0].send_before, sent + SECOND, "the latest time for the last byte");
             let mut mails = repeat.mails.clone();
             mails[0].times_out_at = Time::MAX;
-            process.pass(connected * 10);
+            process.advance(connected * 10);
             let begun = process.exchange.begin(&repeat, mails).len();
             assert_eq!(begun == 1, begins, "{restart} {decided} {connected}");
         }
@@ -260,7 +261,7 @@
     assert!(process.begin(&call));
     drop(process);
     let mut next = Process::start(&folder, ALLOWANCE, START, None);
-    let (sent, ends) = next.play(SECOND, Outcome::Relayed);
+    let (sent, ends) = next.run_for(SECOND, Outcome::Relayed);
     assert_eq!((sent, ends.len()), (vec![], 1));
 }
 
@@ -290,17 +291,17 @@
         .map(|run| {
             thread::spawn(move || {
                 let (platform, endpoint) = (Platform::new(), Endpoint::new(&[]));
-                platform.list("e1", endpoint.address, "single", 7, "SERVING");
-                let (folder, listen) = (Folder::new(), own_address());
+                platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
+                let (folder, listen) = (Folder::new(), unique_address());
                 let config = config(&platform, listen);
                 let process = start_with_file_size_limit(&folder, &config);
-                answers(listen);
+                wait_until_ready(listen);
                 let mut client = Client::connect(listen).unwrap();
                 let (mut taken, mut busy) = (Vec::new(), 0);
                 for i in 0..60 {
                     let id = format!("{run}-{i:02}");
                     let body = vec![b'x'; 100 + 17 * run];
-                    match &client.say(&put("0", &id, "once", "d=8000,k=5c0f", &body))[..] {
+                    match &client.request(&put("0", &id, "once", "d=8000,k=5c0f", &body))[..] {
                         "+OK" => taken.push(id),
                         "-BUSY" => busy += 1,
                         other => panic!("{other}"),
@@ -318,7 +319,7 @@
                 }
                 drop(process);
                 let mut courier = RestartedCourier::new(&folder, &config, listen);
-                until("settling of all mails", || courier.owes_nothing());
+                wait_until("settling of all mails", || courier.owes_nothing());
                 courier.end();
                 let (calls, notices) = (endpoint.ids(), platform.notices());
                 for id in &taken {
@@ -344,7 +345,7 @@
         listen: std::net::SocketAddr,
     ) -> RestartedCourier<'a> {
         let child = command(folder, config, "serve").spawn().unwrap();
-        answers(listen);
+        wait_until_ready(listen);
         RestartedCourier(folder, config, child)
     }
 
@@ -374,11 +375,11 @@
 #[test]
 fn a_shutdown_during_recovery_loses_no_mail_and_repeats_none() {
     let platform = Platform::new();
-    let slow = Endpoint::new(&[Reply::After(9000, Box::new(OK))]);
+    let slow = Endpoint::new(&[Reply::Delayed(9000, Box::new(OK))]);
     let endpoint = Endpoint::new(&[]);
     // The endpoints are known but draining, so the mails stay untried.
-    platform.list("e1", endpoint.address, "single", 7, "DRAINING");
-    platform.list("e2", slow.address, "single", 8, "DRAINING");
+    platform.set_entry("e1", endpoint.address, "single", 7, "DRAINING");
+    platform.set_entry("e2", slow.address, "single", 8, "DRAINING");
     let mut courier = Courier::start(&platform, |_| {});
     let mut client = courier.client();
     for (id, class) in [("01", "once"), ("02", "again"), ("03", "tagged"), ("04", "turns")] {
@@ -387,10 +388,10 @@
     assert_eq!(client.put("out", "once", "dest=8,d=20000"), "+OK");
     courier.kill();
     // Discovery does not answer now, and the configuration lists both endpoints as serving.
-    platform.list("e1", endpoint.address, "single", 7, "SERVING");
-    platform.list("e2", slow.address, "single", 8, "SERVING");
+    platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
+    platform.set_entry("e2", slow.address, "single", 8, "SERVING");
     let (address, listener) = unresponsive_discovery();
-    courier.config["known"] = platform.known();
+    courier.config["known"] = platform.list_json();
     courier.config["known"]["index"] = json!(1000);
     courier.config["discovery"] = json!(address.to_string());
     // SIGTERM arrives as soon as the courier asks for the list, before any call can begin.
@@ -398,10 +399,10 @@
     courier.restart();
     let _held = asked.join().unwrap();
     courier.signal("-TERM");
-    until("exit of the courier", || courier.ended().is_some());
+    wait_until("exit of the courier", || courier.ended().is_some());
     courier.config["discovery"] = json!(platform.address.to_string());
     courier.restart();
-    until("settling of all mails", || courier.owes_nothing());
+    wait_until("settling of all mails", || courier.owes_nothing());
     let mut ids = endpoint.ids();
     ids.sort();
     assert_eq!(ids, ["01", "02", "03", "04"]);
@@ -410,23 +411,23 @@
 
 #[test]
 fn a_kill_during_shutdown_repeats_only_mails_that_may_be_repeated() {
-    let late = Reply::After(9000, Box::new(OK));
+    let late = Reply::Delayed(9000, Box::new(OK));
     let (platform, endpoints) =
         (Platform::new(), [(); 3].map(|()| Endpoint::new(std::slice::from_ref(&late))));
     for (group, endpoint) in (7..).zip(&endpoints) {
-        platform.list(&format!("e{group}"), endpoint.address, "single", group, "SERVING");
+        platform.set_entry(&format!("e{group}"), endpoint.address, "single", group, "SERVING");
     }
     let mut courier = Courier::start(&platform, |_| {});
     let mut client = courier.client();
     for (i, class) in ["once", "again", "tagged"].iter().enumerate() {
         assert_eq!(client.put(class, class, &format!("d=20000,k=5c0f,dest={}", 7 + i)), "+OK");
-        until("the call", || !endpoints[i].calls().is_empty());
+        wait_until("the call", || !endpoints[i].calls().is_empty());
     }
     courier.signal("-TERM");
-    assert_eq!(client.line(), "", "shutdown has begun");
+    assert_eq!(client.read_line(), "", "shutdown has begun");
     courier.kill();
     courier.restart();
-    until("settling of all mails", || courier.owes_nothing());
+    wait_until("settling of all mails", || courier.owes_nothing());
     assert_eq!(endpoints[0].calls().len(), 1, "a once-only mail was repeated");
     assert!(endpoints[1..].iter().all(|endpoint| endpoint.calls().len() > 1), "the others are repeated");
     assert_eq!(platform.notices(), [("once".to_string(), "dead".to_string())]);
@@ -434,8 +435,8 @@
 
 #[test]
 fn a_notice_in_flight_at_a_kill_is_sent_again() {
-    let (platform, endpoint) = (Platform::new(), Endpoint::new(&[Reply::Break]));
-    platform.list("e1", endpoint.address, "single", 7, "SERVING");
+    let (platform, endpoint) = (Platform::new(), Endpoint::new(&[Reply::CloseConnection]));
+    platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
     let mut courier = Courier::start(&platform, |_| {});
     // From here on notices are read and never answered.
     let (address, listener) = unresponsive_discovery();
@@ -460,7 +461,7 @@
     courier.kill();
     assert_eq!(platform.notices(), []);
     courier.restart();
-    until("settling of the mail", || courier.owes_nothing());
+    wait_until("settling of the mail", || courier.owes_nothing());
     assert_eq!(platform.notices(), [("01".to_string(), "dead".to_string())]);
     assert_eq!(endpoint.calls().len(), 1);
 }
--- a/crates/courier/tests/crossing_clients.rs
+++ b/crates/courier/tests/crossing_clients.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    command, own_address, put, settings, until, Client, Courier, Endpoint, Folder, Platform, Reply,
+    command, put, settings, unique_address, wait_until, Client, Courier, Endpoint, Folder, Platform, Reply,
 };
 use meadowhold_courier::clients::{listen, Phase};
 use meadowhold_courier::discovery::List;
@@ -30,7 +30,7 @@
 
 fn setup(change: impl FnOnce(&mut Value)) -> (Platform, Endpoint, Courier) {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&[]));
-    platform.list("e1", endpoint.address, "single", 7, "SERVING");
+    platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
     let courier = Courier::start(&platform, change);
     (platform, endpoint, courier)
 }
@@ -197,7 +197,7 @@
     let mut clients: Vec<Client> = (0..3).map(|_| courier.client()).collect();
     let first: [&[u8]; 3] = [b"PING\r\n", b"PING\r\n", &[b"PING\r\n", &half[..100]].concat()];
     for (client, first) in clients.iter_mut().zip(first) {
-        assert_eq!(client.say(first), "+PONG");
+        assert_eq!(client.request(first), "+PONG");
     }
     courier.signal("-STOP");
     let stopped = Instant::now();
@@ -208,9 +208,9 @@
         client.stream.get_mut().write_all(rest).unwrap();
     }
     courier.signal("-CONT");
-    let answers: Vec<String> = clients.iter_mut().map(Client::line).collect();
+    let answers: Vec<String> = clients.iter_mut().map(Client::read_line).collect();
     assert_eq!(answers, ["+OK"; 3]);
-    until("their calls", || endpoint.calls().len() == 3);
+    wait_until("their calls", || endpoint.calls().len() == 3);
 }
 
 #[test]
@@ -219,7 +219,7 @@
     // A third of the sockets is for clients. None of these sends a command, or closes its side when the
     // courier does.
     let idle: Vec<TcpStream> = (0..330).map(|_| TcpStream::connect(courier.listen).unwrap()).collect();
-    until("the connections to be used up", || courier.sockets() >= 300);
+    wait_until("the connections to be used up", || courier.sockets() >= 300);
     for i in 0..10 {
         let asked = Instant::now();
         assert_eq!(courier.client().put(&i.to_string(), "again", LIFETIME), "+OK");
@@ -234,7 +234,7 @@
     let (_platform, _endpoint, mut courier) = setup(|_| {});
     let mut steady = courier.client();
     steady.stream.get_mut().write_all(b"PI").unwrap();
-    assert_eq!(steady.say(b"NG\r\nPI"), "+PONG");
+    assert_eq!(steady.request(b"NG\r\nPI"), "+PONG");
     let asked = Instant::now();
     courier.signal("-TERM");
     let mut line = String::new();
@@ -253,7 +253,7 @@
     assert!(courier.ended().is_none(), "the process exited before the close: {end:?}");
     assert_eq!(end, Ok(()));
     steady.stream.get_ref().shutdown(Shutdown::Both).unwrap();
-    until("the process to exit", || courier.ended().is_some());
+    wait_until("the process to exit", || courier.ended().is_some());
     assert!(asked.elapsed() < Duration::from_millis(3700), "the platform kills then");
 }
 
@@ -267,17 +267,17 @@
 #[test]
 fn undelivered_notices_keep_no_bodies_in_memory() {
     let platform = Platform::new();
-    platform.told.lock().unwrap().refuse = usize::MAX;
-    platform.list("e1", own_address(), "single", 7, "DRAINING");
-    let (folder, listen) = (Folder::new(), own_address());
+    platform.state.lock().unwrap().notices_to_reject = usize::MAX;
+    platform.set_entry("e1", unique_address(), "single", 7, "DRAINING");
+    let (folder, listen) = (Folder::new(), unique_address());
     let config = common::config(&platform, listen);
     let mut child = command(&folder, &config, "serve").spawn().unwrap();
-    common::answers(listen);
+    common::wait_until_ready(listen);
     let mut client = Client::connect(listen).unwrap();
     let (mut before, mut taken) = (0, 0);
     let start = Instant::now();
     while taken < 1200 {
-        match &client.say(&put("0", &taken.to_string(), "again", "d=1", &[b'x'; 60_000]))[..] {
+        match &client.request(&put("0", &taken.to_string(), "again", "d=1", &[b'x'; 60_000]))[..] {
             "+OK" => taken += 1,
             "-BUSY" => thread::sleep(Duration::from_millis(1)),
             other => panic!("{other}"),
@@ -325,7 +325,7 @@
 #[test]
 fn a_notice_that_the_platform_rejects_does_not_delay_the_others() {
     let platform = Platform::new();
-    platform.list("e1", own_address(), "single", 7, "DRAINING");
+    platform.set_entry("e1", unique_address(), "single", 7, "DRAINING");
     let (address, posts) = agent(|text| Some(if text.contains("\"odd-") { 400 } else { 204 }));
     let courier = Courier::start(&platform, |config| {
         config["discovery"] = json!(address.to_string());
@@ -341,20 +341,20 @@
     let writer = client.stream.get_ref().try_clone().unwrap();
     let sent = thread::spawn(move || (&writer).write_all(&mails));
     for i in 0..count {
-        assert_eq!(client.line(), "+OK", "{i}");
+        assert_eq!(client.read_line(), "+OK", "{i}");
     }
     sent.join().unwrap().unwrap();
     let accepted_count = || {
         let posts = posts.lock().unwrap();
         posts.iter().filter(|post| post.0 == 204).map(|post| post.1.lines().count()).sum::<usize>()
     };
-    until("the others' notices", || accepted_count() == count - 3);
+    wait_until("the others' notices", || accepted_count() == count - 3);
     // Found by bisection. Earlier, a batch with one of them was sent again after each accepted notice.
     let refused = posts.lock().unwrap().iter().filter(|post| post.0 == 400).count();
     assert!(refused < 60, "{refused}");
     // Rejected notices are sent again, but rarely.
     let before = posts.lock().unwrap().len();
-    until("another try", || posts.lock().unwrap().len() > before);
+    wait_until("another try", || posts.lock().unwrap().len() > before);
     sleep_until(Instant::now(), 1000);
     let more = posts.lock().unwrap().len() - before;
     assert!(more < 10, "{more}");
@@ -369,17 +369,17 @@
         let says = answers.clone();
         let (address, posts) = agent(move |_| says.load(Ordering::SeqCst).then_some(204));
         let endpoint = Endpoint::new(&[Reply::Status(500, "")]);
-        platform.list("e1", endpoint.address, "single", 7, "SERVING");
+        platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
         let mut courier = Courier::start(&platform, |c| c["discovery"] = json!(address.to_string()));
         assert_eq!(courier.client().put("01", "once", LIFETIME), "+OK");
-        until("its notice", || !posts.lock().unwrap().is_empty());
+        wait_until("its notice", || !posts.lock().unwrap().is_empty());
         courier.signal(name);
-        until("the process to exit", || courier.ended().is_some());
+        wait_until("the process to exit", || courier.ended().is_some());
         assert!(courier.owed().contains("notice not yet heard"), "{name}");
         answers.store(true, Ordering::SeqCst);
         let before = posts.lock().unwrap().len();
         courier.restart();
-        until("all mails to be finished", || courier.owes_nothing());
+        wait_until("all mails to be finished", || courier.owes_nothing());
         let posts = posts.lock().unwrap();
         assert!(posts.len() > before && posts.iter().all(|post| post.1 == posts[0].1), "{name}: {posts:?}");
         assert_eq!(endpoint.ids(), ["01"], "{name}");
--- a/crates/courier/tests/crossing_endpoints.rs
+++ b/crates/courier/tests/crossing_endpoints.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use common::{put, serve, until_for, Courier, Platform, Request};
+use common::{put, serve, wait_until_within, Courier, Platform, Request};
 use serde_json::{json, Value};
 use socket2::{Domain, Socket, Type};
 
@@ -20,7 +20,7 @@
 
 /// Polls for as long as a loaded machine may need.
 fn until(what: &str, holds: impl FnMut() -> bool) {
-    until_for(Duration::from_secs(50), what, holds);
+    wait_until_within(Duration::from_secs(50), what, holds);
 }
 
 /// Makes the answer to a call.
@@ -83,7 +83,7 @@
 /// timeout ends within a test.
 fn courier_at(address: SocketAddr, connect_us: u64) -> (Platform, Courier) {
     let platform = Platform::new();
-    platform.list("e1", address, "many", 7, "DRAINING");
+    platform.set_entry("e1", address, "many", 7, "DRAINING");
     let courier = Courier::start(&platform, |config| {
         config["settings"]["Limits"]["ConnectTimeoutUs"] = json!(connect_us);
         for class in config["settings"]["Profiles"].as_array_mut().unwrap() {
@@ -106,9 +106,9 @@
     let mut client = courier.client();
     let all =
         messages.iter().flat_map(|&(id, class, time)| put("0", id, class, time, b"x")).collect::<Vec<_>>();
-    assert_eq!(client.say(&all), "+OK");
-    messages[1..].iter().for_each(|_| assert_eq!(client.line(), "+OK"));
-    platform.list("e1", address, "many", 7, "SERVING");
+    assert_eq!(client.request(&all), "+OK");
+    messages[1..].iter().for_each(|_| assert_eq!(client.read_line(), "+OK"));
+    platform.set_entry("e1", address, "many", 7, "SERVING");
 }
 
 fn notices(platform: &Platform) -> Vec<(String, String)> {
--- a/crates/courier/tests/descriptors.rs
+++ b/crates/courier/tests/descriptors.rs
@@ -9,7 +9,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use common::{command, output, own_address, put, until, Client, Endpoint, Folder, Platform, Reply, OK};
+use common::{
+    command, output, put, unique_address, wait_until, Client, Endpoint, Folder, Platform, Reply, OK,
+};
 use serde_json::json;
 
 const LONG_LIFETIME: &str = "d=8000";
@@ -48,20 +50,20 @@
 #[test]
 fn mails_are_delivered_with_the_minimum_of_sockets_idle_clients_and_unresponsive_discovery() {
     let (platform, min_sockets) = (Platform::new(), 64);
-    let slow = Endpoint::new(&vec![Reply::After(1500, Box::new(OK)); 16]);
-    platform.list("e1", slow.address, "single", 7, "SERVING");
+    let slow = Endpoint::new(&vec![Reply::Delayed(1500, Box::new(OK)); 16]);
+    platform.set_entry("e1", slow.address, "single", 7, "SERVING");
     let other = Endpoint::new(&[]);
-    platform.list("e2", other.address, "single", 8, "SERVING");
-    platform.list("e3", own_address(), "single", 9, "DRAINING");
+    platform.set_entry("e2", other.address, "single", 8, "SERVING");
+    platform.set_entry("e3", unique_address(), "single", 9, "DRAINING");
     let (agent, notices) = unresponsive_discovery();
-    let (folder, listen) = (Folder::new(), own_address());
+    let (folder, listen) = (Folder::new(), unique_address());
     let mut config = common::config(&platform, listen);
     config["limits"]["sockets"] = json!(min_sockets);
     config["settings"]["FamilyInfo"]["Slots"] = json!(32);
     config["discovery"] = json!(agent.to_string());
     // The system enforces the same limit.
     let mut child = with_descriptor_limit(&command(&folder, &config, "serve"), min_sockets);
-    common::answers(listen);
+    common::wait_until_ready(listen);
     let id = child.id();
     let open = || fs::read_dir(format!("/proc/{id}/fd")).unwrap().count();
     let mut idle: Vec<TcpStream> = Vec::new();
@@ -73,19 +75,24 @@
     for i in 0..16 {
         assert_eq!(Client::connect(listen).unwrap().put(&format!("s{i}"), "once", LONG_LIFETIME), "+OK");
     }
-    until("calls on all connections", || slow.connections().1 >= 9);
+    wait_until("calls on all connections", || slow.connections().1 >= 9);
     connect_idle(60);
     let mut most = 0;
     for i in 0..5 {
         connect_idle(20);
         let asked = Instant::now();
-        let said =
-            Client::connect(listen).unwrap().say(&put("0", &format!("n{i}"), "once", "d=200,dest=9", b"x"));
+        let said = Client::connect(listen).unwrap().request(&put(
+            "0",
+            &format!("n{i}"),
+            "once",
+            "d=200,dest=9",
+            b"x",
+        ));
         assert_eq!(said, "+OK");
         // This once took seconds: all idle clients were closed before the first descriptor was freed.
         assert!(asked.elapsed() < Duration::from_secs(3), "{:?}", asked.elapsed());
         most = most.max(open());
-        until("the notice", || notices.lock().unwrap().contains(&format!("\"n{i}\"")));
+        wait_until("the notice", || notices.lock().unwrap().contains(&format!("\"n{i}\"")));
     }
     assert!(most <= min_sockets, "{most}");
     connect_idle(60);
@@ -94,22 +101,22 @@
     config["discovery"] = json!(platform.address.to_string());
     fs::write(folder.path.join("config.json"), config.to_string()).unwrap();
     signal(&child, "-HUP");
-    until("a watch", || platform.told.lock().unwrap().watches > 0);
+    wait_until("a watch", || platform.state.lock().unwrap().watches > 0);
     connect_idle(60);
-    platform.list("e9", other.address, "single", 10, "SERVING");
-    until("a new destination", || {
-        let said = Client::connect(listen).unwrap().say(&put("0", "new", "once", "d=4000,dest=10", b"x"));
+    platform.set_entry("e9", other.address, "single", 10, "SERVING");
+    wait_until("a new destination", || {
+        let said = Client::connect(listen).unwrap().request(&put("0", "new", "once", "d=4000,dest=10", b"x"));
         said == "+OK"
     });
     let owed = || String::from_utf8(command(&folder, &config, "owed").output().unwrap().stdout).unwrap();
-    until("settling of all mails", || owed().starts_with("0 mails owed; 0 bytes"));
+    wait_until("settling of all mails", || owed().starts_with("0 mails owed; 0 bytes"));
     let mut ids = slow.ids();
     ids.sort();
     ids.dedup();
     assert_eq!((ids.len(), other.ids()), (17, vec!["new".to_string()]));
     signal(&child, "-TERM");
     drop(idle);
-    until("exit of the courier", || child.try_wait().unwrap().is_some());
+    wait_until("exit of the courier", || child.try_wait().unwrap().is_some());
 }
 
 #[test]
@@ -118,13 +125,13 @@
     for (few, words) in
         [(json!(63), "under 64"), (json!(0), "under 64"), (json!(-1), "sockets"), (json!(1e30), "sockets")]
     {
-        let (folder, mut config) = (Folder::new(), common::config(&platform, own_address()));
+        let (folder, mut config) = (Folder::new(), common::config(&platform, unique_address()));
         config["limits"]["sockets"] = few;
         let (success, said) = output(command(&folder, &config, "serve"));
         assert!(!success && said.contains(words) && said.trim_end().lines().count() == 1, "{said}");
     }
     for much in [json!(64), json!(u64::MAX)] {
-        let (folder, mut config) = (Folder::new(), common::config(&platform, own_address()));
+        let (folder, mut config) = (Folder::new(), common::config(&platform, unique_address()));
         config["limits"]["sockets"] = much;
         assert_eq!(output(command(&folder, &config, "check")), (true, String::new()));
     }
--- a/crates/courier/tests/members.rs
+++ b/crates/courier/tests/members.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use common::{answers, command, config, output, own_address, until, Folder, Platform};
+use common::{command, config, output, unique_address, wait_until, wait_until_ready, Folder, Platform};
 use serde_json::{json, Value};
 
 struct Process {
@@ -22,14 +22,14 @@
 impl Process {
     /// `members`: the address for membership, on a port that is currently free, and those of the others.
     fn start(platform: &Platform, name: &str, members: Option<(SocketAddr, &[SocketAddr])>) -> Process {
-        let listen = own_address();
+        let listen = unique_address();
         let (folder, mut config) = (Folder::new(), config(platform, listen));
         config["name"] = json!(name);
         config["settings"]["Limits"]["MayTell"] = json!(true);
-        config["peers"] = peers(own_address(), members);
+        config["peers"] = peers(unique_address(), members);
         let child = spawn(&folder, &config);
         let process = Process { name: name.to_string(), listen, folder, config, child };
-        answers(process.listen);
+        wait_until_ready(process.listen);
         process
     }
 
@@ -94,13 +94,13 @@
 #[test]
 fn five_processes_know_who_is_killed_who_stands_still_and_who_is_back() {
     let platform = Platform::new();
-    let addresses: Vec<SocketAddr> = (0..5).map(|_| own_address()).collect();
+    let addresses: Vec<SocketAddr> = (0..5).map(|_| unique_address()).collect();
     let mut all: Vec<Process> = (0..5)
         .map(|i| Process::start(&platform, &format!("m{i}"), Some((addresses[i], &addresses))))
         .collect();
     let line = |i: usize, what: &str| format!("member m{i} at {} is {what}", addresses[i]);
     for one in &all {
-        until("that it knows all", || {
+        wait_until("that it knows all", || {
             (0..5).filter(|&i| one.name != format!("m{i}")).all(|i| one.count(&line(i, "up")) == 1)
         });
         assert_eq!(one.count("joined with the other couriers: "), 1);
@@ -114,29 +114,29 @@
     let begin = Instant::now();
     all[1].child.kill().unwrap();
     all[1].child.wait().unwrap();
-    until("that m1 is down", || known(&all, 1, "down", 1));
+    wait_until("that m1 is down", || known(&all, 1, "down", 1));
     eprintln!("m1 found down after {:?}", begin.elapsed());
     all[1].child = spawn(&all[1].folder, &all[1].config);
-    answers(all[1].listen);
-    until("that m1 is back", || known(&all, 1, "back", 1));
+    wait_until_ready(all[1].listen);
+    wait_until("that m1 is back", || known(&all, 1, "back", 1));
 
     // One is stopped for five seconds: it is down, and back as soon as it continues.
     let begin = Instant::now();
     all[3].signal("-STOP");
-    until("that m3 is down", || known(&all, 3, "down", 1));
+    wait_until("that m3 is down", || known(&all, 3, "down", 1));
     eprintln!("m3 found down after {:?}", begin.elapsed());
     thread::sleep(Duration::from_secs(5).saturating_sub(begin.elapsed()));
     let begin = Instant::now();
     all[3].signal("-CONT");
-    until("that m3 is back", || known(&all, 3, "back", 1));
+    wait_until("that m3 is back", || known(&all, 3, "back", 1));
     eprintln!("m3 found back after {:?}", begin.elapsed());
 
     // One shuts down: it tells the others, which do not have to wait for a probe to fail.
     all[4].signal("-TERM");
-    until("its end", || all[4].child.try_wait().unwrap().is_some());
+    wait_until("its end", || all[4].child.try_wait().unwrap().is_some());
     assert_eq!(all[4].count("membership has ended"), 1);
     assert!(all[4].log().contains("faults: 0"));
-    until("that m4 is down", || known(&all[..4], 4, "down", 1));
+    wait_until("that m4 is down", || known(&all[..4], 4, "down", 1));
     // No other member was ever considered down.
     for i in [0, 2] {
         assert!(known(&all, i, "down", 0));
@@ -147,13 +147,13 @@
 #[test]
 fn without_members_there_is_neither_thread_nor_socket() {
     let platform = Platform::new();
-    let addresses = [own_address(), own_address()];
+    let addresses = [unique_address(), unique_address()];
     let without = Process::start(&platform, "m0", None);
     let with = Process::start(&platform, "m1", Some((addresses[0], &addresses)));
     assert_eq!((without.threads(), with.threads()), (1, 2));
     assert_eq!((without.datagram_sockets(), with.datagram_sockets()), (1, 2));
     // The socket, the poller and its waker; connections of the test itself may still be closing.
-    until("three more open files", || with.open_files() == without.open_files() + 3);
+    wait_until("three more open files", || with.open_files() == without.open_files() + 3);
 }
 
 #[test]
@@ -191,9 +191,9 @@
         (json!({"listen": taken, "others": []}), "cannot listen for membership messages at"),
     ];
     for (members, words) in rows {
-        let (folder, mut config) = (Folder::new(), config(&platform, own_address()));
+        let (folder, mut config) = (Folder::new(), config(&platform, unique_address()));
         config["settings"]["Limits"]["MayTell"] = json!(true);
-        config["peers"] = peers(own_address(), None);
+        config["peers"] = peers(unique_address(), None);
         config["peers"]["members"] = members;
         let (success, log) = output(command(&folder, &config, "serve"));
         assert!(!success && log.contains(words) && log.trim_end().lines().count() == 1, "{words}: {log}");
--- a/crates/courier/tests/relay.rs
+++ b/crates/courier/tests/relay.rs
@@ -13,7 +13,10 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime};
 
-use common::{command, output, own_address, serve, until, until_for, Courier, Endpoint, Folder, Platform};
+use common::{
+    command, output, serve, unique_address, wait_until, wait_until_within, Courier, Endpoint, Folder,
+    Platform,
+};
 use meadowhold_catalog::choice::rank_relays;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
@@ -120,7 +123,7 @@
 
 impl Relay {
     fn with_config(change: impl FnOnce(&mut Value)) -> Relay {
-        let (address, folder) = (own_address(), Folder::new());
+        let (address, folder) = (unique_address(), Folder::new());
         let state = folder.path.join("state");
         let mut config =
             json!({"name": "r", "listen": address.to_string(), "state": state, "partitions": 16});
@@ -148,7 +151,7 @@
     }
 
     fn wait_until_listening(&self) {
-        until("the relay accepts connections", || TcpStream::connect(self.address).is_ok());
+        wait_until("the relay accepts connections", || TcpStream::connect(self.address).is_ok());
     }
 
     fn restart(&mut self) {
@@ -169,7 +172,7 @@
     fn terminate(&mut self) -> ExitStatus {
         self.signal(Signal::TERM);
         let start = Instant::now();
-        until("the relay exits", || self.child.try_wait().unwrap().is_some());
+        wait_until("the relay exits", || self.child.try_wait().unwrap().is_some());
         assert!(start.elapsed() < Duration::from_secs(4));
         self.child.wait().unwrap()
     }
@@ -186,7 +189,7 @@
     }
 
     fn wait_for_index(&self, index: u64) {
-        until("the relay holds the version", || self.index() == index);
+        wait_until("the relay holds the version", || self.index() == index);
     }
 
     /// The versions that followers report: name, epoch and index.
@@ -322,13 +325,13 @@
 /// Checks that a mail reaches this endpoint.
 fn assert_delivers_to(courier: &Courier, id: &str, endpoint: &Endpoint) {
     assert_eq!(courier.client().put(id, "again", DEADLINE), "+OK");
-    until("the mail reaches the endpoint", || endpoint.ids().iter().any(|seen| seen.contains(id)));
+    wait_until("the mail reaches the endpoint", || endpoint.ids().iter().any(|seen| seen.contains(id)));
 }
 
 /// Waits until each of these couriers has reported this version to one of the relays. Returns how long that took.
 fn wait_in_force(relays: &[&Relay], names: &[&str], index: u64, longest: Duration) -> Duration {
     let start = Instant::now();
-    until_for(longest, "in force everywhere", || {
+    wait_until_within(longest, "in force everywhere", || {
         let reported: Vec<_> = relays.iter().flat_map(|relay| relay.reported()).collect();
         names.iter().all(|name| reported.iter().any(|(by, _, at)| by == name && *at == index))
     });
@@ -345,8 +348,11 @@
     assert_delivers_to(&courier, "01", &pair.first);
     assert!(pair.second.ids().is_empty());
     // Notices of mails that were given up still go to the platform.
-    assert_eq!(courier.client().say(&common::put("0000000000000000", "02", "again", "d=50", b"x")), "+OK");
-    assert_eq!(platform.told.lock().unwrap().watches, 0, "the platform's list must not be followed");
+    assert_eq!(
+        courier.client().request(&common::put("0000000000000000", "02", "again", "d=50", b"x")),
+        "+OK"
+    );
+    assert_eq!(platform.state.lock().unwrap().watches, 0, "the platform's list must not be followed");
 }
 
 #[test]
@@ -509,7 +515,7 @@
     ahead.kill();
     // Observe it at the stale relay for longer than lists of a lower version are ignored after an address change.
     let there = || behind.reported().iter().any(|(name, _, at)| name == "c1" && *at == index);
-    until("the courier follows the other relay", there);
+    wait_until("the courier follows the other relay", there);
     let start = Instant::now();
     while start.elapsed() < Duration::from_secs(6) {
         let reported = behind.reported();
@@ -554,7 +560,7 @@
     relay.config["source"] = json!(unused.to_string());
     relay.restart();
     assert_eq!(relay.index(), 5);
-    until("the courier reports to the restarted relay", || {
+    wait_until("the courier reports to the restarted relay", || {
         relay.reported().iter().any(|(name, _, at)| name == "c1" && *at == index)
     });
     let start = Instant::now();
@@ -595,7 +601,7 @@
     let start = Instant::now();
     reconfigure(&first);
     let there = || second.reported() == [("c1".to_string(), 1, 3)];
-    until_for(Duration::from_secs(20), "the list under the new epoch is in force", there);
+    wait_until_within(Duration::from_secs(20), "the list under the new epoch is in force", there);
     println!(
         "the list of a source that restarted its index was in force behind two relays after {:?}",
         start.elapsed()
@@ -705,7 +711,7 @@
     assert!(latest < IN_FORCE_LIMIT, "{latest:?}");
     assert!(most < at_rest + 24_000, "{at_rest} kB at rest, {most} kB with slow readers");
     // The slow connections are closed in the end, and the one that reads is not.
-    until_for(Duration::from_secs(20), "the slow connections are closed", || relay.open_files() < 30);
+    wait_until_within(Duration::from_secs(20), "the slow connections are closed", || relay.open_files() < 30);
     let index = source.put(entry("last", unused_address(), 1, "SERVING"));
     assert_eq!(reader.next().unwrap()["index"], json!(index));
 }
@@ -896,7 +902,7 @@
         }
     }
     assert_eq!(get_list(relay.address, "/catalog/members")["index"], json!(5));
-    until("idle connections over the limit are closed", || relay.open_files() < 8 * 3 + 256 + 40);
+    wait_until("idle connections over the limit are closed", || relay.open_files() < 8 * 3 + 256 + 40);
     let mut rng = fastrand::Rng::with_seed(5);
     let garbage = |rng: &mut fastrand::Rng| (0..2000).map(|_| rng.u8(..)).collect::<Vec<u8>>();
     let huge = format!("GET /catalog/members HTTP/1.1\r\nHost: {}\r\n", "x".repeat(200_000)).into_bytes();
@@ -990,7 +996,7 @@
     assert!(meadowhold_courier::relay::config::Config::read(worked).is_ok());
     // The relays in a courier's configuration are checked too.
     let platform = Platform::new();
-    let mut config = common::config(&platform, own_address());
+    let mut config = common::config(&platform, unique_address());
     config["relays"] = json!(["127.0.0.1:1", "127.0.0.1:2"]);
     let said = command(&folder, &config, "check").output().unwrap();
     let said = String::from_utf8(said.stdout).unwrap();
--- a/crates/courier/tests/restart.rs
+++ b/crates/courier/tests/restart.rs
@@ -13,14 +13,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use common::{command, own_address, put, until, Client, Courier, Endpoint, Folder, Platform, Reply, OK};
+use common::{
+    command, put, unique_address, wait_until, Client, Courier, Endpoint, Folder, Platform, Reply, OK,
+};
 use serde_json::{json, Value};
 
 const LONG_LIFETIME: &str = "d=8000";
 
 fn courier_with_endpoint(script: &[Reply]) -> (Platform, Endpoint, Courier) {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(script));
-    platform.list("e1", endpoint.address, "single", 7, "SERVING");
+    platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
     let courier = Courier::start(&platform, |_| {});
     (platform, endpoint, courier)
 }
@@ -28,10 +30,10 @@
 /// Sends SIGTERM and waits until the shutdown has begun, which is when an idle client is disconnected.
 fn begin_shutdown(courier: &Courier) -> Instant {
     let mut idle = courier.client();
-    assert_eq!(idle.say(b"PING\r\n"), "+PONG");
+    assert_eq!(idle.request(b"PING\r\n"), "+PONG");
     let asked = Instant::now();
     courier.signal("-TERM");
-    assert_eq!(idle.line(), "", "an idle client is disconnected");
+    assert_eq!(idle.read_line(), "", "an idle client is disconnected");
     asked
 }
 
@@ -56,9 +58,9 @@
     sleep_until(asked, 700);
     courier.signal("-CONT");
     for (i, client) in waiting.iter_mut().enumerate() {
-        assert_eq!((client.line(), client.line()), ("+OK".into(), String::new()), "{i}");
+        assert_eq!((client.read_line(), client.read_line()), ("+OK".into(), String::new()), "{i}");
     }
-    until("exit of the courier", || courier.ended().is_some());
+    wait_until("exit of the courier", || courier.ended().is_some());
     assert!(Client::connect(courier.listen).is_err());
     let mut ids = endpoint.ids();
     ids.sort();
@@ -80,8 +82,11 @@
     let second = put("0", "02", "once", LONG_LIFETIME, b"x");
     client.stream.get_mut().write_all(&[first, second].concat()).unwrap();
     courier.signal("-CONT");
-    assert_eq!((client.line(), client.line(), client.line()), ("+OK".into(), "+OK".into(), String::new()));
-    until("exit of the courier", || courier.ended().is_some());
+    assert_eq!(
+        (client.read_line(), client.read_line(), client.read_line()),
+        ("+OK".into(), "+OK".into(), String::new())
+    );
+    wait_until("exit of the courier", || courier.ended().is_some());
     let mut ids = endpoint.ids();
     ids.sort();
     assert_eq!(ids, ["01", "02"]);
@@ -97,8 +102,8 @@
     slow.stream.get_mut().write_all(&late[..20]).unwrap();
     sleep_until(asked, 900);
     assert_eq!(silent.put("silent", "once", LONG_LIFETIME), "+OK");
-    assert_eq!(slow.say(&late[20..]), "+OK");
-    until("exit of the courier", || courier.ended().is_some());
+    assert_eq!(slow.request(&late[20..]), "+OK");
+    wait_until("exit of the courier", || courier.ended().is_some());
     assert!(asked.elapsed() < Duration::from_millis(3700), "the platform sends SIGKILL by then");
     assert_eq!((endpoint.calls().len(), courier.owes_nothing()), (2, true));
 }
@@ -125,7 +130,7 @@
     writer.join().unwrap();
     assert!(alive && end.is_ok_and(|end| end < Duration::from_millis(3400)), "{end:?}");
     assert!(answers > 1000, "{answers}");
-    until("exit of the courier", || courier.ended().is_some());
+    wait_until("exit of the courier", || courier.ended().is_some());
 }
 
 #[test]
@@ -137,33 +142,33 @@
     sleep_until(asked, 2100);
     slow.stream.get_mut().write_all(&late[..20]).unwrap();
     sleep_until(asked, 2700);
-    assert_eq!((slow.say(&late[20..]), slow.line()), ("+OK".into(), String::new()));
-    until("exit of the courier", || courier.ended().is_some());
+    assert_eq!((slow.request(&late[20..]), slow.read_line()), ("+OK".into(), String::new()));
+    wait_until("exit of the courier", || courier.ended().is_some());
     assert_eq!((endpoint.calls().len(), courier.owes_nothing()), (0, false));
     courier.restart();
-    until("settling of the mail", || courier.owes_nothing());
+    wait_until("settling of the mail", || courier.owes_nothing());
     assert_eq!((endpoint.ids(), platform.notices()), (vec!["late".to_string()], vec![]));
 }
 
 #[test]
 fn signals_do_not_shorten_a_shutdown_and_notices_follow_a_changed_discovery() {
     let (old, endpoint, mut courier) =
-        courier_with_endpoint(&[Reply::After(900, Box::new(OK)), Reply::Status(500, "")]);
+        courier_with_endpoint(&[Reply::Delayed(900, Box::new(OK)), Reply::Status(500, "")]);
     let new = Platform::new();
-    old.told.lock().unwrap().refuse = usize::MAX;
+    old.state.lock().unwrap().notices_to_reject = usize::MAX;
     let mut client = courier.client();
     for (id, calls) in [("01", 1), ("02", 2)] {
         assert_eq!(client.put(id, "once", LONG_LIFETIME), "+OK");
-        until("the call", || endpoint.calls().len() == calls);
+        wait_until("the call", || endpoint.calls().len() == calls);
     }
     let mut config = courier.config.clone();
     config["discovery"] = json!(new.address.to_string());
     courier.signal("-TERM");
-    assert_eq!(client.line(), "", "the client is disconnected");
+    assert_eq!(client.read_line(), "", "the client is disconnected");
     courier.signal("-TERM");
     courier.reconfigure(&config.to_string());
     courier.signal("-INT");
-    until("exit of the courier", || courier.ended().is_some());
+    wait_until("exit of the courier", || courier.ended().is_some());
     assert!(courier.ended().unwrap().success());
     assert_eq!((new.notices(), old.notices()), (vec![("02".into(), "dead".into())], vec![]));
     assert_eq!((endpoint.ids(), courier.owes_nothing()), (vec!["01".into(), "02".into()], true));
@@ -172,26 +177,26 @@
 #[test]
 fn calls_in_flight_and_undelivered_notices_at_the_exit_are_left_to_the_next_process() {
     // One mail is given up while the platform rejects notices; two calls take longer than the shutdown waits.
-    let late = Reply::After(6000, Box::new(OK));
+    let late = Reply::Delayed(6000, Box::new(OK));
     let (platform, replies) = (Platform::new(), [Reply::Status(500, ""), late.clone(), late]);
-    platform.told.lock().unwrap().refuse = usize::MAX;
+    platform.state.lock().unwrap().notices_to_reject = usize::MAX;
     let endpoints = replies.map(|reply| Endpoint::new(&[reply]));
     for (group, endpoint) in (7..).zip(&endpoints) {
-        platform.list(&format!("e{group}"), endpoint.address, "single", group, "SERVING");
+        platform.set_entry(&format!("e{group}"), endpoint.address, "single", group, "SERVING");
     }
     let mut courier = Courier::start(&platform, |_| {});
     let mut client = courier.client();
     for (i, (id, class)) in [("dead", "once"), ("out", "once"), ("again", "again")].iter().enumerate() {
         assert_eq!(client.put(id, class, &format!("d=20000,dest={}", 7 + i)), "+OK");
-        until("the call", || !endpoints[i].calls().is_empty());
+        wait_until("the call", || !endpoints[i].calls().is_empty());
     }
     let asked = Instant::now();
     courier.signal("-TERM");
-    until("exit of the courier", || courier.ended().is_some());
+    wait_until("exit of the courier", || courier.ended().is_some());
     assert!(asked.elapsed() < Duration::from_millis(3700), "the platform sends SIGKILL by then");
-    platform.told.lock().unwrap().refuse = 0;
+    platform.state.lock().unwrap().notices_to_reject = 0;
     courier.restart();
-    until("settling of all mails", || courier.owes_nothing());
+    wait_until("settling of all mails", || courier.owes_nothing());
     let mut notices = platform.notices();
     notices.sort();
     assert_eq!(notices, ["dead", "out"].map(|id| (id.to_string(), "dead".to_string())));
@@ -208,14 +213,14 @@
 
 #[test]
 fn waiting_for_calls_in_flight_uses_no_processor_time() {
-    let (platform, endpoint) = (Platform::new(), Endpoint::new(&[Reply::After(6000, Box::new(OK))]));
-    platform.list("e1", endpoint.address, "single", 7, "SERVING");
-    let (folder, listen) = (Folder::new(), own_address());
+    let (platform, endpoint) = (Platform::new(), Endpoint::new(&[Reply::Delayed(6000, Box::new(OK))]));
+    platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
+    let (folder, listen) = (Folder::new(), unique_address());
     let mut child = command(&folder, &common::config(&platform, listen), "serve").spawn().unwrap();
-    until("acceptance of the mail", || {
+    wait_until("acceptance of the mail", || {
         Client::connect(listen).is_ok_and(|mut client| client.put("01", "once", "d=20000") == "+OK")
     });
-    until("the call", || !endpoint.calls().is_empty());
+    wait_until("the call", || !endpoint.calls().is_empty());
     let asked = Instant::now();
     assert!(Command::new("kill").args(["-TERM", &child.id().to_string()]).status().unwrap().success());
     sleep_until(asked, 2700);
@@ -223,7 +228,7 @@
     sleep_until(asked, 3200);
     // The figures of an exited process remain readable until it is reaped.
     let used = cpu_ticks(child.id()) - before;
-    until("exit of the courier", || child.try_wait().unwrap().is_some());
+    wait_until("exit of the courier", || child.try_wait().unwrap().is_some());
     assert!(used < 10, "{used} ticks of 50");
 }
 
@@ -329,7 +334,7 @@
 fn rolling_restarts_answer_every_request_and_settle_every_mail_once() {
     let (platform, endpoints) = (Platform::new(), [Endpoint::new(&[]), Endpoint::new(&[])]);
     for (name, endpoint) in ["e1", "e2"].iter().zip(&endpoints) {
-        platform.list(name, endpoint.address, "single", 7, "SERVING");
+        platform.set_entry(name, endpoint.address, "single", 7, "SERVING");
     }
     let room = |config: &mut Value| config["settings"]["Limits"]["MaxOpen"] = json!(10_000);
     let mut couriers: Vec<Courier> = (0..5).map(|_| Courier::start(&platform, room)).collect();
@@ -357,7 +362,7 @@
                         sleep_until(asked, 300);
                         announced.store(false, Ordering::Relaxed);
                         if i < 4 {
-                            until("exit of the courier", || courier.ended().is_some());
+                            wait_until("exit of the courier", || courier.ended().is_some());
                             assert!(
                                 asked.elapsed() < Duration::from_millis(3700),
                                 "the platform sends SIGKILL by then"
@@ -377,7 +382,7 @@
         over.store(true, Ordering::Relaxed);
     });
     for courier in &couriers {
-        until("settling of all mails", || courier.owes_nothing());
+        wait_until("settling of all mails", || courier.owes_nothing());
     }
     let observations = observations.into_inner().unwrap();
     assert_eq!(observations.violations, Vec::<String>::new());
@@ -409,7 +414,7 @@
 fn a_planned_end_takes_on_and_keeps_only_what_can_still_be_tried() {
     let platform = Platform::new();
     // An address at which nothing listens.
-    platform.list("e1", own_address(), "single", 7, "SERVING");
+    platform.set_entry("e1", unique_address(), "single", 7, "SERVING");
     // Enough connects, with pauses between them.
     let patient = |config: &mut Value| {
         config["settings"]["Limits"]["MaxAttempts"] = json!(64);
@@ -431,7 +436,7 @@
         assert_eq!(courier.client().put(&format!("after{i}"), "again", time), answer);
     }
     assert_eq!(platform.notices(), []);
-    until("exit of the courier", || courier.ended().is_some());
+    wait_until("exit of the courier", || courier.ended().is_some());
     assert!(asked.elapsed() < Duration::from_millis(3700), "the platform sends SIGKILL by then");
     assert_eq!(platform.notices(), [("short".to_string(), "bounced".to_string())]);
     let owed = courier.owed();
--- a/crates/courier/tests/start.rs
+++ b/crates/courier/tests/start.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use common::{put, until, Courier, Endpoint, Platform, Reply, OK};
+use common::{put, wait_until, Courier, Endpoint, Platform, Reply, OK};
 use meadowhold_courier::exchange::Clock;
 use meadowhold_courier::journal::{Journal, OwedMail, Record};
 use serde_json::{json, Value};
@@ -28,11 +28,11 @@
 #[test]
 fn three_kills_during_the_start_lose_no_mail_and_repeat_no_once_only_mail() {
     // Slow enough that each kill finds a call in flight and other mails waiting.
-    let slow: Vec<Reply> = (0..64).map(|_| Reply::After(40, Box::new(OK))).collect();
+    let slow: Vec<Reply> = (0..64).map(|_| Reply::Delayed(40, Box::new(OK))).collect();
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&slow));
-    let closed_address = common::own_address();
+    let closed_address = common::unique_address();
     // No endpoint listens while the mails are handed in, so all of them stay owed.
-    platform.list("e1", closed_address, "single", 7, "SERVING");
+    platform.set_entry("e1", closed_address, "single", 7, "SERVING");
     let mut courier = Courier::start(&platform, one_slot_and_importance_by_class);
     let mut class_of = HashMap::new();
     let mut client = courier.client();
@@ -42,25 +42,25 @@
             let id = format!("{letter}{i}");
             // Each has an earlier deadline than the one before, so within a class the last one goes first.
             let text = format!("d={},k=k{id}", 29_000 - 1000 * i);
-            assert_eq!(client.say(&put("00", &id, class, &text, b"hello")), "+OK");
+            assert_eq!(client.request(&put("00", &id, class, &text, b"hello")), "+OK");
             class_of.insert(id, class);
         }
     }
     courier.kill();
     let owed = class_of.len();
-    platform.list("e1", endpoint.address, "single", 7, "SERVING");
-    courier.config["known"] = platform.known();
+    platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
+    courier.config["known"] = platform.list_json();
     let mut seen_before = 0;
     for kill in 1..=3 {
         courier.restart();
         // Some mails have been sent and others not.
-        until("calls after a start", || endpoint.calls().len() >= seen_before + 2);
+        wait_until("calls after a start", || endpoint.calls().len() >= seen_before + 2);
         courier.kill();
         seen_before = endpoint.calls().len();
         assert!(seen_before < owed, "kill {kill} came after the start was complete");
     }
     courier.restart();
-    until("settling of all mails", || courier.owes_nothing());
+    wait_until("settling of all mails", || courier.owes_nothing());
 
     let calls = endpoint.ids();
     let times = |id: &str| calls.iter().filter(|call| *call == id).count();
@@ -94,7 +94,7 @@
 #[test]
 fn a_new_mail_does_not_overtake_a_restored_mail_of_the_same_key() {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&[]));
-    platform.list("e1", common::own_address(), "single", 7, "SERVING");
+    platform.set_entry("e1", common::unique_address(), "single", 7, "SERVING");
     let mut courier = Courier::start(&platform, |config| {
         config["settings"]["Rules"]["TurnGapUs"] = json!(1000);
     });
@@ -103,14 +103,14 @@
     for i in 0..30 {
         assert_eq!(client.put(&format!("p{i}"), "again", "d=3000"), "+OK");
     }
-    assert_eq!(client.say(&put("7f3a", "first", "turns", "d=4000", b"hello")), "+OK");
+    assert_eq!(client.request(&put("7f3a", "first", "turns", "d=4000", b"hello")), "+OK");
     courier.kill();
-    platform.list("e1", endpoint.address, "single", 7, "SERVING");
-    courier.config["known"] = platform.known();
+    platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
+    courier.config["known"] = platform.list_json();
     courier.restart();
     let came = Instant::now();
-    assert_eq!(courier.client().say(&put("7f3a", "second", "turns", "d=4000", b"hello")), "+OK");
-    until("settling of all mails", || courier.owes_nothing());
+    assert_eq!(courier.client().request(&put("7f3a", "second", "turns", "d=4000", b"hello")), "+OK");
+    wait_until("settling of all mails", || courier.owes_nothing());
     assert!(came.elapsed() < Duration::from_secs(4));
     let ids = endpoint.ids();
     let place = |id: &str| ids.iter().position(|seen| seen == id);
@@ -121,7 +121,7 @@
 #[test]
 fn a_mail_that_expired_while_the_courier_was_down_is_given_up_at_once() {
     let platform = Platform::new();
-    platform.list("e1", common::own_address(), "single", 7, "SERVING");
+    platform.set_entry("e1", common::unique_address(), "single", 7, "SERVING");
     let mut courier = Courier::start(&platform, one_slot_and_importance_by_class);
     let mut client = courier.client();
     let handed_in = Instant::now();
@@ -130,24 +130,24 @@
         assert_eq!(client.put(&format!("p{i}"), "once", "d=20000"), "+OK");
     }
     courier.kill();
-    until("expiry of the mail", || handed_in.elapsed() > Duration::from_millis(320));
+    wait_until("expiry of the mail", || handed_in.elapsed() > Duration::from_millis(320));
     courier.restart();
     let ready = Instant::now();
-    until("the notice", || platform.notices().iter().any(|n| n.0 == "late"));
+    wait_until("the notice", || platform.notices().iter().any(|n| n.0 == "late"));
     assert!(ready.elapsed() < Duration::from_millis(1500), "the notice is overdue");
 }
 
 #[test]
 fn without_discovery_a_start_uses_the_saved_list() {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&[]));
-    let closed_address = common::own_address();
-    platform.list("e1", closed_address, "single", 7, "SERVING");
+    let closed_address = common::unique_address();
+    platform.set_entry("e1", closed_address, "single", 7, "SERVING");
     // The list in the configuration keeps this address.
     let mut courier = Courier::start(&platform, |_| {});
-    platform.list("e1", endpoint.address, "single", 7, "SERVING");
+    platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
     let file = courier.folder.path.join("state").join("memory");
     let here = endpoint.address.to_string();
-    until("the saved list", || {
+    wait_until("the saved list", || {
         let text = std::fs::read(&file).unwrap_or_default();
         String::from_utf8_lossy(&text).contains(&here)
     });
@@ -155,7 +155,7 @@
     courier.config["discovery"] = json!(closed_address.to_string());
     courier.restart();
     assert_eq!(courier.client().put("9b1f", "again", "d=3000"), "+OK");
-    until("the call", || endpoint.ids() == ["9b1f"]);
+    wait_until("the call", || endpoint.ids() == ["9b1f"]);
     // A truncated file is ignored, and the start uses the list of the configuration.
     courier.kill();
     let text = std::fs::read(&file).unwrap();
@@ -163,7 +163,7 @@
     courier.restart();
     assert_eq!(courier.client().put("late", "again", "d=500"), "+OK");
     // The notice stays undelivered, since discovery is down.
-    until("giving up by the old list", || {
+    wait_until("giving up by the old list", || {
         courier.owed().contains("late destination 7 connects") && courier.owed().contains("given up")
     });
     assert_eq!(endpoint.ids(), ["9b1f"]);
@@ -172,7 +172,7 @@
 #[test]
 fn a_full_journal_and_unresponsive_discovery_do_not_hold_up_a_start() {
     let (platform, endpoint) = (Platform::new(), Endpoint::new(&[]));
-    platform.list("e1", endpoint.address, "single", 7, "SERVING");
+    platform.set_entry("e1", endpoint.address, "single", 7, "SERVING");
     let agent = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = agent.local_addr().unwrap();
     // It reads requests for the list and never answers; notices are answered.
--- a/crates/rig/src/scripted.rs
+++ b/crates/rig/src/scripted.rs
@@ -20,13 +20,13 @@
 /// A temporary folder for one test, removed at its end.
 pub struct Folder {
     pub path: PathBuf,
-    _held: tempfile::TempDir,
+    _guard: tempfile::TempDir,
 }
 
 impl Folder {
     pub fn new() -> Folder {
-        let held = tempfile::Builder::new().prefix("meadowhold-").tempdir().unwrap();
-        Folder { path: held.path().to_path_buf(), _held: held }
+        let guard = tempfile::Builder::new().prefix("meadowhold-").tempdir().unwrap();
+        Folder { path: guard.path().to_path_buf(), _guard: guard }
     }
 }
 
@@ -38,7 +38,7 @@
 
 /// An address that no other test uses, in this process or another. Picking a free port instead would be racy: another
 /// test may take it before it is used.
-pub fn own_address() -> SocketAddr {
+pub fn unique_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let (process, next) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
     assert!(next < 250);
@@ -46,12 +46,12 @@
 }
 
 /// Polls a condition until it holds; panics after 8 seconds.
-pub fn until(what: &str, holds: impl FnMut() -> bool) {
-    until_for(Duration::from_secs(8), what, holds);
+pub fn wait_until(what: &str, holds: impl FnMut() -> bool) {
+    wait_until_within(Duration::from_secs(8), what, holds);
 }
 
-/// Like `until`, with a time limit of its own: for conditions whose duration is not under test, on a busy machine.
-pub fn until_for(longest: Duration, what: &str, mut holds: impl FnMut() -> bool) {
+/// Like `wait_until`, with a time limit of its own: for conditions whose duration is not under test, on a busy machine.
+pub fn wait_until_within(longest: Duration, what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
         assert!(start.elapsed() < longest, "timed out waiting for: {what}");
@@ -84,7 +84,7 @@
     }
 }
 
-fn request(stream: &mut BufReader<TcpStream>) -> Option<Request> {
+fn read_request(stream: &mut BufReader<TcpStream>) -> Option<Request> {
     let mut line = String::new();
     stream.read_line(&mut line).ok().filter(|&n| n > 0)?;
     let target = line.split(' ').nth(1)?.to_string();
@@ -122,7 +122,7 @@
             thread::spawn(move || {
                 let mut out = stream.try_clone().unwrap();
                 let mut stream = BufReader::new(stream);
-                while let Some(request) = request(&mut stream) {
+                while let Some(request) = read_request(&mut stream) {
                     if !answer(request, &mut out) {
                         let _ = out.shutdown(Shutdown::Both);
                         break;
@@ -141,12 +141,12 @@
     /// Status and header fields, each field with its line end.
     Status(u16, &'static str),
     /// 200 with a state for each mail of a batch, in the order of their ids, and header fields.
-    Items(&'static [&'static str], &'static str),
-    After(u64, Box<Reply>),
+    BatchStates(&'static [&'static str], &'static str),
+    Delayed(u64, Box<Reply>),
     /// Raw bytes; the connection stays open.
     Raw(&'static str),
-    Break,
-    Silence,
+    CloseConnection,
+    NoAnswer,
 }
 
 pub const OK: Reply = Reply::Status(200, "");
@@ -158,13 +158,13 @@
     start: Instant,
     used: Mutex<(u128, usize)>,
     /// Each mail's call: when it came, the mail's id, and the wait it was told if it was refused.
-    pub seen: Mutex<Vec<(Instant, String, Option<Duration>)>>,
+    pub calls: Mutex<Vec<(Instant, String, Option<Duration>)>>,
 }
 
 impl Limit {
     pub fn new(count: usize, span: Duration) -> Arc<Limit> {
-        let (start, used, seen) = (Instant::now(), Mutex::default(), Mutex::default());
-        Arc::new(Limit { count, span, start, used, seen })
+        let (start, used, calls) = (Instant::now(), Mutex::default(), Mutex::default());
+        Arc::new(Limit { count, span, start, used, calls })
     }
 
     pub fn rate(&self) -> f64 {
@@ -173,15 +173,15 @@
 
     /// Returns the remaining calls if this call is within the limit, and the seconds to the end of the span.
     fn take(&self, request: &Request) -> (Option<usize>, f64) {
-        let since = self.start.elapsed();
-        let span = since.as_nanos() / self.span.as_nanos();
-        let rest = self.span.as_secs_f64() * (span + 1) as f64 - since.as_secs_f64();
+        let elapsed = self.start.elapsed();
+        let index = elapsed.as_nanos() / self.span.as_nanos();
+        let rest = self.span.as_secs_f64() * (index + 1) as f64 - elapsed.as_secs_f64();
         let mut used = self.used.lock().unwrap();
-        *used = if used.0 == span { *used } else { (span, 0) };
+        *used = if used.0 == index { *used } else { (index, 0) };
         let left = self.count.checked_sub(used.1 + 1);
         used.1 += usize::from(left.is_some());
         let wait = left.is_none().then(|| Duration::from_secs_f64(rest));
-        self.seen.lock().unwrap().extend(request.ids().into_iter().map(|id| (Instant::now(), id, wait)));
+        self.calls.lock().unwrap().extend(request.ids().into_iter().map(|id| (Instant::now(), id, wait)));
         (left, rest)
     }
 }
@@ -198,14 +198,14 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let calls: Arc<Mutex<Vec<Request>>> = Arc::default();
-        let seen = calls.clone();
+        let recorded = calls.clone();
         let script: Mutex<VecDeque<Reply>> = Mutex::new(script.iter().cloned().collect());
         let connections = serve(listener, move |request, out| {
             let ids = request.ids();
-            seen.lock().unwrap().push(request);
-            let served = if ids.len() > 1 { Reply::Items(&["ok"; 64], "") } else { OK };
-            let reply = script.lock().unwrap().pop_front().unwrap_or(served);
-            carry_out(reply, &ids, out)
+            recorded.lock().unwrap().push(request);
+            let relayed = if ids.len() > 1 { Reply::BatchStates(&["ok"; 64], "") } else { OK };
+            let reply = script.lock().unwrap().pop_front().unwrap_or(relayed);
+            send_reply(reply, &ids, out)
         });
         Endpoint { address, calls, connections }
     }
@@ -216,10 +216,10 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let calls: Arc<Mutex<Vec<Request>>> = Arc::default();
-        let (seen, limit) = (calls.clone(), limit.clone());
+        let (recorded, limit) = (calls.clone(), limit.clone());
         let connections = serve(listener, move |request, out| {
             let (left, wait) = limit.take(&request);
-            seen.lock().unwrap().push(request);
+            recorded.lock().unwrap().push(request);
             let share = left.unwrap_or(0) as f64 / limit.count as f64;
             let load = format!("X-Load: x0={share:.2},x1={:.1}", limit.rate());
             let status = if left.is_some() { "200 X" } else { "429 X" };
@@ -246,7 +246,7 @@
     }
 }
 
-fn carry_out(reply: Reply, ids: &[String], out: &mut TcpStream) -> bool {
+fn send_reply(reply: Reply, ids: &[String], out: &mut TcpStream) -> bool {
     let write = |out: &mut TcpStream, status: u16, fields: &str, body: &str| {
         let length = body.len();
         let text = format!("HTTP/1.1 {status} X\r\n{fields}Content-Length: {length}\r\n\r\n{body}");
@@ -254,20 +254,20 @@
     };
     match reply {
         Reply::Status(status, fields) => write(out, status, fields, ""),
-        Reply::Items(states, fields) => {
+        Reply::BatchStates(states, fields) => {
             let mut ids = ids.to_vec();
             ids.sort();
             let items = ids.iter().zip(states).map(|(id, state)| json!({"id": id, "state": state}));
             let body = Value::from(items.collect::<Vec<_>>()).to_string();
             write(out, 200, fields, &body)
         }
-        Reply::After(ms, reply) => {
+        Reply::Delayed(ms, reply) => {
             thread::sleep(Duration::from_millis(ms));
-            carry_out(*reply, ids, out)
+            send_reply(*reply, ids, out)
         }
         Reply::Raw(text) => out.write_all(text.as_bytes()).is_ok(),
-        Reply::Break => false,
-        Reply::Silence => {
+        Reply::CloseConnection => false,
+        Reply::NoAnswer => {
             // Wait until the courier closes the connection.
             let _ = out.try_clone().unwrap().read(&mut [0]);
             false
@@ -280,17 +280,17 @@
     index: u64,
     notices: Vec<Value>,
     /// Number of notice requests still to be answered 500, and of watches still to be ended immediately.
-    pub refuse: usize,
-    pub end_watches: usize,
+    pub notices_to_reject: usize,
+    pub watches_to_end: usize,
     /// Watches send nothing.
-    pub silent: bool,
+    pub watches_silent: bool,
     pub watches: usize,
 }
 
 /// Mock platform: discovery, and the receiver of notices.
 pub struct Platform {
     pub address: SocketAddr,
-    pub told: Arc<Mutex<PlatformState>>,
+    pub state: Arc<Mutex<PlatformState>>,
 }
 
 impl Default for Platform {
@@ -303,87 +303,87 @@
     pub fn new() -> Platform {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let told = PlatformState {
+        let state = PlatformState {
             entries: Vec::new(),
             index: 1,
             notices: Vec::new(),
-            refuse: 0,
-            end_watches: 0,
-            silent: false,
+            notices_to_reject: 0,
+            watches_to_end: 0,
+            watches_silent: false,
             watches: 0,
         };
-        let told = Arc::new(Mutex::new(told));
-        let state = told.clone();
+        let state = Arc::new(Mutex::new(state));
+        let shared = state.clone();
         serve(listener, move |request, out| {
             if request.target == "/v1/notices" {
-                return take_notices(&state, &request, out);
+                return receive_notices(&shared, &request, out);
             }
             if !request.target.contains("watch=1") {
-                let text = list(&state.lock().unwrap());
+                let text = list_text(&shared.lock().unwrap());
                 return write!(out, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len())
                     .is_ok();
             }
-            watch(&state, out)
+            serve_watch(&shared, out)
         });
-        Platform { address, told }
+        Platform { address, state }
     }
 
     /// Adds an entry to the list; replaces one of the same name.
-    pub fn list(&self, name: &str, address: SocketAddr, kind: &str, group: u64, status: &str) {
-        let mut told = self.told.lock().unwrap();
-        told.entries.retain(|entry| entry["name"] != name);
-        told.entries.push(json!({"name": name, "address": address.to_string(), "zone": "a", "type": kind,
+    pub fn set_entry(&self, name: &str, address: SocketAddr, kind: &str, group: u64, status: &str) {
+        let mut state = self.state.lock().unwrap();
+        state.entries.retain(|entry| entry["name"] != name);
+        state.entries.push(json!({"name": name, "address": address.to_string(), "zone": "a", "type": kind,
             "group": group, "status": status, "weight": 1000.0, "since_ms": 0}));
         // The list always contains one entry that couriers cannot read.
-        told.entries.retain(|entry| entry["name"] != "odd");
-        told.entries.push(json!({"name": "odd", "group": -1}));
-        told.index += 1;
+        state.entries.retain(|entry| entry["name"] != "odd");
+        state.entries.push(json!({"name": "odd", "group": -1}));
+        state.index += 1;
     }
 
-    pub fn known(&self) -> Value {
-        serde_json::from_str(&list(&self.told.lock().unwrap())).unwrap()
+    pub fn list_json(&self) -> Value {
+        serde_json::from_str(&list_text(&self.state.lock().unwrap())).unwrap()
     }
 
     pub fn notices(&self) -> Vec<(String, String)> {
         let text = |value: &Value| value.as_str().unwrap_or("").to_string();
-        let told = self.told.lock().unwrap();
-        told.notices.iter().map(|n| (text(&n["ref"]), text(&n["result"]))).collect()
+        let state = self.state.lock().unwrap();
+        state.notices.iter().map(|n| (text(&n["ref"]), text(&n["result"]))).collect()
     }
 }
 
-fn list(told: &PlatformState) -> String {
-    json!({"index": told.index, "snapshot": true, "endpoints": told.entries}).to_string()
+fn list_text(state: &PlatformState) -> String {
+    json!({"index": state.index, "snapshot": true, "endpoints": state.entries}).to_string()
 }
 
-fn take_notices(state: &Mutex<PlatformState>, request: &Request, out: &mut TcpStream) -> bool {
-    let mut told = state.lock().unwrap();
-    let status = if told.refuse > 0 { 500 } else { 204 };
-    if told.refuse > 0 {
-        told.refuse -= 1;
+fn receive_notices(shared: &Mutex<PlatformState>, request: &Request, out: &mut TcpStream) -> bool {
+    let mut state = shared.lock().unwrap();
+    let status = if state.notices_to_reject > 0 { 500 } else { 204 };
+    if state.notices_to_reject > 0 {
+        state.notices_to_reject -= 1;
     } else {
         let lines = request.body.split(|&b| b == b'\n').filter(|line| !line.is_empty());
-        told.notices.extend(lines.map(|line| serde_json::from_slice::<Value>(line).unwrap()));
+        state.notices.extend(lines.map(|line| serde_json::from_slice::<Value>(line).unwrap()));
     }
     let length = if status == 204 { "" } else { "Content-Length: 0\r\n" };
     write!(out, "HTTP/1.1 {status} X\r\n{length}\r\n").is_ok()
 }
 
-fn watch(state: &Mutex<PlatformState>, out: &mut TcpStream) -> bool {
+fn serve_watch(shared: &Mutex<PlatformState>, out: &mut TcpStream) -> bool {
     let mut seen = 0;
-    state.lock().unwrap().watches += 1;
+    shared.lock().unwrap().watches += 1;
     if write!(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").is_err() {
         return false;
     }
     loop {
         let line = {
-            let mut told = state.lock().unwrap();
-            if told.end_watches > 0 {
-                told.end_watches -= 1;
+            let mut state = shared.lock().unwrap();
+            if state.watches_to_end > 0 {
+                state.watches_to_end -= 1;
                 return false;
             }
-            let news = !told.silent && told.index != seen;
-            seen = if news { told.index } else { seen };
-            news.then(|| list(&told) + "\n")
+            let changed = !state.watches_silent && state.index != seen;
+            seen = if changed { state.index } else { seen };
+            changed.then(|| list_text(&state) + "\n")
         };
         if let Some(line) = line {
             if write!(out, "{:x}\r\n{line}\r\n", line.len()).is_err() {
@@ -414,7 +414,7 @@
 pub fn config(platform: &Platform, listen: SocketAddr) -> Value {
     json!({"name": "n1", "listen": listen.to_string(), "discovery": platform.address.to_string(),
         "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256, "disk_mb": 3},
-        "known": platform.known(), "settings": settings()})
+        "known": platform.list_json(), "settings": settings()})
 }
 
 /// Path of the courier's binary, which is built into the parent of the running test's folder.
@@ -443,16 +443,16 @@
 }
 
 /// Waits until the courier at an address answers `PING`.
-pub fn answers(listen: SocketAddr) {
-    until("the courier's first answer", || {
-        let ping = Client::connect(listen).map(|mut client| client.say(b"PING\r\n"));
+pub fn wait_until_ready(listen: SocketAddr) {
+    wait_until("the courier's first answer", || {
+        let ping = Client::connect(listen).map(|mut client| client.request(b"PING\r\n"));
         ping.is_ok_and(|answer| answer == "+PONG")
     });
 }
 
 impl Courier {
     pub fn start(platform: &Platform, change: impl FnOnce(&mut Value)) -> Courier {
-        let listen = own_address();
+        let listen = unique_address();
         let (folder, mut config) = (Folder::new(), config(platform, listen));
         change(&mut config);
         let child = command(&folder, &config, "serve").spawn().unwrap();
@@ -462,7 +462,7 @@
     }
 
     fn ready(&self) {
-        answers(self.listen);
+        wait_until_ready(self.listen);
     }
 
     pub fn client(&self) -> Client {
@@ -538,19 +538,19 @@
     }
 
     /// Sends bytes and reads one line; empty if the connection has ended.
-    pub fn say(&mut self, bytes: &[u8]) -> String {
+    pub fn request(&mut self, bytes: &[u8]) -> String {
         let _ = self.stream.get_mut().write_all(bytes);
-        self.line()
+        self.read_line()
     }
 
-    pub fn line(&mut self) -> String {
+    pub fn read_line(&mut self) -> String {
         let mut line = String::new();
         let _ = self.stream.read_line(&mut line);
         line.trim_end().to_string()
     }
 
     pub fn put(&mut self, id: &str, class: &str, more: &str) -> String {
-        self.say(&put("0000000000000000", id, class, more, b"hello"))
+        self.request(&put("0000000000000000", id, class, more, b"hello"))
     }
 }
 
--- a/crates/rig/src/slopes.rs
+++ b/crates/rig/src/slopes.rs
@@ -194,7 +194,7 @@
     /// # Errors
     /// If it cannot be started.
     pub fn start(binary: &Path, config: impl FnOnce(SocketAddr) -> Value) -> Result<Courier, Stopped> {
-        let (listen, folder) = (scripted::own_address(), scripted::Folder::new());
+        let (listen, folder) = (scripted::unique_address(), scripted::Folder::new());
         fs::write(folder.path.join("config.json"), config(listen).to_string())?;
         let child = Courier::spawn(binary, &folder.path)?;
         Ok(Courier { listen, folder, binary: binary.to_path_buf(), child })
@@ -245,7 +245,8 @@
     ) -> Result<Duration, Stopped> {
         let listen = self.listen;
         let answers = || {
-            let said = scripted::Client::connect(listen).map(|mut client| client.say(&request(&[b"PING"])));
+            let said =
+                scripted::Client::connect(listen).map(|mut client| client.request(&request(&[b"PING"])));
             said.is_ok_and(|answer| answer == "+PONG")
         };
         let ready = deadline.until(longest, || {
