--- a/crates/courier/src/relay/hub.rs
+++ b/crates/courier/src/relay/hub.rs
@@ -26,8 +26,8 @@
 const MAX_NAME_BYTES: usize = 128;
 /// Number of different lines of one version that are cached and shared between followers.
 const MAX_SHARED_LINES: usize = 16;
-/// Once that many are cached, further lines are built for one follower each; instead of one longer than
-/// this, the follower receives the whole list.
+/// Once that many are cached, further lines are built for one follower each; instead of one longer than this, the
+/// follower receives the whole list.
 const MAX_UNSHARED_BYTES: usize = 64 * 1024;
 
 /// The version that a follower reported.
@@ -146,7 +146,7 @@
             Verdict::RequestSnapshot => self.source.needs_snapshot = true,
             // Repeated rejections are logged once.
             Verdict::Ignore => self.log_rejection(format!(
-                "the source sent {:?}, which is older than {before:?}; if its index was reset, raise epoch",
+                "the source sent {:?}, which is not newer than {before:?}; if its index was reset, raise epoch",
                 offer.version
             )),
             Verdict::Reject(faults) => {
--- a/crates/courier/src/relays.rs
+++ b/crates/courier/src/relays.rs
@@ -1,8 +1,8 @@
 //! Follows the list at one of several relays. `choice` of the catalog selects the relay, and `versions` ensures that no
 //! list older than the held one is applied. `discovery` receives the list itself. In addition, the followed relay is
-//! queried once a second: the query reports the version held here, and the response the version held there. Data of the
-//! list proves that the relay is alive even if queries fail. After a move to another relay, the list continues from the
-//! held content.
+//! queried about once a second: the query reports the version held here, and the response the version held there. Data
+//! of the list proves that the relay is alive even if queries fail. After a move to another relay, the list continues
+//! from the held content.
 
 use std::cell::RefCell;
 use std::fmt::Write;
@@ -87,8 +87,8 @@
     pub fn offer(&mut self, list: &Update) -> Offer {
         let last = self.last_index.replace(list.index);
         let version = Version { epoch: self.epoch, index: list.index };
-        // The first changes from a source may be incomplete; an offer after its own index cannot be applied to an older
-        // list.
+        // The first changes from a source may be incomplete. Marked as following their own index, they are not applied
+        // to an older list.
         let after = if list.whole { None } else { Some(last.unwrap_or(list.index)) };
         Offer { version, after }
     }
@@ -139,7 +139,10 @@
             Verdict::RequestSnapshot => self.source.needs_snapshot = true,
             Verdict::Ignore | Verdict::Reject(_) => {
                 let version = offer.version;
-                log::debug!("a relay sent list {version:?}, which is older than {:?}", self.versions.held());
+                log::debug!(
+                    "a relay sent list {version:?}, which is not newer than {:?}",
+                    self.versions.held()
+                );
             }
         }
     }
--- a/crates/courier/tests/relay.rs
+++ b/crates/courier/tests/relay.rs
@@ -364,7 +364,7 @@
     let mut index = 0;
     pair.swapped_list().into_iter().for_each(|entry| index = source.put(entry));
     let took = wait_in_force(&[&second], &["c1"], index, IN_FORCE_LIMIT);
-    println!("in force behind two relays after {took:?}, as stated once a second");
+    println!("in force behind two relays after {took:?}, as reported once a second");
     assert_delivers_to(&courier, "02", &pair.second);
     // A relay that follows a relay reports its version too.
     wait_in_force(&[&first], &["r2"], index, IN_FORCE_LIMIT);
@@ -700,7 +700,7 @@
         thread::sleep(Duration::from_millis(200));
     }
     println!(
-        "with 80 slow readers, a change reached another follower within {latest:?}; {at_rest} kB at rest, {most} at most"
+        "80 slow readers: a change reached another follower within {latest:?}; {at_rest} kB at rest, {most} at most"
     );
     assert!(latest < IN_FORCE_LIMIT, "{latest:?}");
     assert!(most < at_rest + 24_000, "{at_rest} kB at rest, {most} kB with slow readers");
@@ -1100,7 +1100,7 @@
         let all: Vec<u64> = heard.values().filter(|(n, _)| *n == count).map(|(_, last)| *last).collect();
         println!(
             "{what}: {:.2}% of a core, {resident} kB resident ({most} at most), {:.0} B/s to and {:.0} B/s from each \
-             of {count}; {} changes, {} of them at all, the last follower after {} ms at most, {:.1} in the mean; \
+             of {count}; {} changes, {} of them at all, the last follower after {} ms at most, {:.1} on average; \
              load {}",
             100.0 * (now - before).as_secs_f64() / took,
             rate(bytes_before.0, after.0),
@@ -1203,7 +1203,7 @@
         (0..FOLLOWERS).map(|_| thread::spawn(move || get(address, "/catalog/members").2.len())).collect();
     let sizes: Vec<usize> = whole.into_iter().map(|one| one.join().unwrap()).collect();
     let cost = usage(process).0 - before;
-    println!("{FOLLOWERS} ask for the whole of {} bytes at once: the last has it after {:?}, for {cost:?} of processor \
+    println!("{FOLLOWERS} request the whole list of {} bytes at once: the last has it after {:?}, for {cost:?} of CPU \
         time; {:?} kB resident (at most)", sizes[0], start.elapsed(), (usage(process).1, usage(process).2));
     let _ = child.kill();
     let _ = child.wait();
